--- /dev/null
+++ b/routing/following_golden_test.go
@@ -0,0 +1,90 @@
+package routing
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"hollylever/policy"
+)
+
+var updateFollowing = flag.Bool("update-following", false, "write testdata/following.golden anew")
+
+// pieces is a body that comes in pieces of chosen sizes.
+type pieces struct {
+	text    []byte
+	chances *rand.Rand
+}
+
+func (p *pieces) Read(into []byte) (int, error) {
+	if len(p.text) == 0 {
+		return 0, io.EOF
+	}
+	n := copy(into, p.text[:min(len(p.text), 1+p.chances.IntN(9))])
+	p.text = p.text[n:]
+	return n, nil
+}
+
+// A balancer that takes a watch for silent too soon calls discovery again and again, with all others at once; one that
+// does so too late drives by an old list. When a further call is due, what counts as progress and what is logged of a
+// change is held here as it is.
+func TestFollowingGolden(t *testing.T) {
+	var lines bytes.Buffer
+	start := time.Unix(1_700_000_000, 0)
+	timeouts := []watchTimeouts{protocolTimeouts, {line: 100, answer: 200, lastCall: 1000, spread: 50, giveUp: 500}}
+	for n, t := range timeouts {
+		fmt.Fprintln(&lines, int64(t.line), int64(t.answer), int64(t.lastCall), int64(t.spread), int64(t.giveUp))
+		for _, isEstablished := range []bool{true, false} {
+			for _, ago := range []time.Duration{-time.Hour, -t.lastCall, -1, 0, t.answer, t.giveUp - t.spread - t.lastCall, time.Hour} {
+				w := listWatch{heardAt: start, isEstablished: isEstablished}
+				fmt.Fprintln(&lines, n, isEstablished, int64(ago), int64(w.overdueAt(t, start.Add(ago)).Sub(start)))
+			}
+		}
+	}
+	chances := rand.New(rand.NewPCG(1, 2))
+	for _, text := range []string{"\n\n\n", "{\"a\":1}\n\n{\"b\":2}", "\n { \n } \n", "  \r\n[]", "{}{}{}\n"} {
+		began, empty := 0, 0
+		s := &listStream{body: &pieces{[]byte(text), chances}, progress: func() { began++ }, emptyLine: func() { empty++ }}
+		for {
+			n, err := s.Read(make([]byte, 64))
+			fmt.Fprintln(&lines, n, err, s.isInList, s.size, began, empty)
+			if err != nil {
+				break
+			}
+			if chances.IntN(3) == 0 {
+				s.listEnded(bytes.NewReader([]byte([]string{"", " \n", "{"}[chances.IntN(3)])))
+				fmt.Fprintln(&lines, "ended", s.isInList, s.size, began, empty)
+			}
+		}
+	}
+	long := &listStream{body: bytes.NewReader(bytes.Repeat([]byte("["), maxList+1)), progress: func() {}, emptyLine: func() {}}
+	n, err := long.Read(make([]byte, maxList+1))
+	fmt.Fprintln(&lines, n, err)
+	changes := listChanges{index: 7}
+	for n := range 2*changesPerLine + 3 {
+		changes.add(fmt.Sprint("h", n), []policy.Health{policy.Ready, policy.Draining, policy.Gone}[n%3])
+	}
+	changes.log(zerolog.New(&lines))
+	(&listChanges{}).log(zerolog.New(&lines))
+
+	const file = "testdata/following.golden"
+	if *updateFollowing {
+		if err := os.WriteFile(file, lines.Bytes(), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(lines.Bytes(), want) {
+		t.Errorf("following the list changed.\nGot:\n%s\nWant:\n%s", lines.Bytes(), want)
+	}
+}
