--- a/members/golden_test.go
+++ b/members/golden_test.go
@@ -40,7 +40,7 @@
 	{Name: "p1", Zone: "z1", Life: 3, Keeper: true, Leads: true, Leased: true, Floor: 4, Latest: 5, Index: 6, Digest: 7,
 		Drains: []Drain{{"h1:1", 8}, {"h2:1", 9}}, Version: "0123456789abcdef", Ways: []Way{{"z2", 0.25}}, Seq: 10, More: 11},
 	full("names of usual length", 20, 8),
-	full("the longest names", 512, maxName),
+	full("the longest names", 512, maxNameBytes),
 	full("few zones", 30, 1),
 }
 
@@ -53,20 +53,21 @@
 			name  string
 			room  int
 			paged bool
-		}{{"whole", maxMessage, false}, {"paged", maxMessage, true}, {"one datagram", packet - 1, true}, {"within 400", 400, true}, {"within 256", leastCard, false}} {
-			short := c.within(form.room, form.paged)
+		}{{"whole", maxMessageBytes, false}, {"paged", maxMessageBytes, true}, {"one datagram", maxDatagramBytes - 1, true}, {"within 400", 400, true}, {"within 256", minStateBytes, false}} {
+			short := c.truncate(form.room, form.paged)
 			text, err := json.Marshal(short)
 			if err != nil {
 				t.Fatal(err)
 			}
-			packed := packCard(short)
+			packed := marshalState(short)
 			fmt.Fprintf(&lines, "%.10s, %s: %d bytes, %d drains, %d zones, cbor %x, json %x\n", c.Name, form.name, len(packed), len(short.Drains),
 				len(short.Ways), sha256.Sum256(packed), sha256.Sum256(text))
 		}
 	}
-	fmt.Fprintf(&lines, "%x\n", packCard(goldenCards[1]))
+	fmt.Fprintf(&lines, "%x\n", marshalState(goldenCards[1]))
 	for _, rate := range []float64{0, 1000, 100_000, 1e6, 1e9} {
-		fmt.Fprintf(&lines, "at %v: %d, %d\n", rate, cardRoom(rate, 0), cardRoom(rate, 700))
+		limiter := rateLimiter{bytesPerSecond: rate}
+		fmt.Fprintf(&lines, "at %v: %d, %d\n", rate, limiter.maxStateBytes(0), limiter.maxStateBytes(700))
 	}
 	golden(t, "cards.golden", lines.Bytes())
 }
@@ -93,18 +94,18 @@
 	var lines bytes.Buffer
 	for _, act := range []func(){
 		func() { x.Tell(goldenCards[1]) }, func() { x.Tell(goldenCards[2]) }, func() { x.Want("p1") }, func() { x.Signal([]byte("signal")) },
-		func() { x.Send("p1", []byte("message")) }, func() { x.Send("p1", bytes.Repeat([]byte("m"), packet-1)) },
+		func() { x.Send("p1", []byte("message")) }, func() { x.Send("p1", bytes.Repeat([]byte("m"), maxDatagramBytes-1)) },
 	} {
 		act()
 		datagrams.SetReadDeadline(time.Now().Add(10 * time.Second))
-		framed := make([]byte, 2*packet)
+		framed := make([]byte, 2*maxDatagramBytes)
 		n, _, err := datagrams.ReadFrom(framed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&lines, "datagram: %d bytes, begins %x, %x\n", n, framed[:min(n, 8)], sha256.Sum256(framed[:n]))
 	}
-	for _, act := range []func(){func() { x.Send("p1", bytes.Repeat([]byte("m"), packet)) }, func() { x.take([]byte("\x04p1")) }} {
+	for _, act := range []func(){func() { x.Send("p1", bytes.Repeat([]byte("m"), maxDatagramBytes)) }, func() { x.handleFrame([]byte("\x04p1")) }} {
 		act() // The second is a peer that wants the card that was told last, whole.
 		c, err := stream.Accept()
 		if err != nil {
@@ -124,7 +125,7 @@
 // change of that shows only where members come, go and restart together.
 func TestMemberTableGolden(t *testing.T) {
 	chances, sum, now := rand.New(rand.NewPCG(1, 2)), sha256.New(), time.Unix(1_700_000_000, 0)
-	var h heard
+	var table memberTable
 	taken, kept, partial, gone := 0, 0, 0, 0
 	number := func(numbers ...int) {
 		for _, n := range numbers {
@@ -134,24 +135,24 @@
 	for step := range 1500 {
 		now = now.Add(time.Duration(chances.IntN(60)) * time.Millisecond)
 		if step%400 == 399 {
-			now = now.Add([]time.Duration{goneAfter, 61 * goneAfter}[step/400%2])
+			now = now.Add([]time.Duration{goneTimeout, 61 * goneTimeout}[step/400%2])
 		}
 		c := full(fmt.Sprint("p", chances.IntN(14)), 20, 8)
 		c.Life, c.Seq = uint64(1+step/600-chances.IntN(2)), uint64(step-chances.IntN(30))
 		if c.Drains = c.Drains[step/250:]; chances.IntN(3) > 0 {
-			c = c.within(packet-1, true)
+			c = c.truncate(maxDatagramBytes-1, true)
 		}
-		if h.put(c, now) {
+		if table.update(c, now) {
 			number(step)
 			taken++
 		}
 		if chances.IntN(200) == 0 {
-			h.leave(fmt.Sprint("p", chances.IntN(14)))
+			table.remove(fmt.Sprint("p", chances.IntN(14)))
 		}
 		if step%5 > 0 {
 			continue
 		}
-		for _, m := range h.list(now) {
+		for _, m := range table.list(now) {
 			kept++
 			number(int(m.Life), int(m.Seq), int(m.Heard.UnixNano()), len(m.Drains), len(m.Ways))
 			if m.Partial() {
@@ -173,55 +174,56 @@
 	var lines bytes.Buffer
 	for _, rate := range []float64{0, 900, 20_000, 1e6} {
 		chances, sum, now := rand.New(rand.NewPCG(3, 4)), sha256.New(), time.Unix(1_700_000_000, 0)
-		b, sent := budget{rate: rate}, map[byte]int{}
+		b, sent, refused := rateLimiter{bytesPerSecond: rate}, map[byte]int{}, 0
 		for range 5000 {
 			now = now.Add(time.Duration(chances.IntN(5000)) * time.Microsecond)
 			bytes, what := chances.IntN(1300), byte(1+chances.IntN(4))
-			if b.take(bytes, what, now) {
+			if b.take(bytes, frameKind(what), now) {
 				sent[what] += bytes
 				sum.Write([]byte{what})
 			} else {
 				sum.Write([]byte{0})
+				refused++
 			}
 		}
-		fmt.Fprintf(&lines, "at %v: %x, sent %v, not sent %d\n", rate, sum.Sum(nil), sent, b.Missed)
+		fmt.Fprintf(&lines, "at %v: %x, sent %v, not sent %d\n", rate, sum.Sum(nil), sent, refused)
 	}
-	l, out := large{maxOut: 3}, 0
-	for _, bytes := range []int{1, maxLargeBytes, maxLargeBytes - 1, 1, 0, 0, 0} {
-		begun := l.begin(bytes)
+	l, out := largeMessageLimiter{maxInFlight: 3}, 0
+	for _, bytes := range []int{1, maxLargeBytesInFlight, maxLargeBytesInFlight - 1, 1, 0, 0, 0} {
+		begun := l.acquire(bytes)
 		if begun {
 			out++
 		}
 		fmt.Fprintf(&lines, "large, %d bytes: %t\n", bytes, begun)
 	}
-	l.end(maxLargeBytes - 1)
-	fmt.Fprintf(&lines, "%d out; again: %t %t %t\n", out, l.begin(2), l.begin(maxLargeBytes), l.begin(1))
+	l.release(maxLargeBytesInFlight - 1)
+	fmt.Fprintf(&lines, "%d out; again: %t %t %t\n", out, l.acquire(2), l.acquire(maxLargeBytesInFlight), l.acquire(1))
 	golden(t, "rate.golden", lines.Bytes())
 }
 
 // Bytes of a stranger, or of a peer whose memory is damaged, are no card; which of them are taken may not change unseen.
 func TestUnpackCardGolden(t *testing.T) {
 	chances, sum, taken := rand.New(rand.NewPCG(5, 6)), sha256.New(), 0
-	long := Card{Name: string(bytes.Repeat([]byte("n"), maxName+1))}
+	long := Card{Name: string(bytes.Repeat([]byte("n"), maxNameBytes+1))}
 	many := Card{Name: "p", Drains: make([]Drain, maxDrains+1)}
-	for _, packed := range [][]byte{nil, {0xa0}, packCard(long), packCard(many), {0x9f, 0xff}} {
-		if c, err := unpackCard(packed); err == nil {
+	for _, packed := range [][]byte{nil, {0xa0}, marshalState(long), marshalState(many), {0x9f, 0xff}} {
+		if c, err := unmarshalState(packed); err == nil {
 			t.Errorf("%.20x is taken as %.20s", packed, c.Name)
 		}
 	}
-	whole := packCard(goldenCards[1])
+	whole := marshalState(goldenCards[1])
 	for range 20_000 {
 		packed := bytes.Clone(whole)
 		for range 1 + chances.IntN(3) {
 			packed[chances.IntN(len(packed))] ^= byte(1 << chances.IntN(8))
 		}
-		c, err := unpackCard(packed[:len(packed)-chances.IntN(2)*chances.IntN(4)])
+		c, err := unmarshalState(packed[:len(packed)-chances.IntN(2)*chances.IntN(4)])
 		if err != nil {
 			sum.Write([]byte{0})
 			continue
 		}
 		taken++
-		sum.Write(packCard(c))
+		sum.Write(marshalState(c))
 	}
 	golden(t, "damaged.golden", fmt.Appendf(nil, "%x: %d taken of 20000\n", sum.Sum(nil), taken))
 }
@@ -235,24 +237,25 @@
 		t.Fatal(err)
 	}
 	defer g.Close()
-	plain := &Plain{name: "p0", ears: &ears{}}
+	callbacks := &memberlistDelegate{g}
+	plain := &Plain{endpoint: endpoint{name: "p0", ears: &ears{}}}
 	other := goldenCards[1]
-	framed := append([]byte{isCard}, packCard(other)...)
+	framed := append([]byte{byte(frameState)}, marshalState(other)...)
 	var lines bytes.Buffer
-	for _, frame := range [][]byte{{}, {isMessage}, {isMessage, 7}, {isSignal, 8}, {5, 9}, {0, 1}, {isCard, 0xff}, framed, framed, {isWant, 'q'},
-		append([]byte{isCard}, packCard(Card{Name: "p0", Seq: 1})...)} {
-		g.NotifyMsg(frame)
-		plain.take(frame)
+	for _, frame := range [][]byte{{}, {byte(frameMessage)}, {byte(frameMessage), 7}, {byte(frameBroadcast), 8}, {5, 9}, {0, 1}, {byte(frameState), 0xff}, framed, framed, {byte(frameStateRequest), 'q'},
+		append([]byte{byte(frameState)}, marshalState(Card{Name: "p0", Seq: 1})...)} {
+		callbacks.NotifyMsg(frame)
+		plain.handleFrame(frame)
 	}
-	g.MergeRemoteState(append([]byte{isCard}, packCard(Card{Name: "p2", Seq: 1})...), false)
-	g.MergeRemoteState([]byte{isMessage, 7}, false)
+	callbacks.MergeRemoteState(append([]byte{byte(frameState)}, marshalState(Card{Name: "p2", Seq: 1})...), false)
+	callbacks.MergeRemoteState([]byte{byte(frameMessage), 7}, false)
 	for _, e := range []*ears{plain.ears.(*ears), heard} {
 		fmt.Fprintf(&lines, "messages %x, cards %d, seq of p1 %d, of p2 %d\n", e.messages, len(e.cards), e.cards["p1"].Seq, e.cards["p2"].Seq)
 	}
 	for _, c := range goldenCards {
 		g.Tell(c)
-		fmt.Fprintf(&lines, "state %x, broadcasts", sha256.Sum256(g.LocalState(false)))
-		for _, broadcast := range g.GetBroadcasts(0, 2*packet) {
+		fmt.Fprintf(&lines, "state %x, broadcasts", sha256.Sum256(callbacks.LocalState(false)))
+		for _, broadcast := range callbacks.GetBroadcasts(0, 2*maxDatagramBytes) {
 			fmt.Fprintf(&lines, " %x", sha256.Sum256(broadcast))
 		}
 		fmt.Fprintln(&lines)
--- a/members/gossip.go
+++ b/members/gossip.go
@@ -1,6 +1,7 @@
 package members
 
 import (
+	"fmt"
 	"io"
 	"log"
 	"maps"
@@ -13,228 +14,171 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Gossip is the exchange between processes that find each other: hashicorp/memberlist, with its cards as broadcasts and as the state that two
-// members tell each other now and then.
-type Gossip struct {
-	name   string
-	list   *memberlist.Memberlist
-	ears   Ears
-	heard  heard
-	budget budget
-	large  large // messages that go over connections
-	queue  *memberlist.TransmitLimitedQueue
-	named  map[string]string // addresses of peers
+const (
+	// maxPacketOverheadBytes is what memberlist adds to a datagram.
+	maxPacketOverheadBytes = 200
+	// pushPullInterval is how often a member exchanges its full state with another over a connection: what gossip lost is known by then.
+	pushPullInterval = 10 * time.Second
+	// joinMinInterval and joinMaxInterval bound the backoff between attempts to join the configured peers.
+	joinMinInterval = time.Second
+	joinMaxInterval = 30 * time.Second
+	// leaveTimeout is how long Close waits for the others to hear of it.
+	leaveTimeout = 200 * time.Millisecond
+)
 
-	done chan struct{}
+// Gossip is the exchange among processes that find each other through hashicorp/memberlist. A member's state goes to each
+// member it knows as a datagram, is relayed by those for whom it is news, and is part of memberlist's push/pull.
+type Gossip struct {
+	endpoint
+	list       *memberlist.Memberlist
+	broadcasts *memberlist.TransmitLimitedQueue
+	peers      map[string]string // addresses of configured peers by name, without this process; not changed once it is open
+	done       chan struct{}     // closed by Close
 
-	mu    sync.Mutex
-	own   Card                        // as it was told last
-	state []byte                      // the same, framed, in as much as goes to all
-	nodes map[string]*memberlist.Node // where members are; copies, as the library changes its own
+	mu         sync.Mutex                  // guards all below
+	stateFrame []byte                      // this process's state as all get it
+	nodes      map[string]*memberlist.Node // reachable members by name; copies, as memberlist changes its own
 }
 
-// OpenGossip listens at the address and joins whoever of the peers answers, in the background.
+// OpenGossip listens at an address for datagrams and connections, calls ears with what comes, and joins the peers in the
+// background. rate limits what it sends, in bytes per second; 0: no limit. An error says that the address is malformed or
+// cannot be listened at.
 func OpenGossip(name, listen string, peers []Peer, rate int, ears Ears) (*Gossip, error) {
-	host, port, err := net.SplitHostPort(listen)
-	if err != nil {
-		return nil, err
+	g := &Gossip{
+		endpoint: endpoint{
+			name:     name,
+			ears:     ears,
+			limiter:  newRateLimiter(rate),
+			oversize: largeMessageLimiter{maxInFlight: MaxMembers},
+		},
+		peers: map[string]string{},
+		nodes: map[string]*memberlist.Node{},
+		done:  make(chan struct{}),
 	}
-	number, err := strconv.Atoi(port)
+	g.send, g.relay = g.sendFrame, g.relayState
+	config, err := g.listConfig(listen)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gossip{name: name, ears: ears, budget: budget{rate: float64(rate)}, large: large{maxOut: MaxMembers}, named: map[string]string{}, nodes: map[string]*memberlist.Node{},
-		done: make(chan struct{})}
-	how := memberlist.DefaultLANConfig()
-	how.Name, how.BindAddr, how.BindPort, how.AdvertisePort = name, host, number, number
-	how.LogOutput, how.Logger = nil, log.New(io.Discard, "", 0)
-	how.Delegate, how.Events = g, g
-	how.UDPBufferSize = packet + 200
-	how.PushPullInterval = 10 * time.Second
-	if g.list, err = memberlist.Create(how); err != nil {
-		return nil, err
+	if g.list, err = memberlist.Create(config); err != nil {
+		return nil, fmt.Errorf("start gossip: %w", err)
 	}
-	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.list.NumMembers, RetransmitMult: how.RetransmitMult}
-	var others []string
-	for _, p := range peers {
-		if p.Name != name {
-			g.named[p.Name] = p.Address
-			others = append(others, p.Address)
+	g.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: g.list.NumMembers, RetransmitMult: config.RetransmitMult}
+	var addresses []string
+	for _, peer := range peers {
+		if peer.Name != name {
+			g.peers[peer.Name] = peer.Address
+			addresses = append(addresses, peer.Address)
 		}
 	}
-	go func() {
-		// Whoever is there later joins us; and parts that were cut for long enough to forget each other find together again.
-		for every := time.Second; len(others) > 0; every = min(every*2, 30*time.Second) {
-			if g.list.NumMembers() <= len(others) {
-				g.list.Join(others)
-			}
-			select {
-			case <-g.done:
-				return
-			case <-time.After(every):
-			}
-		}
-	}()
+	if len(addresses) > 0 {
+		go g.joinPeers(addresses)
+	}
 	return g, nil
 }
 
-// Send puts a message on its way: a datagram, or a connection if it is too large for one.
-func (g *Gossip) Send(to string, bytes []byte) error { return g.send(to, isMessage, bytes) }
+func (g *Gossip) listConfig(listen string) (*memberlist.Config, error) {
+	host, portText, err := net.SplitHostPort(listen)
+	if err != nil {
+		return nil, fmt.Errorf("parse listen address: %w", err)
+	}
+	port, err := strconv.Atoi(portText)
+	if err != nil {
+		return nil, fmt.Errorf("parse port of listen address: %w", err)
+	}
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.BindAddr, config.BindPort, config.AdvertisePort = g.name, host, port, port
+	config.LogOutput, config.Logger = nil, log.New(io.Discard, "", 0)
+	callbacks := &memberlistDelegate{g}
+	config.Delegate, config.Events = callbacks, callbacks
+	config.UDPBufferSize = maxDatagramBytes + maxPacketOverheadBytes
+	config.PushPullInterval = pushPullInterval
+	return config, nil
+}
+
+// joinPeers joins the configured peers until Close, as long as there may be some that are not known. Guards a fleet whose parts
+// were cut off from each other for long enough that memberlist gave the others up: no part would ever look for the others again.
+func (g *Gossip) joinPeers(addresses []string) {
+	for interval := joinMinInterval; ; interval = min(interval*2, joinMaxInterval) {
+		if g.list.NumMembers() <= len(addresses) {
+			_, _ = g.list.Join(addresses) // Peers that are down now are tried again.
+		}
+		select {
+		case <-g.done:
+			return
+		case <-time.After(interval):
+		}
+	}
+}
 
-func (g *Gossip) send(to string, what byte, bytes []byte) error {
-	if !g.budget.take(len(bytes), what, time.Now()) {
-		return io.ErrShortWrite
+func (g *Gossip) sendFrame(to string, kind frameKind, payload []byte) error {
+	if !g.limiter.take(len(payload), kind, time.Now()) {
+		return ErrRateLimited
 	}
-	framed := append([]byte{what}, bytes...)
+	frame := encodeFrame(kind, payload)
 	g.mu.Lock()
 	node := g.nodes[to]
 	g.mu.Unlock()
 	switch {
-	case node == nil && g.named[to] != "" && len(framed) <= packet:
-		// One that gossip calls dead may be back: it takes seconds to hear of that, and those that are named beforehand can be reached all the same.
-		return g.list.SendToAddress(memberlist.Address{Addr: g.named[to]}, framed)
+	case node == nil && g.peers[to] != "" && len(frame) <= maxDatagramBytes:
+		// A configured peer that memberlist calls dead may be back: it takes seconds until that is known, and a lease may not wait.
+		return g.list.SendToAddress(memberlist.Address{Addr: g.peers[to]}, frame)
 	case node == nil:
-		return errNoPeer
-	case len(framed) <= packet:
-		return g.list.SendBestEffort(node, framed)
-	case !g.large.begin(len(framed)):
-		return errBusy
+		return ErrUnknownPeer
+	case len(frame) <= maxDatagramBytes:
+		return g.list.SendBestEffort(node, frame)
+	case !g.oversize.acquire(len(frame)):
+		return ErrTooManyLargeMessages
 	}
 	go func() {
-		defer g.large.end(len(framed))
-		g.list.SendReliable(node, framed)
+		defer g.oversize.release(len(frame))
+		_ = g.list.SendReliable(node, frame) // It is lost, as a datagram may be.
 	}()
 	return nil
 }
 
-// Tell sends a card to all members, and has it go round for those that this one does not reach: what goes round in a second is few cards
-// where there are hundreds of members.
-func (g *Gossip) Tell(c Card) {
-	bytes := packCard(c.within(cardRoom(g.budget.rate, g.list.NumMembers()), true))
-	framed := append([]byte{isCard}, bytes...)
+// Tell implements Exchange.
+func (g *Gossip) Tell(state Card) {
+	g.setOwnState(state)
+	frame := encodeFrame(frameState, marshalState(state.truncate(g.limiter.maxStateBytes(g.list.NumMembers()), true)))
 	g.mu.Lock()
-	g.own, g.state = c, framed
+	g.stateFrame = frame
 	g.mu.Unlock()
-	g.queue.QueueBroadcast(&card{c.Name, framed})
-	g.toAll(isCard, framed)
+	// It goes to each member at once, as among hundreds of members only a few states a second spread by relays; these
+	// reach the members that this one does not.
+	g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
+	g.sendToAll(frameState, frame)
 }
 
-// toAll sends a datagram to each member.
-func (g *Gossip) toAll(what byte, framed []byte) {
+// Signal implements Exchange.
+func (g *Gossip) Signal(message []byte) {
+	g.sendToAll(frameBroadcast, encodeFrame(frameBroadcast, message))
+}
+
+// sendToAll sends a frame to each other member as a datagram. What cannot be sent is lost: a newer state follows within a
+// second, and an outlier report is worth nothing later.
+func (g *Gossip) sendToAll(kind frameKind, frame []byte) {
 	g.mu.Lock()
 	nodes := slices.Collect(maps.Values(g.nodes))
 	g.mu.Unlock()
 	for _, node := range nodes {
-		if node.Name != g.name && g.budget.take(len(framed), what, time.Now()) {
-			g.list.SendBestEffort(node, framed)
+		if node.Name != g.name && g.limiter.take(len(frame), kind, time.Now()) {
+			_ = g.list.SendBestEffort(node, frame)
 		}
 	}
 }
 
-// Want asks a member for its card with whole lists.
-func (g *Gossip) Want(name string) { g.send(name, isWant, []byte(g.name)) }
-
-// wanted answers a member that wants the whole card.
-func (g *Gossip) wanted(by string) {
-	g.mu.Lock()
-	own := g.own
-	g.mu.Unlock()
-	if own.Name != "" {
-		g.send(by, isCard, packCard(own.within(maxMessage, false)))
+// relayState has memberlist pass a state on. One that came over a connection is left out: its complete lists are for this
+// process alone.
+func (g *Gossip) relayState(state Card, frame []byte) {
+	if len(frame) <= maxDatagramBytes {
+		g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
 	}
 }
 
-// Signal sends a small message to all members.
-func (g *Gossip) Signal(bytes []byte) { g.toAll(isSignal, append([]byte{isSignal}, bytes...)) }
-
-// Members are those that were heard.
-func (g *Gossip) Members() []Member { return g.heard.list(time.Now()) }
-
-// Close leaves the others, so that they know, and ends the exchange.
+// Close implements Exchange. It tells the others first, so that they need not find out.
 func (g *Gossip) Close() {
 	close(g.done)
-	g.list.Leave(200 * time.Millisecond)
-	g.list.Shutdown()
-}
-
-// card is a broadcast: a later one of the same process goes in its place.
-type card struct {
-	name  string
-	bytes []byte
-}
-
-func (c *card) Invalidates(other memberlist.Broadcast) bool {
-	o, is := other.(*card)
-	return is && o.name == c.name
-}
-func (c *card) Message() []byte { return c.bytes }
-func (c *card) Finished()       {}
-
-// NodeMeta and the methods after it are what memberlist asks and tells.
-func (g *Gossip) NodeMeta(int) []byte { return nil }
-
-func (g *Gossip) NotifyMsg(framed []byte) {
-	framed = append([]byte{}, framed...) // The room is the library's.
-	switch {
-	case len(framed) < 2 || len(framed) > maxMessage+1:
-	case framed[0] == isMessage:
-		g.ears.Message(framed[1:])
-	case framed[0] == isSignal:
-		g.ears.Signal(framed[1:])
-	case framed[0] == isWant:
-		g.wanted(string(framed[1:]))
-	case framed[0] == isCard:
-		g.card(framed)
-	}
-}
-
-func (g *Gossip) card(framed []byte) {
-	c, err := unpackCard(framed[1:])
-	if err != nil || c.Name == g.name {
-		return
-	}
-	if g.heard.put(c, time.Now()) {
-		if len(framed) <= packet { // Whole lists came to this one alone.
-			g.queue.QueueBroadcast(&card{c.Name, framed})
-		}
-		g.ears.Card(c)
-	}
-}
-
-func (g *Gossip) GetBroadcasts(overhead, limit int) [][]byte {
-	if g.queue == nil {
-		return nil
-	}
-	return g.queue.GetBroadcasts(overhead, limit)
-}
-
-func (g *Gossip) LocalState(bool) []byte {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.state
-}
-
-func (g *Gossip) MergeRemoteState(framed []byte, _ bool) {
-	if len(framed) > 1 && framed[0] == isCard {
-		g.card(append([]byte{}, framed...))
-	}
-}
-
-func (g *Gossip) NotifyJoin(n *memberlist.Node)   { g.is(n) }
-func (g *Gossip) NotifyUpdate(n *memberlist.Node) { g.is(n) }
-
-func (g *Gossip) NotifyLeave(n *memberlist.Node) {
-	g.mu.Lock()
-	delete(g.nodes, n.Name)
-	g.mu.Unlock()
-	g.heard.leave(n.Name)
-}
-
-// is takes where a member is. There are as many as the library knows, and no more than a fleet may have.
-func (g *Gossip) is(n *memberlist.Node) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.nodes[n.Name] != nil || len(g.nodes) < MaxMembers {
-		g.nodes[n.Name] = &memberlist.Node{Name: n.Name, Addr: slices.Clone(n.Addr), Port: n.Port, PMin: n.PMin, PMax: n.PMax, PCur: n.PCur}
-	}
+	_ = g.list.Leave(leaveTimeout) // Those that do not hear of it find out.
+	_ = g.list.Shutdown()
 }
--- a/members/members.go
+++ b/members/members.go
@@ -1,58 +1,128 @@
-// Package members is who is in the fleet, and the exchange of messages between its processes. All talk between instances goes through
-// here. There are two ways behind one interface: a plain list of peers, and gossip. Neither promises that a message arrives, once, or in
-// order; both are bounded in size, rate and number.
 package members
 
 import (
+	"cmp"
+	"slices"
+	"sync"
 	"time"
-
-	"github.com/fxamacker/cbor/v2"
-
-	"hollylever/joining"
 )
 
-// Bounds of the exchange.
 const (
-	MaxMembers = joining.MaxMembers
-	maxMessage = 2 << 20
-	packet     = 1200 // bytes that go as one datagram; more goes over a connection
-	maxName    = joining.MaxName
-	cardEvery  = time.Second
-	goneAfter  = 5 * time.Second // without a card, a member counts as gone
+	// goneTimeout is how long a member may be silent before it counts as gone: five states in a row are lost by then.
+	goneTimeout = 5 * time.Second
+	// forgetTimeout is how long a member that is gone is shown to operators.
+	forgetTimeout = 60 * goneTimeout
+	// maxCompleteLists is of how many members complete lists are kept where these do not fit into one state, so that a fleet of
+	// thousands with long lists does not fill the memory. Few are enough: the lists of most members agree.
+	maxCompleteLists = 8
 )
 
-// Peer is one that is named beforehand.
-type Peer = joining.Peer
-
-// Member is a process that was heard.
+// Member is a process of the fleet as this one heard of it.
 type Member struct {
 	Card
-	Heard time.Time
-	whole uint64 // the digest of the whole lists that it stands here with; 0: it never answered Want
+	Heard time.Time // when its newest state came
+
+	completeDigest uint64 // digest of the complete lists that are kept here; 0: it sent none
+}
+
+// Partial reports whether the member has longer lists than are known here.
+func (m Member) Partial() bool { return m.More != 0 && m.More != m.completeDigest }
+
+// Gone reports whether the member has been silent for goneTimeout.
+func (m Member) Gone(now time.Time) bool { return now.Sub(m.Heard) > goneTimeout }
+
+// memberTable keeps the newest state of each member, of MaxMembers at most. Its zero value is empty and ready for use.
+type memberTable struct {
+	mu       sync.Mutex // guards all below
+	members  map[string]Member
+	complete []string // names of members whose complete lists are kept, the latest last
 }
 
-// Exchange carries messages between processes, or loses them. No call blocks for long.
-type Exchange interface {
-	Send(to string, bytes []byte) error
-	Tell(Card)           // to all, as often as it is good for the way; long lists in part
-	Want(name string)    // asks a member for its card with whole lists
-	Signal(bytes []byte) // to all, at once; small
-	Members() []Member
-	Close()
+// update takes a state and reports whether it was news. States may come late and out of order, as any of them may be relayed: one
+// of an earlier incarnation, or of this one with a lower number, changes nothing unless the member is gone. The state of a
+// member that is gone is always taken, as its numbers may begin anew after a loss of its files.
+func (t *memberTable) update(state Card, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	known, isKnown := t.members[state.Name]
+	switch {
+	case !isKnown && len(t.members) >= MaxMembers && !t.evictLongestGone(now):
+		return false
+	case isKnown && known.isCompletedBy(state):
+		t.addCompleteLists(known, state)
+		return true
+	case isKnown && known.isNewerThan(state) && !known.Gone(now):
+		return false
+	}
+	member := Member{Card: state, Heard: now}
+	if isKnown && state.Life == known.Life && state.More != 0 && state.More == known.completeDigest {
+		member.Drains, member.Ways, member.completeDigest = known.Drains, known.Ways, known.completeDigest
+	}
+	if t.members == nil {
+		t.members = map[string]Member{}
+	}
+	t.members[state.Name] = member
+	return true
 }
 
-// Ears are what an exchange calls with what it hears, from goroutines of its own.
-type Ears interface {
-	Message(bytes []byte)
-	Card(Card)
-	Signal(bytes []byte)
+// isCompletedBy reports whether a state holds the complete lists that the member's newest state was cut from.
+func (m Member) isCompletedBy(state Card) bool {
+	return state.Life == m.Life && state.More == 0 && m.Partial() && state.listsDigest() == m.More
 }
 
-var strict = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: maxDrains, MaxMapPairs: 64, MaxNestedLevels: 6, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
-	if err != nil {
-		panic(err) // The options are constants.
+// isNewerThan reports whether a state is no later than the one known.
+func (m Member) isNewerThan(state Card) bool {
+	return state.Life < m.Life || state.Life == m.Life && state.Seq <= m.Seq
+}
+
+// addCompleteLists adds the lists of a state to a member's newest state, and drops those of the member that were added first where
+// there are too many.
+func (t *memberTable) addCompleteLists(member Member, state Card) {
+	member.Drains, member.Ways, member.completeDigest = state.Drains, state.Ways, member.More
+	t.members[member.Name] = member
+	t.complete = slices.DeleteFunc(t.complete, func(name string) bool { return name == member.Name })
+	t.complete = append(t.complete, member.Name)
+	if len(t.complete) <= maxCompleteLists {
+		return
+	}
+	if first, isKnown := t.members[t.complete[0]]; isKnown && first.completeDigest != 0 {
+		first.Drains, first.Ways, first.completeDigest = nil, nil, 0
+		t.members[t.complete[0]] = first
+	}
+	t.complete = t.complete[1:]
+}
+
+// evictLongestGone removes the member that has been gone for longest, and reports whether one was gone.
+func (t *memberTable) evictLongestGone(now time.Time) bool {
+	longest := ""
+	for name, member := range t.members {
+		if member.Gone(now) && (longest == "" || member.Heard.Before(t.members[longest].Heard)) {
+			longest = name
+		}
 	}
-	return mode
-}()
+	delete(t.members, longest)
+	return longest != ""
+}
+
+// remove forgets a member that has left.
+func (t *memberTable) remove(name string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	delete(t.members, name)
+}
+
+// list forgets members that have been silent for forgetTimeout and returns the others, sorted by name.
+func (t *memberTable) list(now time.Time) []Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var members []Member
+	for name, member := range t.members {
+		if now.Sub(member.Heard) > forgetTimeout {
+			delete(t.members, name)
+			continue
+		}
+		members = append(members, member)
+	}
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return members
+}
--- a/members/members_test.go
+++ b/members/members_test.go
@@ -125,29 +125,29 @@
 }
 
 func TestCardsAreOrdered(t *testing.T) {
-	var h heard
+	var table memberTable
 	now := time.Now()
 	for _, c := range []struct {
 		life, seq uint64
 		after     time.Duration
 		takes     bool
-	}{{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true}, {5, 99, 2 * goneAfter, true}} {
-		if h.put(Card{Name: "p", Life: c.life, Seq: c.seq}, now.Add(c.after)) != c.takes {
+	}{{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true}, {5, 99, 2 * goneTimeout, true}} {
+		if table.update(Card{Name: "p", Life: c.life, Seq: c.seq}, now.Add(c.after)) != c.takes {
 			t.Errorf("%+v", c)
 		}
 	}
 	for n := range 2 * MaxMembers {
-		h.put(Card{Name: fmt.Sprint("m", n), Life: 1}, now)
+		table.update(Card{Name: fmt.Sprint("m", n), Life: 1}, now)
 	}
-	if len(h.cards) != MaxMembers {
-		t.Errorf("%d members are kept", len(h.cards))
+	if len(table.members) != MaxMembers {
+		t.Errorf("%d members are kept", len(table.members))
 	}
 }
 
 func TestBudget(t *testing.T) {
-	b, now, sent := budget{rate: 1000}, time.Now(), 0
+	b, now, sent := newRateLimiter(1000), time.Now(), 0
 	for n := range 100 {
-		if b.take(100, isMessage, now.Add(time.Duration(n)*20*time.Millisecond)) {
+		if b.take(100, frameMessage, now.Add(time.Duration(n)*20*time.Millisecond)) {
 			sent += 100
 		}
 	}
@@ -158,14 +158,14 @@
 
 // What comes from a network that is not the fleet's leads nobody astray.
 func FuzzTake(f *testing.F) {
-	f.Add(append([]byte{isCard}, packCard(Card{Name: "p1", Life: 1, Drains: []Drain{{"h", 3}}, Ways: []Way{{"z", 0.5}}})...))
-	f.Add([]byte{isMessage, 1})
+	f.Add(append([]byte{byte(frameState)}, marshalState(Card{Name: "p1", Life: 1, Drains: []Drain{{"h", 3}}, Ways: []Way{{"z", 0.5}}})...))
+	f.Add([]byte{byte(frameMessage), 1})
 	f.Fuzz(func(t *testing.T, framed []byte) {
 		e := &ears{}
-		p := &Plain{name: "p0", ears: e}
-		p.take(framed)
+		p := &Plain{endpoint: endpoint{name: "p0", ears: e}}
+		p.handleFrame(framed)
 		for _, c := range e.cards {
-			if c.Name == "" || len(c.Name) > maxName || len(c.Drains) > maxDrains || len(c.Ways) > maxWays || c.Name == "p0" {
+			if c.Name == "" || len(c.Name) > maxNameBytes || len(c.Drains) > maxDrains || len(c.Ways) > maxEvacuations || c.Name == "p0" {
 				t.Fatalf("%+v is taken", c)
 			}
 		}
--- a/members/plain.go
+++ b/members/plain.go
@@ -3,220 +3,208 @@
 import (
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"sync"
 	"time"
 )
 
-// Plain is the exchange between peers that are all named beforehand: datagrams, and a connection for each message that is too large for one.
-type Plain struct {
-	name   string
-	socket *net.UDPConn
-	stream net.Listener
-	peers  map[string]*net.UDPAddr
-	ears   Ears
-	heard  heard
-	budget budget
-	large  large // messages that go over connections
-	done   chan struct{}
-	once   sync.Once
-
-	mu  sync.Mutex
-	own Card // as it was told last
-}
-
-// What a datagram or a connection carries, by its first byte. Versions before know no wants, and pass over them.
 const (
-	isMessage, isCard, isSignal, isWant byte = 1, 2, 3, 4
-
-	maxTaken = 16 // connections that are taken at once
-	largeFor = 2 * time.Second
+	// maxIncomingConnections bounds the memory of frames that come over connections. A connection beyond it is closed, and
+	// its message is lost, which senders expect.
+	maxIncomingConnections = 16
+	// minLargeInFlight lets a fleet of few processes send several long messages to one of them.
+	minLargeInFlight = maxIncomingConnections
+	// largeMessageTimeout bounds dialing, and sending or receiving one frame over a connection. A lease does not outlast
+	// many of them, so a later message is worth more than a slow one.
+	largeMessageTimeout = 2 * time.Second
+
+	datagramRetryInterval = time.Millisecond      // after an ICMP error that an earlier datagram caused
+	acceptRetryInterval   = 10 * time.Millisecond // after a failed accept, as when file descriptors run out
 )
 
-// OpenPlain listens at the address, for datagrams and for connections, and hands to ears what it hears. rate is in bytes a second; 0: no bound.
+// Plain is the exchange among peers that are all configured: a datagram for each frame, and a connection for each that is too
+// long for one.
+type Plain struct {
+	endpoint
+	datagrams *net.UDPConn
+	listener  net.Listener
+	peers     map[string]*net.UDPAddr // by name, this process among them; not changed once it is open
+	done      chan struct{}           // closed by Close
+	closeOnce sync.Once
+}
+
+// OpenPlain listens at an address for datagrams and connections and calls ears with what comes. rate limits what it sends, in
+// bytes per second; 0: no limit. An error says that an address is malformed or cannot be listened at.
 func OpenPlain(name, listen string, peers []Peer, rate int, ears Ears) (*Plain, error) {
-	at, err := net.ResolveUDPAddr("udp", listen)
+	p := &Plain{
+		endpoint: endpoint{
+			name:     name,
+			ears:     ears,
+			limiter:  newRateLimiter(rate),
+			oversize: largeMessageLimiter{maxInFlight: max(minLargeInFlight, len(peers))},
+		},
+		peers: map[string]*net.UDPAddr{},
+		done:  make(chan struct{}),
+	}
+	p.send = p.sendFrame
+	address, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("resolve listen address: %w", err)
 	}
-	p := &Plain{name: name, peers: map[string]*net.UDPAddr{}, ears: ears, budget: budget{rate: float64(rate)},
-		large: large{maxOut: max(maxTaken, len(peers))}, done: make(chan struct{})}
 	for _, peer := range peers {
 		if p.peers[peer.Name], err = net.ResolveUDPAddr("udp", peer.Address); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("resolve address of peer %q: %w", peer.Name, err)
 		}
 	}
-	if p.socket, err = net.ListenUDP("udp", at); err != nil {
-		return nil, err
+	if p.datagrams, err = net.ListenUDP("udp", address); err != nil {
+		return nil, fmt.Errorf("listen for datagrams: %w", err)
 	}
-	if p.stream, err = net.Listen("tcp", p.socket.LocalAddr().String()); err != nil {
-		p.socket.Close()
-		return nil, err
+	if p.listener, err = net.Listen("tcp", p.datagrams.LocalAddr().String()); err != nil {
+		p.datagrams.Close()
+		return nil, fmt.Errorf("listen for connections: %w", err)
 	}
-	go p.read()
-	go p.accept()
+	go p.readDatagrams()
+	go p.acceptConnections()
 	return p, nil
 }
 
 // Address is where it listens.
-func (p *Plain) Address() string { return p.socket.LocalAddr().String() }
-
-// Send puts a message on its way.
-func (p *Plain) Send(to string, bytes []byte) error { return p.send(to, isMessage, bytes) }
-
-var errNoPeer = errors.New("no such peer")
+func (p *Plain) Address() string { return p.datagrams.LocalAddr().String() }
 
-func (p *Plain) send(to string, what byte, bytes []byte) error {
-	at := p.peers[to]
+func (p *Plain) sendFrame(to string, kind frameKind, payload []byte) error {
+	address := p.peers[to]
 	switch {
-	case at == nil:
-		return errNoPeer
-	case len(bytes) > maxMessage:
-		return errors.New("too large a message")
-	case !p.budget.take(len(bytes), what, time.Now()):
-		return errors.New("over the budget of bytes a second")
-	}
-	framed := append([]byte{what}, bytes...)
-	if len(framed) <= packet {
-		_, err := p.socket.WriteToUDP(framed, at)
+	case address == nil:
+		return ErrUnknownPeer
+	case len(payload) > maxMessageBytes:
+		return ErrMessageTooLarge
+	case !p.limiter.take(len(payload), kind, time.Now()):
+		return ErrRateLimited
+	}
+	frame := encodeFrame(kind, payload)
+	if len(frame) <= maxDatagramBytes {
+		_, err := p.datagrams.WriteToUDP(frame, address)
 		return err
 	}
-	if !p.large.begin(len(framed)) {
-		return errBusy
+	if !p.oversize.acquire(len(frame)) {
+		return ErrTooManyLargeMessages
 	}
 	go func() {
-		defer p.large.end(len(framed))
-		c, err := net.DialTimeout("tcp", at.String(), largeFor)
-		if err != nil {
-			return
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(largeFor))
-		c.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(framed))), framed...))
+		defer p.oversize.release(len(frame))
+		_ = sendOverConnection(address.String(), frame) // It is lost, as a datagram may be.
 	}()
 	return nil
 }
 
-// Tell sends a card to all peers, as much of its lists as fits into one datagram each, and into half of what may be sent in a second.
-func (p *Plain) Tell(c Card) {
-	p.mu.Lock()
-	p.own = c
-	p.mu.Unlock()
-	bytes := packCard(c.within(cardRoom(p.budget.rate, len(p.peers)), true))
-	for name := range p.peers {
-		if name != p.name {
-			p.send(name, isCard, bytes)
-		}
+// sendOverConnection sends a frame and its length, of four bytes in little-endian order, over a connection of its own.
+func sendOverConnection(address string, frame []byte) error {
+	connection, err := net.DialTimeout("tcp", address, largeMessageTimeout)
+	if err != nil {
+		return err
 	}
+	defer connection.Close()
+	connection.SetDeadline(time.Now().Add(largeMessageTimeout))
+	length := binary.LittleEndian.AppendUint32(nil, uint32(len(frame)))
+	_, err = connection.Write(append(length, frame...))
+	return err
 }
 
-// cardRoom is how many bytes a card may have that goes to so many at this rate; 0: no bound on that.
-func cardRoom(rate float64, to int) int {
-	const most = packet - 1 // The first byte tells what it is.
-	if rate <= 0 {
-		return most
-	}
-	return min(most, max(leastCard, int(rate/2)/max(1, to)))
+// Tell implements Exchange.
+func (p *Plain) Tell(state Card) {
+	p.setOwnState(state)
+	p.sendToAll(frameState, marshalState(state.truncate(p.limiter.maxStateBytes(len(p.peers)), true)))
 }
 
-// Want asks a peer for its card with whole lists.
-func (p *Plain) Want(name string) { p.send(name, isWant, []byte(p.name)) }
+// Signal implements Exchange.
+func (p *Plain) Signal(message []byte) { p.sendToAll(frameBroadcast, message) }
 
-// wanted answers a peer that wants the whole card.
-func (p *Plain) wanted(by string) {
-	p.mu.Lock()
-	own := p.own
-	p.mu.Unlock()
-	if own.Name != "" {
-		p.send(by, isCard, packCard(own.within(maxMessage, false)))
-	}
-}
-
-// Signal sends a small message to all peers.
-func (p *Plain) Signal(bytes []byte) {
+// sendToAll sends a frame to each other peer. What cannot be sent is lost: a newer state follows within a second, and an
+// outlier report is worth nothing later.
+func (p *Plain) sendToAll(kind frameKind, payload []byte) {
 	for name := range p.peers {
 		if name != p.name {
-			p.send(name, isSignal, bytes)
+			_ = p.sendFrame(name, kind, payload)
 		}
 	}
 }
 
-// Members are those that were heard.
-func (p *Plain) Members() []Member { return p.heard.list(time.Now()) }
-
-// Close ends the exchange.
+// Close implements Exchange. It may be called again.
 func (p *Plain) Close() {
-	p.once.Do(func() {
+	p.closeOnce.Do(func() {
 		close(p.done)
-		p.socket.Close()
-		p.stream.Close()
+		p.datagrams.Close()
+		p.listener.Close()
 	})
 }
 
-func (p *Plain) read() {
-	buffer := make([]byte, packet+1) // One that is longer is no peer's, and what is left of it is no message.
+// isClosed waits for so long and reports whether the exchange was closed by then.
+func (p *Plain) isClosedWithin(wait time.Duration) bool {
+	select {
+	case <-p.done:
+		return true
+	case <-time.After(wait):
+		return false
+	}
+}
+
+// readDatagrams handles datagrams until Close. A read fails, too, when the network answers an earlier datagram with an
+// error, as for a peer that is down; the peers that are up must be heard all the same.
+func (p *Plain) readDatagrams() {
+	buffer := make([]byte, maxDatagramBytes+1) // A longer datagram is no peer's: what is left of it is no message.
 	for {
-		n, _, err := p.socket.ReadFromUDP(buffer)
-		if err != nil {
-			select {
-			case <-p.done:
-				return
-			case <-time.After(time.Millisecond): // An answer of the network to an earlier datagram.
-				continue
-			}
+		n, _, err := p.datagrams.ReadFromUDP(buffer)
+		if err == nil {
+			p.handleFrame(append([]byte{}, buffer[:n]...))
+		} else if p.isClosedWithin(datagramRetryInterval) {
+			return
 		}
-		p.take(append([]byte{}, buffer[:n]...))
 	}
 }
 
-func (p *Plain) accept() {
-	came := make(chan struct{}, maxTaken)
+// acceptConnections receives one frame from each connection until Close.
+func (p *Plain) acceptConnections() {
+	places := make(chan struct{}, maxIncomingConnections)
 	for {
-		c, err := p.stream.Accept()
+		connection, err := p.listener.Accept()
 		if err != nil {
-			select {
-			case <-p.done:
+			if p.isClosedWithin(acceptRetryInterval) {
 				return
-			case <-time.After(10 * time.Millisecond):
-				continue
 			}
+			continue
 		}
 		select {
-		case came <- struct{}{}:
+		case places <- struct{}{}:
 		default:
-			c.Close()
+			connection.Close()
 			continue
 		}
 		go func() {
-			defer func() { c.Close(); <-came }()
-			c.SetDeadline(time.Now().Add(largeFor))
-			var size [4]byte
-			if _, err := io.ReadFull(c, size[:]); err != nil {
-				return
-			}
-			if n := binary.LittleEndian.Uint32(size[:]); n <= maxMessage+1 {
-				framed := make([]byte, n)
-				if _, err := io.ReadFull(c, framed); err == nil {
-					p.take(framed)
-				}
+			defer func() { connection.Close(); <-places }()
+			if frame, err := readFrame(connection); err == nil {
+				p.handleFrame(frame)
 			}
 		}()
 	}
 }
 
-func (p *Plain) take(framed []byte) {
-	switch {
-	case len(framed) < 2:
-	case framed[0] == isMessage:
-		p.ears.Message(framed[1:])
-	case framed[0] == isSignal:
-		p.ears.Signal(framed[1:])
-	case framed[0] == isWant:
-		p.wanted(string(framed[1:]))
-	case framed[0] == isCard:
-		if c, err := unpackCard(framed[1:]); err == nil && c.Name != p.name && p.heard.put(c, time.Now()) {
-			p.ears.Card(c)
-		}
+var errFrameTooLong = errors.New("frame too long")
+
+// readFrame reads a frame as sendOverConnection sends it.
+func readFrame(connection net.Conn) ([]byte, error) {
+	connection.SetDeadline(time.Now().Add(largeMessageTimeout))
+	var length [4]byte
+	if _, err := io.ReadFull(connection, length[:]); err != nil {
+		return nil, fmt.Errorf("read length of frame: %w", err)
+	}
+	n := binary.LittleEndian.Uint32(length[:])
+	if n > maxMessageBytes+1 {
+		return nil, errFrameTooLong
+	}
+	frame := make([]byte, n)
+	if _, err := io.ReadFull(connection, frame); err != nil {
+		return nil, fmt.Errorf("read frame: %w", err)
 	}
+	return frame, nil
 }
--- a/members/size_test.go
+++ b/members/size_test.go
@@ -30,25 +30,26 @@
 // A card with 1,024 drains and 1,024 zones, all of the longest names, goes whole as one message and comes back as it was; what goes to all is one datagram
 // with the newest drains.
 func TestCardsOfAThousand(t *testing.T) {
-	c := full(long("p", 1, maxName), 512, maxName)
-	whole := c.within(maxMessage, false)
-	back, err := unpackCard(packCard(whole))
+	c := full(long("p", 1, maxNameBytes), 512, maxNameBytes)
+	whole := c.truncate(maxMessageBytes, false)
+	back, err := unmarshalState(marshalState(whole))
 	if err != nil || whole.More != 0 || !slices.Equal(back.Drains, c.Drains) || !slices.Equal(back.Ways, c.Ways) {
 		t.Errorf("%v: %d drains, %d zones", err, len(back.Drains), len(back.Ways))
 	}
-	for _, sizes := range [][2]int{{512, maxName}, {10, 5}, {40, 5}} {
+	for _, sizes := range [][2]int{{512, maxNameBytes}, {10, 5}, {40, 5}} {
 		c = full("p", sizes[0], sizes[1])
-		short := c.within(packet-1, true)
-		if bytes := len(packCard(short)); bytes > packet-1 || short.More == 0 || len(short.Drains) == 0 || len(short.Ways) == 0 ||
+		short := c.truncate(maxDatagramBytes-1, true)
+		if bytes := len(marshalState(short)); bytes > maxDatagramBytes-1 || short.More == 0 || len(short.Drains) == 0 || len(short.Ways) == 0 ||
 			short.Drains[len(short.Drains)-1] != c.Drains[thousand-1] {
 			t.Errorf("%v: %d bytes, %d drains, %d zones", sizes, bytes, len(short.Drains), len(short.Ways))
 		}
 	}
 	few := Card{Name: "p", Drains: []Drain{{"h", 1}}}
-	if short := few.within(packet-1, true); short.More != 0 || len(short.Drains) != 1 {
+	if short := few.truncate(maxDatagramBytes-1, true); short.More != 0 || len(short.Drains) != 1 {
 		t.Errorf("%+v of a card that fits", short)
 	}
-	if room := cardRoom(1e6, thousand-1); room < 300 || room*(thousand-1) > 1e6/2 {
+	limiter := newRateLimiter(1e6)
+	if room := limiter.maxStateBytes(thousand - 1); room < 300 || room*(thousand-1) > 1e6/2 {
 		t.Errorf("%d bytes to each of %d", room, thousand-1)
 	}
 }
@@ -108,57 +109,57 @@
 
 // Whole lists stay with a member for as long as its cards tell of the same ones, and are kept of few.
 func TestWholeLists(t *testing.T) {
-	var h heard
+	var table memberTable
 	now := time.Now()
 	stands := func(name string) Member {
-		for _, m := range h.list(now) {
+		for _, m := range table.list(now) {
 			if m.Name == name {
 				return m
 			}
 		}
 		return Member{}
 	}
-	for n := range maxWhole + 2 {
+	for n := range maxCompleteLists + 2 {
 		c := full(fmt.Sprint("p", n), 20, 8)
-		h.put(c.within(packet-1, true), now)
+		table.update(c.truncate(maxDatagramBytes-1, true), now)
 		if m := stands(c.Name); !m.Partial() {
 			t.Fatalf("%s is whole before it is wanted", c.Name)
 		}
-		if !h.put(c, now) || stands(c.Name).Partial() || len(stands(c.Name).Drains) != thousand {
+		if !table.update(c, now) || stands(c.Name).Partial() || len(stands(c.Name).Drains) != thousand {
 			t.Fatalf("%s: %d drains, partial %t", c.Name, len(stands(c.Name).Drains), stands(c.Name).Partial())
 		}
 	}
-	last := fmt.Sprint("p", maxWhole+1)
+	last := fmt.Sprint("p", maxCompleteLists+1)
 	if m := stands("p0"); !m.Partial() || len(m.Drains) != 0 {
 		t.Errorf("%d drains are kept of the first", len(m.Drains))
 	}
 	c := full(last, 20, 8)
 	c.Seq = 2
-	if h.put(c.within(packet-1, true), now); stands(last).Partial() || len(stands(last).Drains) != thousand {
+	if table.update(c.truncate(maxDatagramBytes-1, true), now); stands(last).Partial() || len(stands(last).Drains) != thousand {
 		t.Error("whole lists are lost with the next card")
 	}
 	c.Seq, c.Drains = 3, c.Drains[1:]
-	if h.put(c.within(packet-1, true), now); !stands(last).Partial() {
+	if table.update(c.truncate(maxDatagramBytes-1, true), now); !stands(last).Partial() {
 		t.Error("other lists are taken for whole")
 	}
 }
 
 // Where a fleet has as many members as may be, one that comes has the place of one that is gone.
 func TestWhoComesHasThePlaceOfWhoIsGone(t *testing.T) {
-	var h heard
+	var table memberTable
 	now := time.Now()
 	for n := range MaxMembers {
-		if !h.put(Card{Name: fmt.Sprint("p", n), Life: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
+		if !table.update(Card{Name: fmt.Sprint("p", n), Life: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
 			t.Fatalf("member %d is not taken", n)
 		}
 	}
-	if h.put(Card{Name: "new", Life: 1}, now) {
+	if table.update(Card{Name: "new", Life: 1}, now) {
 		t.Error("one more is taken while all are there")
 	}
-	if now = now.Add(goneAfter + 10*time.Millisecond); !h.put(Card{Name: "new", Life: 1}, now) || len(h.cards) != MaxMembers {
+	if now = now.Add(goneTimeout + 10*time.Millisecond); !table.update(Card{Name: "new", Life: 1}, now) || len(table.members) != MaxMembers {
 		t.Error("one that comes is not taken, though others are gone")
 	}
-	if _, stays := h.cards["p0"]; stays {
+	if _, stays := table.members["p0"]; stays {
 		t.Error("the one that is gone for longest stays")
 	}
 }
--- /dev/null
+++ b/members/state.go
@@ -0,0 +1,149 @@
+package members
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"math"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// Bounds of the lists of a Card. A state that goes to all is one datagram, so that it takes no connection to each member;
+// who needs what is left out asks for it (Exchange.Want).
+const (
+	maxDrains      = 4096 // as many hosts as a balancer knows
+	maxEvacuations = 4096 // as many zones
+
+	// A state that goes to all has at most a page of each list, as processes of earlier versions refuse longer ones.
+	drainsPerPage      = 64
+	evacuationsPerPage = 32
+
+	// minStateBytes is what a state that goes to all may have however low the send rate is: enough for usual names.
+	minStateBytes = 256
+)
+
+// Card is what a process publishes of itself, about once a second. The CBOR keys are on the wire, the JSON keys are what
+// operators see. A Card is not changed once it is published.
+type Card struct {
+	Name    string  `cbor:"1,keyasint" json:"name"`
+	Zone    string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
+	Life    uint64  `cbor:"3,keyasint" json:"life"`                        // rises with each start of the process
+	Keeper  bool    `cbor:"4,keyasint,omitempty" json:"keeper,omitempty"`  // whether it votes on revisions
+	Leads   bool    `cbor:"5,keyasint,omitempty" json:"leads,omitempty"`   // whether it is the leader of the replicas
+	Leased  bool    `cbor:"6,keyasint,omitempty" json:"leased,omitempty"`  // whether it acts under a lease now
+	Floor   uint64  `cbor:"7,keyasint,omitempty" json:"floor"`             // the oldest revision that any process may act on
+	Latest  uint64  `cbor:"8,keyasint,omitempty" json:"latest"`            // the newest revision that it knows
+	Index   uint64  `cbor:"9,keyasint,omitempty" json:"list_index"`        // of its endpoint list
+	Digest  uint64  `cbor:"10,keyasint,omitempty" json:"list_digest"`      // of its endpoint list
+	Drains  []Drain `cbor:"11,keyasint,omitempty" json:"drains,omitempty"` // of its endpoint list, the oldest first
+	Version string  `cbor:"12,keyasint,omitempty" json:"settings_digest,omitempty"`
+	Ways    []Way   `cbor:"14,keyasint,omitempty" json:"zones_away,omitempty"` // of zones that do not get all their keys
+	Seq     uint64  `cbor:"13,keyasint,omitempty" json:"-"`                    // rises with each state of an incarnation
+	More    uint64  `cbor:"15,keyasint,omitempty" json:"-"`                    // digest of the complete lists where these are cut; 0: they are complete
+}
+
+// Drain is a host that an endpoint list called draining or gone.
+type Drain struct {
+	Host  string `cbor:"1,keyasint" json:"host"`
+	Index uint64 `cbor:"2,keyasint" json:"index"` // of the first list that did
+}
+
+// Way is how far a process has evacuated a zone, or has come back to it.
+type Way struct {
+	Zone string  `cbor:"1,keyasint" json:"zone"`
+	Part float64 `cbor:"2,keyasint" json:"part"` // of the keys, 0 to 1: those that do not go there
+}
+
+// truncate returns the state in at most maxBytes of CBOR, as far as its lists can be cut; paged, with at most a page of each
+// list. The oldest drains are left out first, as most members know them, and the last evacuations. Evacuations take at most
+// half of the room, so that some drains always go. The digest of the complete lists tells the receiver that something is missing.
+func (c Card) truncate(maxBytes int, paged bool) Card {
+	drainLimit, evacuationLimit := maxDrains, maxEvacuations
+	if paged {
+		drainLimit, evacuationLimit = drainsPerPage, evacuationsPerPage
+	}
+	if len(c.Drains) <= drainLimit && len(c.Ways) <= evacuationLimit && len(marshalState(c)) <= maxBytes {
+		return c
+	}
+	short := c
+	short.Drains, short.Ways, short.More = nil, nil, c.listsDigest()
+	const listHeaderBytes = 2 * 4 // the key and the length of each of the two lists
+	room := maxBytes - len(marshalState(short)) - listHeaderBytes
+	evacuations, used := countFitting(min(len(c.Ways), evacuationLimit), room/2, func(i int) int {
+		return len(mustMarshal(c.Ways[i]))
+	})
+	drains, _ := countFitting(min(len(c.Drains), drainLimit), room-used, func(i int) int {
+		return len(mustMarshal(c.Drains[len(c.Drains)-1-i]))
+	})
+	short.Ways, short.Drains = c.Ways[:evacuations], c.Drains[len(c.Drains)-drains:]
+	return short
+}
+
+// countFitting returns how many of the first n entries fit into maxBytes, and how many bytes these take.
+func countFitting(n, maxBytes int, sizeOf func(i int) int) (count, used int) {
+	for count < n {
+		size := sizeOf(count)
+		if used+size > maxBytes {
+			break
+		}
+		used += size
+		count++
+	}
+	return count, used
+}
+
+// listsDigest is a digest of both lists. It is never 0, which stands for lists that are complete.
+func (c *Card) listsDigest() uint64 {
+	digest := fnv.New64a()
+	writeNumber := func(n uint64) { digest.Write(binary.LittleEndian.AppendUint64(nil, n)) }
+	writeText := func(text string) {
+		writeNumber(uint64(len(text)))
+		digest.Write([]byte(text))
+	}
+	for _, drain := range c.Drains {
+		writeText(drain.Host)
+		writeNumber(drain.Index)
+	}
+	for _, evacuation := range c.Ways {
+		writeText(evacuation.Zone)
+		writeNumber(math.Float64bits(evacuation.Part))
+	}
+	return digest.Sum64() | 1
+}
+
+func marshalState(state Card) []byte { return mustMarshal(state) }
+
+// mustMarshal encodes one of this package's own types, which can always be encoded.
+func mustMarshal(value any) []byte {
+	encoded, err := cbor.Marshal(value)
+	if err != nil {
+		panic(err)
+	}
+	return encoded
+}
+
+var errInvalidState = errors.New("no name, or over the bounds")
+
+// decodeMode refuses encodings whose decoding could take far more memory than their bytes, as anybody on the network can
+// send one.
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxDrains, MaxMapPairs: 64, MaxNestedLevels: 6,
+		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
+	if err != nil {
+		panic(err) // The options are constants.
+	}
+	return mode
+}()
+
+// unmarshalState decodes a state from the network and checks its bounds.
+func unmarshalState(encoded []byte) (state Card, err error) {
+	if err := decodeMode.Unmarshal(encoded, &state); err != nil {
+		return state, fmt.Errorf("decode member state: %w", err)
+	}
+	if state.Name == "" || len(state.Name) > maxNameBytes || len(state.Drains) > maxDrains || len(state.Ways) > maxEvacuations {
+		return state, fmt.Errorf("decode member state: %w", errInvalidState)
+	}
+	return state, nil
+}
