--- a/members/exchange.go
+++ b/membership/exchange.go
@@ -2,20 +2,20 @@
 // instances goes through here. Two exchanges stand behind one interface: Plain, among peers that are all configured, and
 // Gossip, whose members find each other. Neither guarantees that a message arrives, arrives once or arrives in order; both
 // are bounded in message size, send rate and number of members.
-package members
+package membership
 
 import (
 	"errors"
 
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // Bounds of the exchange.
 const (
 	// MaxMembers is how many processes a fleet may have.
-	MaxMembers = joining.MaxMembers
+	MaxMembers = fleetconfig.MaxMembers
 
-	maxNameBytes    = joining.MaxName
+	maxNameBytes    = fleetconfig.MaxNameBytes
 	maxMessageBytes = 2 << 20 // of a payload: a revision with the longest lists of hosts fits
 	// maxDatagramBytes is the longest frame that goes as one datagram: with the headers of IPv6 and UDP it fits into the
 	// smallest MTU that IPv6 allows, and so is never fragmented. A longer frame goes over a connection.
@@ -31,7 +31,7 @@
 )
 
 // Peer is a process that is configured beforehand.
-type Peer = joining.Peer
+type Peer = fleetconfig.Peer
 
 // Exchange carries messages between processes, and may lose any of them. Its methods are safe for concurrent use and do not
 // wait for the network.
@@ -39,11 +39,11 @@
 	// Send sends a message to one member. An error says that it was not sent; nil does not say that it arrives.
 	Send(to string, message []byte) error
 	// Tell sends this process's state to all members, once a second; long lists are cut to what fits.
-	Tell(state Card)
+	PublishState(state MemberState)
 	// Want asks a member for its state with complete lists.
-	Want(name string)
+	RequestFullState(name string)
 	// Signal sends a short message to all members at once.
-	Signal(message []byte)
+	Broadcast(message []byte)
 	// Members returns the members heard from lately, sorted by name, without this process.
 	Members() []Member
 	// Close ends the exchange and frees its sockets. It is called once.
@@ -51,11 +51,11 @@
 }
 
 // Ears receives what an Exchange hears. Its methods are called from goroutines of the exchange and must not wait.
-type Ears interface {
+type Delegate interface {
 	// Message receives a message that a member sent to this process.
-	Message(message []byte)
+	NotifyMessage(message []byte)
 	// Card receives a member's state after the member table has taken it.
-	Card(state Card)
+	NotifyState(state MemberState)
 	// Signal receives a short message that a member sent to all.
-	Signal(message []byte)
+	NotifyBroadcast(message []byte)
 }
--- a/members/gossip.go
+++ b/membership/gossip.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -43,7 +43,7 @@
 // OpenGossip listens at an address for datagrams and connections, calls ears with what comes, and joins the peers in the
 // background. rate limits what it sends, in bytes per second; 0: no limit. An error says that the address is malformed or
 // cannot be listened at.
-func OpenGossip(name, listen string, peers []Peer, rate int, ears Ears) (*Gossip, error) {
+func OpenGossip(name, listen string, peers []Peer, rate int, ears Delegate) (*Gossip, error) {
 	g := &Gossip{
 		endpoint: endpoint{
 			name:     name,
@@ -138,7 +138,7 @@
 }
 
 // Tell implements Exchange.
-func (g *Gossip) Tell(state Card) {
+func (g *Gossip) PublishState(state MemberState) {
 	g.setOwnState(state)
 	frame := encodeFrame(frameState, marshalState(state.truncate(g.limiter.maxStateBytes(g.list.NumMembers()), true)))
 	g.mu.Lock()
@@ -151,7 +151,7 @@
 }
 
 // Signal implements Exchange.
-func (g *Gossip) Signal(message []byte) {
+func (g *Gossip) Broadcast(message []byte) {
 	g.sendToAll(frameBroadcast, encodeFrame(frameBroadcast, message))
 }
 
@@ -170,7 +170,7 @@
 
 // relayState has memberlist pass a state on. One that came over a connection is left out: its complete lists are for this
 // process alone.
-func (g *Gossip) relayState(state Card, frame []byte) {
+func (g *Gossip) relayState(state MemberState, frame []byte) {
 	if len(frame) <= maxDatagramBytes {
 		g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
 	}
--- a/members/members.go
+++ b/membership/members.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
@@ -19,17 +19,17 @@
 
 // Member is a process of the fleet as this one heard of it.
 type Member struct {
-	Card
-	Heard time.Time // when its newest state came
+	MemberState
+	LastSeen time.Time // when its newest state came
 
 	completeDigest uint64 // digest of the complete lists that are kept here; 0: it sent none
 }
 
 // Partial reports whether the member has longer lists than are known here.
-func (m Member) Partial() bool { return m.More != 0 && m.More != m.completeDigest }
+func (m Member) IsPartial() bool { return m.More != 0 && m.More != m.completeDigest }
 
 // Gone reports whether the member has been silent for goneTimeout.
-func (m Member) Gone(now time.Time) bool { return now.Sub(m.Heard) > goneTimeout }
+func (m Member) IsGone(now time.Time) bool { return now.Sub(m.LastSeen) > goneTimeout }
 
 // memberTable keeps the newest state of each member, of MaxMembers at most. Its zero value is empty and ready for use.
 type memberTable struct {
@@ -41,7 +41,7 @@
 // update takes a state and reports whether it was news. States may come late and out of order, as any of them may be relayed: one
 // of an earlier incarnation, or of this one with a lower number, changes nothing unless the member is gone. The state of a
 // member that is gone is always taken, as its numbers may begin anew after a loss of its files.
-func (t *memberTable) update(state Card, now time.Time) bool {
+func (t *memberTable) update(state MemberState, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, isKnown := t.members[state.Name]
@@ -51,12 +51,12 @@
 	case isKnown && known.isCompletedBy(state):
 		t.addCompleteLists(known, state)
 		return true
-	case isKnown && known.isNewerThan(state) && !known.Gone(now):
+	case isKnown && known.isNewerThan(state) && !known.IsGone(now):
 		return false
 	}
-	member := Member{Card: state, Heard: now}
-	if isKnown && state.Life == known.Life && state.More != 0 && state.More == known.completeDigest {
-		member.Drains, member.Ways, member.completeDigest = known.Drains, known.Ways, known.completeDigest
+	member := Member{MemberState: state, LastSeen: now}
+	if isKnown && state.Incarnation == known.Incarnation && state.More != 0 && state.More == known.completeDigest {
+		member.Drains, member.Evacuations, member.completeDigest = known.Drains, known.Evacuations, known.completeDigest
 	}
 	if t.members == nil {
 		t.members = map[string]Member{}
@@ -66,19 +66,19 @@
 }
 
 // isCompletedBy reports whether a state holds the complete lists that the member's newest state was cut from.
-func (m Member) isCompletedBy(state Card) bool {
-	return state.Life == m.Life && state.More == 0 && m.Partial() && state.listsDigest() == m.More
+func (m Member) isCompletedBy(state MemberState) bool {
+	return state.Incarnation == m.Incarnation && state.More == 0 && m.IsPartial() && state.listsDigest() == m.More
 }
 
 // isNewerThan reports whether a state is no later than the one known.
-func (m Member) isNewerThan(state Card) bool {
-	return state.Life < m.Life || state.Life == m.Life && state.Seq <= m.Seq
+func (m Member) isNewerThan(state MemberState) bool {
+	return state.Incarnation < m.Incarnation || state.Incarnation == m.Incarnation && state.Seq <= m.Seq
 }
 
 // addCompleteLists adds the lists of a state to a member's newest state, and drops those of the member that were added first where
 // there are too many.
-func (t *memberTable) addCompleteLists(member Member, state Card) {
-	member.Drains, member.Ways, member.completeDigest = state.Drains, state.Ways, member.More
+func (t *memberTable) addCompleteLists(member Member, state MemberState) {
+	member.Drains, member.Evacuations, member.completeDigest = state.Drains, state.Evacuations, member.More
 	t.members[member.Name] = member
 	t.complete = slices.DeleteFunc(t.complete, func(name string) bool { return name == member.Name })
 	t.complete = append(t.complete, member.Name)
@@ -86,7 +86,7 @@
 		return
 	}
 	if first, isKnown := t.members[t.complete[0]]; isKnown && first.completeDigest != 0 {
-		first.Drains, first.Ways, first.completeDigest = nil, nil, 0
+		first.Drains, first.Evacuations, first.completeDigest = nil, nil, 0
 		t.members[t.complete[0]] = first
 	}
 	t.complete = t.complete[1:]
@@ -96,7 +96,7 @@
 func (t *memberTable) evictLongestGone(now time.Time) bool {
 	longest := ""
 	for name, member := range t.members {
-		if member.Gone(now) && (longest == "" || member.Heard.Before(t.members[longest].Heard)) {
+		if member.IsGone(now) && (longest == "" || member.LastSeen.Before(t.members[longest].LastSeen)) {
 			longest = name
 		}
 	}
@@ -117,7 +117,7 @@
 	defer t.mu.Unlock()
 	var members []Member
 	for name, member := range t.members {
-		if now.Sub(member.Heard) > forgetTimeout {
+		if now.Sub(member.LastSeen) > forgetTimeout {
 			delete(t.members, name)
 			continue
 		}
--- a/members/messages.go
+++ b/membership/messages.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"sync"
@@ -24,15 +24,15 @@
 // this process's state. An exchange embeds it and sets send before the first frame can come.
 type endpoint struct {
 	name     string // of this process
-	ears     Ears
+	ears     Delegate
 	members  memberTable
 	send     func(to string, kind frameKind, payload []byte) error
-	relay    func(state Card, frame []byte) // passes a state that was news on to others; nil: nobody needs it
+	relay    func(state MemberState, frame []byte) // passes a state that was news on to others; nil: nobody needs it
 	limiter  rateLimiter
 	oversize largeMessageLimiter // of frames that go over connections
 
 	ownMu sync.Mutex
-	own   Card // as last published, with complete lists; guarded by ownMu
+	own   MemberState // as last published, with complete lists; guarded by ownMu
 }
 
 // Send implements Exchange: a frame of at most maxDatagramBytes goes as a datagram, a longer one over a connection.
@@ -41,7 +41,7 @@
 }
 
 // Want implements Exchange.
-func (e *endpoint) Want(name string) {
+func (e *endpoint) RequestFullState(name string) {
 	// One that is not sent is asked for again: the caller does so for as long as the member's lists are cut.
 	_ = e.send(name, frameStateRequest, []byte(e.name))
 }
@@ -50,7 +50,7 @@
 func (e *endpoint) Members() []Member { return e.members.list(time.Now()) }
 
 // setOwnState keeps the state that answers to requests carry.
-func (e *endpoint) setOwnState(state Card) {
+func (e *endpoint) setOwnState(state MemberState) {
 	e.ownMu.Lock()
 	defer e.ownMu.Unlock()
 	e.own = state
@@ -64,9 +64,9 @@
 	payload := frame[1:]
 	switch frameKind(frame[0]) {
 	case frameMessage:
-		e.ears.Message(payload)
+		e.ears.NotifyMessage(payload)
 	case frameBroadcast:
-		e.ears.Signal(payload)
+		e.ears.NotifyBroadcast(payload)
 	case frameStateRequest:
 		e.handleStateRequest(string(payload))
 	case frameState:
@@ -93,5 +93,5 @@
 	if e.relay != nil {
 		e.relay(state, frame)
 	}
-	e.ears.Card(state)
+	e.ears.NotifyState(state)
 }
--- a/members/plain.go
+++ b/membership/plain.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
@@ -37,7 +37,7 @@
 
 // OpenPlain listens at an address for datagrams and connections and calls ears with what comes. rate limits what it sends, in
 // bytes per second; 0: no limit. An error says that an address is malformed or cannot be listened at.
-func OpenPlain(name, listen string, peers []Peer, rate int, ears Ears) (*Plain, error) {
+func OpenPlain(name, listen string, peers []Peer, rate int, ears Delegate) (*Plain, error) {
 	p := &Plain{
 		endpoint: endpoint{
 			name:     name,
@@ -112,13 +112,13 @@
 }
 
 // Tell implements Exchange.
-func (p *Plain) Tell(state Card) {
+func (p *Plain) PublishState(state MemberState) {
 	p.setOwnState(state)
 	p.sendToAll(frameState, marshalState(state.truncate(p.limiter.maxStateBytes(len(p.peers)), true)))
 }
 
 // Signal implements Exchange.
-func (p *Plain) Signal(message []byte) { p.sendToAll(frameBroadcast, message) }
+func (p *Plain) Broadcast(message []byte) { p.sendToAll(frameBroadcast, message) }
 
 // sendToAll sends a frame to each other peer. What cannot be sent is lost: a newer state follows within a second, and an
 // outlier report is worth nothing later.
--- a/members/state.go
+++ b/membership/state.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
@@ -26,58 +26,58 @@
 
 // Card is what a process publishes of itself, about once a second. The CBOR keys are on the wire, the JSON keys are what
 // operators see. A Card is not changed once it is published.
-type Card struct {
-	Name    string  `cbor:"1,keyasint" json:"name"`
-	Zone    string  `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
-	Life    uint64  `cbor:"3,keyasint" json:"life"`                        // rises with each start of the process
-	Keeper  bool    `cbor:"4,keyasint,omitempty" json:"keeper,omitempty"`  // whether it votes on revisions
-	Leads   bool    `cbor:"5,keyasint,omitempty" json:"leads,omitempty"`   // whether it is the leader of the replicas
-	Leased  bool    `cbor:"6,keyasint,omitempty" json:"leased,omitempty"`  // whether it acts under a lease now
-	Floor   uint64  `cbor:"7,keyasint,omitempty" json:"floor"`             // the oldest revision that any process may act on
-	Latest  uint64  `cbor:"8,keyasint,omitempty" json:"latest"`            // the newest revision that it knows
-	Index   uint64  `cbor:"9,keyasint,omitempty" json:"list_index"`        // of its endpoint list
-	Digest  uint64  `cbor:"10,keyasint,omitempty" json:"list_digest"`      // of its endpoint list
-	Drains  []Drain `cbor:"11,keyasint,omitempty" json:"drains,omitempty"` // of its endpoint list, the oldest first
-	Version string  `cbor:"12,keyasint,omitempty" json:"settings_digest,omitempty"`
-	Ways    []Way   `cbor:"14,keyasint,omitempty" json:"zones_away,omitempty"` // of zones that do not get all their keys
-	Seq     uint64  `cbor:"13,keyasint,omitempty" json:"-"`                    // rises with each state of an incarnation
-	More    uint64  `cbor:"15,keyasint,omitempty" json:"-"`                    // digest of the complete lists where these are cut; 0: they are complete
+type MemberState struct {
+	Name           string            `cbor:"1,keyasint" json:"name"`
+	Zone           string            `cbor:"2,keyasint,omitempty" json:"zone,omitempty"`
+	Incarnation    uint64            `cbor:"3,keyasint" json:"life"`                        // rises with each start of the process
+	IsReplica      bool              `cbor:"4,keyasint,omitempty" json:"keeper,omitempty"`  // whether it votes on revisions
+	IsLeader       bool              `cbor:"5,keyasint,omitempty" json:"leads,omitempty"`   // whether it is the leader of the replicas
+	HasLease       bool              `cbor:"6,keyasint,omitempty" json:"leased,omitempty"`  // whether it acts under a lease now
+	MinRevision    uint64            `cbor:"7,keyasint,omitempty" json:"floor"`             // the oldest revision that any process may act on
+	LatestRevision uint64            `cbor:"8,keyasint,omitempty" json:"latest"`            // the newest revision that it knows
+	ListIndex      uint64            `cbor:"9,keyasint,omitempty" json:"list_index"`        // of its endpoint list
+	ListDigest     uint64            `cbor:"10,keyasint,omitempty" json:"list_digest"`      // of its endpoint list
+	Drains         []DrainedEndpoint `cbor:"11,keyasint,omitempty" json:"drains,omitempty"` // of its endpoint list, the oldest first
+	SettingsDigest string            `cbor:"12,keyasint,omitempty" json:"settings_digest,omitempty"`
+	Evacuations    []ZoneEvacuation  `cbor:"14,keyasint,omitempty" json:"zones_away,omitempty"` // of zones that do not get all their keys
+	Seq            uint64            `cbor:"13,keyasint,omitempty" json:"-"`                    // rises with each state of an incarnation
+	More           uint64            `cbor:"15,keyasint,omitempty" json:"-"`                    // digest of the complete lists where these are cut; 0: they are complete
 }
 
 // Drain is a host that an endpoint list called draining or gone.
-type Drain struct {
+type DrainedEndpoint struct {
 	Host  string `cbor:"1,keyasint" json:"host"`
 	Index uint64 `cbor:"2,keyasint" json:"index"` // of the first list that did
 }
 
 // Way is how far a process has evacuated a zone, or has come back to it.
-type Way struct {
-	Zone string  `cbor:"1,keyasint" json:"zone"`
-	Part float64 `cbor:"2,keyasint" json:"part"` // of the keys, 0 to 1: those that do not go there
+type ZoneEvacuation struct {
+	Zone        string  `cbor:"1,keyasint" json:"zone"`
+	KeyFraction float64 `cbor:"2,keyasint" json:"part"` // of the keys, 0 to 1: those that do not go there
 }
 
 // truncate returns the state in at most maxBytes of CBOR, as far as its lists can be cut; paged, with at most a page of each
 // list. The oldest drains are left out first, as most members know them, and the last evacuations. Evacuations take at most
 // half of the room, so that some drains always go. The digest of the complete lists tells the receiver that something is missing.
-func (c Card) truncate(maxBytes int, paged bool) Card {
+func (c MemberState) truncate(maxBytes int, paged bool) MemberState {
 	drainLimit, evacuationLimit := maxDrains, maxEvacuations
 	if paged {
 		drainLimit, evacuationLimit = drainsPerPage, evacuationsPerPage
 	}
-	if len(c.Drains) <= drainLimit && len(c.Ways) <= evacuationLimit && len(marshalState(c)) <= maxBytes {
+	if len(c.Drains) <= drainLimit && len(c.Evacuations) <= evacuationLimit && len(marshalState(c)) <= maxBytes {
 		return c
 	}
 	short := c
-	short.Drains, short.Ways, short.More = nil, nil, c.listsDigest()
+	short.Drains, short.Evacuations, short.More = nil, nil, c.listsDigest()
 	const listHeaderBytes = 2 * 4 // the key and the length of each of the two lists
 	room := maxBytes - len(marshalState(short)) - listHeaderBytes
-	evacuations, used := countFitting(min(len(c.Ways), evacuationLimit), room/2, func(i int) int {
-		return len(mustMarshal(c.Ways[i]))
+	evacuations, used := countFitting(min(len(c.Evacuations), evacuationLimit), room/2, func(i int) int {
+		return len(mustMarshal(c.Evacuations[i]))
 	})
 	drains, _ := countFitting(min(len(c.Drains), drainLimit), room-used, func(i int) int {
 		return len(mustMarshal(c.Drains[len(c.Drains)-1-i]))
 	})
-	short.Ways, short.Drains = c.Ways[:evacuations], c.Drains[len(c.Drains)-drains:]
+	short.Evacuations, short.Drains = c.Evacuations[:evacuations], c.Drains[len(c.Drains)-drains:]
 	return short
 }
 
@@ -95,7 +95,7 @@
 }
 
 // listsDigest is a digest of both lists. It is never 0, which stands for lists that are complete.
-func (c *Card) listsDigest() uint64 {
+func (c *MemberState) listsDigest() uint64 {
 	digest := fnv.New64a()
 	writeNumber := func(n uint64) { digest.Write(binary.LittleEndian.AppendUint64(nil, n)) }
 	writeText := func(text string) {
@@ -106,14 +106,14 @@
 		writeText(drain.Host)
 		writeNumber(drain.Index)
 	}
-	for _, evacuation := range c.Ways {
+	for _, evacuation := range c.Evacuations {
 		writeText(evacuation.Zone)
-		writeNumber(math.Float64bits(evacuation.Part))
+		writeNumber(math.Float64bits(evacuation.KeyFraction))
 	}
 	return digest.Sum64() | 1
 }
 
-func marshalState(state Card) []byte { return mustMarshal(state) }
+func marshalState(state MemberState) []byte { return mustMarshal(state) }
 
 // mustMarshal encodes one of this package's own types, which can always be encoded.
 func mustMarshal(value any) []byte {
@@ -138,11 +138,11 @@
 }()
 
 // unmarshalState decodes a state from the network and checks its bounds.
-func unmarshalState(encoded []byte) (state Card, err error) {
+func unmarshalState(encoded []byte) (state MemberState, err error) {
 	if err := decodeMode.Unmarshal(encoded, &state); err != nil {
 		return state, fmt.Errorf("decode member state: %w", err)
 	}
-	if state.Name == "" || len(state.Name) > maxNameBytes || len(state.Drains) > maxDrains || len(state.Ways) > maxEvacuations {
+	if state.Name == "" || len(state.Name) > maxNameBytes || len(state.Drains) > maxDrains || len(state.Evacuations) > maxEvacuations {
 		return state, fmt.Errorf("decode member state: %w", errInvalidState)
 	}
 	return state, nil
