--- a/admin/door.go
+++ b/admin/door.go
@@ -50,7 +50,9 @@
 		MaxHeaderBytes: mostHead, ErrorLog: stdlog.New(io.Discard, "", 0), // Callers' mistakes are answered, not logged.
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, callerOf, c) }}
 	server.SetKeepAlivesEnabled(false)
-	go server.Serve(&callers{Listener: inner})
+	go func() {
+		_ = server.Serve(&callers{Listener: inner}) // It returns when the process ends, or when accepting failed for good: calls are refused then.
+	}()
 	return inner.Addr().String(), nil
 }
 
@@ -65,7 +67,7 @@
 		c.whole()
 	}
 	if d.fleet != nil && (r.URL.Path == "/fleet" || strings.HasPrefix(r.URL.Path, "/fleet/")) {
-		http.NewResponseController(w).SetWriteDeadline(time.Now().Add(fleetFor)) // A proposal waits for a majority.
+		_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(fleetFor)) // Fails only on a connection that is closed. A proposal waits for a majority.
 		r.Body = http.MaxBytesReader(w, r.Body, maxPropose)
 		d.fleet.ServeHTTP(w, r)
 		return
@@ -138,7 +140,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(d.Hosts()) // Who does not read it to the end has gone.
+	_ = json.NewEncoder(w).Encode(d.Hosts()) // Who does not read it to the end has gone.
 }
 
 func (d door) byHand(w http.ResponseWriter, r *http.Request, escaped string, out bool) {
@@ -208,7 +210,7 @@
 	}
 	l.mu.Unlock()
 	if oldest != nil {
-		oldest.Close()
+		_ = oldest.Close() // It sent no whole call.
 	}
 	return !full || oldest != nil
 }
--- a/benchlink/codec.go
+++ b/benchlink/codec.go
@@ -12,14 +12,14 @@
 	"strconv"
 )
 
-// Malformed tells where a batch breaks the wire's form.
-type Malformed struct {
+// MalformedError tells where a batch breaks the wire's form.
+type MalformedError struct {
 	Line  int
 	Field string
 	Why   string
 }
 
-func (m *Malformed) Error() string {
+func (m *MalformedError) Error() string {
 	return fmt.Sprintf("line %d, field %s: %s", m.Line, m.Field, m.Why)
 }
 
@@ -32,12 +32,12 @@
 	name  string
 	pairs []pair
 	long  []byte
-	bad   *Malformed
+	bad   *MalformedError
 }
 
 func (r *reader) complain(field, why string) {
 	if r.bad == nil {
-		r.bad = &Malformed{r.line, field, why}
+		r.bad = &MalformedError{r.line, field, why}
 	}
 }
 
--- a/benchlink/link.go
+++ b/benchlink/link.go
@@ -79,6 +79,7 @@
 	n.reply.end()
 }
 
+// Reject answers a request with the promise of no effect.
 func (n *instance) Reject(retrieval int, _ policy.Reason, comeBack int64) {
 	n.reply.start("push_back", n.name)
 	n.reply.whole("id", n.slots[retrieval].id)
@@ -90,6 +91,7 @@
 	n.release(retrieval)
 }
 
+// Fail answers a request with an error: it may have had its effect.
 func (n *instance) Fail(retrieval int, _ policy.Reason) {
 	n.reply.start("finish_error", n.name)
 	n.reply.whole("id", n.slots[retrieval].id)
@@ -98,6 +100,7 @@
 	n.release(retrieval)
 }
 
+// Cancel ends an attempt whose answer nobody needs.
 func (n *instance) Cancel(retrieval, trip int) {
 	n.reply.start("revoke", n.name)
 	n.reply.whole("id", n.slots[retrieval].id)
@@ -105,6 +108,7 @@
 	n.reply.end()
 }
 
+// Wake sets a timer.
 func (n *instance) Wake(tag int, after int64) {
 	n.reply.start("schedule", n.name)
 	n.reply.whole("tag", uint64(tag))
@@ -112,6 +116,7 @@
 	n.reply.end()
 }
 
+// Subscribe has changes of the list told.
 func (n *instance) Subscribe() {
 	n.reply.start("stream_changes", n.name)
 	n.reply.text("on", "1")
--- a/cmd/hollylab/demo.go
+++ b/cmd/hollylab/demo.go
@@ -42,7 +42,7 @@
 	c.Flags().Uint64Var(&p.seed, "seed", 1, "of what is asked")
 	c.Flags().StringVar(&p.picture, "picture", "", "a file without its ending, for a picture of trips by zone and fetches over time (SVG and PNG)")
 	c.Flags().StringVar(&trouble, "trouble", "crash", "what goes wrong a third of the way: "+strings.Join(names(), ", "))
-	c.RegisterFlagCompletionFunc("trouble", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
+	_ = c.RegisterFlagCompletionFunc("trouble", func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
 		return names(), cobra.ShellCompDirectiveNoFileComp
 	})
 	c.RunE = func(c *cobra.Command, _ []string) error {
--- a/cmd/hollylab/overhead.go
+++ b/cmd/hollylab/overhead.go
@@ -64,7 +64,7 @@
 					failed.Store(&err)
 					return
 				}
-				own.RecordValue(max(1, time.Since(began).Microseconds()))
+				_ = own.RecordValue(max(1, time.Since(began).Microseconds()))
 			}
 			mu.Lock()
 			l.took.Merge(own)
@@ -101,7 +101,7 @@
 		if err != nil {
 			return coded{err, exitMistake}
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }()
 		h, err := fakes.NewHost("s", fakes.NewOrigin(0, 256), fakes.Manner{AtOnce: 256, Queue: 1024})
 		if err != nil {
 			return coded{err, exitMistake}
--- a/cmd/hollylab/town.go
+++ b/cmd/hollylab/town.go
@@ -172,6 +172,6 @@
 		w.accord.close()
 	}
 	if w.folder != "" {
-		os.RemoveAll(w.folder)
+		_ = os.RemoveAll(w.folder)
 	}
 }
--- a/cmd/hollylab/view.go
+++ b/cmd/hollylab/view.go
@@ -86,6 +86,6 @@
 			fmt.Fprintf(out, "\x1b[%dA\x1b[J", height) // Over the one before.
 		}
 		height = strings.Count(text, "\n")
-		io.WriteString(out, text)
+		fmt.Fprint(out, text)
 	}
 }
--- a/fakes/clients.go
+++ b/fakes/clients.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -146,7 +147,7 @@
 		}
 		if err != nil {
 			a.Close()
-			if late, is := err.(net.Error); kept && !(is && late.Timeout()) {
+			if kept && !timedOut(err) {
 				a, kept = nil, false
 				continue
 			}
@@ -163,11 +164,10 @@
 	}
 	c.last = now
 	if err == nil { // From when it was to be asked: a balancer that stands still does not make its clients ask later.
-		c.took[workload].RecordValue(max(leastLatency, min(mostLatency, now.Sub(due).Microseconds())))
+		_ = c.took[workload].RecordValue(max(leastLatency, min(mostLatency, now.Sub(due).Microseconds())))
 	}
-	late, is := err.(net.Error)
 	switch {
-	case err != nil && is && late.Timeout():
+	case timedOut(err):
 		c.figures.Late++
 	case err != nil:
 		c.figures.Door++
@@ -210,3 +210,9 @@
 	c.idle = nil
 	return c.figures
 }
+
+// timedOut tells whether an error is that of a deadline that has passed.
+func timedOut(err error) bool {
+	var late net.Error
+	return errors.As(err, &late) && late.Timeout()
+}
--- a/fakes/left.go
+++ b/fakes/left.go
@@ -21,7 +21,7 @@
 		runtime.GC() // Closes what scripts have let go of.
 		if time.Now().After(end) {
 			fmt.Printf("%d goroutines and %d descriptors are left; %d and %d there were\n", runtime.NumGoroutine(), open(), routines, descriptors)
-			pprof.Lookup("goroutine").WriteTo(os.Stdout, 1)
+			_ = pprof.Lookup("goroutine").WriteTo(os.Stdout, 1)
 			return max(code, 1)
 		}
 	}
--- a/fakes/platform.go
+++ b/fakes/platform.go
@@ -146,7 +146,9 @@
 		return nil, err
 	}
 	var said struct{ Mgmt string }
-	json.Unmarshal([]byte(line), &said)
+	if err := json.Unmarshal([]byte(line), &said); err != nil {
+		return nil, fmt.Errorf("line %q of the log: %w", line, err)
+	}
 	s.Mgmt = said.Mgmt
 	return s, nil
 }
@@ -165,7 +167,7 @@
 		}
 		select {
 		case <-s.Ended:
-			return "", fmt.Errorf("it has ended (%v) without %s", s.Err, text)
+			return "", fmt.Errorf("it has ended (%v) without %s", s.Cmd.ProcessState, text)
 		default:
 		}
 		if !time.Now().Before(end) {
@@ -235,7 +237,7 @@
 	for _, task := range tasks {
 		var ran int64
 		if text, err := os.ReadFile(task); err == nil {
-			fmt.Sscan(string(text), &ran)
+			_, _ = fmt.Sscan(string(text), &ran) // A task that has just ended counts as 0.
 		}
 		sum += time.Duration(ran)
 	}
@@ -266,25 +268,27 @@
 	if err := unix.SchedSetaffinity(0, &one); err != nil {
 		return err
 	}
-	defer unix.SchedSetaffinity(0, &before)
+	defer func() { _ = unix.SchedSetaffinity(0, &before) }()
 	return call()
 }
 
 // Neighbour uses up a core, for a part of each 20 ms, until it is stopped or the time is over.
 func Neighbour(core int, part float64, most time.Duration) (stop func()) {
 	ended := make(chan struct{})
-	go onCore(core, func() error {
-		for end := time.Now().Add(most); time.Now().Before(end); {
-			select {
-			case <-ended:
-				return nil
-			default:
-			}
-			for began := time.Now(); time.Since(began) < time.Duration(part*float64(20*time.Millisecond)); {
+	go func() {
+		_ = onCore(core, func() error {
+			for end := time.Now().Add(most); time.Now().Before(end); {
+				select {
+				case <-ended:
+					return nil
+				default:
+				}
+				for began := time.Now(); time.Since(began) < time.Duration(part*float64(20*time.Millisecond)); {
+				}
+				time.Sleep(time.Duration((1 - part) * float64(20*time.Millisecond)))
 			}
-			time.Sleep(time.Duration((1 - part) * float64(20*time.Millisecond)))
-		}
-		return nil
-	})
+			return nil
+		})
+	}()
 	return sync.OnceFunc(func() { close(ended) })
 }
--- a/fakes/soak/soak_test.go
+++ b/fakes/soak/soak_test.go
@@ -51,6 +51,44 @@
 	}
 }
 
+// An effect that must come once comes once, and a drain is kept once its grace is over; within these bounds nothing is reported.
+func TestEffectsAndDrainsAreHeld(t *testing.T) {
+	begin := time.Now().Add(-time.Minute)
+	for _, c := range []struct {
+		what, class string
+		attempts    []fakes.Attempt
+		drained     time.Duration // before the last attempt begins; 0: it does not drain
+		want        string
+	}{
+		{"a one-shot that ran once", "book", []fakes.Attempt{{Ran: true}, {}}, 0, ""},
+		{"a one-shot that ran twice", "book", []fakes.Attempt{{Ran: true}, {Ran: true}}, 0, "duplicate"},
+		{"a harmless one that ran twice", "read", []fakes.Attempt{{Ran: true}, {Ran: true}}, 0, ""},
+		{"sent in the grace of a drain", "read", []fakes.Attempt{{}}, drainGrace + networkSlack, ""},
+		{"sent after the grace of a drain", "read", []fakes.Attempt{{}}, drainGrace + networkSlack + ms, "drain"},
+	} {
+		one := request{id: "1", key: "k", class: c.class, sent: begin, deadline: 300 * ms, answered: begin.Add(100 * ms), answer: "k@1"}
+		s, err := newServer("s", 1, time.Second)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, a := range c.attempts {
+			a.ID, a.Begun, a.Whole = "1", begin.Add(ms), begin.Add(ms)
+			s.Note(a)
+		}
+		if c.drained > 0 {
+			s.drains = append(s.drains, drain{from: begin.Add(ms).Add(-c.drained)})
+		}
+		rule := ""
+		for _, breach := range check(Plan{}, begin, []*request{&one}, []*server{s}, 0).Breaches {
+			rule += breach.Rule
+		}
+		if rule != c.want {
+			t.Errorf("%s: %q, not %q", c.what, rule, c.want)
+		}
+		s.Close()
+	}
+}
+
 // A seed is a plan, and a plan that fails for one event shrinks to it.
 func TestPlans(t *testing.T) {
 	plan := NewPlan(7, 6*time.Second, true)
--- a/fields/read.go
+++ b/fields/read.go
@@ -19,14 +19,14 @@
 
 const mostMistakes = 20 // told of one file
 
-// Mistake is what is wrong, and where.
-type Mistake struct {
+// FieldError is what is wrong with a field, and where it stands.
+type FieldError struct {
 	File         string
 	Line, Column int // from 1; 0: of the whole file
 	Field, Why   string
 }
 
-func (m Mistake) Error() string {
+func (m FieldError) Error() string {
 	at := m.File
 	if m.Line > 0 {
 		at = fmt.Sprintf("%s:%d:%d", m.File, m.Line, m.Column)
@@ -85,10 +85,10 @@
 }
 
 // Read reads a file. It gives all values, or all that is wrong with it.
-func Read(file string, parts []Part) (Values, []Mistake) {
+func Read(file string, parts []Part) (Values, []FieldError) {
 	text, err := Whole(file)
 	if err != nil {
-		return Values{}, []Mistake{{File: file, Why: err.Error()}}
+		return Values{}, []FieldError{{File: file, Why: err.Error()}}
 	}
 	return Parse(file, text, parts)
 }
@@ -129,17 +129,17 @@
 }
 
 // Parse is Read of a text that is there already.
-func Parse(file string, text []byte, parts []Part) (Values, []Mistake) {
+func Parse(file string, text []byte, parts []Part) (Values, []FieldError) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil { // Its form, and names that stand twice.
-		m := Mistake{File: file, Why: strings.TrimPrefix(err.Error(), "toml: ")}
+		m := FieldError{File: file, Why: strings.TrimPrefix(err.Error(), "toml: ")}
 		var decode *toml.DecodeError
 		if errors.As(err, &decode) {
 			m.Line, m.Column = decode.Position()
 		}
-		return Values{}, []Mistake{m}
+		return Values{}, []FieldError{m}
 	}
-	var wrong []Mistake
+	var wrong []FieldError
 	tables, names := places(text)
 	at := func(list []place, name string) (line, column int) {
 		for _, p := range list {
@@ -151,7 +151,7 @@
 	}
 	add := func(list []place, name, why string) {
 		line, column := at(list, name)
-		wrong = append(wrong, Mistake{file, line, column, name, why})
+		wrong = append(wrong, FieldError{file, line, column, name, why})
 	}
 	v := Standard(parts)
 	known := map[string]*Part{}
@@ -197,7 +197,7 @@
 		}
 	}
 	if len(wrong) > 0 {
-		slices.SortFunc(wrong, func(a, b Mistake) int {
+		slices.SortFunc(wrong, func(a, b FieldError) int {
 			if a.Line != b.Line {
 				return a.Line - b.Line
 			}
--- a/joining/joining_test.go
+++ b/joining/joining_test.go
@@ -46,7 +46,7 @@
 
 // As many peers as a fleet may have, with the longest names and addresses, fit into a file of settings, and one more is refused.
 func TestAsManyPeersAsMayBe(t *testing.T) {
-	own := func(peers int) (fields.Values, []fields.Mistake) {
+	own := func(peers int) (fields.Values, []fields.FieldError) {
 		var all []string
 		for n := range peers {
 			name := fmt.Sprint(n, "-")
--- a/joining/proposal.go
+++ b/joining/proposal.go
@@ -35,7 +35,7 @@
 }
 
 // ReadProposal reads a file, strictly: a field that is none, or of another kind, is a mistake with its place.
-func ReadProposal(file string, text []byte) (p Proposal, wrong []fields.Mistake) {
+func ReadProposal(file string, text []byte) (p Proposal, wrong []fields.FieldError) {
 	reader := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := reader.Decode(&p)
 	var odd *toml.StrictMissingError
@@ -45,15 +45,15 @@
 	case errors.As(err, &odd):
 		for _, e := range odd.Errors {
 			line, column := e.Position()
-			wrong = append(wrong, fields.Mistake{File: file, Line: line, Column: column, Field: strings.Join(e.Key(), "."), Why: "no such field; there are by, why, made_for, out, back, " +
+			wrong = append(wrong, fields.FieldError{File: file, Line: line, Column: column, Field: strings.Join(e.Key(), "."), Why: "no such field; there are by, why, made_for, out, back, " +
 				"limits, settings_digest, list_of, list_from, leave, return"})
 		}
 	case errors.As(err, &form):
 		line, column := form.Position()
-		wrong = append(wrong, fields.Mistake{File: file, Line: line, Column: column, Field: strings.Join(form.Key(), "."),
+		wrong = append(wrong, fields.FieldError{File: file, Line: line, Column: column, Field: strings.Join(form.Key(), "."),
 			Why: strings.TrimPrefix(form.Error(), "toml: ")})
 	default:
-		wrong = append(wrong, fields.Mistake{File: file, Why: err.Error()})
+		wrong = append(wrong, fields.FieldError{File: file, Why: err.Error()})
 	}
 	return p, wrong
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,4 +1,4 @@
-// The decision module: one Balancer decides for one balancer and shares nothing with the others.
+// Package policy is the decision module: one Balancer decides for one balancer and shares nothing with the others.
 // New hands it the seed, the settings (a plain map of dotted names to values) and the Host it acts through
 // (host.go). Afterwards the front calls one method for each thing that happens: Listing, Row and Listed for a
 // list; Asked, Started, Ended, Aborted for requests; Reported, Woke and Heard. Each but Heard gets the
@@ -304,7 +304,7 @@
 
 // route is the ordinary path: one of the key's candidates at random, from as many as busy answers call for.
 func (b *Balancer) route(now int64, i int) {
-	r, s := &b.requests[i], -1
+	r, s := &b.requests[i], b.origin
 	if r.direct && !r.fetching {
 		b.fetch(now, i)
 		return
@@ -312,7 +312,6 @@
 	// Guards reads that lost attempts at caches: the last one may not end as a miss, nor wait for credit not there.
 	spent := len(r.attempts) > 0 && (len(r.attempts) == b.maxAttempts-1 || b.credit < 1)
 	if b.aside && (r.write || r.missed >= 0 || r.direct || spent) {
-		s = b.origin
 		if s >= 0 && !r.write && float64(b.servers[s].out)+b.chance.part() > b.room {
 			b.tally(&b.misses, &b.fails)
 			b.wait(now, i, ServersBusy)
@@ -348,7 +347,7 @@
 	r.attempts = append(r.attempts, attempt{server: s, sent: now})
 	h.sent.Add(b.seen, 1)
 	b.sentAt = now
-	b.count(now, r, s, 1)
+	b.count(r, s, 1)
 	until := r.stop
 	if r.strained() || b.buffers {
 		until = r.due
@@ -364,7 +363,7 @@
 }
 
 // count keeps the numbers in flight.
-func (b *Balancer) count(now int64, r *request, s, by int) {
+func (b *Balancer) count(r *request, s, by int) {
 	h := &b.servers[s]
 	h.held.Read(b.seen, h.out)
 	b.held.Read(b.seen, b.out)
@@ -643,11 +642,11 @@
 	b.host.Wake(tagHeld+i, r.hold)
 }
 
-// Started: the answer of a streamed request has begun; it is the client's now and has no hard stop.
+// Started says that the answer of a streamed request has begun; it is the client's now and has no hard stop.
 func (b *Balancer) Started(now int64, i, t int) {
 	r := &b.requests[i] // It gets no copy any more, and what still comes of it crowds no server.
 	r.due, r.stop, r.heldUntil, r.attempts[t].ran = math.MaxInt64, math.MaxInt64, 0, done
-	b.count(now, r, r.attempts[t].server, -1)
+	b.count(r, r.attempts[t].server, -1)
 }
 
 // Ended tells how an attempt ended. A request that has had its final answer may still have attempts that end.
@@ -655,7 +654,7 @@
 	b.passes(now)
 	r := &b.requests[i]
 	if r.attempts[t].ran == running {
-		b.count(now, r, s, -1)
+		b.count(r, s, -1)
 	}
 	r.over++
 	switch how {
@@ -837,7 +836,7 @@
 	return view
 }
 
-// Aborted: the client has gone.
+// Aborted says that the client has gone.
 func (b *Balancer) Aborted(now int64, i int) {
 	if b.requests[i].live {
 		b.drop(now, i, -1)
@@ -853,7 +852,7 @@
 	}
 }
 
-// Woke: a timer has come due.
+// Woke says that a timer has come due.
 func (b *Balancer) Woke(now int64, tag int) {
 	b.passes(now)
 	switch {
@@ -898,10 +897,10 @@
 	}
 }
 
-// Heard: what others' word takes from a server's chance; under 0: it is this one's turn to try it.
+// Heard sets what others' word takes from a server's chance; under 0: it is this one's turn to try it.
 func (b *Balancer) Heard(s int, part float64) { b.servers[s].told = part }
 
-// Reported: a server's load report, its figures in the order of the settings; NaN for those that it lacks.
+// Reported takes a server's load report, its figures in the order of the settings; NaN for those that it lacks.
 func (b *Balancer) Reported(now int64, s int, load []float64) {
 	h := &b.servers[s]
 	if !b.open(h) || s == b.origin {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -569,8 +569,8 @@
 		h.good, h.bad, h.busy = sum{Value: good, At: w.b.seen}, sum{Value: 0, At: w.b.seen}, sum{Value: busy, At: w.b.seen}
 		return w.b.coldRoom(w.now, 0)
 	}
-	if new, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*new || proven > 3*new || full > 1.3*new {
-		t.Errorf("room of %g for a new one, %g for one that settles all, %g for one that is full", new, proven, full)
+	if fresh, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*fresh || proven > 3*fresh || full > 1.3*fresh {
+		t.Errorf("room of %g for a new one, %g for one that settles all, %g for one that is full", fresh, proven, full)
 	}
 	r := &request{write: true}
 	for w.b.out = 0; !w.b.crowded(w.now, r); w.b.out++ {
--- a/protocol/answer.go
+++ b/protocol/answer.go
@@ -99,7 +99,7 @@
 // lastWord is where an error line has its load report, if any.
 func lastWord(line []byte) []byte { return line[bytes.LastIndexByte(line, ' ')+1:] }
 
-// AppendSettled, AppendDismissed and AppendGivenUp write a retrieval's final answer.
+// AppendSettled writes the final answer of a retrieval that succeeded: its value.
 func AppendSettled(out, value []byte) []byte { return redcon.AppendBulk(out, value) }
 
 // AppendDismissed tells when to come back, in whole milliseconds, where that is known.
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -131,7 +131,7 @@
 // more reads the next piece of an answer. Guards against an answer that begins and does not end.
 func more(line *transport.Line, until time.Time) transport.End {
 	begun := len(line.Unread()) > 0
-	if begun && until.Sub(time.Now()) > nextPieceTimeout {
+	if begun && time.Until(until) > nextPieceTimeout {
 		until = time.Now().Add(nextPieceTimeout)
 	}
 	end := line.Fill(until)
@@ -176,8 +176,8 @@
 		ended++
 		line.Skip(1)
 	}
-	into.Write([]byte("\r\n"))
-	into.Close()
+	_, _ = into.Write([]byte("\r\n")) // The reader may have gone: its client left.
+	_ = into.Close()
 	return b.passRest(line, n)
 }
 
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -98,7 +98,7 @@
 	b.mu.Unlock()
 	x.withdraw()
 	if x.large != nil {
-		x.large.value.Close()
+		_ = x.large.value.Close()
 	}
 }
 
--- a/routing/front.go
+++ b/routing/front.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"strconv"
 	"time"
@@ -184,14 +185,14 @@
 	if value == nil {
 		return true
 	}
-	defer value.Close() // Whoever writes into it hears that nobody reads any more.
+	defer func() { _ = value.Close() }() // Whoever writes into it hears that nobody reads any more.
 	for piece := make([]byte, pieceOf); ; {
 		n, err := value.Read(piece)
 		if n > 0 && c.Hand(piece[:n], time.Now().Add(writeFor)) != transport.Open {
 			return false
 		}
 		if err != nil {
-			return err == io.EOF
+			return errors.Is(err, io.EOF)
 		}
 	}
 }
--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -127,7 +127,7 @@
 		return 0, err
 	}
 	listed := 0
-	protocol.List(known, func(i uint64, _ bool) { index = i }, func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) {
+	_ = protocol.List(known, func(i uint64, _ bool) { index = i }, func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) {
 		if listed++; before[name] {
 			same++
 		}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -289,7 +290,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := b.Ban("never", true); err != ErrNeverListed {
+	if err := b.Ban("never", true); !errors.Is(err, ErrNeverListed) {
 		t.Errorf("a name that was never listed: %v", err)
 	}
 	if len(b.once) != maxServers || len(b.names) != maxServers {
--- a/server/asks.go
+++ b/server/asks.go
@@ -101,7 +101,9 @@
 		_, err := a.call(http.MethodGet, "/ready")
 		var with coded
 		if no := errors.As(err, &with) && with.code == exitNo; a.asJSON && (err == nil || no) {
-			say(c, map[string]bool{"ready": !no})
+			if err := say(c, map[string]bool{"ready": !no}); err != nil {
+				return err
+			}
 			if no {
 				return coded{errTold, exitNo}
 			}
--- a/server/cli.go
+++ b/server/cli.go
@@ -55,7 +55,7 @@
 	if !errors.As(err, &with) {
 		with = coded{err, exitUse} // Cobra's own: an unknown command, a word too many or too few.
 	}
-	if with.error != errTold {
+	if !errors.Is(with.error, errTold) {
 		line, _, _ := strings.Cut(with.Error(), "\n")
 		fmt.Fprintln(wrong, "hollylever:", line)
 	}
@@ -106,10 +106,10 @@
 }
 
 // checked finds all that is wrong with a file: a platform's configuration if it begins as JSON, own settings if not.
-func checked(file string) []fields.Mistake {
+func checked(file string) []fields.FieldError {
 	text, err := fields.Whole(file)
 	if err != nil {
-		return []fields.Mistake{{File: file, Why: err.Error()}}
+		return []fields.FieldError{{File: file, Why: err.Error()}}
 	}
 	if begins := strings.TrimLeft(string(text[:min(len(text), 64)]), " \t\r\n\ufeff"); !strings.HasSuffix(file, ".json") && !strings.HasPrefix(begins, "{") {
 		own, wrong := fields.Parse(file, text, parts)
@@ -118,14 +118,14 @@
 		}
 		if err := joining.Check(own, ""); err != nil {
 			field, why, _ := strings.Cut(err.Error(), ": ")
-			return []fields.Mistake{{File: file, Field: field, Why: why}}
+			return []fields.FieldError{{File: file, Field: field, Why: why}}
 		}
 		return nil
 	}
 	_, wrong := examine(file, text, func(string) string { return "" })
 	for n := range wrong {
 		if wrong[n].File != file {
-			wrong[n] = fields.Mistake{File: file, Why: "not a JSON object"}
+			wrong[n] = fields.FieldError{File: file, Why: "not a JSON object"}
 		}
 	}
 	return wrong
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -177,7 +177,9 @@
 		}
 		for _, v := range all {
 			var flat bytes.Buffer
-			json.Compact(&flat, v.Document)
+			if json.Compact(&flat, v.Document) != nil {
+				return a.nonsense()
+			}
 			fmt.Fprintf(c.OutOrStdout(), "%d  %s  %s  %s\n", v.Number, printable(or(v.By, "-")), printable(or(v.Why, "-")), printable(flat.String()))
 		}
 		return nil
@@ -220,7 +222,9 @@
 		return a.nonsense()
 	}
 	if a.asJSON {
-		say(c, o)
+		if err := say(c, o); err != nil {
+			return err
+		}
 	}
 	switch {
 	case o.Version != 0:
--- a/server/given.go
+++ b/server/given.go
@@ -97,19 +97,19 @@
 func isObject(text []byte) bool { return gjson.ValidBytes(text) && gjson.ParseBytes(text).IsObject() }
 
 // notObject is the mistake of a file that is no configuration at all.
-func notObject(file string) []fields.Mistake {
-	return []fields.Mistake{{File: "LB_CONFIG", Why: file + " is not a JSON object"}}
+func notObject(file string) []fields.FieldError {
+	return []fields.FieldError{{File: "LB_CONFIG", Why: file + " is not a JSON object"}}
 }
 
 // examine looks at the whole of a configuration and gives what it says, or all that is wrong with it.
-func examine(file string, text []byte, variable func(string) string) (*given, []fields.Mistake) {
+func examine(file string, text []byte, variable func(string) string) (*given, []fields.FieldError) {
 	if !isObject(text) {
 		return nil, notObject(file)
 	}
 	object := gjson.ParseBytes(text)
-	var wrong []fields.Mistake
+	var wrong []fields.FieldError
 	add := func(field, why string) {
-		m := fields.Mistake{File: file, Field: field, Why: why}
+		m := fields.FieldError{File: file, Field: field, Why: why}
 		m.Line, m.Column = lineOf(text, field)
 		wrong = append(wrong, m)
 	}
@@ -136,7 +136,7 @@
 		}
 		why := fmt.Sprintf("%q is not an address and a port", *a.into)
 		if value != "" {
-			wrong = append(wrong, fields.Mistake{File: a.variable, Why: why})
+			wrong = append(wrong, fields.FieldError{File: a.variable, Why: why})
 		} else {
 			add(a.field, why)
 		}
@@ -144,7 +144,7 @@
 	var err error
 	if fd := variable("LB_LISTEN_FD"); fd != "" {
 		if g.inherited, err = strconv.Atoi(fd); err != nil || g.inherited < 3 || g.inherited > 1<<20 {
-			wrong = append(wrong, fields.Mistake{File: "LB_LISTEN_FD", Why: fmt.Sprintf("%q is not a descriptor", fd)})
+			wrong = append(wrong, fields.FieldError{File: "LB_LISTEN_FD", Why: fmt.Sprintf("%q is not a descriptor", fd)})
 		}
 	}
 	if g.seed, err = strconv.ParseUint(object.Get("seed").String(), 16, 64); err != nil {
--- a/server/ready_test.go
+++ b/server/ready_test.go
@@ -94,7 +94,7 @@
 				t.Fatal(err)
 			}
 			whole := file + ".new"
-			if err := os.WriteFile(whole, good, 0o600); err == nil {
+			if err = os.WriteFile(whole, good, 0o600); err == nil {
 				err = os.Rename(whole, file)
 			}
 			if err != nil {
--- a/transport/await.go
+++ b/transport/await.go
@@ -32,7 +32,7 @@
 		}
 		c.SetReadDeadline(until)
 		c.owner.mu.Unlock()
-		end := Open
+		var end End
 		switch {
 		case !full:
 			end = c.readOn()
--- a/transport/client.go
+++ b/transport/client.go
@@ -82,14 +82,14 @@
 // would reset the connection and take the word with it.
 func (c *Client) Linger() {
 	if half, ok := c.Conn.Conn.(*net.TCPConn); ok {
-		half.CloseWrite()
+		_ = half.CloseWrite() // A client that has gone: the read below says so.
 	}
 	c.owner.mu.Lock()
 	if !c.going {
 		c.SetReadDeadline(time.Now().Add(lingerFor))
 	}
 	c.owner.mu.Unlock()
-	io.CopyN(io.Discard, c, mostLinger)
+	_, _ = io.CopyN(io.Discard, c, mostLinger)
 }
 
 // Age is how long ago the client connected.
--- a/transport/listener.go
+++ b/transport/listener.go
@@ -58,10 +58,14 @@
 	End()
 }
 
+// unmarked is the Mark of a listener that nobody watches.
 type unmarked struct{}
 
+// Begin does nothing.
 func (unmarked) Begin() {}
-func (unmarked) End()   {}
+
+// End does nothing.
+func (unmarked) End() {}
 
 // Inherit takes clients from a listening socket that whoever started the program holds. It is never shut down: others
 // accept from it too, before and after.
@@ -86,7 +90,7 @@
 		inner.Close()
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
 	}
-	unix.SetNonblock(copied, true) // So that the runtime waits for it, no thread.
+	_ = unix.SetNonblock(copied, true) // So that the runtime waits for it, no thread.
 	l := newListener(inner, most, opened)
 	l.shared, l.comes = true, os.NewFile(uintptr(copied), "listening socket")
 	return l, nil
@@ -305,10 +309,10 @@
 	if raw == nil {
 		return false
 	}
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) { // Fails only on a socket that is closed.
 		flags, err := unix.FcntlInt(fd, unix.F_GETFL, 0)
 		if was = err == nil && flags&unix.O_NONBLOCK == 0; was {
-			unix.SetNonblock(int(fd), true)
+			_ = unix.SetNonblock(int(fd), true)
 		}
 	})
 	return was
@@ -339,7 +343,7 @@
 // connected tells whether connections wait to be accepted.
 func (l *Listener) connected() (some bool) {
 	if raw := rawOf(l.listener); raw != nil {
-		raw.Control(func(fd uintptr) { some = looks(fd, unix.POLLIN) })
+		_ = raw.Control(func(fd uintptr) { some = looks(fd, unix.POLLIN) })
 	}
 	return some
 }
