--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"hash"
 	"math/rand/v2"
 	"os"
 	"slices"
@@ -29,6 +30,7 @@
 	bytes   int
 	liar    int // tells 100 times what it saw; -1: nobody
 	repeats float64
+	trace   hash.Hash // of all messages and attempts, where one is kept
 }
 
 type flight struct {
@@ -58,6 +60,9 @@
 // send puts a message on its way to all others.
 func (w *town) send(from int, bytes []byte) {
 	w.bytes += len(bytes) * (len(w.boards) - 1)
+	if w.trace != nil {
+		fmt.Fprintf(w.trace, "message %d %d %x\n", w.now, from, bytes)
+	}
 	for to := range w.boards {
 		for again := true; again && to != from; again = w.chance.Float64() < w.repeats {
 			if !w.silent && w.chance.Float64() >= w.loss {
@@ -108,11 +113,17 @@
 			at := w.chance.IntN(len(w.hosts))
 			id := w.hosts[at]
 			h := b.hosts[id]
+			if h == nil {
+				continue
+			}
 			part := b.Part(w.now, id)
 			if w.chance.Float64() < part || part >= 0 && h.run >= 2 && w.now-h.failed < 3000*ms && w.chance.Float64() < 0.9 {
 				continue
 			}
-			b.Sent(w.now, id)
+			penalty, ejected := b.Sent(w.now, id)
+			if w.trace != nil {
+				fmt.Fprintf(w.trace, "attempt %d %d %d %v %t\n", w.now, n, id, penalty, ejected)
+			}
 			if w.chance.Float64() < w.fails[at] || w.broken[n] {
 				if w.fails[at] > 0 {
 					w.bad++
