--- a/signals/golden_test.go
+++ b/signals/golden_test.go
@@ -190,5 +190,13 @@
 		traceStatus(t, w, 0)
 		now += 600 * ms
 	}
+	for id := uint32(10_000); len(hosts) < 9000; id++ {
+		hosts = append(hosts, id)
+	}
+	b.Hosts(hosts)
+	for _, id := range hosts[8190:8194] { // The first two of these are the last that are known.
+		b.Saw(now, id, Refuses)
+	}
+	traceStatus(t, &town{now: now, boards: []*Board{b}, hosts: hosts, trace: sum}, 0)
 	compareGolden(t, "full.golden", []string{hex.EncodeToString(sum.Sum(nil))})
 }
