--- /dev/null
+++ b/fleet/golden_test.go
@@ -0,0 +1,191 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"hollylever/agreed"
+	"hollylever/members"
+	"hollylever/signals"
+	"hollylever/subset"
+	"hollylever/zones"
+)
+
+var update = flag.Bool("update", false, "write testdata anew")
+
+// golden holds what is given against a file of testdata.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, got, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%s: %v; got\n%.4000s", path, err, got)
+	}
+}
+
+// idle is a balancer that counts what it is told and does nothing.
+type idle struct {
+	heeds int
+	last  agreed.Acting
+}
+
+func (i *idle) Heeds(a agreed.Acting)                  { i.heeds, i.last = i.heeds+1, a }
+func (*idle) Drained([]string)                         {}
+func (*idle) List() (uint64, uint64, []members.Drain)  { return 7, 8, nil }
+func (*idle) Servers() []subset.Host                   { return nil }
+func (*idle) Tends(map[string]bool, bool)              {}
+func (*idle) Heard(map[string]float64)                 {}
+func (*idle) Portion(float64)                          {}
+func (*idle) Came() int                                { return 0 }
+func (*idle) Leaves(map[string]float64, time.Duration) {}
+func (*idle) WarmUp() time.Duration                    { return time.Second }
+func (*idle) Missed() (int, int)                       { return 0, 0 }
+func (*idle) Scarce(bool)                              {}
+
+var document = agreed.Document{Bans: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, Digest: "0123456789abcdef",
+	Source: "10.0.0.1:7000", From: 12, Left: []string{"fails:z2", "z1"}}
+
+// An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a renamed field emptied them.
+func TestFleetStatusKeepsItsJSON(t *testing.T) {
+	card := members.Card{Name: "b1", Zone: "z1", Life: 5, Keeper: true, Leads: true, Leased: true, Floor: 3, Latest: 4, Index: 9, Digest: 10,
+		Drains: []members.Drain{{Host: "h3", Index: 8}}, Version: "0123456789abcdef", Ways: []members.Way{{Zone: "z1", Part: 0.5}}, Seq: 11, More: 12}
+	versions := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4}}
+	full := Status{Name: "b1", Zone: "z1", Leads: "b2", Acting: agreed.Acting{Floor: 3, Latest: 4, Leased: true, Part: 0.25, Document: document}, T: "1.986s",
+		LeaseMS: 321, Alone: 1, Under: 2, Lost: 3, Members: []Stands{{Card: card}, {Card: members.Card{Name: "b2"}, AgoMS: 44, Gone: true}}, News: []string{"h9"},
+		Keeper: &KeeperStands{Leads: true, Founded: true, Holders: 6}, Versions: versions,
+		Signals: &SignalsStand{Told: 1, Took: 2, Late: 3, Odd: 4, Lost: 5, Miss: true, Hosts: []signals.Stands{{Host: 1, Name: "h1", Witnesses: 2, Zones: 3, Runs: 4,
+			Own: 5, Heeded: true, Turn: true, Part: 0.75, ForMS: 66}, {Name: "h2", Heeded: true, Part: 0.5, ForMS: 7}, {Name: "h4", Heeded: true}, {Name: "h5"}}},
+		Tends: []string{"h1", "h2"}, Zones: []ZoneStands{{Zone: "z1", Hosts: 4, Failing: 1, Own: true, ByHand: true, Part: 0.5},
+			{Zone: "z2", Hosts: 4, Failing: 4, Fails: true, Part: 1}, {Zone: "z3", Hosts: 5, Part: 0.25}, {Zone: "z4", Hosts: 2, ByHand: true, Fails: true, Part: 1}}}
+	w := httptest.NewRecorder()
+	answer(w, full)
+	golden(t, "status.json", w.Body.Bytes())
+	w = httptest.NewRecorder()
+	answer(w, Status{})
+	golden(t, "status_empty.json", w.Body.Bytes())
+	w = httptest.NewRecorder()
+	answer(w, versions)
+	golden(t, "history.json", w.Body.Bytes())
+}
+
+// A call that is none has its code and its words, which scripts look for.
+func TestFleetCallsKeepTheirAnswers(t *testing.T) {
+	f := fleetAt(t, "", &idle{})
+	var out strings.Builder
+	for _, call := range []struct{ method, path, body string }{
+		{"POST", "/fleet", ""}, {"DELETE", "/fleet/history", ""}, {"GET", "/fleet/propose", ""}, {"GET", "/fleet/x", ""}, {"GET", "/fleet/", ""},
+		{"POST", "/fleet/propose", "noise"}, {"POST", "/fleet/propose", `{"outs":["a"]}`}, {"POST", "/fleet/propose", `{"out":["a"]}`},
+		{"POST", "/fleet/propose", `{"id":"p","out":["a"],"back":["a"]}`}, {"POST", "/fleet/propose", `{"id":"p","leave":[""]}`}, {"GET", "/fleet/history", ""},
+	} {
+		w := httptest.NewRecorder()
+		f.ServeHTTP(w, httptest.NewRequest(call.method, "http://door"+call.path, strings.NewReader(call.body)))
+		fmt.Fprintf(&out, "%s %s %s\n%d %s\n%s\n", call.method, call.path, call.body, w.Code, w.Header().Get("Content-Type"), w.Body)
+	}
+	w := httptest.NewRecorder()
+	f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://door/fleet", nil))
+	var s map[string]any
+	if err := json.Unmarshal(w.Body.Bytes(), &s); err != nil || w.Code != http.StatusOK || s["name"] != "b1" || s["t"] != "1.803s" {
+		t.Errorf("%d, %v, %s", w.Code, err, w.Body)
+	}
+	golden(t, "calls.golden", []byte(out.String()))
+}
+
+// fleetAt is a process's part that has not joined: with a place for what it leaves, or none.
+func fleetAt(t *testing.T, left string, acts Acts) *Fleet {
+	t.Helper()
+	terms := agreed.Terms{Lease: 1500 * time.Millisecond, RateError: 0.001, Pause: 300 * time.Millisecond}
+	f := &Fleet{name: "b1", zone: "z1", settings: "0123456789abcdef", terms: terms, keepers: []string{"b1"}, acts: acts, log: zerolog.Nop(), left: left,
+		waiting: map[string]chan said{}, zones: leaving{paths: map[string]*zones.Path{}}}
+	f.holder = agreed.NewHolder(Now(), f.name, 1, terms, f.keepers, f, func(n int) int { return n - 1 })
+	return f
+}
+
+// A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a ban lapse.
+func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
+	plain := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4, ID: "p4", Document: agreed.Document{Bans: []string{"h1"}}}}
+	var many []agreed.Version
+	for n := range uint64(plainVersion + 1) {
+		many = append(many, agreed.Version{Number: n + 3, ID: fmt.Sprint("p", n), Document: agreed.Document{Bans: []string{fmt.Sprint("h", n)}, From: n}})
+	}
+	for name, versions := range map[string][]agreed.Version{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
+		if *update {
+			f := fleetAt(t, filepath.Join("testdata", name), &idle{})
+			f.holder.Recall(3, versions)
+			f.acting = f.holder.Acting(Now())
+			f.zones.paths["z2"] = &zones.Path{}
+			f.zones.paths["z2"].Recall(0.25, 1, 2)
+			f.leave()
+		}
+		text, err := os.ReadFile(filepath.Join("testdata", name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		left, acts := filepath.Join(t.TempDir(), "hollylever.fleet"), &idle{}
+		if err := os.WriteFile(left, text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		f := fleetAt(t, left, acts)
+		f.recall()
+		latest := versions[len(versions)-1].Number
+		if a := acts.last; acts.heeds != 1 || a.Floor != 3 || a.Latest != latest || a.Leased || len(a.Bans) == 0 {
+			t.Errorf("%s: %d times, %+v", name, acts.heeds, a)
+		}
+		for n, v := range f.holder.Versions() {
+			if v.Digest() != versions[n].Digest() {
+				t.Errorf("%s: version %d is another", name, v.Number)
+			}
+		}
+		if part, at := f.zones.paths["z2"].Stands(); part != 0.25 || at != 1 {
+			t.Errorf("%s: %v of z2 at %d", name, part, at)
+		}
+		f.leave()
+		if again, err := os.ReadFile(left); err != nil || !bytes.Equal(again, text) {
+			t.Errorf("%s: written again it is another, %v:\n%s", name, err, again)
+		}
+	}
+	for _, spoilt := range []string{"", "{", `{"floor":5,"versions":[{"version":4}]}`, `{"floor":4,"versions":[{"version":4},{"version":6}]}`, `{"floor":1,"chain":"AAAA"}`} {
+		left, acts := filepath.Join(t.TempDir(), "hollylever.fleet"), &idle{}
+		if err := os.WriteFile(left, []byte(spoilt), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if f := fleetAt(t, left, acts); true {
+			if f.recall(); acts.heeds != 0 || f.acting.Latest != 0 {
+				t.Errorf("%q is acted on", spoilt)
+			}
+		}
+	}
+}
+
+// A process that took a number at or below that of the one before it would be taken for that one's past: the file's form has to stay readable.
+func TestIncarnationFileIsReadAndWrittenAsBefore(t *testing.T) {
+	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
+	first := nextIncarnation(folder, now, 12345)
+	text, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
+	if err != nil || first != 7130316800000012345 {
+		t.Errorf("%d, %v", first, err)
+	}
+	golden(t, "hollylever.incarnation", text)
+	fixture, _ := os.ReadFile("testdata/hollylever.incarnation")
+	if err := os.WriteFile(filepath.Join(folder, "hollylever.incarnation"), fixture, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if next := nextIncarnation(folder, now.Add(-time.Hour), 3); next != 7130316800004194307 {
+		t.Errorf("after a step back of the clock: %d", next)
+	}
+}
