--- a/server/fleet.go
+++ b/server/fleet.go
@@ -35,12 +35,14 @@
 	} `json:"acting"`
 	Tends []string
 	Zones []struct {
-		Zone           string
-		Hosts, Failing int
-		Own            bool
-		ByHand         bool    `json:"left_by_hand"`
-		Fails          bool    `json:"left_as_it_fails"`
-		Part           float64 `json:"part_away"`
+		// These four keys stand so in the answer of zones list --json, and match the door's lower-case ones.
+		Zone    string  `json:"Zone"`
+		Hosts   int     `json:"Hosts"`
+		Failing int     `json:"Failing"`
+		Own     bool    `json:"Own"`
+		ByHand  bool    `json:"left_by_hand"`
+		Fails   bool    `json:"left_as_it_fails"`
+		Part    float64 `json:"part_away"`
 	}
 	Signals *struct {
 		Told, Taken, Lost int
