--- /dev/null
+++ b/decay/golden_test.go
@@ -0,0 +1,52 @@
+package decay
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"flag"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden values in testdata anew")
+
+// Each decision of a balancer reads these counts: a sum that is off by a bit changes what is decided long after. Over times that
+// stand still, go on and go back, each value stays as version 860147b computed it.
+func TestGoldenTrace(t *testing.T) {
+	trace, random := sha256.New(), rand.New(rand.NewPCG(1, 1))
+	record := func(values ...float64) {
+		for _, v := range values {
+			trace.Write(binary.LittleEndian.AppendUint64(nil, math.Float64bits(v)))
+		}
+	}
+	var sum Sum
+	var level Level
+	now := int64(0)
+	for range 20_000 {
+		now += random.Int64N(20e6) - 1e6
+		switch random.IntN(5) {
+		case 0:
+			record(sum.Read(now))
+		case 1, 2:
+			sum.Add(now, random.Float64()*3)
+		default:
+			record(level.Read(now, random.IntN(40)))
+		}
+		record(sum.Value, float64(sum.At), level.Value, float64(level.At))
+	}
+	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
+	if *update {
+		if err := os.WriteFile(path, []byte(got+"\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || strings.TrimSpace(string(want)) != got {
+		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+	}
+}
--- /dev/null
+++ b/learnt/golden_test.go
@@ -0,0 +1,70 @@
+package learnt
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"hollylever/policy"
+)
+
+var update = flag.Bool("update", false, "write the fixture in testdata anew")
+
+// fixture has another value in each field, so that no two of them can change places unseen.
+func fixture() *Snapshot {
+	value := float32(0)
+	sum := func() policy.Sum {
+		value++
+		return policy.Sum{Value: value / 8, Age: int64(value) * 1e6}
+	}
+	kind := func(size float64) policy.KindState {
+		return policy.KindState{Answered: sum(), Took: sum(), Busy: sum(), Size: size}
+	}
+	server := func(hash uint64) policy.ServerState {
+		return policy.ServerState{Hash: hash, Started: int64(hash) + 1, Held: sum(), Sent: sum(), Good: sum(), Bad: sum(), Busy: sum(),
+			Credit: value / 64, CutAt: int64(hash) + 2, Rate: value + 0.25, Strain: value + 0.5}
+	}
+	return &Snapshot{Name: "n1", Settings: 0x1122334455667788, At: now.UnixNano(), Boot: "another start", BootAt: 77,
+		Discovery: "127.0.0.1:7000", Index: 99, List: []byte(`{"index":99}`),
+		State: policy.State{Now: 5_000_000_000, Began: 1_000_000_001, Seen: 3_000_000_002, Pace: 0.75, Held: sum(), Good: sum(), Bad: sum(),
+			Warmed: sum(), Reads: sum(), Misses: sum(), Fails: sum(), Fine: sum(), Poor: sum(), Asked: sum(), Turned: sum(), Lacked: sum(),
+			Settled: sum(), Took: sum(), Unreached: sum(), Overdue: sum(), Credit: 3.5, Usual: 2e8, Admit: 0.625, OriginRoom: 12.5, Can: 33.25,
+			CanAt: 4_000_000_003, All: kind(1.5), Kinds: []policy.KindState{kind(2.5), kind(3.5)}, Tenants: []policy.Sum{sum(), sum()},
+			Servers: []policy.ServerState{server(1000), server(2000)}, Keys: []uint64{11, 12, 13}, Places: []uint32{1, 0, 1}}}
+}
+
+// A process is upgraded and reads the snapshot of the one before with fields lost or in each other's place, since the file's form
+// followed a renamed field: it starts cold, or with another host's figures. The fixture is a file that version 860147b wrote; it is
+// read with the same content and written the same to the byte.
+func TestStoredSnapshotStaysReadable(t *testing.T) {
+	path := filepath.Join("testdata", "snapshot-v2")
+	if *update {
+		if _, err := (&File{Path: path}).Write(fixture()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, text := written(t, fixture()); !bytes.Equal(text, stored) {
+		t.Errorf("the same snapshot is written otherwise: %x, stored %x", text, stored)
+	}
+	copied := &File{Path: filepath.Join(t.TempDir(), "learnt")}
+	if err := os.WriteFile(copied.Path, stored, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := copied.Read("n1", 0x1122334455667788, now.Add(2*time.Second), lasts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := fixture()
+	want.Ago = 2 * time.Second
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v, want %+v", got, want)
+	}
+}
--- /dev/null
+++ b/outage/golden_test.go
@@ -0,0 +1,57 @@
+package outage
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden values in testdata anew")
+
+// A zone that is suspected an attempt sooner or later than before costs or saves requests without any test turning red. Over five
+// zones that fail at times, one or two of them wholly, each answer of the detector stays as that of version 860147b.
+func TestGoldenTrace(t *testing.T) {
+	trace, suspected, avoided := sha256.New(), 0, 0
+	for seed := range uint64(40) {
+		random, d, now := rand.New(rand.NewPCG(seed, 3)), New(3*second), int64(0)
+		rate := []float64{0, 0.02, 0.1, 0.4}[seed%4]
+		for n := range 2000 {
+			now += random.Int64N(20 * ms)
+			zone, server := random.IntN(5)-1, random.IntN(120)
+			isLost := n/300%2 == 1 && zone == n/600%4 || n/500%3 == 2 && zone == 3
+			if isLost || random.Float64() < rate {
+				d.Failed(zone, server, now)
+			} else {
+				d.Answered(zone, now)
+			}
+			asked, draw := random.IntN(5)-1, random.Float64()
+			suspects, avoids := d.Suspects(asked), d.Avoids(asked, now+random.Int64N(second), draw)
+			fmt.Fprintln(trace, suspects, avoids)
+			if suspects {
+				suspected++
+			}
+			if avoids {
+				avoided++
+			}
+		}
+	}
+	if suspected < 1000 || avoided < 500 {
+		t.Errorf("%d suspected, %d avoided: the run reaches too little", suspected, avoided)
+	}
+	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
+	if *update {
+		if err := os.WriteFile(path, []byte(got+"\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || strings.TrimSpace(string(want)) != got {
+		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+	}
+}
--- /dev/null
+++ b/shares/golden_test.go
@@ -0,0 +1,77 @@
+package shares
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden values in testdata anew")
+
+// A draw more or less, or a share that is off by a bit, changes each decision that comes after it. Over tenants with and without
+// quotas that change, good times and poor ones, with load reports and without, and a gate that takes over from another, each
+// decision, the draws it takes and what is handed on stay as those of version 860147b.
+func TestGoldenTrace(t *testing.T) {
+	trace, rejected := sha256.New(), 0
+	for seed := range uint64(20) {
+		random, g := rand.New(rand.NewPCG(seed, 7)), New([]float64{300, 0, 150, 20, 600, 90})
+		now, fine, poor := int64(0), 10.0, 0.0
+		draws := 0
+		draw := func() float64 {
+			draws++
+			return random.Float64()
+		}
+		for n := range 4000 {
+			now += random.Int64N(4e6)
+			tenant := []int{-1, 0, 0, 0, 1, 2, 3, 3, 4, 5}[random.IntN(10)]
+			view := View{Now: now, Span: span, EvenPart: 0.1 * float64(seed%3)}
+			if n/700%3 == 1 {
+				view.Part = random.Float64()
+			}
+			isRejected := g.Rejects(tenant, view, draw)
+			if isRejected {
+				rejected++
+			}
+			fine, poor = fine*0.99+1, poor*0.99
+			if n/500%2 == 1 && random.IntN(3) == 0 {
+				poor++
+			}
+			g.Ended(fine, poor)
+			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(g.Admitted()))
+			switch n {
+			case 1500:
+				g.SetQuota(3, 0)
+			case 2200:
+				g.SetQuota(1, 45)
+			case 3000:
+				successor := New([]float64{300, 45, 150, 0, 600, 90, 10})
+				successor.Restore(g.Admitted(), g.Asked())
+				g = successor
+				g.SetQuota(4, 500)
+			}
+		}
+		for _, asked := range g.Asked() {
+			fmt.Fprintln(trace, math.Float64bits(asked.Value), asked.At)
+		}
+	}
+	if rejected < 2000 {
+		t.Errorf("%d rejected: the run reaches too little", rejected)
+	}
+	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
+	if *update {
+		if err := os.WriteFile(path, []byte(got+"\n"), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || strings.TrimSpace(string(want)) != got {
+		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+	}
+}
