--- a/joining/golden_test.go
+++ b/fleetconfig/golden_test.go
@@ -1,4 +1,4 @@
-package joining
+package fleetconfig
 
 import (
 	"bytes"
@@ -37,15 +37,15 @@
 		"settings_digest = \"\"\nlist_of = \"\"\nlist_from = 0\n",
 		"outs = 1\nid = \"x\"\n", "made_for = -1\n", "out = \"h\"\n", "why = \"", "[limits]\nheld = \"many\"\n", "why = 1\nwhy = 2\n",
 	} {
-		p, mistakes := ReadProposal("f", []byte(text))
+		p, mistakes := ParseProposal("f", []byte(text))
 		p.ID = "id"
 		show(p)
 		for _, mistake := range mistakes { // The TOML library names the Go field, which may be renamed.
 			fmt.Fprintln(&lines, goField.ReplaceAllString(mistake.Error(), "struct field"))
 		}
 	}
-	show(Answer{ID: "1"})
-	show(Answer{ID: "1", Version: 2, Wrong: "w", Sure: true})
+	show(ProposalResult{ID: "1"})
+	show(ProposalResult{ID: "1", Revision: 2, Reason: "w", IsFinal: true})
 	const common = "on = true\nlisten = \"127.0.0.1:1\"\n"
 	const peers, keeper = "peers = \"a=127.0.0.1:1,b=127.0.0.1:2\"\n", "keepers = \"a\"\n"
 	for _, text := range []string{
@@ -59,17 +59,17 @@
 		if err := os.WriteFile(file, []byte("[fleet]\n"+text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		own, mistakes := fields.Read(file, []fields.Part{Part})
+		own, mistakes := fields.Read(file, []fields.Part{ConfigSection})
 		for _, mistake := range mistakes {
 			fmt.Fprintln(&lines, strings.ReplaceAll(mistake.Error(), file, "own.toml"))
 		}
-		terms := Of(own)
-		fmt.Fprintln(&lines, Check(own, "p"), Check(own, ""), Check(own, "a"), Rate(own, 3), int64(terms.Outlasts()), int64(terms.T()), terms.Most)
+		terms := ParseLeaseTiming(own)
+		fmt.Fprintln(&lines, Validate(own, "p"), Validate(own, ""), Validate(own, "a"), SendRate(own, 3), int64(terms.GranterTimeout()), int64(terms.MaxDisagreement()), terms.MaxMembers)
 	}
-	for _, terms := range []Terms{{}, {Lease: 1e11}, {Lease: 1e9, RateError: 0.2}, {Lease: 1e9, RateError: -1}, {Lease: 1e9, Pause: 2e9}, {Lease: 1e9, Pause: -1}} {
-		fmt.Fprintln(&lines, terms.Check())
+	for _, terms := range []LeaseTiming{{}, {LeaseDuration: 1e11}, {LeaseDuration: 1e9, ClockRateError: 0.2}, {LeaseDuration: 1e9, ClockRateError: -1}, {LeaseDuration: 1e9, MaxPause: 2e9}, {LeaseDuration: 1e9, MaxPause: -1}} {
+		fmt.Fprintln(&lines, terms.Validate())
 	}
-	fmt.Fprint(&lines, fields.Example([]fields.Part{Part}))
+	fmt.Fprint(&lines, fields.Example([]fields.Part{ConfigSection}))
 	const file = "testdata/fleet.golden"
 	if *update {
 		if err := os.WriteFile(file, lines.Bytes(), 0o600); err != nil {
--- a/members/golden_test.go
+++ b/membership/golden_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"bytes"
@@ -35,10 +35,10 @@
 	}
 }
 
-var goldenCards = []Card{
+var goldenCards = []MemberState{
 	{Name: "p"},
-	{Name: "p1", Zone: "z1", Life: 3, Keeper: true, Leads: true, Leased: true, Floor: 4, Latest: 5, Index: 6, Digest: 7,
-		Drains: []Drain{{"h1:1", 8}, {"h2:1", 9}}, Version: "0123456789abcdef", Ways: []Way{{"z2", 0.25}}, Seq: 10, More: 11},
+	{Name: "p1", Zone: "z1", Incarnation: 3, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 4, LatestRevision: 5, ListIndex: 6, ListDigest: 7,
+		Drains: []DrainedEndpoint{{"h1:1", 8}, {"h2:1", 9}}, SettingsDigest: "0123456789abcdef", Evacuations: []ZoneEvacuation{{"z2", 0.25}}, Seq: 10, More: 11},
 	full("names of usual length", 20, 8),
 	full("the longest names", 512, maxName),
 	full("few zones", 30, 1),
@@ -61,7 +61,7 @@
 			}
 			packed := packCard(short)
 			fmt.Fprintf(&lines, "%.10s, %s: %d bytes, %d drains, %d zones, cbor %x, json %x\n", c.Name, form.name, len(packed), len(short.Drains),
-				len(short.Ways), sha256.Sum256(packed), sha256.Sum256(text))
+				len(short.Evacuations), sha256.Sum256(packed), sha256.Sum256(text))
 		}
 	}
 	fmt.Fprintf(&lines, "%x\n", packCard(goldenCards[1]))
@@ -92,7 +92,7 @@
 	defer x.Close()
 	var lines bytes.Buffer
 	for _, act := range []func(){
-		func() { x.Tell(goldenCards[1]) }, func() { x.Tell(goldenCards[2]) }, func() { x.Want("p1") }, func() { x.Signal([]byte("signal")) },
+		func() { x.PublishState(goldenCards[1]) }, func() { x.PublishState(goldenCards[2]) }, func() { x.RequestFullState("p1") }, func() { x.Broadcast([]byte("signal")) },
 		func() { x.Send("p1", []byte("message")) }, func() { x.Send("p1", bytes.Repeat([]byte("m"), packet-1)) },
 	} {
 		act()
@@ -137,7 +137,7 @@
 			now = now.Add([]time.Duration{goneAfter, 61 * goneAfter}[step/400%2])
 		}
 		c := full(fmt.Sprint("p", chances.IntN(14)), 20, 8)
-		c.Life, c.Seq = uint64(1+step/600-chances.IntN(2)), uint64(step-chances.IntN(30))
+		c.Incarnation, c.Seq = uint64(1+step/600-chances.IntN(2)), uint64(step-chances.IntN(30))
 		if c.Drains = c.Drains[step/250:]; chances.IntN(3) > 0 {
 			c = c.within(packet-1, true)
 		}
@@ -153,12 +153,12 @@
 		}
 		for _, m := range h.list(now) {
 			kept++
-			number(int(m.Life), int(m.Seq), int(m.Heard.UnixNano()), len(m.Drains), len(m.Ways))
-			if m.Partial() {
+			number(int(m.Incarnation), int(m.Seq), int(m.LastSeen.UnixNano()), len(m.Drains), len(m.Evacuations))
+			if m.IsPartial() {
 				number(-1)
 				partial++
 			}
-			if m.Gone(now) {
+			if m.IsGone(now) {
 				number(-2)
 				gone++
 			}
@@ -202,8 +202,8 @@
 // Bytes of a stranger, or of a peer whose memory is damaged, are no card; which of them are taken may not change unseen.
 func TestUnpackCardGolden(t *testing.T) {
 	chances, sum, taken := rand.New(rand.NewPCG(5, 6)), sha256.New(), 0
-	long := Card{Name: string(bytes.Repeat([]byte("n"), maxName+1))}
-	many := Card{Name: "p", Drains: make([]Drain, maxDrains+1)}
+	long := MemberState{Name: string(bytes.Repeat([]byte("n"), maxName+1))}
+	many := MemberState{Name: "p", Drains: make([]DrainedEndpoint, maxDrains+1)}
 	for _, packed := range [][]byte{nil, {0xa0}, packCard(long), packCard(many), {0x9f, 0xff}} {
 		if c, err := unpackCard(packed); err == nil {
 			t.Errorf("%.20x is taken as %.20s", packed, c.Name)
@@ -240,17 +240,17 @@
 	framed := append([]byte{isCard}, packCard(other)...)
 	var lines bytes.Buffer
 	for _, frame := range [][]byte{{}, {isMessage}, {isMessage, 7}, {isSignal, 8}, {5, 9}, {0, 1}, {isCard, 0xff}, framed, framed, {isWant, 'q'},
-		append([]byte{isCard}, packCard(Card{Name: "p0", Seq: 1})...)} {
+		append([]byte{isCard}, packCard(MemberState{Name: "p0", Seq: 1})...)} {
 		g.NotifyMsg(frame)
 		plain.take(frame)
 	}
-	g.MergeRemoteState(append([]byte{isCard}, packCard(Card{Name: "p2", Seq: 1})...), false)
+	g.MergeRemoteState(append([]byte{isCard}, packCard(MemberState{Name: "p2", Seq: 1})...), false)
 	g.MergeRemoteState([]byte{isMessage, 7}, false)
 	for _, e := range []*ears{plain.ears.(*ears), heard} {
 		fmt.Fprintf(&lines, "messages %x, cards %d, seq of p1 %d, of p2 %d\n", e.messages, len(e.cards), e.cards["p1"].Seq, e.cards["p2"].Seq)
 	}
 	for _, c := range goldenCards {
-		g.Tell(c)
+		g.PublishState(c)
 		fmt.Fprintf(&lines, "state %x, broadcasts", sha256.Sum256(g.LocalState(false)))
 		for _, broadcast := range g.GetBroadcasts(0, 2*packet) {
 			fmt.Fprintf(&lines, " %x", sha256.Sum256(broadcast))
