--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -64,7 +64,7 @@
 // An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a renamed field emptied them.
 func TestFleetStatusKeepsItsJSON(t *testing.T) {
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
-		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
+		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, CompleteListsDigest: 12}
 	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4}}
 	full := Status{Name: "b1", Zone: "z1", Leads: "b2", Acting: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: document}, T: "1.986s",
 		LeaseMS: 321, Alone: 1, Under: 2, Lost: 3, Members: []Stands{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, AgoMS: 44, Gone: true}}, News: []string{"h9"},
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -1,7 +1,7 @@
-// Package membership tracks which processes are in the fleet and carries messages between them. All communication between
-// instances goes through here. Two exchanges stand behind one interface: Plain, among peers that are all configured, and
-// Gossip, whose members find each other. Neither guarantees that a message arrives, arrives once or arrives in order; both
-// are bounded in message size, send rate and number of members.
+// Package membership tracks which processes are in the fleet and carries messages between them. All communication
+// between instances goes through here. Two exchanges stand behind one interface: Plain, among peers that are all
+// configured, and Gossip, whose members find each other. Neither guarantees that a message arrives, arrives once or
+// arrives in order; both are bounded in message size, send rate and number of members.
 package membership
 
 import (
@@ -17,8 +17,8 @@
 
 	maxNameBytes    = fleetconfig.MaxNameBytes
 	maxMessageBytes = 2 << 20 // of a payload: a revision with the longest lists of hosts fits
-	// maxDatagramBytes is the longest frame that goes as one datagram: with the headers of IPv6 and UDP it fits into the
-	// smallest MTU that IPv6 allows, and so is never fragmented. A longer frame goes over a connection.
+	// maxDatagramBytes is the longest frame that goes as one datagram: with the headers of IPv6 and UDP it fits into
+	// the smallest MTU that IPv6 allows, and so is never fragmented. A longer frame goes over a connection.
 	maxDatagramBytes = 1200
 )
 
@@ -33,16 +33,16 @@
 // Peer is a process that is configured beforehand.
 type Peer = fleetconfig.Peer
 
-// Exchange carries messages between processes, and may lose any of them. Its methods are safe for concurrent use and do not
-// wait for the network.
+// Exchange carries messages between processes, and may lose any of them. Its methods are safe for concurrent use and do
+// not wait for the network.
 type Exchange interface {
 	// Send sends a message to one member. An error says that it was not sent; nil does not say that it arrives.
 	Send(to string, message []byte) error
-	// Tell sends this process's state to all members, once a second; long lists are cut to what fits.
+	// PublishState sends this process's state to all members, once a second; long lists are cut to what fits.
 	PublishState(state MemberState)
-	// Want asks a member for its state with complete lists.
+	// RequestFullState asks a member for its state with complete lists.
 	RequestFullState(name string)
-	// Signal sends a short message to all members at once.
+	// Broadcast sends a short message to all members at once.
 	Broadcast(message []byte)
 	// Members returns the members heard from lately, sorted by name, without this process.
 	Members() []Member
@@ -50,12 +50,12 @@
 	Close()
 }
 
-// Ears receives what an Exchange hears. Its methods are called from goroutines of the exchange and must not wait.
+// Delegate receives what an Exchange hears. Its methods are called from goroutines of the exchange and must not wait.
 type Delegate interface {
-	// Message receives a message that a member sent to this process.
+	// NotifyMessage receives a message that a member sent to this process.
 	NotifyMessage(message []byte)
-	// Card receives a member's state after the member table has taken it.
+	// MemberState receives a member's state after the member table has taken it.
 	NotifyState(state MemberState)
-	// Signal receives a short message that a member sent to all.
+	// Broadcast receives a short message that a member sent to all.
 	NotifyBroadcast(message []byte)
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -17,7 +17,8 @@
 const (
 	// maxPacketOverheadBytes is what memberlist adds to a datagram.
 	maxPacketOverheadBytes = 200
-	// pushPullInterval is how often a member exchanges its full state with another over a connection: what gossip lost is known by then.
+	// pushPullInterval is how often a member exchanges its full state with another over a connection: what gossip lost
+	// is known by then.
 	pushPullInterval = 10 * time.Second
 	// joinMinInterval and joinMaxInterval bound the backoff between attempts to join the configured peers.
 	joinMinInterval = time.Second
@@ -26,10 +27,10 @@
 	leaveTimeout = 200 * time.Millisecond
 )
 
-// Gossip is the exchange among processes that find each other through hashicorp/memberlist. A member's state goes to each
-// member it knows as a datagram, is relayed by those for whom it is news, and is part of memberlist's push/pull.
+// Gossip is the exchange among processes that find each other through hashicorp/memberlist. A member's state goes to
+// each member it knows as a datagram, is relayed by those for whom it is news, and is part of memberlist's push/pull.
 type Gossip struct {
-	endpoint
+	exchangeBase
 	list       *memberlist.Memberlist
 	broadcasts *memberlist.TransmitLimitedQueue
 	peers      map[string]string // addresses of configured peers by name, without this process; not changed once it is open
@@ -40,15 +41,15 @@
 	nodes      map[string]*memberlist.Node // reachable members by name; copies, as memberlist changes its own
 }
 
-// OpenGossip listens at an address for datagrams and connections, calls ears with what comes, and joins the peers in the
-// background. rate limits what it sends, in bytes per second; 0: no limit. An error says that the address is malformed or
+// OpenGossip listens at an address for datagrams and connections, calls delegate with what comes, and joins the peers
+// in the background. bytesPerSecond limits what it sends; 0: no limit. An error says that the address is malformed or
 // cannot be listened at.
-func OpenGossip(name, listen string, peers []Peer, rate int, ears Delegate) (*Gossip, error) {
+func OpenGossip(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Gossip, error) {
 	g := &Gossip{
-		endpoint: endpoint{
+		exchangeBase: exchangeBase{
 			name:     name,
-			ears:     ears,
-			limiter:  newRateLimiter(rate),
+			delegate: delegate,
+			limiter:  newRateLimiter(bytesPerSecond),
 			oversize: largeMessageLimiter{maxInFlight: MaxMembers},
 		},
 		peers: map[string]string{},
@@ -96,8 +97,9 @@
 	return config, nil
 }
 
-// joinPeers joins the configured peers until Close, as long as there may be some that are not known. Guards a fleet whose parts
-// were cut off from each other for long enough that memberlist gave the others up: no part would ever look for the others again.
+// joinPeers joins the configured peers until Close, as long as there may be some that are not known. Guards a fleet
+// whose parts were cut off from each other for long enough that memberlist gave the others up: no part would ever look
+// for the others again.
 func (g *Gossip) joinPeers(addresses []string) {
 	for interval := joinMinInterval; ; interval = min(interval*2, joinMaxInterval) {
 		if g.list.NumMembers() <= len(addresses) {
@@ -121,7 +123,8 @@
 	g.mu.Unlock()
 	switch {
 	case node == nil && g.peers[to] != "" && len(frame) <= maxDatagramBytes:
-		// A configured peer that memberlist calls dead may be back: it takes seconds until that is known, and a lease may not wait.
+		// A configured peer that memberlist calls dead may be back: it takes seconds until that is known, and a lease
+		// may not wait.
 		return g.list.SendToAddress(memberlist.Address{Addr: g.peers[to]}, frame)
 	case node == nil:
 		return ErrUnknownPeer
@@ -137,7 +140,7 @@
 	return nil
 }
 
-// Tell implements Exchange.
+// PublishState implements Exchange.
 func (g *Gossip) PublishState(state MemberState) {
 	g.setOwnState(state)
 	frame := encodeFrame(frameState, marshalState(state.truncate(g.limiter.maxStateBytes(g.list.NumMembers()), true)))
@@ -150,13 +153,13 @@
 	g.sendToAll(frameState, frame)
 }
 
-// Signal implements Exchange.
+// Broadcast implements Exchange.
 func (g *Gossip) Broadcast(message []byte) {
 	g.sendToAll(frameBroadcast, encodeFrame(frameBroadcast, message))
 }
 
-// sendToAll sends a frame to each other member as a datagram. What cannot be sent is lost: a newer state follows within a
-// second, and an outlier report is worth nothing later.
+// sendToAll sends a frame to each other member as a datagram. What cannot be sent is lost: a newer state follows within
+// a second, and an outlier report is worth nothing later.
 func (g *Gossip) sendToAll(kind frameKind, frame []byte) {
 	g.mu.Lock()
 	nodes := slices.Collect(maps.Values(g.nodes))
@@ -168,8 +171,8 @@
 	}
 }
 
-// relayState has memberlist pass a state on. One that came over a connection is left out: its complete lists are for this
-// process alone.
+// relayState has memberlist pass a state on. One that came over a connection is left out: its complete lists are for
+// this process alone.
 func (g *Gossip) relayState(state MemberState, frame []byte) {
 	if len(frame) <= maxDatagramBytes {
 		g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
--- a/membership/gossipdelegate.go
+++ b/membership/gossipdelegate.go
@@ -32,7 +32,8 @@
 	return d.gossip.stateFrame
 }
 
-// MergeRemoteState implements memberlist.Delegate: it takes the other's part of a push/pull, which is a state or nothing.
+// MergeRemoteState implements memberlist.Delegate: it takes the other's part of a push/pull, which is a state or
+// nothing.
 func (d *memberlistDelegate) MergeRemoteState(frame []byte, _ bool) {
 	if len(frame) > 1 && frameKind(frame[0]) == frameState {
 		d.gossip.handleState(slices.Clone(frame))
--- a/membership/largemessages.go
+++ b/membership/largemessages.go
@@ -5,9 +5,9 @@
 // maxLargeBytesInFlight bounds the memory of large messages that wait for slow receivers.
 const maxLargeBytesInFlight = 4 * maxMessageBytes
 
-// largeMessageLimiter bounds the frames in flight that are too long for a datagram, in number and in bytes. There may be as many
-// as there are peers: were there fewer, peers that do not answer would take all places until they time out, and a peer that
-// does answer would get nothing.
+// largeMessageLimiter bounds the frames in flight that are too long for a datagram, in number and in bytes. There may
+// be as many as there are peers: were there fewer, peers that do not answer would take all places until they time out,
+// and a peer that does answer would get nothing.
 type largeMessageLimiter struct {
 	maxInFlight int
 
--- a/membership/members.go
+++ b/membership/members.go
@@ -12,8 +12,8 @@
 	goneTimeout = 5 * time.Second
 	// forgetTimeout is how long a member that is gone is shown to operators.
 	forgetTimeout = 60 * goneTimeout
-	// maxCompleteLists is of how many members complete lists are kept where these do not fit into one state, so that a fleet of
-	// thousands with long lists does not fill the memory. Few are enough: the lists of most members agree.
+	// maxCompleteLists is of how many members complete lists are kept where these do not fit into one state, so that a
+	// fleet of thousands with long lists does not fill the memory. Few are enough: the lists of most members agree.
 	maxCompleteLists = 8
 )
 
@@ -25,10 +25,12 @@
 	completeDigest uint64 // digest of the complete lists that are kept here; 0: it sent none
 }
 
-// Partial reports whether the member has longer lists than are known here.
-func (m Member) IsPartial() bool { return m.More != 0 && m.More != m.completeDigest }
+// IsPartial reports whether the member has longer lists than are known here.
+func (m Member) IsPartial() bool {
+	return m.CompleteListsDigest != 0 && m.CompleteListsDigest != m.completeDigest
+}
 
-// Gone reports whether the member has been silent for goneTimeout.
+// IsGone reports whether the member has been silent for goneTimeout.
 func (m Member) IsGone(now time.Time) bool { return now.Sub(m.LastSeen) > goneTimeout }
 
 // memberTable keeps the newest state of each member, of MaxMembers at most. Its zero value is empty and ready for use.
@@ -38,9 +40,9 @@
 	complete []string // names of members whose complete lists are kept, the latest last
 }
 
-// update takes a state and reports whether it was news. States may come late and out of order, as any of them may be relayed: one
-// of an earlier incarnation, or of this one with a lower number, changes nothing unless the member is gone. The state of a
-// member that is gone is always taken, as its numbers may begin anew after a loss of its files.
+// update takes a state and reports whether it was news. States may come late and out of order, as any of them may be
+// relayed: one of an earlier incarnation, or of this one with a lower number, changes nothing unless the member is
+// gone. The state of a member that is gone is always taken, as its numbers may begin anew after a loss of its files.
 func (t *memberTable) update(state MemberState, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,11 +53,11 @@
 	case isKnown && known.isCompletedBy(state):
 		t.addCompleteLists(known, state)
 		return true
-	case isKnown && known.isNewerThan(state) && !known.IsGone(now):
+	case isKnown && known.isAtLeastAsNewAs(state) && !known.IsGone(now):
 		return false
 	}
 	member := Member{MemberState: state, LastSeen: now}
-	if isKnown && state.Incarnation == known.Incarnation && state.More != 0 && state.More == known.completeDigest {
+	if isKnown && known.hasCompleteListsOf(state) {
 		member.Drains, member.Evacuations, member.completeDigest = known.Drains, known.Evacuations, known.completeDigest
 	}
 	if t.members == nil {
@@ -65,20 +67,26 @@
 	return true
 }
 
+// hasCompleteListsOf reports whether the complete lists that a state was cut from are kept here already.
+func (m Member) hasCompleteListsOf(state MemberState) bool {
+	return state.Incarnation == m.Incarnation && state.CompleteListsDigest != 0 && state.CompleteListsDigest == m.completeDigest
+}
+
 // isCompletedBy reports whether a state holds the complete lists that the member's newest state was cut from.
 func (m Member) isCompletedBy(state MemberState) bool {
-	return state.Incarnation == m.Incarnation && state.More == 0 && m.IsPartial() && state.listsDigest() == m.More
+	return state.Incarnation == m.Incarnation && state.CompleteListsDigest == 0 &&
+		m.IsPartial() && state.listsDigest() == m.CompleteListsDigest
 }
 
-// isNewerThan reports whether a state is no later than the one known.
-func (m Member) isNewerThan(state MemberState) bool {
+// isAtLeastAsNewAs reports whether the member's newest state is no older than another.
+func (m Member) isAtLeastAsNewAs(state MemberState) bool {
 	return state.Incarnation < m.Incarnation || state.Incarnation == m.Incarnation && state.Seq <= m.Seq
 }
 
-// addCompleteLists adds the lists of a state to a member's newest state, and drops those of the member that were added first where
-// there are too many.
+// addCompleteLists adds the lists of a state to a member's newest state, and drops those of the member that were added
+// first where there are too many.
 func (t *memberTable) addCompleteLists(member Member, state MemberState) {
-	member.Drains, member.Evacuations, member.completeDigest = state.Drains, state.Evacuations, member.More
+	member.Drains, member.Evacuations, member.completeDigest = state.Drains, state.Evacuations, member.CompleteListsDigest
 	t.members[member.Name] = member
 	t.complete = slices.DeleteFunc(t.complete, func(name string) bool { return name == member.Name })
 	t.complete = append(t.complete, member.Name)
--- a/membership/members_test.go
+++ b/membership/members_test.go
@@ -1,173 +1,94 @@
 package membership
 
 import (
-	"bytes"
 	"fmt"
-	"net"
-	"sync"
 	"testing"
 	"time"
 )
 
-// ears keep what they hear.
-type ears struct {
-	mu       sync.Mutex
-	messages [][]byte
-	cards    map[string]MemberState
-}
-
-func (e *ears) NotifyMessage(b []byte) {
-	e.mu.Lock()
-	e.messages = append(e.messages, b)
-	e.mu.Unlock()
-}
-
-func (e *ears) NotifyBroadcast(bytes []byte) { e.NotifyMessage(append([]byte("signal "), bytes...)) }
-
-func (e *ears) NotifyState(c MemberState) {
-	e.mu.Lock()
-	if e.cards == nil {
-		e.cards = map[string]MemberState{}
-	}
-	e.cards[c.Name] = c
-	e.mu.Unlock()
-}
-
-func (e *ears) heard(want []byte) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, m := range e.messages {
-		if bytes.Equal(m, want) {
-			return true
+// Relayed states come late and out of order. Were an old one taken, a member that has restarted would seem to be what
+// it was before, and its drains would come and go.
+func TestOutdatedStatesAreIgnored(t *testing.T) {
+	var table memberTable
+	now := time.Now()
+	for _, test := range []struct {
+		incarnation, seq uint64
+		after            time.Duration
+		isNews           bool
+	}{
+		{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true},
+		{5, 99, 2 * goneTimeout, true}, // It was gone, and may have lost its files.
+	} {
+		if table.update(MemberState{Name: "p", Incarnation: test.incarnation, Seq: test.seq}, now.Add(test.after)) != test.isNews {
+			t.Errorf("%+v", test)
 		}
 	}
-	return false
+	for n := range 2 * MaxMembers {
+		table.update(MemberState{Name: fmt.Sprint("m", n), Incarnation: 1}, now)
+	}
+	if len(table.members) != MaxMembers {
+		t.Errorf("%d members are kept", len(table.members))
+	}
 }
 
-func until(t *testing.T, what string, come func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !come(); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s does not come", what)
+// Complete lists stay with a member while its states have the same ones, or they would be asked for every second; they
+// are kept of few members, or those of a large fleet would fill the memory.
+func TestCompleteListsAreKeptOfFewMembers(t *testing.T) {
+	var table memberTable
+	now := time.Now()
+	memberNamed := func(name string) Member {
+		for _, m := range table.list(now) {
+			if m.Name == name {
+				return m
+			}
 		}
+		return Member{}
 	}
-}
-
-func free(t *testing.T) string { return freeAt(t, "127.0.0.1") }
-
-// freeAt is a port of an address that is free for both: an address of its own keeps a process from the ports of all others.
-func freeAt(t *testing.T, address string) string {
-	for {
-		l, err := net.Listen("tcp", address+":0")
-		if err != nil {
-			t.Fatal(err)
+	for n := range maxCompleteLists + 2 {
+		state := stateWithLongLists(fmt.Sprint("p", n), 20, 8)
+		table.update(state.truncate(maxDatagramBytes-1, true), now)
+		if m := memberNamed(state.Name); !m.IsPartial() {
+			t.Fatalf("%s has complete lists before they came", state.Name)
 		}
-		u, err := net.ListenPacket("udp", l.Addr().String())
-		l.Close()
-		if err == nil {
-			u.Close()
-			return l.Addr().String()
+		isNews := table.update(state, now)
+		if m := memberNamed(state.Name); !isNews || m.IsPartial() || len(m.Drains) != longListLength {
+			t.Fatalf("%s: %d drains, partial %t, news %t", state.Name, len(m.Drains), m.IsPartial(), isNews)
 		}
 	}
-}
-
-// Both ways carry messages small and large, and cards: a later one counts, an earlier one that comes late does not.
-func TestBothWays(t *testing.T) {
-	for _, way := range []string{"plain", "gossip"} {
-		t.Run(way, func(t *testing.T) {
-			t.Parallel()
-			var peers []Peer
-			for n := range 3 {
-				peers = append(peers, Peer{Name: fmt.Sprint("p", n), Address: free(t)})
-			}
-			heard, all := [3]*ears{}, [3]Exchange{}
-			for n, p := range peers {
-				heard[n] = &ears{}
-				var err error
-				if way == "plain" {
-					all[n], err = OpenPlain(p.Name, p.Address, peers, 0, heard[n])
-				} else {
-					all[n], err = OpenGossip(p.Name, p.Address, peers, 0, heard[n])
-				}
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer all[n].Close()
-			}
-			large := bytes.Repeat([]byte("large "), 20_000)
-			until(t, "a large message", func() bool { all[0].Send("p2", large); return heard[2].heard(large) })
-			until(t, "a small message", func() bool { all[1].Send("p0", []byte("small")); return heard[0].heard([]byte("small")) })
-			until(t, "a signal everywhere", func() bool {
-				all[0].Broadcast([]byte("all"))
-				return heard[1].heard([]byte("signal all")) && heard[2].heard([]byte("signal all"))
-			})
-			card := MemberState{Name: "p1", Incarnation: 5, Seq: 0, LatestRevision: 9}
-			until(t, "a card everywhere", func() bool {
-				card.Seq++
-				all[1].PublishState(card)
-				time.Sleep(20 * time.Millisecond)
-				return seen(all[0], "p1") == 9 && seen(all[2], "p1") == 9
-			})
-			if err := all[0].Send("nobody", []byte("x")); err == nil {
-				t.Error("nobody is reached")
-			}
-		})
+	last := fmt.Sprint("p", maxCompleteLists+1)
+	if m := memberNamed("p0"); !m.IsPartial() || len(m.Drains) != 0 {
+		t.Errorf("%d drains are kept of the first", len(m.Drains))
 	}
-}
-
-func seen(x Exchange, name string) uint64 {
-	for _, m := range x.Members() {
-		if m.Name == name {
-			return m.LatestRevision
-		}
+	state := stateWithLongLists(last, 20, 8)
+	state.Seq = 2
+	table.update(state.truncate(maxDatagramBytes-1, true), now)
+	if m := memberNamed(last); m.IsPartial() || len(m.Drains) != longListLength {
+		t.Error("complete lists are lost with the next state")
+	}
+	state.Seq, state.Drains = 3, state.Drains[1:]
+	if table.update(state.truncate(maxDatagramBytes-1, true), now); !memberNamed(last).IsPartial() {
+		t.Error("the lists of an older state are taken for complete")
 	}
-	return 0
 }
 
-func TestCardsAreOrdered(t *testing.T) {
+// A fleet whose processes get new names at each start fills the member table with names that are gone. A new member
+// takes the place of the one gone longest, and of none that is there.
+func TestNewMemberReplacesTheOneGoneLongest(t *testing.T) {
 	var table memberTable
 	now := time.Now()
-	for _, c := range []struct {
-		life, seq uint64
-		after     time.Duration
-		takes     bool
-	}{{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true}, {5, 99, 2 * goneTimeout, true}} {
-		if table.update(MemberState{Name: "p", Incarnation: c.life, Seq: c.seq}, now.Add(c.after)) != c.takes {
-			t.Errorf("%+v", c)
+	for n := range MaxMembers {
+		if !table.update(MemberState{Name: fmt.Sprint("p", n), Incarnation: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
+			t.Fatalf("member %d is not taken", n)
 		}
 	}
-	for n := range 2 * MaxMembers {
-		table.update(MemberState{Name: fmt.Sprint("m", n), Incarnation: 1}, now)
+	if table.update(MemberState{Name: "new", Incarnation: 1}, now) {
+		t.Error("a member more than the bound is taken while all are there")
 	}
-	if len(table.members) != MaxMembers {
-		t.Errorf("%d members are kept", len(table.members))
-	}
-}
-
-func TestBudget(t *testing.T) {
-	b, now, sent := newRateLimiter(1000), time.Now(), 0
-	for n := range 100 {
-		if b.take(100, frameMessage, now.Add(time.Duration(n)*20*time.Millisecond)) {
-			sent += 100
-		}
+	now = now.Add(goneTimeout + 10*time.Millisecond)
+	if !table.update(MemberState{Name: "new", Incarnation: 1}, now) || len(table.members) != MaxMembers {
+		t.Error("a new member is not taken though others are gone")
 	}
-	if sent < 2800 || sent > 3000 { // A second's worth saved, and two seconds.
-		t.Errorf("%d bytes in two seconds, at 1000 a second", sent)
+	if _, stays := table.members["p0"]; stays {
+		t.Error("the one gone longest stays")
 	}
 }
-
-// What comes from a network that is not the fleet's leads nobody astray.
-func FuzzTake(f *testing.F) {
-	f.Add(append([]byte{byte(frameState)}, marshalState(MemberState{Name: "p1", Incarnation: 1, Drains: []DrainedEndpoint{{"h", 3}}, Evacuations: []ZoneEvacuation{{"z", 0.5}}})...))
-	f.Add([]byte{byte(frameMessage), 1})
-	f.Fuzz(func(t *testing.T, framed []byte) {
-		e := &ears{}
-		p := &Plain{endpoint: endpoint{name: "p0", ears: e}}
-		p.handleFrame(framed)
-		for _, c := range e.cards {
-			if c.Name == "" || len(c.Name) > maxNameBytes || len(c.Drains) > maxDrains || len(c.Evacuations) > maxEvacuations || c.Name == "p0" {
-				t.Fatalf("%+v is taken", c)
-			}
-		}
-	})
-}
--- a/membership/plain.go
+++ b/membership/plain.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxIncomingConnections bounds the memory of frames that come over connections. A connection beyond it is closed, and
-	// its message is lost, which senders expect.
+	// maxIncomingConnections bounds the memory of frames that come over connections. A connection beyond it is closed,
+	// and its message is lost, which senders expect.
 	maxIncomingConnections = 16
 	// minLargeInFlight lets a fleet of few processes send several long messages to one of them.
 	minLargeInFlight = maxIncomingConnections
-	// largeMessageTimeout bounds dialing, and sending or receiving one frame over a connection. A lease does not outlast
-	// many of them, so a later message is worth more than a slow one.
+	// largeMessageTimeout bounds dialing, and sending or receiving one frame over a connection. A lease does not
+	// outlast many of them, so a later message is worth more than a slow one.
 	largeMessageTimeout = 2 * time.Second
 
 	datagramRetryInterval = time.Millisecond      // after an ICMP error that an earlier datagram caused
 	acceptRetryInterval   = 10 * time.Millisecond // after a failed accept, as when file descriptors run out
 )
 
-// Plain is the exchange among peers that are all configured: a datagram for each frame, and a connection for each that is too
-// long for one.
+// Plain is the exchange among peers that are all configured: a datagram for each frame, and a connection for each that
+// is too long for one.
 type Plain struct {
-	endpoint
+	exchangeBase
 	datagrams *net.UDPConn
 	listener  net.Listener
 	peers     map[string]*net.UDPAddr // by name, this process among them; not changed once it is open
@@ -35,14 +35,14 @@
 	closeOnce sync.Once
 }
 
-// OpenPlain listens at an address for datagrams and connections and calls ears with what comes. rate limits what it sends, in
-// bytes per second; 0: no limit. An error says that an address is malformed or cannot be listened at.
-func OpenPlain(name, listen string, peers []Peer, rate int, ears Delegate) (*Plain, error) {
+// OpenPlain listens at an address for datagrams and connections and calls delegate with what comes. bytesPerSecond
+// limits what it sends; 0: no limit. An error says that an address is malformed or cannot be listened at.
+func OpenPlain(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Plain, error) {
 	p := &Plain{
-		endpoint: endpoint{
+		exchangeBase: exchangeBase{
 			name:     name,
-			ears:     ears,
-			limiter:  newRateLimiter(rate),
+			delegate: delegate,
+			limiter:  newRateLimiter(bytesPerSecond),
 			oversize: largeMessageLimiter{maxInFlight: max(minLargeInFlight, len(peers))},
 		},
 		peers: map[string]*net.UDPAddr{},
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("listen for datagrams: %w", err)
 	}
 	if p.listener, err = net.Listen("tcp", p.datagrams.LocalAddr().String()); err != nil {
-		p.datagrams.Close()
+		_ = p.datagrams.Close() // Nothing has used it.
 		return nil, fmt.Errorf("listen for connections: %w", err)
 	}
 	go p.readDatagrams()
@@ -111,17 +111,17 @@
 	return err
 }
 
-// Tell implements Exchange.
+// PublishState implements Exchange.
 func (p *Plain) PublishState(state MemberState) {
 	p.setOwnState(state)
 	p.sendToAll(frameState, marshalState(state.truncate(p.limiter.maxStateBytes(len(p.peers)), true)))
 }
 
-// Signal implements Exchange.
+// Broadcast implements Exchange.
 func (p *Plain) Broadcast(message []byte) { p.sendToAll(frameBroadcast, message) }
 
-// sendToAll sends a frame to each other peer. What cannot be sent is lost: a newer state follows within a second, and an
-// outlier report is worth nothing later.
+// sendToAll sends a frame to each other peer. What cannot be sent is lost: a newer state follows within a second, and
+// an outlier report is worth nothing later.
 func (p *Plain) sendToAll(kind frameKind, payload []byte) {
 	for name := range p.peers {
 		if name != p.name {
@@ -134,12 +134,12 @@
 func (p *Plain) Close() {
 	p.closeOnce.Do(func() {
 		close(p.done)
-		p.datagrams.Close()
+		_ = p.datagrams.Close() // Nothing more is sent on it.
 		p.listener.Close()
 	})
 }
 
-// isClosed waits for so long and reports whether the exchange was closed by then.
+// isClosedWithin waits for so long and reports whether the exchange was closed by then.
 func (p *Plain) isClosedWithin(wait time.Duration) bool {
 	select {
 	case <-p.done:
--- a/membership/ratelimit.go
+++ b/membership/ratelimit.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// rateLimiter is a token bucket of bytes: it fills at a rate and holds what falls due in one second. Guards the network, and
-// the leases that share it, against the traffic of a large fleet in an incident, when each member has a lot to tell.
+// rateLimiter is a token bucket of bytes: it fills at a rate and holds what falls due in one second. Guards the
+// network, and the leases that share it, against the traffic of a large fleet in an incident, when each member has a
+// lot to tell.
 type rateLimiter struct {
 	bytesPerSecond float64 // 0: no limit
 
@@ -19,8 +20,9 @@
 	return rateLimiter{bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// reservedFraction is the fraction of the bucket that a kind of frame may not use: without it, a burst of broadcasts would
-// delay lease renewals until leases expire. Leases and revisions go first, then member states, then outlier reports.
+// reservedFraction is the fraction of the bucket that a kind of frame may not use: without it, a burst of broadcasts
+// would delay lease renewals until leases expire. Leases and revisions go first, then member states, then outlier
+// reports.
 func reservedFraction(kind frameKind) float64 {
 	switch kind {
 	case frameState:
@@ -58,8 +60,8 @@
 	l.updatedAt = now
 }
 
-// maxStateBytes is how long the state that goes to each of so many receivers may be: a datagram, and all of them together half
-// of what may be sent in a second.
+// maxStateBytes is how long the state that goes to each of so many receivers may be: a datagram, and all of them
+// together half of what may be sent in a second.
 func (l *rateLimiter) maxStateBytes(receivers int) int {
 	const datagram = maxDatagramBytes - 1 // without the byte of the frame's kind
 	if l.bytesPerSecond <= 0 {
