--- a/fleetconfig/golden_test.go
+++ b/fleetconfig/golden_test.go
@@ -18,9 +18,9 @@
 
 var update = flag.Bool("update", false, "write testdata/fleet.golden anew")
 
-// Operators' files, what the endpoint for proposals takes and what a start says of settings that do not fit together are
-// interfaces: a script that reads a proposal's answer, or a file written for the version before, stops working if a key or a
-// text of theirs changes.
+// Operators' files, what the endpoint for proposals takes and what a start says of settings that do not fit together
+// are interfaces: a script that reads a proposal's answer, or a file written for the version before, stops working if a
+// key or a text of theirs changes.
 func TestProposalsAndChecksGolden(t *testing.T) {
 	var lines bytes.Buffer
 	show := func(value any) {
