--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -22,15 +22,18 @@
 
 // InvalidFieldError says that a field of the [fleet] table is invalid, or does not fit the others.
 type InvalidFieldError struct {
-	Field  string // without its table
-	Reason string
+	Field string // without its table
+	Err   error  // what is wrong with it
 }
 
 // Error begins with the field.
-func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Reason }
+func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns what is wrong with the field.
+func (e *InvalidFieldError) Unwrap() error { return e.Err }
 
 func invalid(field, format string, values ...any) error {
-	return &InvalidFieldError{Field: field, Reason: fmt.Sprintf(format, values...)}
+	return &InvalidFieldError{Field: field, Err: fmt.Errorf(format, values...)}
 }
 
 // SendRate returns how many bytes per second a process sends at most, in a fleet of so many configured peers.
@@ -63,7 +66,7 @@
 	replicas := ParseNames(own.Word("fleet.keepers"))
 	switch {
 	case err != nil:
-		return invalid("peers", "%v", err)
+		return &InvalidFieldError{Field: "peers", Err: err}
 	case own.Count("fleet.rate") != 0 && own.Count("fleet.rate") < minSendRate:
 		return invalid("rate", "is not 0, nor from %d on", minSendRate)
 	case own.Word("fleet.listen") == "":
@@ -76,8 +79,8 @@
 	return validateReplicas(replicas, peers)
 }
 
-// isReplicaCount reports whether so many replicas have a majority that tolerates as many failures as any number up to
-// it. More than seven would make each revision wait for more processes, and survive no failure that fleets meet.
+// isReplicaCount reports whether there may be so many replicas. An even number survives no more failures than the odd
+// one below it, and with more than seven each revision waits for more disks than the further failures are worth.
 func isReplicaCount(n int) bool { return n == 1 || n == 3 || n == 5 || n == 7 }
 
 func isPeer(peers []Peer, name string) bool {
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -38,7 +38,7 @@
 type Exchange interface {
 	// Send sends a message to one member. An error says that it was not sent; nil does not say that it arrives.
 	Send(to string, message []byte) error
-	// PublishState sends this process's state to all members, once a second; long lists are cut to what fits.
+	// PublishState sends this process's state to all members; long lists are cut to what fits. It is called once a second.
 	PublishState(state MemberState)
 	// RequestFullState asks a member for its state with complete lists.
 	RequestFullState(name string)
@@ -54,8 +54,8 @@
 type Delegate interface {
 	// NotifyMessage receives a message that a member sent to this process.
 	NotifyMessage(message []byte)
-	// MemberState receives a member's state after the member table has taken it.
+	// NotifyState receives a member's state after the member table has taken it.
 	NotifyState(state MemberState)
-	// Broadcast receives a short message that a member sent to all.
+	// NotifyBroadcast receives a short message that a member sent to all.
 	NotifyBroadcast(message []byte)
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxPacketOverheadBytes is what memberlist adds to a datagram.
+	// maxPacketOverheadBytes is room for what memberlist adds to a datagram.
 	maxPacketOverheadBytes = 200
 	// pushPullInterval is how often a member exchanges its full state with another over a connection: what gossip lost
 	// is known by then.
