--- a/fleetconfig/peers_test.go
+++ b/fleetconfig/peers_test.go
@@ -28,14 +28,23 @@
 	}
 }
 
-// What is wrong in a table is looked for by its field, in code as in logs.
+// What is wrong in a table is looked for by its field and its kind, in code as in logs: an operator who sees neither
+// searches a file of a thousand peers.
 func TestValidateNamesTheField(t *testing.T) {
-	own, mistakes := fields.Parse("own.toml", []byte("[fleet]\non = true\nlisten = \"127.0.0.1:1\"\n"), []fields.Part{ConfigSection})
-	if len(mistakes) > 0 {
-		t.Fatal(mistakes)
-	}
-	var invalid *InvalidFieldError
-	if err := Validate(own, ""); !errors.As(err, &invalid) || invalid.Field != "keepers" {
-		t.Errorf("%v", err)
+	const common = "[fleet]\non = true\nlisten = \"127.0.0.1:1\"\n"
+	for text, want := range map[string]InvalidFieldError{
+		common: {Field: "keepers"},
+		common + "peers = \"a=127.0.0.1:1, a=127.0.0.1:1\"\n": {Field: "peers", Err: ErrDuplicatePeer},
+		common + "lease = \"1s\"\npause = \"2s\"\n":           {Field: "pause"},
+	} {
+		own, mistakes := fields.Parse("own.toml", []byte(text), []fields.Part{ConfigSection})
+		if len(mistakes) > 0 {
+			t.Fatal(mistakes)
+		}
+		var invalid *InvalidFieldError
+		err := Validate(own, "")
+		if !errors.As(err, &invalid) || invalid.Field != want.Field || want.Err != nil && !errors.Is(err, want.Err) {
+			t.Errorf("%q: %v", text, err)
+		}
 	}
 }
