--- a/store/log.go
+++ b/store/log.go
@@ -1,36 +1,28 @@
-// Package store keeps records over a crash: one file, each record with its length and checksum. What Add was given is on the disk when it
-// returns; Swap writes a new file aside and renames it. A file that ends amid a record lost the end of an Add that never returned, and is cut
-// there; anything else that does not fit is damage, and is said so: nothing of it may be trusted.
+// Package store keeps records on disk through a crash. A replica (package consensus) stores its votes, log entries and snapshots in it.
+//
+// A Log is one file: a magic, then each record with its length and checksum (record.go). Append is durable when it returns. Replace
+// writes another file and renames it over the first, so that either all old or all new records are there.
+//
+// A file that ends amid a record lost the end of an Append that never returned, and is truncated there. Anything else that does not
+// fit is ErrDamaged, and nothing of the file is used: a replica that forgot a vote it has cast could cast it twice.
 package store
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"os"
 	"path/filepath"
-	"strings"
 	"syscall"
 )
 
-const (
-	magic      = "hlkeep1\n"
-	headOf     = 8
-	mostRecord = 4 << 20
-	mostFile   = 256 << 20
-)
-
-// ErrDamaged: the file is not what this package wrote.
-var ErrDamaged = errors.New("damaged: nothing of it is taken")
-
-// ErrHeld: another process has the file.
-var ErrHeld = errors.New("held by another process")
+// ErrDamaged says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
+var ErrDamaged = errors.New("log is damaged")
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+// ErrHeld says that another process has the file open. Over an upgrade the caller tries again once that process has ended.
+var ErrHeld = errors.New("log is locked by another process")
 
-// file is what the log needs of one.
+// file is what Log needs of an os.File. Tests put a failing one in its place.
 type file interface {
 	io.WriteSeeker
 	io.Closer
@@ -38,199 +30,187 @@
 	Sync() error
 }
 
-// Log is an open file of records. One caller at a time.
+// Log is an open file of records. Its methods must not be called concurrently. Another process can't open the file before Close.
 type Log struct {
 	path string
 	file file
-	lock *os.File
+	lock *os.File // PATH.lock, under an exclusive flock until Close
 
-	end        int64 // of the last record that is on the disk
-	isDirty    bool  // something stands behind the end, or may: a write or its sync has failed
-	isUnnamed  bool  // the folder does not hold the file's name for sure
-	syncFolder func(string) error
+	endOffset     int64 // where the last durable record ends, in bytes
+	hasTail       bool  // bytes may stand behind endOffset, left by a failed write or sync or by a crash
+	isNameUnsure  bool  // the file's name in its directory may not be durable yet
+	syncDirectory func(path string) error
 }
 
-// Open opens or makes a file and gives the records in it. With ErrDamaged it gives a log all the same: its first Swap or Add begins anew, and
-// what was there is kept aside.
+// Open opens the file at path, or creates it, and returns the records in it.
+//
+// It returns ErrHeld where another process has the file. With ErrDamaged it returns an empty log all the same, and what was there
+// remains as PATH.damaged; the caller either goes on with the empty log or closes it. Other errors come from the file system.
 func Open(path string) (*Log, [][]byte, error) {
-	lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
+	lock, err := lockFile(path + ".lock")
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
-		return nil, nil, ErrHeld
-	}
-	l := &Log{path: path, lock: lock, syncFolder: syncFolder}
-	bytes, err := os.ReadFile(path)
-	if err != nil && !errors.Is(err, os.ErrNotExist) {
+	l := &Log{path: path, lock: lock, syncDirectory: syncDirectory}
+	records, err := l.load()
+	if err != nil && !errors.Is(err, ErrDamaged) {
 		l.Close()
 		return nil, nil, err
 	}
-	records, whole, bad := parse(bytes)
-	if bad != nil {
-		if err := os.Rename(path, path+".damaged"); err != nil {
-			l.Close()
-			return nil, nil, err
-		}
-		bytes, whole = nil, 0
-	}
-	at, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
+	return l, records, err
+}
+
+// lockFile opens or creates a file and takes an exclusive lock on it, which the kernel releases when the file is closed or the
+// process ends, however it ends. It does not wait: a lock that another process has is ErrHeld.
+func lockFile(path string) (*os.File, error) {
+	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
-		l.Close()
-		return nil, nil, err
-	}
-	l.file = at
-	if whole == 0 {
-		if err = l.Swap(nil); err != nil {
-			l.Close()
-			return nil, nil, err
-		}
-		return l, nil, bad
+		return nil, fmt.Errorf("open lock of log: %w", err)
 	}
-	l.end, l.isDirty = int64(whole), true
-	if err = l.clean(); err == nil {
-		err = l.file.Sync()
-	}
-	if err != nil {
-		l.Close()
-		return nil, nil, err
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lock.Close()
+		return nil, ErrHeld
 	}
-	return l, records, bad
+	return lock, nil
 }
 
-// parse gives the records, and up to where the file is whole.
-func parse(bytes []byte) (records [][]byte, whole int, bad error) {
-	if len(bytes) < len(magic) {
-		if string(bytes) != magic[:len(bytes)] {
-			return nil, 0, ErrDamaged
+// load reads the records and makes the file ready to be appended to. After ErrDamaged it is ready too, and empty.
+func (l *Log) load() ([][]byte, error) {
+	content, err := os.ReadFile(l.path)
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, fmt.Errorf("read log: %w", err)
+	}
+	records, validSize, damage := parseFile(content)
+	if damage != nil {
+		if err := os.Rename(l.path, l.path+".damaged"); err != nil {
+			return nil, fmt.Errorf("put damaged log aside: %w", err)
 		}
-		return nil, 0, nil // Its making was cut short.
 	}
-	if string(bytes[:len(magic)]) != magic || len(bytes) > mostFile {
-		return nil, 0, ErrDamaged
+	opened, err := os.OpenFile(l.path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
+	if err != nil {
+		return nil, fmt.Errorf("open log: %w", err)
 	}
-	for at := len(magic); ; {
-		whole = at
-		if len(bytes)-at < headOf {
-			return records, whole, nil
+	l.file = opened
+	if validSize == 0 { // Damaged, or created just now, or its creation was interrupted.
+		if err := l.Swap(nil); err != nil {
+			return nil, err
 		}
-		size := int(binary.LittleEndian.Uint32(bytes[at:]))
-		if size == 0 { // No record is empty: a crash can leave a file longer than what was written to it, with zeros there.
-			if len(strings.Trim(string(bytes[at:]), "\x00")) > 0 {
-				return nil, 0, ErrDamaged
-			}
-			return records, whole, nil
-		}
-		if size > mostRecord {
-			return nil, 0, ErrDamaged
-		}
-		if len(bytes)-at-headOf < size {
-			return records, whole, nil
-		}
-		body := bytes[at+headOf : at+headOf+size]
-		if crc32.Checksum(body, table) != binary.LittleEndian.Uint32(bytes[at+4:]) {
-			return nil, 0, ErrDamaged
-		}
-		records = append(records, body)
-		at += headOf + size
+		return nil, damage
 	}
-}
-
-func frame(out []byte, records [][]byte) ([]byte, error) {
-	for _, r := range records {
-		if len(r) == 0 || len(r) > mostRecord {
-			return nil, fmt.Errorf("a record of %d bytes", len(r))
-		}
-		out = binary.LittleEndian.AppendUint32(out, uint32(len(r)))
-		out = binary.LittleEndian.AppendUint32(out, crc32.Checksum(r, table))
-		out = append(out, r...)
+	l.endOffset, l.hasTail = int64(validSize), true
+	if err := l.dropTail(); err != nil {
+		return nil, err
+	}
+	// Guards against a crash of the process before this one between its write and its sync: the records that were read may be in
+	// the system's memory alone, and the caller will act on them.
+	if err := l.file.Sync(); err != nil {
+		return nil, fmt.Errorf("sync log: %w", err)
 	}
-	return out, nil
+	return records, nil
 }
 
-// Add puts records at the end, in one write, and waits for the disk. After an error none of them counts; the next call begins where the
-// last good one ended.
+// Add appends records in one write and waits until they are on the disk. After an error none of them counts, and Add may be called
+// again. A record must have 1 byte to 4 MiB.
 func (l *Log) Add(records [][]byte) error {
-	bytes, err := frame(nil, records)
+	content, err := appendRecords(nil, records)
 	if err != nil {
 		return err
 	}
-	if err := l.clean(); err != nil {
+	if err := l.prepareAppend(); err != nil {
 		return err
 	}
-	l.isDirty = true
-	if _, err := l.file.Write(bytes); err != nil {
-		return err
+	l.hasTail = true
+	if _, err := l.file.Write(content); err != nil {
+		return fmt.Errorf("append to log: %w", err)
 	}
-	// After a sync that failed the system may hold pages for written that are not: they are written again, not synced again.
+	// Guards against a sync that fails once: the system may then take the unwritten pages for written, and a second sync succeeds
+	// without them. The tail is marked, so the next Append truncates it and writes its own records, instead of syncing again.
 	if err := l.file.Sync(); err != nil {
-		return err
+		return fmt.Errorf("sync log: %w", err)
 	}
-	l.end += int64(len(bytes))
-	l.isDirty = false
+	l.endOffset += int64(len(content))
+	l.hasTail = false
 	return nil
 }
 
-// clean takes off what stands behind the last good record, and makes the file's name durable, where that is not sure.
-func (l *Log) clean() error {
-	if l.isUnnamed {
-		if err := l.syncFolder(filepath.Dir(l.path)); err != nil {
-			return err
+// prepareAppend makes the file's name durable and drops what a failed Append left, where either is needed. Until both have
+// succeeded nothing new may be acknowledged: it would stand behind a torn record, or in a file whose rename a crash can undo.
+func (l *Log) prepareAppend() error {
+	if l.isNameUnsure {
+		if err := l.syncDirectory(filepath.Dir(l.path)); err != nil {
+			return fmt.Errorf("sync directory of log: %w", err)
 		}
-		l.isUnnamed = false
+		l.isNameUnsure = false
 	}
-	if !l.isDirty {
+	return l.dropTail()
+}
+
+// dropTail truncates the file at the end of the last durable record and goes there, if anything may stand behind it.
+func (l *Log) dropTail() error {
+	if !l.hasTail {
 		return nil
 	}
-	if err := l.file.Truncate(l.end); err != nil {
-		return err
+	if err := l.file.Truncate(l.endOffset); err != nil {
+		return fmt.Errorf("truncate log: %w", err)
 	}
-	if _, err := l.file.Seek(l.end, io.SeekStart); err != nil {
-		return err
+	if _, err := l.file.Seek(l.endOffset, io.SeekStart); err != nil {
+		return fmt.Errorf("seek end of log: %w", err)
 	}
-	l.isDirty = false
+	l.hasTail = false
 	return nil
 }
 
-// Swap puts records in the place of all that were there.
+// Swap replaces all records by the given ones, and waits until that is on the disk. After an error either the old or the new records
+// are there; nothing is acknowledged by a later Append before it is sure which.
 func (l *Log) Swap(records [][]byte) error {
-	bytes, err := frame([]byte(magic), records)
+	content, err := appendRecords([]byte(fileMagic), records)
 	if err != nil {
 		return err
 	}
-	aside, err := os.OpenFile(l.path+".new", os.O_CREATE|os.O_RDWR|os.O_TRUNC|syscall.O_CLOEXEC, 0o600)
+	replacement, err := writeFile(l.path+".new", content)
 	if err != nil {
 		return err
 	}
-	if _, err = aside.Write(bytes); err == nil {
-		err = aside.Sync()
+	if err := os.Rename(l.path+".new", l.path); err != nil {
+		replacement.Close()
+		return fmt.Errorf("put new log in place: %w", err)
 	}
-	if err == nil {
-		err = os.Rename(l.path+".new", l.path)
+	if l.file != nil {
+		l.file.Close()
 	}
+	l.file, l.endOffset, l.hasTail, l.isNameUnsure = replacement, int64(len(content)), false, true
+	return l.prepareAppend()
+}
+
+// writeFile writes content to a file, syncs it, and returns it open at its end.
+func writeFile(path string, content []byte) (*os.File, error) {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_TRUNC|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
-		aside.Close()
-		return err
+		return nil, fmt.Errorf("create new log: %w", err)
 	}
-	if l.file != nil {
-		l.file.Close()
+	if _, err := f.Write(content); err != nil {
+		f.Close()
+		return nil, fmt.Errorf("write new log: %w", err)
+	}
+	if err := f.Sync(); err != nil {
+		f.Close()
+		return nil, fmt.Errorf("sync new log: %w", err)
 	}
-	l.file, l.end, l.isDirty, l.isUnnamed = aside, int64(len(bytes)), false, true
-	return l.clean()
+	return f, nil
 }
 
-// syncFolder makes the names in a folder durable.
-func syncFolder(path string) error {
-	folder, err := os.Open(path)
+// syncDirectory makes the names of the files in a directory durable.
+func syncDirectory(path string) error {
+	directory, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
 
-// Close lets another process have the file.
+// Close closes the file and lets another process open it. All acknowledged records are on the disk already, so there is no error to
+// return.
 func (l *Log) Close() {
 	if l.file != nil {
 		l.file.Close()
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
 	"os"
@@ -8,26 +9,27 @@
 	"testing"
 )
 
-// Cut at every byte, a file comes back with all records that were whole, and goes on.
-func TestCutAtEveryByte(t *testing.T) {
+// The machine loses power amid an append, and the file ends anywhere. A replica that then refused its log would need a person to come
+// back, and one that took half a record would act on what nobody wrote: all complete records are there, and appending goes on.
+func TestLogTruncatedAtAnyByteKeepsCompleteRecords(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log")
 	l, _, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends := []int{len(magic)}
+	ends := []int{len(fileMagic)}
 	for n := range 12 {
-		r := []byte(fmt.Sprint("record-", n, "-", make([]byte, n*3)))
-		if err := l.Add([][]byte{r}); err != nil {
+		record := fmt.Appendf(nil, "record-%d-%v", n, make([]byte, n*3))
+		if err := l.Add([][]byte{record}); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, ends[n]+headOf+len(r))
+		ends = append(ends, ends[n]+recordHeaderSize+len(record))
 	}
 	l.Close()
-	bytes, _ := os.ReadFile(path)
-	for cut := range len(bytes) + 1 {
-		os.WriteFile(path, bytes[:cut], 0o600)
+	content, _ := os.ReadFile(path)
+	for cut := range len(content) + 1 {
+		os.WriteFile(path, content[:cut], 0o600)
 		want := 0
 		for want < 12 && ends[want+1] <= cut {
 			want++
@@ -47,8 +49,9 @@
 	}
 }
 
-// A bit that is not what was written is damage: it is said, nothing is taken, and what was there is kept aside.
-func TestDamageIsSaid(t *testing.T) {
+// A disk returns another byte than was written. A replica that went on with what is left could vote twice in a term: nothing of the
+// file is used, the caller is told so, and the file stays for whoever looks into it.
+func TestDamagedLogIsReportedAndPutAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l, _, _ := Open(path)
 	l.Swap([][]byte{[]byte("one"), []byte("two"), []byte("three")})
@@ -56,23 +59,23 @@
 		t.Errorf("a second process: %v", err)
 	}
 	l.Close()
-	bytes, _ := os.ReadFile(path)
-	for at := range bytes {
-		odd := append([]byte{}, bytes...)
-		odd[at] ^= 0x40
-		os.WriteFile(path, odd, 0o600)
+	content, _ := os.ReadFile(path)
+	for offset := range content {
+		damaged := bytes.Clone(content)
+		damaged[offset] ^= 0x40
+		os.WriteFile(path, damaged, 0o600)
 		l, records, err := Open(path)
 		if err == nil && len(records) == 3 {
-			t.Fatalf("byte %d is changed, and all is taken", at)
+			t.Fatalf("byte %d is changed, and all three records are returned", offset)
 		}
-		for n, r := range records { // A length that grew looks like a cut: what stands before it is whole.
-			if string(r) != []string{"one", "two", "three"}[n] {
-				t.Fatalf("byte %d is changed: record %d is %q", at, n, r)
+		for n, record := range records { // A length that grew looks like a torn tail: the records before it are complete.
+			if string(record) != []string{"one", "two", "three"}[n] {
+				t.Fatalf("byte %d is changed: record %d is %q", offset, n, record)
 			}
 		}
 		if errors.Is(err, ErrDamaged) {
-			if aside, err := os.ReadFile(path + ".damaged"); err != nil || len(aside) != len(bytes) {
-				t.Fatalf("byte %d: nothing is kept aside", at)
+			if aside, err := os.ReadFile(path + ".damaged"); err != nil || len(aside) != len(content) {
+				t.Fatalf("byte %d: the damaged file is not kept", offset)
 			}
 		}
 		l.Close()
