--- a/learnt/golden_test.go
+++ b/learnt/golden_test.go
@@ -51,14 +51,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, text := written(t, fixture()); !bytes.Equal(text, stored) {
-		t.Errorf("the same snapshot is written otherwise: %x, stored %x", text, stored)
+	if _, content := writeSnapshot(t, fixture()); !bytes.Equal(content, stored) {
+		t.Errorf("the same snapshot is written otherwise: %x, stored %x", content, stored)
 	}
-	copied := &File{Path: filepath.Join(t.TempDir(), "learnt")}
-	if err := os.WriteFile(copied.Path, stored, 0o600); err != nil {
+	opened := &File{Path: filepath.Join(t.TempDir(), "learnt")}
+	if err := os.WriteFile(opened.Path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := copied.Read("n1", 0x1122334455667788, now.Add(2*time.Second), lasts)
+	got, err := opened.Read("n1", 0x1122334455667788, now.Add(2*time.Second), maxAge)
 	if err != nil {
 		t.Fatal(err)
 	}
