--- a/decay/decay.go
+++ b/decay/decay.go
@@ -1,38 +1,47 @@
-// Package decay holds counts that fade: what was seen lately counts, what was seen long ago does not. The decision
-// module and the packages that decide for it count with these. Times are nanoseconds of a clock that is handed in.
+// Package decay has sums and averages that decay exponentially: what was seen lately counts, what was seen long ago does not. Package
+// policy and the packages that decide for it count with these.
+//
+// Times are nanoseconds of a clock that the caller hands in. A time before the last one changes nothing, so that a clock that goes back
+// does not make old counts grow. The types must not be used concurrently.
 package decay
 
 import "math"
 
-// Memory is the time in which a count fades to 1/e.
+// Memory is the time in which a sum decays to 1/e of itself, in nanoseconds: long enough to count some attempts to a server of a large
+// fleet, short enough to see a server recover within seconds.
 const Memory = int64(3e9)
 
-// Sum is a sum whose terms fade.
+// Sum is a sum whose terms decay. The zero value is empty.
 type Sum struct {
-	Value float64
-	At    int64 // up to when it has faded
+	Value float64 // as of At
+	At    int64   // time to which Value has decayed
 }
 
-// Read fades the sum up to now and returns it.
+// Read lets the sum decay up to now and returns its value.
 func (s *Sum) Read(now int64) float64 {
 	if now > s.At {
-		s.Value *= math.Exp(-float64(now-s.At) / float64(Memory))
+		s.Value *= remaining(now - s.At)
 		s.At = now
 	}
 	return s.Value
 }
 
-// Add fades the sum and adds to it.
+// Add lets the sum decay up to now and adds x.
 func (s *Sum) Add(now int64, x float64) { s.Value = s.Read(now) + x }
 
-// Level is the average over time of a level, such as how many attempts are in flight.
+// Level is the time-weighted average of a level, such as the number of attempts in flight. The zero value starts at level 0.
 type Level Sum
 
-// Read takes the level as it was since the last call and returns the average.
+// Read counts the level as having held since the last call, and returns the average up to now.
 func (l *Level) Read(now int64, level int) float64 {
 	if now > l.At {
-		l.Value = float64(level) + (l.Value-float64(level))*math.Exp(-float64(now-l.At)/float64(Memory))
+		l.Value = float64(level) + (l.Value-float64(level))*remaining(now-l.At)
 		l.At = now
 	}
 	return l.Value
 }
+
+// remaining returns the part of a value that remains after a time.
+func remaining(elapsedNanos int64) float64 {
+	return math.Exp(-float64(elapsedNanos) / float64(Memory))
+}
--- /dev/null
+++ b/outage/detector_test.go
@@ -0,0 +1,134 @@
+package outage
+
+import "testing"
+
+const (
+	ms     = int64(1e6)
+	second = 1000 * ms
+)
+
+// A zone is lost, and each request that is sent there costs its client a timeout. It has to be suspected after a few failures, and only
+// by those that can't be put down to one server, to chance or to this balancer's own network.
+func TestZoneIsSuspectedAfterImprobableFailures(t *testing.T) {
+	const zone, otherZone = 0, 1
+	for name, c := range map[string]struct {
+		events   func(d *Detector)
+		suspects bool
+	}{
+		"nothing known": {func(d *Detector) {}, false},
+		"three servers fail in a row while the other zone responds": {func(d *Detector) {
+			for server := range 3 {
+				d.Failed(zone, server, 2*ms)
+				d.Answered(otherZone, 3*ms)
+			}
+		}, true},
+		"one server fails repeatedly": {func(d *Detector) {
+			for range 20 {
+				d.Failed(zone, 7, 2*ms)
+				d.Answered(otherZone, 3*ms)
+			}
+		}, false},
+		"responses of the zone in between": {func(d *Detector) {
+			for server := range 20 {
+				d.Failed(zone, server, 2*ms)
+				d.Answered(otherZone, 3*ms)
+				if server%2 == 0 {
+					d.Answered(zone, 3*ms)
+				}
+			}
+		}, false},
+		"no zone responds": {func(d *Detector) {
+			d.Answered(otherZone, ms)
+			for server := range 20 {
+				d.Failed(zone, server, 2*ms)
+				d.Failed(otherZone, 100+server, 2*ms)
+			}
+		}, false},
+		"the other zone fails as often": {func(d *Detector) {
+			for server := range 60 {
+				d.Failed(otherZone, 100+server, 2*ms)
+				d.Answered(otherZone, 3*ms)
+			}
+			for server := range 3 {
+				d.Failed(zone, server, 4*ms)
+			}
+			d.Answered(otherZone, 5*ms)
+		}, false},
+		"two failures where the other zone hardly ever fails": {func(d *Detector) {
+			for range 200 {
+				d.Answered(otherZone, ms)
+			}
+			d.Failed(zone, 1, 2*ms)
+			d.Failed(zone, 2, 2*ms)
+			d.Answered(otherZone, 3*ms)
+		}, true},
+		"two zones are lost at the same time": {func(d *Detector) {
+			for range 30 {
+				d.Answered(2, ms)
+			}
+			for server := range 2 {
+				d.Failed(zone, server, 2*ms)
+				d.Failed(3, 100+server, 2*ms)
+				d.Answered(2, 3*ms)
+			}
+		}, true},
+		"servers without a zone": {func(d *Detector) {
+			for server := range 20 {
+				d.Failed(-1, server, 2*ms)
+			}
+		}, false},
+	} {
+		d := New(3 * second)
+		c.events(d)
+		if d.Suspects(zone) != c.suspects || d.Suspects(otherZone) {
+			t.Errorf("%s: suspected %t, the other zone %t", name, d.Suspects(zone), d.Suspects(otherZone))
+		}
+	}
+}
+
+// A zone is avoided after it has recovered, and its servers idle while the others are overloaded. It has to be tried again, more often
+// the longer it has not failed, and used by all requests after its first response.
+func TestSuspectedZoneIsTriedAgain(t *testing.T) {
+	d := New(3 * second)
+	for server := range 5 {
+		d.Failed(0, server, second)
+		d.Answered(1, second+ms)
+	}
+	for _, c := range []struct {
+		after  int64
+		draw   float64
+		avoids bool
+	}{{0, 0.999, true}, {5 * second, 0.5, true}, {5 * second, 0.8, false}, {150 * second, 0.01, false}} {
+		if d.Avoids(0, second+c.after, c.draw) != c.avoids {
+			t.Errorf("%d s after the last failure, draw %g: avoided is %t", c.after/second, c.draw, !c.avoids)
+		}
+	}
+	d.Answered(0, 2*second)
+	if d.Avoids(0, 2*second, 0) {
+		t.Error("avoided though it has responded")
+	}
+}
+
+// All servers fail at times, and a zone like the others is avoided by chance: the others would carry its load. That stays rare, however
+// often all fail.
+func TestFalseAlarmsAreRare(t *testing.T) {
+	for _, rate := range []float64{0.01, 0.05, 0.125, 0.3, 0.6} {
+		d, random, alarms := New(3*second), uint64(1), 0
+		for n := range 100_000 {
+			random = random*6364136223846793005 + 1442695040888963407
+			zone, now := int(random>>33)%3, int64(n)*ms
+			random = random*6364136223846793005 + 1442695040888963407
+			if float64(random>>11)/(1<<53) < rate {
+				d.Failed(zone, n, now)
+			} else {
+				d.Answered(zone, now)
+			}
+			if d.Suspects(zone) {
+				alarms++
+			}
+		}
+		if float64(alarms) > 2*maxFalseAlarmProbability*100_000 {
+			t.Errorf("%d of 100000 attempts end with a suspected zone where %g fail everywhere", alarms, rate)
+		}
+	}
+}
--- a/shares/golden_test.go
+++ b/shares/golden_test.go
@@ -22,7 +22,7 @@
 	trace, rejected := sha256.New(), 0
 	for seed := range uint64(20) {
 		random, g := rand.New(rand.NewPCG(seed, 7)), New([]float64{300, 0, 150, 20, 600, 90})
-		now, fine, poor := int64(0), 10.0, 0.0
+		now, timely, late := int64(0), 10.0, 0.0
 		draws := 0
 		draw := func() float64 {
 			draws++
@@ -31,7 +31,7 @@
 		for n := range 4000 {
 			now += random.Int64N(4e6)
 			tenant := []int{-1, 0, 0, 0, 1, 2, 3, 3, 4, 5}[random.IntN(10)]
-			view := View{Now: now, Span: span, EvenPart: 0.1 * float64(seed%3)}
+			view := View{Now: now, Span: windowSeconds, EvenPart: 0.1 * float64(seed%3)}
 			if n/700%3 == 1 {
 				view.Part = random.Float64()
 			}
@@ -39,11 +39,11 @@
 			if isRejected {
 				rejected++
 			}
-			fine, poor = fine*0.99+1, poor*0.99
+			timely, late = timely*0.99+1, late*0.99
 			if n/500%2 == 1 && random.IntN(3) == 0 {
-				poor++
+				late++
 			}
-			g.Ended(fine, poor)
+			g.Ended(timely, late)
 			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(g.Admitted()))
 			switch n {
 			case 1500:
--- /dev/null
+++ b/shares/limiter.go
@@ -0,0 +1,155 @@
+// Package shares decides which requests one balancer rejects because their tenant asks for more than its share of the fleet, while the
+// fleet responds late. Package policy asks it once for each request and tells it how attempts end.
+//
+// A tenant's quota is stated for the whole fleet. A balancer knows only its own requests, so it estimates which part of the fleet's
+// traffic comes to it, and holds each tenant to that part of its quota. How many of the requests beyond a share are admitted follows
+// additive increase, multiplicative decrease: all while attempts end in time, fewer while too many end late.
+//
+// The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Gate must not be used concurrently.
+package shares
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"hollylever/decay"
+)
+
+const (
+	// estimateLifetimeNanos is how long an estimate of the own traffic share is used: it sorts the tenants, which may be many.
+	estimateLifetimeNanos = int64(50e6)
+	// maxLateRatio is the part of attempts that may end late before requests beyond a share are rejected, and lateSlack how many more
+	// attempts: the first late one of few must not count as overload.
+	maxLateRatio = 0.06
+	lateSlack    = 0.5
+	// minAdmittedFraction of the requests beyond a share are always admitted, so that a tenant is never shut out by an estimate that
+	// is wrong. admittedDecrease (a factor) and admittedIncrease (a term) move the fraction after each attempt: it falls by half
+	// within 14 late ones, and is back within 100 others.
+	minAdmittedFraction = 0.02
+	admittedDecrease    = 0.95
+	admittedIncrease    = 0.01
+)
+
+// tenant is what the limiter knows of one tenant.
+type tenant struct {
+	quota    float64 // requests a second of the whole fleet; 0: none stated
+	requests decay.Sum
+}
+
+// tenantLoad is what a tenant asked for here lately, and its quota for as long, both in requests.
+type tenantLoad struct{ requests, quota float64 }
+
+// quotaShare returns which part of its quota the tenant used here.
+func (l tenantLoad) quotaShare() float64 { return l.requests / l.quota }
+
+// Gate holds what one balancer knows of its tenants.
+type Gate struct {
+	tenants          []tenant
+	admittedFraction float64 // of the requests beyond a share
+
+	trafficShare       float64 // the last estimate, see estimateTrafficShare
+	estimateValidUntil int64
+	loads              []tenantLoad // used again by each estimate
+}
+
+// New returns a Gate for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without one.
+func New(quotas []float64) *Gate {
+	g := &Gate{admittedFraction: 1}
+	for _, quota := range quotas {
+		g.tenants = append(g.tenants, tenant{quota: quota})
+	}
+	return g
+}
+
+// SetQuota changes a tenant's quota, in requests a second of the whole fleet; 0 for none.
+func (g *Gate) SetQuota(tenant int, requestsPerSecond float64) {
+	g.tenants[tenant].quota = requestsPerSecond
+}
+
+// View is what the balancer knows of its traffic when a request comes.
+type View struct {
+	Now      int64   // nanoseconds of the clock by which counts decay
+	Span     float64 // seconds that the decaying counts stand for
+	Part     float64 // this balancer's part of the fleet's traffic by load reports; 0: none tell
+	EvenPart float64 // the part of a balancer that gets as much as each other
+}
+
+// Rejects counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share. It takes one random
+// draw from 0 to 1 for a tenant with a quota, and a second one if the first makes the request one beyond the share.
+func (g *Gate) Rejects(tenant int, view View, draw func() float64) bool {
+	if tenant < 0 || g.tenants[tenant].quota <= 0 {
+		return false
+	}
+	t := &g.tenants[tenant]
+	t.requests.Add(view.Now, 1)
+	trafficShare := view.Part
+	if trafficShare <= 0 {
+		trafficShare = g.estimateTrafficShare(view)
+	}
+	requests, share := t.requests.Value, t.quota*view.Span*max(trafficShare, view.EvenPart)
+	// Guards against thin traffic: a count varies by its square root, and a tenant inside its share would often seem to be beyond it.
+	tolerance := math.Sqrt(share)
+	isBeyondShare := draw()*requests > share+tolerance
+	return isBeyondShare && draw() > g.admittedFraction
+}
+
+// estimateTrafficShare returns which part of the fleet's traffic comes here: the median of the tenants' quota shares, weighted by quota
+// (the lower one). Tenants that use more than their quota, or hardly any of it, do not move it as long as they hold less than half of
+// all quotas.
+//
+// The lowest quota share in place of the median would be near zero wherever one small tenant is quiet by chance, and all others would
+// seem to be beyond their shares.
+func (g *Gate) estimateTrafficShare(view View) float64 {
+	if view.Now < g.estimateValidUntil {
+		return g.trafficShare
+	}
+	g.loads = g.loads[:0]
+	halfOfQuotas := 0.0
+	for i := range g.tenants {
+		if t := &g.tenants[i]; t.quota > 0 {
+			g.loads = append(g.loads, tenantLoad{t.requests.Read(view.Now), t.quota * view.Span})
+			halfOfQuotas += t.quota * view.Span / 2
+		}
+	}
+	slices.SortFunc(g.loads, func(a, b tenantLoad) int { return cmp.Compare(a.quotaShare(), b.quotaShare()) })
+	weight := 0.0
+	for _, load := range g.loads {
+		if weight += load.quota; weight >= halfOfQuotas {
+			g.trafficShare = load.quotaShare()
+			break
+		}
+	}
+	g.estimateValidUntil = view.Now + estimateLifetimeNanos
+	return g.trafficShare
+}
+
+// Ended takes the decaying counts of attempts that ended in time and late, after each attempt. While too many end late, fewer requests
+// beyond a share are admitted.
+func (g *Gate) Ended(timely, late float64) {
+	if late > maxLateRatio*(timely+late)+lateSlack {
+		g.admittedFraction = max(minAdmittedFraction, g.admittedFraction*admittedDecrease)
+	} else {
+		g.admittedFraction = min(1, g.admittedFraction+admittedIncrease)
+	}
+}
+
+// Admitted returns the fraction of requests beyond a share that is admitted.
+func (g *Gate) Admitted() float64 { return g.admittedFraction }
+
+// Asked returns a copy of the decaying counts of the tenants' requests.
+func (g *Gate) Asked() []decay.Sum {
+	counts := make([]decay.Sum, len(g.tenants))
+	for i := range g.tenants {
+		counts[i] = g.tenants[i].requests
+	}
+	return counts
+}
+
+// Restore continues where another Gate was: with its Admitted, and its Asked for as many tenants as both have.
+func (g *Gate) Restore(admittedFraction float64, requests []decay.Sum) {
+	g.admittedFraction = admittedFraction
+	for i := range min(len(requests), len(g.tenants)) {
+		g.tenants[i].requests = requests[i]
+	}
+}
