--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -1,179 +1,151 @@
-// Package siblings is about the processes of one balancer: over an upgrade there are two of them, at times three, and what a balancer
-// may take (descriptors, memory, room at cold hosts) they may take together. divide.go decides how that is divided, without I/O
-// or clock; siblings.go keeps a row for each process in files that all of them see.
-//
-// One rule keeps the sum, whatever is late, lost or dead: a claim is lowered only to what is in use or above, and raised only into
-// what the others' claims leave, by one process at a time.
 package siblings
 
 import "math"
 
-// Phase is what a process is doing.
-type Phase string
-
-// The phases of a process, in their order.
 const (
-	Starting Phase = "starting" // it takes no clients yet
-	Serving  Phase = "serving"
-	Leaving  Phase = "leaving" // it takes nobody new, and ends
+	// initialConnectionsDivisor and initialMemoryDivisor are which part of the limits a process gets to start with: an eighth of the
+	// connections, enough to serve the first clients that move over, and a quarter of the memory, as the runtime maps some before the
+	// process can publish a claim.
+	initialConnectionsDivisor = 8
+	initialMemoryDivisor      = 4
+
+	// A process that drains may open a connection to a cache host for every clientsPerDrainingConnection clients, and
+	// minDrainingConnections more: each client may send one more request, but few do at the same time.
+	clientsPerDrainingConnection = 4
+	minDrainingConnections       = 8
+
+	// minAttemptShare is the least part of the attempts that a process counts as its own, so that one that has sent none can begin.
+	minAttemptShare = 0.1
+	// successorAttemptShare is that beside a process that drains: its clients move over at once, and their attempts with them.
+	successorAttemptShare = 0.5
 )
 
-// Amount is how much of each limit.
-type Amount struct {
-	Clients int64 `json:"clients"` // descriptors in front
-	Hosts   int64 `json:"hosts"`   // descriptors to hosts
-	Memory  int64 `json:"memory"`  // bytes
-}
-
-// parts are the limits one by one; each is divided by itself.
-func (a *Amount) parts() [3]*int64 { return [3]*int64{&a.Clients, &a.Hosts, &a.Memory} }
-
-// Row is what a process says of itself.
-type Row struct {
-	Pid   int     `json:"pid"`
-	Since int64   `json:"since"` // when it began, by the machine's clock (sinceBase)
-	Phase Phase   `json:"phase"`
-	Claim Amount  `json:"claim"` // what it may take, and others may not
-	Use   Amount  `json:"use"`
-	Trips float64 `json:"trips"` // handed over of late
+// initialNeed returns what a process needs of a resource when it starts.
+func initialNeed(total Amount, r resource) int64 {
+	if r == memory {
+		return total.Memory / initialMemoryDivisor
+	}
+	return total.of(r) / initialConnectionsDivisor
 }
 
-// first is what one that starts needs at first, of the limit that is meant.
-func first(total Amount, part int) int64 {
-	if part == memory {
-		return total.Memory / 4 // It has taken some before it can say so.
+// drainingNeed returns what a process that drains still needs of a resource.
+func drainingNeed(total, usage Amount, r resource) int64 {
+	switch r {
+	case clientConnections:
+		return usage.Clients
+	case endpointConnections:
+		return usage.Hosts + usage.Clients/clientsPerDrainingConnection + minDrainingConnections
+	default:
+		return max(usage.Memory, initialNeed(total, memory))
 	}
-	return *total.parts()[part] / 8
 }
 
-const (
-	clients, hosts, memory = 0, 1, 2 // places in parts
-
-	few = 8
-)
-
-// leaves is what one that leaves still needs of a limit: its clients may each ask once more, few at a time.
-func leaves(total, use Amount, part int) int64 {
-	switch part {
-	case clients:
-		return use.Clients
-	case hosts:
-		return use.Hosts + use.Clients/4 + few
-	}
-	return max(use.Memory, first(total, memory))
+// census is what the states of all processes add up to.
+type census struct {
+	serving, starting int64  // processes
+	drainingClaims    Amount // of the processes that drain
+	servingUsage      Amount // of the processes that serve
 }
 
-// Aim is what a process should come to of the whole. Those that serve share by what they use, and what nobody uses evenly: so nobody is
-// asked to go for a process that has no clients yet, and the division follows clients as they move over.
-func Aim(total Amount, own Row, others []Row) (aim Amount) {
-	var serving, starting int64
-	var leaving, used Amount
-	add := func(to *Amount, what Amount) {
-		for n, x := range to.parts() {
-			*x += *what.parts()[n]
-		}
-	}
-	for _, r := range append([]Row{own}, others...) {
-		switch r.Phase {
+func takeCensus(own processState, others []processState) (all census) {
+	count := func(state processState) {
+		switch state.Phase {
 		case Serving:
-			serving++
-			add(&used, r.Use)
+			all.serving++
+			all.servingUsage = all.servingUsage.plus(state.Usage)
 		case Starting:
-			starting++
-		case Leaving: // One of which nothing is known changes no aim; it only stops what would be raised.
-			add(&leaving, r.Claim)
+			all.starting++
+		case Leaving:
+			all.drainingClaims = all.drainingClaims.plus(state.Claim)
 		}
 	}
-	for n, to := range aim.parts() {
-		whole, used, use := *total.parts()[n], *used.parts()[n], *own.Use.parts()[n]
-		rest := max(0, whole-*leaving.parts()[n])
+	count(own)
+	for _, other := range others {
+		count(other)
+	}
+	return all
+}
+
+// targetClaim returns what a process should come to claim. Processes that serve have what they use and divide evenly what nobody uses:
+// so no client is asked to go for a process that has none yet, and the division follows the clients as they move over.
+func targetClaim(total Amount, own processState, others []processState) Amount {
+	all := takeCensus(own, others)
+	target := forEachResource(func(r resource) int64 {
+		available := max(0, total.of(r)-all.drainingClaims.of(r))
 		switch {
 		case own.Phase == Leaving:
-			*to = leaves(total, own.Use, n)
-		case own.Phase == Starting && serving+starting > 1:
-			*to = min(rest, first(total, n))
+			return drainingNeed(total, own.Usage, r)
+		case own.Phase == Starting && all.serving+all.starting > 1:
+			return min(available, initialNeed(total, r))
 		case own.Phase == Starting:
-			*to = rest
-		case n == memory: // What is used there changes slowly, and comes down to what is allowed.
-			*to = max(0, rest-starting*first(total, n)) / serving
-		default:
-			*to = use + max(0, rest-starting*first(total, n)-used)/serving
+			return available
 		}
-	}
+		forStarting := all.starting * initialNeed(total, r)
+		if r == memory { // Its usage changes slowly, and comes down to what is allowed: it is divided evenly.
+			return max(0, available-forStarting) / all.serving
+		}
+		return own.Usage.of(r) + max(0, available-forStarting-all.servingUsage.of(r))/all.serving
+	})
 	if len(others) == 0 && own.Phase != Leaving {
-		aim.Memory -= first(total, memory) // For one that starts: it takes that much before it can say so.
+		// Guards against a new process that starts while this one holds all memory: it maps its first part before it can claim it.
+		target.Memory -= initialNeed(total, memory)
 	}
-	return aim
+	return target
 }
 
-// Divide says what a process claims next. raise: nobody else raises a claim at this time.
-func Divide(total Amount, own Row, others []Row, raise bool) (claim Amount) {
-	aim := Aim(total, own, others)
-	for n, to := range claim.parts() {
-		now, wanted, used := *own.Claim.parts()[n], *aim.parts()[n], *own.Use.parts()[n]
-		if wanted <= now {
-			*to = min(now, max(wanted, used))
-			continue
+// nextClaim returns what a process claims next. mayRaise: no other process raises a claim at this time.
+func nextClaim(total Amount, own processState, others []processState, mayRaise bool) Amount {
+	target := targetClaim(total, own, others)
+	return forEachResource(func(r resource) int64 {
+		claim, wanted := own.Claim.of(r), target.of(r)
+		if wanted <= claim {
+			return min(claim, max(wanted, own.Usage.of(r)))
 		}
-		if *to = now; !raise {
-			continue
+		if !mayRaise {
+			return claim
 		}
-		left := *total.parts()[n]
-		for _, o := range others {
-			left -= *o.Claim.parts()[n]
+		unclaimed := total.of(r)
+		for _, other := range others {
+			unclaimed -= other.Claim.of(r)
 		}
-		*to = max(now, min(wanted, left))
-	}
-	return claim
+		return max(claim, min(wanted, unclaimed))
+	})
 }
 
-// Allowed is what a process may come to now: less than it claims while it comes down to its aim.
-func Allowed(total Amount, own Row, others []Row) (allowed Amount) {
-	aim := Aim(total, own, others)
-	for n, to := range allowed.parts() {
-		*to = min(*own.Claim.parts()[n], *aim.parts()[n])
-	}
-	return allowed
+// allowance returns what a process may come to use now: less than it claims while it comes down to its target.
+func allowance(total Amount, own processState, others []processState) Amount {
+	target := targetClaim(total, own, others)
+	return forEachResource(func(r resource) int64 { return min(own.Claim.of(r), target.of(r)) })
 }
 
-const (
-	leastPart  = 0.1 // so that one that has sent nothing yet can begin
-	successors = 0.5 // beside one that leaves: its clients come over at once, and what is meant for cold hosts with them
-)
-
-// Part is the process's part of the trips that all send.
-func Part(own Row, others []Row) float64 {
+// attemptShare returns the process's part of the attempts that all processes send, from 0 to 1. What all processes together may send to
+// cold servers is divided by it. The parts may add up to more than 1 for a moment, as each is at least minAttemptShare.
+func attemptShare(own processState, others []processState) float64 {
 	if len(others) == 0 {
 		return 1
 	}
-	all, least := own.Trips, leastPart
-	for _, o := range others {
-		if all += o.Trips; own.Phase == Serving && o.Phase == Leaving {
-			least = successors
+	attempts, minShare := own.Attempts, minAttemptShare
+	for _, other := range others {
+		attempts += other.Attempts
+		if own.Phase == Serving && other.Phase == Leaving {
+			minShare = successorAttemptShare
 		}
 	}
-	if !(all > 0) || math.IsInf(all, 0) {
+	if !(attempts > 0) || math.IsInf(attempts, 0) {
 		return 1 / float64(1+len(others))
 	}
-	return max(least, own.Trips/all)
+	return max(minShare, own.Attempts/attempts)
 }
 
-// Writes tells whether this process is the one that writes down what was learnt: who has served longest, or who leaves last.
-func Writes(own Row, others []Row) bool {
-	for _, o := range others {
-		if own.Phase == Serving && o.Phase == Serving && o.Since < own.Since || own.Phase == Leaving && o.Phase != Leaving {
+// isSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned: the one that has served longest,
+// or the last one that drains. Two writers would take turns to replace what the other has learned.
+func isSnapshotWriter(own processState, others []processState) bool {
+	for _, other := range others {
+		isOlder := own.Phase == Serving && other.Phase == Serving && other.StartedAt < own.StartedAt
+		isStaying := own.Phase == Leaving && other.Phase != Leaving
+		if isOlder || isStaying {
 			return false
 		}
 	}
 	return own.Phase != Starting
 }
-
-// sound tells whether a row can be what a process wrote.
-func (r *Row) sound(total Amount) bool {
-	for n, claim := range r.Claim.parts() {
-		if *claim < 0 || *claim > *total.parts()[n] {
-			return false
-		}
-	}
-	return (r.Phase == Starting || r.Phase == Serving || r.Phase == Leaving) && r.Trips >= 0
-}
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -16,48 +16,45 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// During an upgrade both versions divide the limits by the same rule, each from the other's row. Were one to aim for other figures
+// During an upgrade both versions divide the limits by the same rule, each from the other's state. Were one to aim for other figures
 // than the other expects, both would wait for room or close connections that need not go. Over seeded plans each figure stays as
 // version 860147b computed it.
 func TestGoldenDivision(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
-	row := func() Row {
-		amount := func(most Amount) (a Amount) {
-			for n, x := range a.parts() {
-				*x = random.Int64N(*most.parts()[n] + 1)
-			}
-			return a
+	randomState := func() processState {
+		amount := func(most Amount) Amount {
+			return forEachResource(func(r resource) int64 { return random.Int64N(most.of(r) + 1) })
 		}
-		r := Row{Pid: 1, Since: random.Int64N(4), Phase: []Phase{Starting, Serving, Leaving, ""}[min(random.IntN(7), 3)], Claim: amount(all)}
+		state := processState{PID: 1, StartedAt: random.Int64N(4), Phase: []Phase{Starting, Serving, Leaving, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
 		if random.IntN(4) == 0 {
-			r.Claim = Amount{}
+			state.Claim = Amount{}
 		}
-		r.Use = amount(r.Claim)
-		r.Trips = []float64{0, random.Float64() * 100, 1e300 * 1e8, math.NaN()}[min(random.IntN(20), 3)]
+		state.Usage = amount(state.Claim)
+		state.Attempts = []float64{0, random.Float64() * 100, 1e300 * 1e8, math.NaN()}[min(random.IntN(20), 3)]
 		if random.IntN(3) > 0 {
-			r.Trips = random.Float64() * 100
+			state.Attempts = random.Float64() * 100
 		}
-		return r
+		return state
 	}
 	for range 5_000 {
-		own, others := row(), []Row(nil)
+		own, others := randomState(), []processState(nil)
 		for range random.IntN(4) {
-			others = append(others, row())
+			others = append(others, randomState())
 		}
 		if own.Phase == "" {
 			own.Phase = Serving
 		}
-		for _, raise := range []bool{false, true} {
-			aim, claim, allowed := Aim(all, own, others), Divide(all, own, others, raise), Allowed(all, own, others)
-			for _, a := range []Amount{aim, claim, allowed} {
+		for _, mayRaise := range []bool{false, true} {
+			target, claim := targetClaim(limits, own, others), nextClaim(limits, own, others, mayRaise)
+			for _, a := range []Amount{target, claim, allowance(limits, own, others)} {
 				fmt.Fprintln(trace, a.Clients, a.Hosts, a.Memory)
 			}
 		}
-		part := Part(own, others)
-		if math.IsNaN(part) {
-			part = -1 // One NaN has many forms.
+		share := attemptShare(own, others)
+		if math.IsNaN(share) {
+			share = -1 // One NaN has many forms.
 		}
-		fmt.Fprintln(trace, math.Float64bits(part), Writes(own, others), own.sound(Amount{Clients: 100, Hosts: 100, Memory: 50 << 20}))
+		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(Amount{Clients: 100, Hosts: 100, Memory: 50 << 20}))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "division.golden")
 	if *update {
@@ -71,43 +68,43 @@
 	}
 }
 
-// A new version that can't read the old one's row takes it for torn and is given nothing while it starts. The fixtures are rows that
-// version 860147b wrote; each is written the same to the byte and read by the process beside it with the same content.
-func TestStoredRowsStayReadable(t *testing.T) {
-	for name, row := range map[string]Row{
-		"starting": {Pid: 4711, Since: sinceBase + 12, Phase: Starting, Claim: Amount{Clients: 20, Hosts: 21, Memory: 16 << 20}},
-		"serving": {Pid: 1, Since: sinceBase, Phase: Serving, Claim: Amount{Clients: 140, Hosts: 139, Memory: 48 << 20},
-			Use: Amount{Clients: 9, Hosts: 8, Memory: 7 << 20}, Trips: 12.625},
-		"leaving": {Pid: 2, Since: 1_700_000_000_000_000_000, Phase: Leaving, Claim: Amount{Clients: 1}, Use: Amount{Clients: 1}, Trips: 0.1},
+// A new version that can't read the old one's state takes it for half written, and is given nothing while it starts. The fixtures are
+// states that version 860147b published; each is written the same to the byte and read by the process beside it with the same content.
+func TestPublishedStatesStayReadable(t *testing.T) {
+	for name, state := range map[string]processState{
+		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting, Claim: Amount{Clients: 20, Hosts: 21, Memory: 16 << 20}},
+		"serving": {PID: 1, StartedAt: startedAtBase, Phase: Serving, Claim: Amount{Clients: 140, Hosts: 139, Memory: 48 << 20},
+			Usage: Amount{Clients: 9, Hosts: 8, Memory: 7 << 20}, Attempts: 12.625},
+		"leaving": {PID: 2, StartedAt: 1_700_000_000_000_000_000, Phase: Leaving, Claim: Amount{Clients: 1}, Usage: Amount{Clients: 1}, Attempts: 0.1},
 	} {
-		place, path := t.TempDir(), filepath.Join("testdata", "row-"+name+".json")
-		old := joined(t, place)
-		old.own = row
-		if err := old.write(); err != nil {
+		directory, path := t.TempDir(), filepath.Join("testdata", "row-"+name+".json")
+		old := join(t, directory)
+		old.own = state
+		if err := old.publish(); err != nil {
 			t.Fatal(err)
 		}
-		text, err := os.ReadFile(filepath.Join(place, "hollylever.kin.0"))
+		published, err := os.ReadFile(filepath.Join(directory, "hollylever.kin.0"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if *update {
-			if err := os.WriteFile(path, text, 0o600); err != nil {
+			if err := os.WriteFile(path, published, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		stored, err := os.ReadFile(path)
-		if err != nil || !bytes.Equal(stored, text) {
-			t.Errorf("%s: written %q, stored %q, %v", name, text, stored, err)
+		if err != nil || !bytes.Equal(stored, published) {
+			t.Errorf("%s: written %q, stored %q, %v", name, published, stored, err)
 		}
-		if err := os.WriteFile(filepath.Join(place, "hollylever.kin.0"), stored, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, "hollylever.kin.0"), stored, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		young := joined(t, place)
-		young.look()
-		if len(young.others) != 1 || young.others[0] != row {
-			t.Errorf("%s: read as %+v, want %+v", name, young.others, row)
+		successor := join(t, directory)
+		successor.readOthers()
+		if len(successor.others) != 1 || successor.others[0] != state {
+			t.Errorf("%s: read as %+v, want %+v", name, successor.others, state)
 		}
-		young.Leave()
-		old.Leave()
+		successor.Close()
+		old.Close()
 	}
 }
