--- a/server/upgrades_test.go
+++ b/server/upgrades_test.go
@@ -95,7 +95,7 @@
 		if p.Err != nil {
 			t.Errorf("%d: the old process ends with %v", n, p.Err)
 		}
-		for _, line := range p.Log("stood still") {
+		for _, line := range p.Log("stall detected") {
 			stood++
 			t.Log(n, line)
 		}
--- /dev/null
+++ b/watch/detector.go
@@ -0,0 +1,169 @@
+// Package watch detects that the program stalled, and logs why.
+//
+// A Detector is a goroutine that should wake up every 25 ms; how late it does tells how long the whole process did not run. Beside that
+// it takes the decision module's lock as a request would, and reads the marks (timer.go) around accepted connections and writes of the
+// log. Where anything took too long, it reads the counts of the kernel and the runtime (counters.go), diagnoses the cause (diagnose.go,
+// which has no clock and does no I/O) and logs it (report.go).
+//
+// While nothing stalls that costs two wake-ups every 25 ms and some readings of counts every 100 ms, and nothing per request.
+package watch
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+const (
+	// wakeupInterval is how often the Detector wakes up, and how often it takes the lock: a quarter of the default threshold.
+	wakeupInterval = 25 * time.Millisecond
+	// wakeupsPerReading is after how many wake-ups the counters are read: a stall is measured against counts that are 100 ms old at most.
+	wakeupsPerReading = 4
+	// cpuHistoryReadings is how many readings of the CPU time are remembered: those of one second.
+	cpuHistoryReadings = 10
+	// resumeSignalTimeout is how long a late wake-up waits for the SIGCONT that may have ended a stop.
+	resumeSignalTimeout = 5 * time.Millisecond
+	// maxResumeSignals bounds the signals that are queued between two wake-ups.
+	maxResumeSignals = 16
+)
+
+// Watch detects stalls. Run owns all but the marks and the threshold, which any goroutine may use.
+type Watch struct {
+	Accept Mark // around the time for which an accepted connection waits for room
+
+	threshold atomic.Int64 // nanoseconds
+	logWrite  *Mark
+	lockWait  Mark // around taking the decision module's lock
+	lock      sync.Locker
+
+	resumeSignals chan os.Signal
+	proc          procReader
+	previous      counters // as of the last reading
+	current       counters // as of the gap that is diagnosed; kept for its memory
+	cpuHistory    cpuHistory
+	reporter      *reporter
+}
+
+// cpuHistory is the process's CPU time at the last readings, in a ring.
+type cpuHistory struct {
+	readings [cpuHistoryReadings]time.Duration
+	count    int
+}
+
+func (h *cpuHistory) add(cpu time.Duration) {
+	h.readings[h.count%cpuHistoryReadings] = cpu
+	h.count++
+}
+
+// oldest returns the CPU time at the oldest reading; 0, as at the start of the process, until the ring is full.
+func (h *cpuHistory) oldest() time.Duration { return h.readings[h.count%cpuHistoryReadings] }
+
+// New returns a detector of stalls of the process, of the lock, and of what the marks measure: its Accept, and logWrite around writes of
+// the log. It reports to log.
+func New(lock sync.Locker, log zerolog.Logger, logWrite *Mark) *Watch {
+	w := &Watch{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
+	w.Over(Over)
+	return w
+}
+
+// Over sets the least time that counts as a stall.
+func (w *Watch) Over(threshold time.Duration) { w.threshold.Store(int64(threshold)) }
+
+// Run detects stalls until the context ends.
+func (w *Watch) Run(ctx context.Context) {
+	w.resumeSignals = make(chan os.Signal, maxResumeSignals)
+	signal.Notify(w.resumeSignals, syscall.SIGCONT)
+	defer signal.Stop(w.resumeSignals)
+	go w.probeLock(ctx)
+	go w.reporter.run(ctx)
+	w.previous.read(&w.proc)
+	dueAt := time.Now().Add(wakeupInterval)
+	for n := 0; ctx.Err() == nil; n++ {
+		time.Sleep(time.Until(dueAt))
+		now := time.Now()
+		wakeupDelay := now.Sub(dueAt)
+		w.check(wakeupDelay, now)
+		if n%wakeupsPerReading == 0 || wakeupDelay >= time.Duration(w.threshold.Load()) {
+			w.previous.read(&w.proc)
+			w.cpuHistory.add(w.previous.cpu)
+		}
+		dueAt = now.Add(wakeupInterval)
+	}
+}
+
+// probeLock takes the decision module's lock now and then, as a request would, and measures how long it waits.
+func (w *Watch) probeLock(ctx context.Context) {
+	ticker := time.NewTicker(wakeupInterval)
+	defer ticker.Stop()
+	for ; ctx.Err() == nil; <-ticker.C {
+		w.lockWait.Begin()
+		w.lock.Lock()
+		w.lockWait.End()
+		w.lock.Unlock()
+	}
+}
+
+// check diagnoses and reports the gap since the last wake-up, if anything took longer than the threshold.
+func (w *Watch) check(wakeupDelay time.Duration, now time.Time) {
+	threshold := time.Duration(w.threshold.Load())
+	if wakeupDelay < threshold {
+		w.takeResumeSignals(0) // Of a stop that was too short to count.
+	}
+	o := Observation{WakeupDelay: wakeupDelay}
+	var isLockHeldNow bool
+	o.Lock, isLockHeldNow = w.lockWait.takeLongest()
+	o.Accept, _ = w.Accept.takeLongest()
+	o.Log, _ = w.logWrite.takeLongest()
+	if max(o.WakeupDelay, o.Lock, o.Accept, o.Log) < threshold {
+		return
+	}
+	w.current.read(&w.proc)
+	w.observeCounters(&o)
+	if wakeupDelay >= threshold {
+		o.ResumeSignals = w.takeResumeSignals(resumeSignalTimeout)
+	}
+	for _, stall := range Diagnose(o, threshold) {
+		if !w.reporter.isDue(stall.Cause, now) {
+			continue
+		}
+		functions := ""
+		if stall.Cause == CauseLock && isLockHeldNow {
+			functions = runningFunctions()
+		}
+		w.reporter.enqueue(report{Stall: stall, Observation: o, functions: functions,
+			schedulingLatency: w.current.longestSchedulingLatency(&w.previous), gcCycles: w.current.gcCycles(&w.previous),
+			cpuBefore: w.previous.cpu - w.cpuHistory.oldest()}, now)
+	}
+}
+
+// observeCounters adds what the counters tell of the gap.
+func (w *Watch) observeCounters(o *Observation) {
+	o.CPU = w.current.cpu - w.previous.cpu
+	o.RunDelay, o.IsRunDelayKnown = w.current.runDelay-w.previous.runDelay, w.current.isRunDelayKnown
+	o.Steal = w.current.steal - w.previous.steal
+	o.GCPause = w.current.longestGCPause(&w.previous)
+}
+
+// takeResumeSignals returns how many SIGCONTs came since the last call.
+//
+// timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again, and the signal has
+// to come through the runtime first. Without waiting for it a moment, the stop would be reported as a frozen machine.
+func (w *Watch) takeResumeSignals(timeout time.Duration) (count int) {
+	if len(w.resumeSignals) == 0 && timeout > 0 {
+		select {
+		case <-w.resumeSignals:
+			count++
+		case <-time.After(timeout):
+		}
+	}
+	for ; len(w.resumeSignals) > 0; count++ {
+		<-w.resumeSignals
+	}
+	return count
+}
--- /dev/null
+++ b/watch/timer.go
@@ -0,0 +1,54 @@
+package watch
+
+import (
+	"io"
+	"sync/atomic"
+	"time"
+)
+
+// clockStart is the zero of clock, which counts in int64 so that it fits an atomic.
+var clockStart = time.Now()
+
+// clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Mark.
+func clock() int64 { return int64(time.Since(clockStart)) + 1 }
+
+// Mark measures how long a section of the program takes that should be short. One goroutine at a time is meant to be inside; of several
+// the newest is measured. Any goroutine may call its methods, and none waits.
+type Mark struct{ enteredAt, longest atomic.Int64 }
+
+// Begin enters the section.
+func (m *Mark) Begin() { m.enteredAt.Store(clock()) }
+
+// End leaves the section.
+func (m *Mark) End() {
+	if enteredAt := m.enteredAt.Swap(0); enteredAt > 0 {
+		if took := clock() - enteredAt; took > m.longest.Load() {
+			m.longest.Store(took)
+		}
+	}
+}
+
+// takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with its time so far;
+// isInside tells that this is the longest.
+func (m *Mark) takeLongest() (longest time.Duration, isInside bool) {
+	longest = time.Duration(m.longest.Swap(0))
+	if enteredAt := m.enteredAt.Load(); enteredAt > 0 {
+		if elapsed := time.Duration(clock() - enteredAt); elapsed > longest {
+			return elapsed, true
+		}
+	}
+	return longest, false
+}
+
+// Writer measures each write with its Mark.
+type Writer struct {
+	io.Writer
+	*Mark
+}
+
+// Write writes through to the wrapped writer.
+func (w Writer) Write(content []byte) (int, error) {
+	w.Begin()
+	defer w.End()
+	return w.Writer.Write(content)
+}
--- /dev/null
+++ b/watch/usage.go
@@ -0,0 +1,32 @@
+package watch
+
+import (
+	"runtime/metrics"
+	"syscall"
+	"time"
+)
+
+// cpuTime returns the CPU time that the process has used, or before where the kernel does not tell.
+func cpuTime(before time.Duration) time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
+		return before
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// Spent measures what the process uses from call to call. The zero value is ready; it must not be used concurrently.
+type Spent struct {
+	cpu      time.Duration
+	gcCycles uint64
+}
+
+// Since returns the CPU time that the process used, and how often the garbage collector ran, since the last call; at first since the
+// process began.
+func (s *Spent) Since() (cpu time.Duration, gcCycles uint64) {
+	sample := []metrics.Sample{{Name: metricNames[gcCyclesMetric]}}
+	metrics.Read(sample)
+	before := *s
+	s.cpu, s.gcCycles = cpuTime(s.cpu), sample[0].Value.Uint64()
+	return s.cpu - before.cpu, s.gcCycles - before.gcCycles
+}
