--- a/bootclock/clock_test.go
+++ b/monotime/clock_test.go
@@ -1,4 +1,4 @@
-package bootclock
+package monotime
 
 import (
 	"regexp"
@@ -23,7 +23,7 @@
 	if before > int64(100*365*24*time.Hour) {
 		t.Errorf("%d ns since the boot: not nanoseconds?", before)
 	}
-	if id := ID(); !regexp.MustCompile(`^[0-9a-f-]{36}$`).MatchString(id) || id != ID() {
-		t.Errorf("boot ID %q, then %q", id, ID())
+	if id := BootID(); !regexp.MustCompile(`^[0-9a-f-]{36}$`).MatchString(id) || id != BootID() {
+		t.Errorf("boot ID %q, then %q", id, BootID())
 	}
 }
--- a/outage/detector.go
+++ b/outage/detector.go
@@ -72,7 +72,7 @@
 }
 
 // Answered takes a response of any kind, a rejection too, from a server of the zone. It ends the zone's series.
-func (d *Detector) Answered(zoneIndex int, now int64) {
+func (d *Detector) RecordResponse(zoneIndex int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(0)
 	z.failedServers, z.lastResponseAt = z.failedServers[:0], now
@@ -80,7 +80,7 @@
 }
 
 // Failed takes an attempt without a response: no connection came up, or nothing came in time.
-func (d *Detector) Failed(zoneIndex, server int, now int64) {
+func (d *Detector) RecordFailure(zoneIndex, server int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(1)
 	if len(z.failedServers) == 0 {
@@ -102,7 +102,7 @@
 
 // Suspects tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one of these has
 // responded since it began.
-func (d *Detector) Suspects(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
+func (d *Detector) IsSuspected(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
 
 // isLikelyLost works out what Suspects tells, for a position in d.zones.
 func (d *Detector) isLikelyLost(position int) bool {
@@ -128,8 +128,8 @@
 
 // Avoids tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is tried again with a
 // probability that grows with the time since its last failure, and more slowly the more of its servers have failed.
-func (d *Detector) Avoids(zoneIndex int, now int64, draw float64) bool {
-	if !d.Suspects(zoneIndex) {
+func (d *Detector) ShouldAvoid(zoneIndex int, now int64, draw float64) bool {
+	if !d.IsSuspected(zoneIndex) {
 		return false
 	}
 	z := d.zone(zoneIndex)
--- a/outage/detector_test.go
+++ b/outage/detector_test.go
@@ -18,70 +18,70 @@
 		"nothing known": {func(d *Detector) {}, false},
 		"three servers fail in a row while the other zone responds": {func(d *Detector) {
 			for server := range 3 {
-				d.Failed(zone, server, 2*ms)
-				d.Answered(otherZone, 3*ms)
+				d.RecordFailure(zone, server, 2*ms)
+				d.RecordResponse(otherZone, 3*ms)
 			}
 		}, true},
 		"one server fails repeatedly": {func(d *Detector) {
 			for range 20 {
-				d.Failed(zone, 7, 2*ms)
-				d.Answered(otherZone, 3*ms)
+				d.RecordFailure(zone, 7, 2*ms)
+				d.RecordResponse(otherZone, 3*ms)
 			}
 		}, false},
 		"responses of the zone in between": {func(d *Detector) {
 			for server := range 20 {
-				d.Failed(zone, server, 2*ms)
-				d.Answered(otherZone, 3*ms)
+				d.RecordFailure(zone, server, 2*ms)
+				d.RecordResponse(otherZone, 3*ms)
 				if server%2 == 0 {
-					d.Answered(zone, 3*ms)
+					d.RecordResponse(zone, 3*ms)
 				}
 			}
 		}, false},
 		"no zone responds": {func(d *Detector) {
-			d.Answered(otherZone, ms)
+			d.RecordResponse(otherZone, ms)
 			for server := range 20 {
-				d.Failed(zone, server, 2*ms)
-				d.Failed(otherZone, 100+server, 2*ms)
+				d.RecordFailure(zone, server, 2*ms)
+				d.RecordFailure(otherZone, 100+server, 2*ms)
 			}
 		}, false},
 		"the other zone fails as often": {func(d *Detector) {
 			for server := range 60 {
-				d.Failed(otherZone, 100+server, 2*ms)
-				d.Answered(otherZone, 3*ms)
+				d.RecordFailure(otherZone, 100+server, 2*ms)
+				d.RecordResponse(otherZone, 3*ms)
 			}
 			for server := range 3 {
-				d.Failed(zone, server, 4*ms)
+				d.RecordFailure(zone, server, 4*ms)
 			}
-			d.Answered(otherZone, 5*ms)
+			d.RecordResponse(otherZone, 5*ms)
 		}, false},
 		"two failures where the other zone hardly ever fails": {func(d *Detector) {
 			for range 200 {
-				d.Answered(otherZone, ms)
+				d.RecordResponse(otherZone, ms)
 			}
-			d.Failed(zone, 1, 2*ms)
-			d.Failed(zone, 2, 2*ms)
-			d.Answered(otherZone, 3*ms)
+			d.RecordFailure(zone, 1, 2*ms)
+			d.RecordFailure(zone, 2, 2*ms)
+			d.RecordResponse(otherZone, 3*ms)
 		}, true},
 		"two zones are lost at the same time": {func(d *Detector) {
 			for range 30 {
-				d.Answered(2, ms)
+				d.RecordResponse(2, ms)
 			}
 			for server := range 2 {
-				d.Failed(zone, server, 2*ms)
-				d.Failed(3, 100+server, 2*ms)
-				d.Answered(2, 3*ms)
+				d.RecordFailure(zone, server, 2*ms)
+				d.RecordFailure(3, 100+server, 2*ms)
+				d.RecordResponse(2, 3*ms)
 			}
 		}, true},
 		"servers without a zone": {func(d *Detector) {
 			for server := range 20 {
-				d.Failed(-1, server, 2*ms)
+				d.RecordFailure(-1, server, 2*ms)
 			}
 		}, false},
 	} {
 		d := New(3 * second)
 		c.events(d)
-		if d.Suspects(zone) != c.suspects || d.Suspects(otherZone) {
-			t.Errorf("%s: suspected %t, the other zone %t", name, d.Suspects(zone), d.Suspects(otherZone))
+		if d.IsSuspected(zone) != c.suspects || d.IsSuspected(otherZone) {
+			t.Errorf("%s: suspected %t, the other zone %t", name, d.IsSuspected(zone), d.IsSuspected(otherZone))
 		}
 	}
 }
@@ -91,20 +91,20 @@
 func TestSuspectedZoneIsTriedAgain(t *testing.T) {
 	d := New(3 * second)
 	for server := range 5 {
-		d.Failed(0, server, second)
-		d.Answered(1, second+ms)
+		d.RecordFailure(0, server, second)
+		d.RecordResponse(1, second+ms)
 	}
 	for _, c := range []struct {
 		after  int64
 		draw   float64
 		avoids bool
 	}{{0, 0.999, true}, {5 * second, 0.5, true}, {5 * second, 0.8, false}, {150 * second, 0.01, false}} {
-		if d.Avoids(0, second+c.after, c.draw) != c.avoids {
+		if d.ShouldAvoid(0, second+c.after, c.draw) != c.avoids {
 			t.Errorf("%d s after the last failure, draw %g: avoided is %t", c.after/second, c.draw, !c.avoids)
 		}
 	}
-	d.Answered(0, 2*second)
-	if d.Avoids(0, 2*second, 0) {
+	d.RecordResponse(0, 2*second)
+	if d.ShouldAvoid(0, 2*second, 0) {
 		t.Error("avoided though it has responded")
 	}
 }
@@ -119,11 +119,11 @@
 			zone, now := int(random>>33)%3, int64(n)*ms
 			random = random*6364136223846793005 + 1442695040888963407
 			if float64(random>>11)/(1<<53) < rate {
-				d.Failed(zone, n, now)
+				d.RecordFailure(zone, n, now)
 			} else {
-				d.Answered(zone, now)
+				d.RecordResponse(zone, now)
 			}
-			if d.Suspects(zone) {
+			if d.IsSuspected(zone) {
 				alarms++
 			}
 		}
--- a/shares/limiter.go
+++ b/quota/limiter.go
@@ -6,7 +6,7 @@
 // additive increase, multiplicative decrease: all while attempts end in time, fewer while too many end late.
 //
 // The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Gate must not be used concurrently.
-package shares
+package quota
 
 import (
 	"cmp"
@@ -44,7 +44,7 @@
 func (l tenantLoad) quotaShare() float64 { return l.requests / l.quota }
 
 // Gate holds what one balancer knows of its tenants.
-type Gate struct {
+type Limiter struct {
 	tenants          []tenant
 	admittedFraction float64 // of the requests beyond a share
 
@@ -54,8 +54,8 @@
 }
 
 // New returns a Gate for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without one.
-func New(quotas []float64) *Gate {
-	g := &Gate{admittedFraction: 1}
+func New(quotas []float64) *Limiter {
+	g := &Limiter{admittedFraction: 1}
 	for _, quota := range quotas {
 		g.tenants = append(g.tenants, tenant{quota: quota})
 	}
@@ -63,31 +63,31 @@
 }
 
 // SetQuota changes a tenant's quota, in requests a second of the whole fleet; 0 for none.
-func (g *Gate) SetQuota(tenant int, requestsPerSecond float64) {
+func (g *Limiter) SetQuota(tenant int, requestsPerSecond float64) {
 	g.tenants[tenant].quota = requestsPerSecond
 }
 
 // View is what the balancer knows of its traffic when a request comes.
-type View struct {
-	Now      int64   // nanoseconds of the clock by which counts decay
-	Span     float64 // seconds that the decaying counts stand for
-	Part     float64 // this balancer's part of the fleet's traffic by load reports; 0: none tell
-	EvenPart float64 // the part of a balancer that gets as much as each other
+type Traffic struct {
+	Now           int64   // nanoseconds of the clock by which counts decay
+	WindowSeconds float64 // seconds that the decaying counts stand for
+	TrafficShare  float64 // this balancer's part of the fleet's traffic by load reports; 0: none tell
+	EvenShare     float64 // the part of a balancer that gets as much as each other
 }
 
 // Rejects counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share. It takes one random
 // draw from 0 to 1 for a tenant with a quota, and a second one if the first makes the request one beyond the share.
-func (g *Gate) Rejects(tenant int, view View, draw func() float64) bool {
+func (g *Limiter) ShouldReject(tenant int, view Traffic, draw func() float64) bool {
 	if tenant < 0 || g.tenants[tenant].quota <= 0 {
 		return false
 	}
 	t := &g.tenants[tenant]
 	t.requests.Add(view.Now, 1)
-	trafficShare := view.Part
+	trafficShare := view.TrafficShare
 	if trafficShare <= 0 {
 		trafficShare = g.estimateTrafficShare(view)
 	}
-	requests, share := t.requests.Value, t.quota*view.Span*max(trafficShare, view.EvenPart)
+	requests, share := t.requests.Value, t.quota*view.WindowSeconds*max(trafficShare, view.EvenShare)
 	// Guards against thin traffic: a count varies by its square root, and a tenant inside its share would often seem to be beyond it.
 	tolerance := math.Sqrt(share)
 	isBeyondShare := draw()*requests > share+tolerance
@@ -100,7 +100,7 @@
 //
 // The lowest quota share in place of the median would be near zero wherever one small tenant is quiet by chance, and all others would
 // seem to be beyond their shares.
-func (g *Gate) estimateTrafficShare(view View) float64 {
+func (g *Limiter) estimateTrafficShare(view Traffic) float64 {
 	if view.Now < g.estimateValidUntil {
 		return g.trafficShare
 	}
@@ -108,8 +108,8 @@
 	halfOfQuotas := 0.0
 	for i := range g.tenants {
 		if t := &g.tenants[i]; t.quota > 0 {
-			g.loads = append(g.loads, tenantLoad{t.requests.Read(view.Now), t.quota * view.Span})
-			halfOfQuotas += t.quota * view.Span / 2
+			g.loads = append(g.loads, tenantLoad{t.requests.ValueAt(view.Now), t.quota * view.WindowSeconds})
+			halfOfQuotas += t.quota * view.WindowSeconds / 2
 		}
 	}
 	slices.SortFunc(g.loads, func(a, b tenantLoad) int { return cmp.Compare(a.quotaShare(), b.quotaShare()) })
@@ -126,7 +126,7 @@
 
 // Ended takes the decaying counts of attempts that ended in time and late, after each attempt. While too many end late, fewer requests
 // beyond a share are admitted.
-func (g *Gate) Ended(timely, late float64) {
+func (g *Limiter) RecordOutcomes(timely, late float64) {
 	if late > maxLateRatio*(timely+late)+lateSlack {
 		g.admittedFraction = max(minAdmittedFraction, g.admittedFraction*admittedDecrease)
 	} else {
@@ -135,10 +135,10 @@
 }
 
 // Admitted returns the fraction of requests beyond a share that is admitted.
-func (g *Gate) Admitted() float64 { return g.admittedFraction }
+func (g *Limiter) AdmittedFraction() float64 { return g.admittedFraction }
 
 // Asked returns a copy of the decaying counts of the tenants' requests.
-func (g *Gate) Asked() []decay.Sum {
+func (g *Limiter) RequestCounts() []decay.Sum {
 	counts := make([]decay.Sum, len(g.tenants))
 	for i := range g.tenants {
 		counts[i] = g.tenants[i].requests
@@ -147,7 +147,7 @@
 }
 
 // Restore continues where another Gate was: with its Admitted, and its Asked for as many tenants as both have.
-func (g *Gate) Restore(admittedFraction float64, requests []decay.Sum) {
+func (g *Limiter) Restore(admittedFraction float64, requests []decay.Sum) {
 	g.admittedFraction = admittedFraction
 	for i := range min(len(requests), len(g.tenants)) {
 		g.tenants[i].requests = requests[i]
--- a/shares/limiter_test.go
+++ b/quota/limiter_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	"hollylever/decay"
 )
 
-const windowSeconds = float64(decay.Memory) / 1e9
+const windowSeconds = float64(decay.TimeConstant) / 1e9
 
 // rejectedRatios has tenants send requests to the whole fleet for a minute, at these rates a second, while attempts end late. It returns
 // the part of each tenant's requests at one balancer, which gets trafficShare of the fleet's traffic, that was rejected in the last half.
@@ -21,7 +21,7 @@
 			if random.Float64() >= rate*trafficShare/1000 {
 				continue
 			}
-			isRejected := g.Rejects(t, View{Now: now, Span: windowSeconds, EvenPart: evenShare}, random.Float64)
+			isRejected := g.ShouldReject(t, Traffic{Now: now, WindowSeconds: windowSeconds, EvenShare: evenShare}, random.Float64)
 			if now > 30e9 {
 				requests[t]++
 				if isRejected {
@@ -70,15 +70,15 @@
 func TestNothingIsRejectedWhileAttemptsEndInTime(t *testing.T) {
 	g := New([]float64{1})
 	for n := range 1000 {
-		g.Ended(100, 3)
-		if g.Rejects(0, View{Now: int64(n) * 1e6, Span: windowSeconds, Part: 0.1}, func() float64 { return 0.99 }) {
+		g.RecordOutcomes(100, 3)
+		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e6, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 			t.Fatal("rejected though attempts end in time")
 		}
 	}
 	for range 1000 {
-		g.Ended(100, 50)
+		g.RecordOutcomes(100, 50)
 	}
-	if !g.Rejects(0, View{Now: 1e9, Span: windowSeconds, Part: 0.1}, func() float64 { return 0.99 }) {
+	if !g.ShouldReject(0, Traffic{Now: 1e9, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 		t.Fatal("not rejected though attempts end late")
 	}
 }
@@ -89,11 +89,11 @@
 	g := New([]float64{300, 300})
 	g.Restore(0, nil)
 	for n := range 1000 { // The other tenant sends nothing.
-		if g.Rejects(0, View{Now: int64(n) * 1e7, Span: windowSeconds, Part: 0.5, EvenPart: 0.01}, func() float64 { return 0.9 }) {
+		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e7, WindowSeconds: windowSeconds, TrafficShare: 0.5, EvenShare: 0.01}, func() float64 { return 0.9 }) {
 			t.Fatal("rejected though reports tell that half of all traffic comes here")
 		}
 	}
-	if g.Rejects(-1, View{}, nil) {
+	if g.ShouldReject(-1, Traffic{}, nil) {
 		t.Fatal("a request of no tenant rejected")
 	}
 }
--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -21,30 +21,30 @@
 )
 
 // initialNeed returns what a process needs of a resource when it starts.
-func initialNeed(total Amount, r resource) int64 {
+func initialNeed(total Resources, r resource) int64 {
 	if r == memory {
-		return total.Memory / initialMemoryDivisor
+		return total.MemoryBytes / initialMemoryDivisor
 	}
 	return total.of(r) / initialConnectionsDivisor
 }
 
 // drainingNeed returns what a process that drains still needs of a resource.
-func drainingNeed(total, usage Amount, r resource) int64 {
+func drainingNeed(total, usage Resources, r resource) int64 {
 	switch r {
 	case clientConnections:
-		return usage.Clients
+		return usage.ClientConnections
 	case endpointConnections:
-		return usage.Hosts + usage.Clients/clientsPerDrainingConnection + minDrainingConnections
+		return usage.EndpointConnections + usage.ClientConnections/clientsPerDrainingConnection + minDrainingConnections
 	default:
-		return max(usage.Memory, initialNeed(total, memory))
+		return max(usage.MemoryBytes, initialNeed(total, memory))
 	}
 }
 
 // census is what the states of all processes add up to.
 type census struct {
-	serving, starting int64  // processes
-	drainingClaims    Amount // of the processes that drain
-	servingUsage      Amount // of the processes that serve
+	serving, starting int64     // processes
+	drainingClaims    Resources // of the processes that drain
+	servingUsage      Resources // of the processes that serve
 }
 
 func takeCensus(own processState, others []processState) (all census) {
@@ -55,7 +55,7 @@
 			all.servingUsage = all.servingUsage.plus(state.Usage)
 		case Starting:
 			all.starting++
-		case Leaving:
+		case Draining:
 			all.drainingClaims = all.drainingClaims.plus(state.Claim)
 		}
 	}
@@ -68,12 +68,12 @@
 
 // targetClaim returns what a process should come to claim. Processes that serve have what they use and divide evenly what nobody uses:
 // so no client is asked to go for a process that has none yet, and the division follows the clients as they move over.
-func targetClaim(total Amount, own processState, others []processState) Amount {
+func targetClaim(total Resources, own processState, others []processState) Resources {
 	all := takeCensus(own, others)
 	target := forEachResource(func(r resource) int64 {
 		available := max(0, total.of(r)-all.drainingClaims.of(r))
 		switch {
-		case own.Phase == Leaving:
+		case own.Phase == Draining:
 			return drainingNeed(total, own.Usage, r)
 		case own.Phase == Starting && all.serving+all.starting > 1:
 			return min(available, initialNeed(total, r))
@@ -86,15 +86,15 @@
 		}
 		return own.Usage.of(r) + max(0, available-forStarting-all.servingUsage.of(r))/all.serving
 	})
-	if len(others) == 0 && own.Phase != Leaving {
+	if len(others) == 0 && own.Phase != Draining {
 		// Guards against a new process that starts while this one holds all memory: it maps its first part before it can claim it.
-		target.Memory -= initialNeed(total, memory)
+		target.MemoryBytes -= initialNeed(total, memory)
 	}
 	return target
 }
 
 // nextClaim returns what a process claims next. mayRaise: no other process raises a claim at this time.
-func nextClaim(total Amount, own processState, others []processState, mayRaise bool) Amount {
+func nextClaim(total Resources, own processState, others []processState, mayRaise bool) Resources {
 	target := targetClaim(total, own, others)
 	return forEachResource(func(r resource) int64 {
 		claim, wanted := own.Claim.of(r), target.of(r)
@@ -113,7 +113,7 @@
 }
 
 // allowance returns what a process may come to use now: less than it claims while it comes down to its target.
-func allowance(total Amount, own processState, others []processState) Amount {
+func allowance(total Resources, own processState, others []processState) Resources {
 	target := targetClaim(total, own, others)
 	return forEachResource(func(r resource) int64 { return min(own.Claim.of(r), target.of(r)) })
 }
@@ -127,7 +127,7 @@
 	attempts, minShare := own.Attempts, minAttemptShare
 	for _, other := range others {
 		attempts += other.Attempts
-		if own.Phase == Serving && other.Phase == Leaving {
+		if own.Phase == Serving && other.Phase == Draining {
 			minShare = successorAttemptShare
 		}
 	}
@@ -142,7 +142,7 @@
 func isSnapshotWriter(own processState, others []processState) bool {
 	for _, other := range others {
 		isOlder := own.Phase == Serving && other.Phase == Serving && other.StartedAt < own.StartedAt
-		isStaying := own.Phase == Leaving && other.Phase != Leaving
+		isStaying := own.Phase == Draining && other.Phase != Draining
 		if isOlder || isStaying {
 			return false
 		}
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -22,12 +22,12 @@
 func TestGoldenDivision(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
 	randomState := func() processState {
-		amount := func(most Amount) Amount {
+		amount := func(most Resources) Resources {
 			return forEachResource(func(r resource) int64 { return random.Int64N(most.of(r) + 1) })
 		}
-		state := processState{PID: 1, StartedAt: random.Int64N(4), Phase: []Phase{Starting, Serving, Leaving, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
+		state := processState{PID: 1, StartedAt: random.Int64N(4), Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
 		if random.IntN(4) == 0 {
-			state.Claim = Amount{}
+			state.Claim = Resources{}
 		}
 		state.Usage = amount(state.Claim)
 		state.Attempts = []float64{0, random.Float64() * 100, 1e300 * 1e8, math.NaN()}[min(random.IntN(20), 3)]
@@ -46,15 +46,15 @@
 		}
 		for _, mayRaise := range []bool{false, true} {
 			target, claim := targetClaim(limits, own, others), nextClaim(limits, own, others, mayRaise)
-			for _, a := range []Amount{target, claim, allowance(limits, own, others)} {
-				fmt.Fprintln(trace, a.Clients, a.Hosts, a.Memory)
+			for _, a := range []Resources{target, claim, allowance(limits, own, others)} {
+				fmt.Fprintln(trace, a.ClientConnections, a.EndpointConnections, a.MemoryBytes)
 			}
 		}
 		share := attemptShare(own, others)
 		if math.IsNaN(share) {
 			share = -1 // One NaN has many forms.
 		}
-		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(Amount{Clients: 100, Hosts: 100, Memory: 50 << 20}))
+		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 50 << 20}))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "division.golden")
 	if *update {
@@ -72,10 +72,10 @@
 // states that version 860147b published; each is written the same to the byte and read by the process beside it with the same content.
 func TestPublishedStatesStayReadable(t *testing.T) {
 	for name, state := range map[string]processState{
-		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting, Claim: Amount{Clients: 20, Hosts: 21, Memory: 16 << 20}},
-		"serving": {PID: 1, StartedAt: startedAtBase, Phase: Serving, Claim: Amount{Clients: 140, Hosts: 139, Memory: 48 << 20},
-			Usage: Amount{Clients: 9, Hosts: 8, Memory: 7 << 20}, Attempts: 12.625},
-		"leaving": {PID: 2, StartedAt: 1_700_000_000_000_000_000, Phase: Leaving, Claim: Amount{Clients: 1}, Usage: Amount{Clients: 1}, Attempts: 0.1},
+		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting, Claim: Resources{ClientConnections: 20, EndpointConnections: 21, MemoryBytes: 16 << 20}},
+		"serving": {PID: 1, StartedAt: startedAtBase, Phase: Serving, Claim: Resources{ClientConnections: 140, EndpointConnections: 139, MemoryBytes: 48 << 20},
+			Usage: Resources{ClientConnections: 9, EndpointConnections: 8, MemoryBytes: 7 << 20}, Attempts: 12.625},
+		"leaving": {PID: 2, StartedAt: 1_700_000_000_000_000_000, Phase: Draining, Claim: Resources{ClientConnections: 1}, Usage: Resources{ClientConnections: 1}, Attempts: 0.1},
 	} {
 		directory, path := t.TempDir(), filepath.Join("testdata", "row-"+name+".json")
 		old := join(t, directory)
--- a/siblings/group.go
+++ b/siblings/group.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 )
 
 const (
@@ -32,7 +32,7 @@
 // Each process has a slot: a file that it holds locked while it runs, and writes its state to. The kernel releases the lock however the
 // process ends, which frees its claim.
 type Group struct {
-	total     Amount // what all processes may use together
+	total     Resources // what all processes may use together
 	directory string
 	slot      int
 	stateFile *os.File // of the slot, under an exclusive flock
@@ -47,13 +47,13 @@
 
 // Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns ErrTooMany if no
 // slot is free. If only publishing the state fails it returns the group with the error: Tick publishes again.
-func Join(directory string, total Amount) (*Group, error) {
+func Join(directory string, total Resources) (*Group, error) {
 	raiseLock, err := openFile(filepath.Join(directory, raiseLockFile), os.O_CREATE)
 	if err != nil {
 		return nil, fmt.Errorf("join processes of this balancer: %w", err)
 	}
 	g := &Group{total: total, directory: directory, raiseLock: raiseLock,
-		own: processState{PID: os.Getpid(), StartedAt: startedAtBase + bootclock.Now(), Phase: Starting}}
+		own: processState{PID: os.Getpid(), StartedAt: startedAtBase + monotime.Now(), Phase: Starting}}
 	for slot := range maxProcesses {
 		stateFile, err := openFile(g.statePath(slot), os.O_CREATE)
 		if err != nil {
@@ -129,7 +129,7 @@
 // Tick publishes what this process uses and how many attempts it has handed over since its start, and adjusts its claim. It returns what
 // the process may use from now on, its part of the attempts to cold servers, and how many other processes run. After an error these are
 // right, but the others have not been told.
-func (g *Group) Tick(usage Amount, attempts int) (allowed Amount, share float64, others int, err error) {
+func (g *Group) Update(usage Resources, attempts int) (allowed Resources, share float64, others int, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.own.Usage = usage
@@ -162,14 +162,14 @@
 }
 
 // Now sets the phase of this process; the others see it after the next Tick.
-func (g *Group) Now(phase Phase) {
+func (g *Group) SetPhase(phase Phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.own.Phase = phase
 }
 
 // Writes tells whether this process is the one that writes the snapshot of what was learned, as of the last Tick.
-func (g *Group) Writes() bool {
+func (g *Group) IsSnapshotWriter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return isSnapshotWriter(g.own, g.others)
--- a/siblings/group_test.go
+++ b/siblings/group_test.go
@@ -9,7 +9,7 @@
 )
 
 // limits are what all processes of a test may use together.
-var limits = Amount{Clients: 160, Hosts: 160, Memory: 64 << 20}
+var limits = Resources{ClientConnections: 160, EndpointConnections: 160, MemoryBytes: 64 << 20}
 
 // join takes a slot in a directory.
 func join(t *testing.T, directory string) *Group {
@@ -22,12 +22,12 @@
 }
 
 // settle has all processes tick some times, one after the other, and returns what each may use in the end.
-func settle(t *testing.T, processes ...*Group) (allowed []Amount) {
+func settle(t *testing.T, processes ...*Group) (allowed []Resources) {
 	t.Helper()
 	for range 6 {
 		allowed = nil
 		for _, g := range processes {
-			amount, _, _, err := g.Tick(g.own.Usage, 0)
+			amount, _, _, err := g.Update(g.own.Usage, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -40,21 +40,21 @@
 // An upgrade goes in any way that upgrades go: a process is killed, never gets ready, or crashes after it did. A claim that stayed behind
 // would leave the balancer with a part of its connections and memory for good: in the end the one process that is left has all.
 func TestLastProcessHasAllResources(t *testing.T) {
-	everything := Amount{limits.Clients, limits.Hosts, limits.Memory - limits.Memory/4}
+	everything := Resources{limits.ClientConnections, limits.EndpointConnections, limits.MemoryBytes - limits.MemoryBytes/4}
 	for name, upgrade := range map[string]func(directory string, old *Group) *Group{
 		"an upgrade": func(directory string, old *Group) *Group {
 			successor := join(t, directory)
-			old.own.Usage = Amount{Clients: 100, Hosts: 40, Memory: 9 << 20}
-			if a := settle(t, old, successor); a[1].Clients != 20 || a[0].Clients != 140 {
+			old.own.Usage = Resources{ClientConnections: 100, EndpointConnections: 40, MemoryBytes: 9 << 20}
+			if a := settle(t, old, successor); a[1].ClientConnections != 20 || a[0].ClientConnections != 140 {
 				t.Errorf("a process that starts may have %+v beside %+v", a[1], a[0])
 			}
-			successor.Now(Serving)
-			if a := settle(t, old, successor); a[0].Clients != 130 || a[1].Clients != 30 { // No client has to go.
+			successor.SetPhase(Serving)
+			if a := settle(t, old, successor); a[0].ClientConnections != 130 || a[1].ClientConnections != 30 { // No client has to go.
 				t.Errorf("both serve: %+v, %+v", a[0], a[1])
 			}
-			old.own.Usage = Amount{Clients: 30, Hosts: 10, Memory: 9 << 20}
-			old.Now(Leaving)
-			if a := settle(t, old, successor); a[0].Clients != 30 || a[0].Hosts != 25 || a[1].Clients != 130 || a[1].Hosts != 135 {
+			old.own.Usage = Resources{ClientConnections: 30, EndpointConnections: 10, MemoryBytes: 9 << 20}
+			old.SetPhase(Draining)
+			if a := settle(t, old, successor); a[0].ClientConnections != 30 || a[0].EndpointConnections != 25 || a[1].ClientConnections != 130 || a[1].EndpointConnections != 135 {
 				t.Errorf("one drains: %+v, %+v", a[0], a[1])
 			}
 			old.Close()
@@ -64,7 +64,7 @@
 			successor := join(t, directory)
 			settle(t, old, successor)
 			old.Close()
-			successor.Now(Serving)
+			successor.SetPhase(Serving)
 			return successor
 		},
 		"a new process that never gets ready": func(directory string, old *Group) *Group {
@@ -76,16 +76,16 @@
 		"a new process that crashes once it serves and is started again": func(directory string, old *Group) *Group {
 			successor := join(t, directory)
 			settle(t, old, successor)
-			successor.Now(Serving)
+			successor.SetPhase(Serving)
 			settle(t, old, successor)
-			old.own.Usage = Amount{Clients: 50, Hosts: 20, Memory: 9 << 20}
-			old.Now(Leaving)
+			old.own.Usage = Resources{ClientConnections: 50, EndpointConnections: 20, MemoryBytes: 9 << 20}
+			old.SetPhase(Draining)
 			settle(t, old, successor)
 			successor.Close()
 			restarted := join(t, directory)
 			settle(t, old, restarted)
-			restarted.Now(Serving)
-			if a := settle(t, old, restarted); a[1].Clients != 110 {
+			restarted.SetPhase(Serving)
+			if a := settle(t, old, restarted); a[1].ClientConnections != 110 {
 				t.Errorf("beside one that drains: %+v", a[1])
 			}
 			old.Close()
@@ -94,15 +94,15 @@
 		"two upgrades in a row": func(directory string, old *Group) *Group {
 			successor := join(t, directory)
 			settle(t, old, successor)
-			successor.Now(Serving)
-			old.Now(Leaving)
-			old.own.Usage = Amount{Clients: 100, Hosts: 100, Memory: 20 << 20}
+			successor.SetPhase(Serving)
+			old.SetPhase(Draining)
+			old.own.Usage = Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 20 << 20}
 			settle(t, old, successor)
 			third := join(t, directory)
 			settle(t, old, successor, third)
-			third.Now(Serving)
-			successor.Now(Leaving)
-			successor.own.Usage = Amount{Clients: 10, Hosts: 10, Memory: 9 << 20}
+			third.SetPhase(Serving)
+			successor.SetPhase(Draining)
+			successor.own.Usage = Resources{ClientConnections: 10, EndpointConnections: 10, MemoryBytes: 9 << 20}
 			settle(t, old, successor, third)
 			successor.Close()
 			settle(t, old, third)
@@ -113,7 +113,7 @@
 		directory := t.TempDir()
 		old := join(t, directory)
 		settle(t, old)
-		old.Now(Serving)
+		old.SetPhase(Serving)
 		if a := settle(t, old); a[0] != everything {
 			t.Errorf("%s: alone it may have %+v", name, a[0])
 		}
@@ -141,7 +141,7 @@
 				running[i].Close()
 				running = append(running[:i], running[i+1:]...)
 			case n == 2 && len(running) > 0:
-				running[random.IntN(len(running))].Now([]Phase{Serving, Leaving}[random.IntN(2)])
+				running[random.IntN(len(running))].SetPhase([]Phase{Serving, Draining}[random.IntN(2)])
 			case n == 3:
 				os.WriteFile(fmt.Sprintf("%s/hollylever.kin.%d", directory, random.IntN(maxProcesses)), []byte(`{"pid":`), 0o600) // Half written.
 			case len(running) > 0:
@@ -149,18 +149,18 @@
 				allowed := allowance(g.total, g.own, g.others)
 				usage := forEachResource(func(r resource) int64 {
 					used := g.own.Usage.of(r)
-					if most := allowed.of(r); g.own.Phase != Leaving && most > used {
+					if most := allowed.of(r); g.own.Phase != Draining && most > used {
 						return used + random.Int64N(most-used+1)
 					} else if random.IntN(2) == 0 {
 						return used - random.Int64N(used+1)
 					}
 					return used
 				})
-				if _, _, _, err := g.Tick(usage, 0); err != nil {
+				if _, _, _, err := g.Update(usage, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
-			var claims Amount
+			var claims Resources
 			for _, g := range running {
 				claims = claims.plus(g.own.Claim)
 				for _, r := range resources {
@@ -169,7 +169,7 @@
 					}
 				}
 			}
-			if claims.Clients > limits.Clients || claims.Hosts > limits.Hosts || claims.Memory > limits.Memory {
+			if claims.ClientConnections > limits.ClientConnections || claims.EndpointConnections > limits.EndpointConnections || claims.MemoryBytes > limits.MemoryBytes {
 				t.Fatalf("seed %d, step %d: %+v is claimed of %+v", seed, step, claims, limits)
 			}
 		}
@@ -211,7 +211,7 @@
 		t.Error("a process that is alone has not all")
 	}
 	draining := old
-	draining.Phase = Leaving
+	draining.Phase = Draining
 	if p := attemptShare(processState{Phase: Serving}, []processState{draining}); p != successorAttemptShare {
 		t.Errorf("a process that takes over has %v", p)
 	}
--- a/siblings/state.go
+++ b/siblings/state.go
@@ -13,14 +13,14 @@
 const (
 	Starting Phase = "starting" // accepts no clients yet
 	Serving  Phase = "serving"
-	Leaving  Phase = "leaving" // accepts no new clients, and ends
+	Draining Phase = "leaving" // accepts no new clients, and ends
 )
 
 // Amount is an amount of each limited resource.
-type Amount struct {
-	Clients int64 `json:"clients"` // connections to clients
-	Hosts   int64 `json:"hosts"`   // connections to cache hosts
-	Memory  int64 `json:"memory"`  // bytes
+type Resources struct {
+	ClientConnections   int64 `json:"clients"` // connections to clients
+	EndpointConnections int64 `json:"hosts"`   // connections to cache hosts
+	MemoryBytes         int64 `json:"memory"`  // bytes
 }
 
 // resource names one field of an Amount; each resource is divided by itself.
@@ -35,35 +35,35 @@
 var resources = [...]resource{clientConnections, endpointConnections, memory}
 
 // of returns the amount of one resource.
-func (a Amount) of(r resource) int64 {
+func (a Resources) of(r resource) int64 {
 	switch r {
 	case clientConnections:
-		return a.Clients
+		return a.ClientConnections
 	case endpointConnections:
-		return a.Hosts
+		return a.EndpointConnections
 	default:
-		return a.Memory
+		return a.MemoryBytes
 	}
 }
 
 // plus returns the sum of two amounts.
-func (a Amount) plus(b Amount) Amount {
+func (a Resources) plus(b Resources) Resources {
 	return forEachResource(func(r resource) int64 { return a.of(r) + b.of(r) })
 }
 
 // forEachResource returns the Amount that compute gives resource by resource.
-func forEachResource(compute func(r resource) int64) Amount {
-	return Amount{Clients: compute(clientConnections), Hosts: compute(endpointConnections), Memory: compute(memory)}
+func forEachResource(compute func(r resource) int64) Resources {
+	return Resources{ClientConnections: compute(clientConnections), EndpointConnections: compute(endpointConnections), MemoryBytes: compute(memory)}
 }
 
 // processState is what a process publishes of itself. The keys are read by processes of other versions.
 type processState struct {
-	PID       int     `json:"pid"`
-	StartedAt int64   `json:"since"` // by the machine's clock, nanoseconds over startedAtBase; older versions give Unix nanoseconds
-	Phase     Phase   `json:"phase"` // "" where a state can't be read
-	Claim     Amount  `json:"claim"` // what it may use, and others may not
-	Usage     Amount  `json:"use"`
-	Attempts  float64 `json:"trips"` // attempts handed over, decaying over attemptDecay
+	PID       int       `json:"pid"`
+	StartedAt int64     `json:"since"` // by the machine's clock, nanoseconds over startedAtBase; older versions give Unix nanoseconds
+	Phase     Phase     `json:"phase"` // "" where a state can't be read
+	Claim     Resources `json:"claim"` // what it may use, and others may not
+	Usage     Resources `json:"use"`
+	Attempts  float64   `json:"trips"` // attempts handed over, decaying over attemptDecay
 }
 
 // startedAtBase is added to the machine's clock, so that a process counts as younger than one of a version that publishes Unix time.
@@ -88,7 +88,7 @@
 //   - Nothing yet: the process has just come and claims nothing.
 //   - Half written, or not what a process publishes: its claim can't be told, so it counts as claiming everything. Nothing is raised
 //     beside it until it publishes again, and no aim changes, as its phase is unknown.
-func decodeState(content []byte, total Amount) processState {
+func decodeState(content []byte, total Resources) processState {
 	if len(content) == 0 {
 		return processState{Phase: Starting}
 	}
@@ -100,11 +100,11 @@
 }
 
 // isValid tells whether a process can have published the state: its claim is within the limits, its phase is one of ours.
-func (s *processState) isValid(total Amount) bool {
+func (s *processState) isValid(total Resources) bool {
 	for _, r := range resources {
 		if claim := s.Claim.of(r); claim < 0 || claim > total.of(r) {
 			return false
 		}
 	}
-	return (s.Phase == Starting || s.Phase == Serving || s.Phase == Leaving) && s.Attempts >= 0
+	return (s.Phase == Starting || s.Phase == Serving || s.Phase == Draining) && s.Attempts >= 0
 }
--- a/learnt/file.go
+++ b/snapshot/file.go
@@ -1,4 +1,4 @@
-package learnt
+package snapshot
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 )
 
 // ErrTaken says that another process is writing the file just now. Nothing is wrong: that process's snapshot is as good.
-var ErrTaken = errors.New("another process is writing the snapshot")
+var ErrLocked = errors.New("another process is writing the snapshot")
 
 // Errors of files that others put in the directory, which may be writable for all.
 var (
@@ -72,7 +72,7 @@
 		return fmt.Errorf("new snapshot %s: %w", file.Name(), err)
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return ErrTaken
+		return ErrLocked
 	}
 	// Guards against a writer that renamed the file between the open and the lock: what is open here would be the snapshot itself, and
 	// truncating it would leave none.
@@ -81,7 +81,7 @@
 		return fmt.Errorf("new snapshot: %w", err)
 	}
 	if named, err := os.Lstat(file.Name()); err != nil || !os.SameFile(opened, named) {
-		return ErrTaken
+		return ErrLocked
 	}
 	return nil
 }
@@ -117,11 +117,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("read snapshot %s: %w", f.Path, err)
 	}
-	s.Ago = s.age(now)
+	s.Age = s.age(now)
 	if err := s.checkApplies(name, settings, maxAge); err != nil {
 		return nil, fmt.Errorf("read snapshot %s: %w", f.Path, err)
 	}
-	s.Ago = max(0, s.Ago)
+	s.Age = max(0, s.Age)
 	return s, nil
 }
 
--- a/learnt/file_test.go
+++ b/snapshot/file_test.go
@@ -1,4 +1,4 @@
-package learnt
+package snapshot
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 	"hollylever/policy"
 )
 
@@ -23,12 +23,12 @@
 
 // sample returns a snapshot of two servers and a number of keys.
 func sample(keys int) *Snapshot {
-	s := &Snapshot{Name: "n1", Settings: 7, At: now.UnixNano(), Discovery: "127.0.0.1:1", Index: 9, List: []byte(`{}`)}
-	s.State = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
+	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(), DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
+	s.BalancerState = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
 		Servers: []policy.ServerState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
 		Kinds:   []policy.KindState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
 	for n := range keys {
-		s.State.Keys, s.State.Places = append(s.State.Keys, uint64(n)+1), append(s.State.Places, uint32(n%2))
+		s.BalancerState.Keys, s.BalancerState.Places = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.Places, uint32(n%2))
 	}
 	return s
 }
@@ -87,17 +87,17 @@
 		spoil func(s *Snapshot)
 		want  error
 	}{
-		"a place beyond the hosts":      {func(s *Snapshot) { s.State.Places[3] = 2 }, ErrInvalid},
-		"fewer places than keys":        {func(s *Snapshot) { s.State.Places = s.State.Places[:4] }, ErrInvalid},
-		"a sum below zero":              {func(s *Snapshot) { s.State.Servers[1].Busy.Value = -1 }, ErrInvalid},
-		"an age below zero":             {func(s *Snapshot) { s.State.Reads.Age = -1 }, ErrInvalid},
-		"a pace of zero":                {func(s *Snapshot) { s.State.Pace = 0 }, ErrInvalid},
-		"a start after the end":         {func(s *Snapshot) { s.State.Began = s.State.Now + 1 }, ErrInvalid},
-		"more credit than there can be": {func(s *Snapshot) { s.State.Credit = 1e9 }, ErrInvalid},
-		"of another balancer":           {func(s *Snapshot) { s.Name = "n2" }, ErrNotApplicable},
-		"of other settings":             {func(s *Snapshot) { s.Settings = 8 }, ErrNotApplicable},
-		"too old":                       {func(s *Snapshot) { s.At -= int64(maxAge) + 1 }, ErrNotApplicable},
-		"from far in the future":        {func(s *Snapshot) { s.At += int64(maxAge) + 1 }, ErrNotApplicable},
+		"a place beyond the hosts":      {func(s *Snapshot) { s.BalancerState.Places[3] = 2 }, ErrInvalid},
+		"fewer places than keys":        {func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] }, ErrInvalid},
+		"a sum below zero":              {func(s *Snapshot) { s.BalancerState.Servers[1].Busy.Value = -1 }, ErrInvalid},
+		"an age below zero":             {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
+		"a pace of zero":                {func(s *Snapshot) { s.BalancerState.Pace = 0 }, ErrInvalid},
+		"a start after the end":         {func(s *Snapshot) { s.BalancerState.Began = s.BalancerState.Now + 1 }, ErrInvalid},
+		"more credit than there can be": {func(s *Snapshot) { s.BalancerState.Credit = 1e9 }, ErrInvalid},
+		"of another balancer":           {func(s *Snapshot) { s.BalancerName = "n2" }, ErrNotApplicable},
+		"of other settings":             {func(s *Snapshot) { s.SettingsFingerprint = 8 }, ErrNotApplicable},
+		"too old":                       {func(s *Snapshot) { s.WrittenAt -= int64(maxAge) + 1 }, ErrNotApplicable},
+		"from far in the future":        {func(s *Snapshot) { s.WrittenAt += int64(maxAge) + 1 }, ErrNotApplicable},
 	} {
 		s := sample(5)
 		c.spoil(s)
@@ -117,17 +117,17 @@
 // taken for older than it is: under the same boot the machine's own clock tells the age, and a small step back counts as none.
 func TestSteppedClockDoesNotAgeASnapshot(t *testing.T) {
 	s := sample(0)
-	s.At += int64(maxAge) / 2 // The clock went back by less than the bound.
+	s.WrittenAt += int64(maxAge) / 2 // The clock went back by less than the bound.
 	f, _ := writeSnapshot(t, s)
-	if got, err := f.Read("n1", 7, now, maxAge); err != nil || got.Ago != 0 {
+	if got, err := f.Read("n1", 7, now, maxAge); err != nil || got.Age != 0 {
 		t.Errorf("a small step back: %+v, %v", got, err)
 	}
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		s := sample(0)
-		s.At += int64(step)
-		s.Boot, s.BootAt = bootclock.ID(), bootclock.Now()-int64(time.Second)
+		s.WrittenAt += int64(step)
+		s.BootID, s.SinceBoot = monotime.BootID(), monotime.Now()-int64(time.Second)
 		f, _ := writeSnapshot(t, s)
-		if got, err := f.Read("n1", 7, now, maxAge); err != nil || got.Ago < time.Second || got.Ago > time.Minute {
+		if got, err := f.Read("n1", 7, now, maxAge); err != nil || got.Age < time.Second || got.Age > time.Minute {
 			t.Errorf("a step of %v: %+v, %v", step, got, err)
 		}
 	}
@@ -142,7 +142,7 @@
 		content := binary.LittleEndian.AppendUint32([]byte(fileMagic), formatVersion)
 		content = binary.LittleEndian.AppendUint32(content, uint32(len(body)))
 		content = binary.LittleEndian.AppendUint32(content, crc32.Checksum(body, castagnoli))
-		if s, err := decode(append(content, body...)); err == nil && s.State.Check() != nil {
+		if s, err := decode(append(content, body...)); err == nil && s.BalancerState.Check() != nil {
 			t.Error("a snapshot that makes no sense is returned")
 		}
 	})
@@ -213,7 +213,7 @@
 		time.Sleep(time.Duration(n) * 313 * time.Microsecond) // Anywhere amid a write.
 		cmd.Process.Kill()
 		cmd.Wait()
-		if s, err := f.Read("n1", 7, now, maxAge); err != nil || len(s.State.Keys) != 4000 {
+		if s, err := f.Read("n1", 7, now, maxAge); err != nil || len(s.BalancerState.Keys) != 4000 {
 			t.Fatalf("%d: what a killed process leaves: %v", n, err)
 		}
 		if _, err := f.Write(sample(1)); err != nil {
@@ -232,7 +232,7 @@
 	}
 	defer file.Close()
 	syscall.Flock(int(file.Fd()), syscall.LOCK_EX)
-	if _, err := f.Write(sample(2)); !errors.Is(err, ErrTaken) {
+	if _, err := f.Write(sample(2)); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second writer: %v", err)
 	}
 }
@@ -240,15 +240,15 @@
 // 5,000 cache hosts, and as many keys as the decision module remembers.
 func BenchmarkWrite(b *testing.B) {
 	s := sample(8191)
-	s.State.Servers = make([]policy.ServerState, 5000)
-	for n := range s.State.Servers {
-		h := &s.State.Servers[n]
+	s.BalancerState.Servers = make([]policy.ServerState, 5000)
+	for n := range s.BalancerState.Servers {
+		h := &s.BalancerState.Servers[n]
 		*h = policy.ServerState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
 		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
 	}
-	s.List = []byte(strings.Repeat("x", 5000*140))
+	s.EndpointList = []byte(strings.Repeat("x", 5000*140))
 	f := &File{Path: filepath.Join(b.TempDir(), "learnt")}
 	size := 0
 	for b.Loop() {
--- a/learnt/format.go
+++ b/snapshot/format.go
@@ -1,4 +1,4 @@
-package learnt
+package snapshot
 
 import (
 	"encoding/binary"
@@ -79,7 +79,7 @@
 	}
 	// Guards against a body that is intact and makes no sense, written by a defect: no index or number of it may lead the decision
 	// module out of bounds.
-	if err := s.State.Check(); err != nil {
+	if err := s.BalancerState.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return s, nil
--- a/learnt/snapshot.go
+++ b/snapshot/snapshot.go
@@ -6,14 +6,14 @@
 // refused with an error, and the process starts as if there were no file.
 //
 // The file is a header of fixed size, then the snapshot in CBOR (format.go).
-package learnt
+package snapshot
 
 import (
 	"errors"
 	"fmt"
 	"time"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 	"hollylever/policy"
 )
 
@@ -28,38 +28,38 @@
 // Snapshot is what one process leaves for the next. Its keys in the file are pinned by the tags: a file that is there at an upgrade
 // was written by the version before.
 type Snapshot struct {
-	Name      string       `cbor:"Name"`      // the balancer's name
-	Settings  uint64       `cbor:"Settings"`  // fingerprint of the operators' settings: State's indices of workloads, tenants and kinds depend on them
-	At        int64        `cbor:"At"`        // wall clock when it was taken, Unix nanoseconds
-	Boot      string       `cbor:"Boot"`      // the machine's boot ID when it was taken; "" if unknown
-	BootAt    int64        `cbor:"BootAt"`    // time since that boot, nanoseconds
-	Discovery string       `cbor:"Discovery"` // address of the discovery server that counted Index
-	Index     uint64       `cbor:"Index"`     // revision of the endpoint list
-	List      []byte       `cbor:"List"`      // the endpoint list, in discovery's JSON
-	State     policy.State `cbor:"State"`     // what the decision module has learned
+	BalancerName        string       `cbor:"Name"`      // the balancer's name
+	SettingsFingerprint uint64       `cbor:"Settings"`  // fingerprint of the operators' settings: State's indices of workloads, tenants and kinds depend on them
+	WrittenAt           int64        `cbor:"At"`        // wall clock when it was taken, Unix nanoseconds
+	BootID              string       `cbor:"Boot"`      // the machine's boot ID when it was taken; "" if unknown
+	SinceBoot           int64        `cbor:"BootAt"`    // time since that boot, nanoseconds
+	DiscoveryServer     string       `cbor:"Discovery"` // address of the discovery server that counted Index
+	ListIndex           uint64       `cbor:"Index"`     // revision of the endpoint list
+	EndpointList        []byte       `cbor:"List"`      // the endpoint list, in discovery's JSON
+	BalancerState       policy.State `cbor:"State"`     // what the decision module has learned
 
-	Ago time.Duration `cbor:"-"` // age when it was read; Read sets it, Write ignores it
+	Age time.Duration `cbor:"-"` // age when it was read; Read sets it, Write ignores it
 }
 
 // age returns how old the snapshot is. Guards against a wall clock that was stepped between the two processes: under the same boot of
 // the machine the clock since the boot tells the age, which nobody steps. It may be negative where only the wall clock can tell.
 func (s *Snapshot) age(now time.Time) time.Duration {
-	if s.Boot != "" && s.Boot == bootclock.ID() {
-		return time.Duration(bootclock.Now() - s.BootAt)
+	if s.BootID != "" && s.BootID == monotime.BootID() {
+		return time.Duration(monotime.Now() - s.SinceBoot)
 	}
-	return time.Duration(now.UnixNano() - s.At)
+	return time.Duration(now.UnixNano() - s.WrittenAt)
 }
 
 // checkApplies returns ErrNotApplicable if the snapshot is not for this balancer, these settings and this time. An age under zero
 // counts as zero down to -maxAge; a wall clock that went back further leaves nothing to tell the age by.
 func (s *Snapshot) checkApplies(name string, settings uint64, maxAge time.Duration) error {
 	switch {
-	case s.Name != name:
-		return fmt.Errorf("%w: of another balancer, %q", ErrNotApplicable, s.Name)
-	case s.Settings != settings:
+	case s.BalancerName != name:
+		return fmt.Errorf("%w: of another balancer, %q", ErrNotApplicable, s.BalancerName)
+	case s.SettingsFingerprint != settings:
 		return fmt.Errorf("%w: of other settings", ErrNotApplicable)
-	case s.Ago > maxAge || s.Ago < -maxAge:
-		return fmt.Errorf("%w: written %v ago", ErrNotApplicable, s.Ago.Round(time.Millisecond))
+	case s.Age > maxAge || s.Age < -maxAge:
+		return fmt.Errorf("%w: written %v ago", ErrNotApplicable, s.Age.Round(time.Millisecond))
 	}
 	return nil
 }
--- a/watch/detector.go
+++ b/stallwatch/detector.go
@@ -6,7 +6,7 @@
 // which has no clock and does no I/O) and logs it (report.go).
 //
 // While nothing stalls that costs two wake-ups every 25 ms and some readings of counts every 100 ms, and nothing per request.
-package watch
+package stallwatch
 
 import (
 	"context"
@@ -34,12 +34,12 @@
 )
 
 // Watch detects stalls. Run owns all but the marks and the threshold, which any goroutine may use.
-type Watch struct {
-	Accept Mark // around the time for which an accepted connection waits for room
+type Detector struct {
+	Accept Timer // around the time for which an accepted connection waits for room
 
 	threshold atomic.Int64 // nanoseconds
-	logWrite  *Mark
-	lockWait  Mark // around taking the decision module's lock
+	logWrite  *Timer
+	lockWait  Timer // around taking the decision module's lock
 	lock      sync.Locker
 
 	resumeSignals chan os.Signal
@@ -66,17 +66,17 @@
 
 // New returns a detector of stalls of the process, of the lock, and of what the marks measure: its Accept, and logWrite around writes of
 // the log. It reports to log.
-func New(lock sync.Locker, log zerolog.Logger, logWrite *Mark) *Watch {
-	w := &Watch{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
-	w.Over(Over)
+func New(lock sync.Locker, log zerolog.Logger, logWrite *Timer) *Detector {
+	w := &Detector{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
+	w.SetThreshold(Over)
 	return w
 }
 
 // Over sets the least time that counts as a stall.
-func (w *Watch) Over(threshold time.Duration) { w.threshold.Store(int64(threshold)) }
+func (w *Detector) SetThreshold(threshold time.Duration) { w.threshold.Store(int64(threshold)) }
 
 // Run detects stalls until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Detector) Run(ctx context.Context) {
 	w.resumeSignals = make(chan os.Signal, maxResumeSignals)
 	signal.Notify(w.resumeSignals, syscall.SIGCONT)
 	defer signal.Stop(w.resumeSignals)
@@ -98,7 +98,7 @@
 }
 
 // probeLock takes the decision module's lock now and then, as a request would, and measures how long it waits.
-func (w *Watch) probeLock(ctx context.Context) {
+func (w *Detector) probeLock(ctx context.Context) {
 	ticker := time.NewTicker(wakeupInterval)
 	defer ticker.Stop()
 	for ; ctx.Err() == nil; <-ticker.C {
@@ -110,7 +110,7 @@
 }
 
 // check diagnoses and reports the gap since the last wake-up, if anything took longer than the threshold.
-func (w *Watch) check(wakeupDelay time.Duration, now time.Time) {
+func (w *Detector) check(wakeupDelay time.Duration, now time.Time) {
 	threshold := time.Duration(w.threshold.Load())
 	if wakeupDelay < threshold {
 		w.takeResumeSignals(0) // Of a stop that was too short to count.
@@ -143,7 +143,7 @@
 }
 
 // observeCounters adds what the counters tell of the gap.
-func (w *Watch) observeCounters(o *Observation) {
+func (w *Detector) observeCounters(o *Observation) {
 	o.CPU = w.current.cpu - w.previous.cpu
 	o.RunDelay, o.IsRunDelayKnown = w.current.runDelay-w.previous.runDelay, w.current.isRunDelayKnown
 	o.Steal = w.current.steal - w.previous.steal
@@ -154,7 +154,7 @@
 //
 // timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again, and the signal has
 // to come through the runtime first. Without waiting for it a moment, the stop would be reported as a frozen machine.
-func (w *Watch) takeResumeSignals(timeout time.Duration) (count int) {
+func (w *Detector) takeResumeSignals(timeout time.Duration) (count int) {
 	if len(w.resumeSignals) == 0 && timeout > 0 {
 		select {
 		case <-w.resumeSignals:
--- a/watch/detector_test.go
+++ b/stallwatch/detector_test.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"bytes"
@@ -96,8 +96,8 @@
 // has to be logged with its cause; the last one once the log is read again.
 func TestStallsOfPartsAreLogged(t *testing.T) {
 	out, lock := &blockableLog{lines: make(chan []byte, 100)}, &sync.Mutex{}
-	var logWrite Mark
-	log := zerolog.New(Writer{out, &logWrite})
+	var logWrite Timer
+	log := zerolog.New(TimedWriter{out, &logWrite})
 	w := New(lock, log, &logWrite)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -136,7 +136,7 @@
 // defect of the balancer: the process reports the stop once it goes on.
 func TestStopBySignalIsReported(t *testing.T) {
 	if os.Getenv(stoppedEnv) != "" {
-		var logWrite Mark
+		var logWrite Timer
 		w := New(&sync.Mutex{}, zerolog.New(os.Stderr), &logWrite)
 		ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 		defer end()
--- a/watch/timer.go
+++ b/stallwatch/timer.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"io"
@@ -14,13 +14,13 @@
 
 // Mark measures how long a section of the program takes that should be short. One goroutine at a time is meant to be inside; of several
 // the newest is measured. Any goroutine may call its methods, and none waits.
-type Mark struct{ enteredAt, longest atomic.Int64 }
+type Timer struct{ enteredAt, longest atomic.Int64 }
 
 // Begin enters the section.
-func (m *Mark) Begin() { m.enteredAt.Store(clock()) }
+func (m *Timer) Begin() { m.enteredAt.Store(clock()) }
 
 // End leaves the section.
-func (m *Mark) End() {
+func (m *Timer) End() {
 	if enteredAt := m.enteredAt.Swap(0); enteredAt > 0 {
 		if took := clock() - enteredAt; took > m.longest.Load() {
 			m.longest.Store(took)
@@ -30,7 +30,7 @@
 
 // takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with its time so far;
 // isInside tells that this is the longest.
-func (m *Mark) takeLongest() (longest time.Duration, isInside bool) {
+func (m *Timer) takeLongest() (longest time.Duration, isInside bool) {
 	longest = time.Duration(m.longest.Swap(0))
 	if enteredAt := m.enteredAt.Load(); enteredAt > 0 {
 		if elapsed := time.Duration(clock() - enteredAt); elapsed > longest {
@@ -41,13 +41,13 @@
 }
 
 // Writer measures each write with its Mark.
-type Writer struct {
+type TimedWriter struct {
 	io.Writer
-	*Mark
+	*Timer
 }
 
 // Write writes through to the wrapped writer.
-func (w Writer) Write(content []byte) (int, error) {
+func (w TimedWriter) Write(content []byte) (int, error) {
 	w.Begin()
 	defer w.End()
 	return w.Writer.Write(content)
--- a/watch/usage.go
+++ b/stallwatch/usage.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"runtime/metrics"
@@ -16,14 +16,14 @@
 }
 
 // Spent measures what the process uses from call to call. The zero value is ready; it must not be used concurrently.
-type Spent struct {
+type UsageMeter struct {
 	cpu      time.Duration
 	gcCycles uint64
 }
 
 // Since returns the CPU time that the process used, and how often the garbage collector ran, since the last call; at first since the
 // process began.
-func (s *Spent) Since() (cpu time.Duration, gcCycles uint64) {
+func (s *UsageMeter) SinceLast() (cpu time.Duration, gcCycles uint64) {
 	sample := []metrics.Sample{{Name: metricNames[gcCyclesMetric]}}
 	metrics.Read(sample)
 	before := *s
--- a/store/disk_faults_test.go
+++ b/store/disk_faults_test.go
@@ -60,7 +60,7 @@
 // appendRecord appends one record that has to be acknowledged.
 func appendRecord(t *testing.T, l *Log, record string) {
 	t.Helper()
-	if err := l.Add([][]byte{[]byte(record)}); err != nil {
+	if err := l.Append([][]byte{[]byte(record)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -82,7 +82,7 @@
 			l.file = faulty
 			fail(faulty)
 			for range 2 {
-				if err := l.Add([][]byte{[]byte("not acknowledged")}); err == nil {
+				if err := l.Append([][]byte{[]byte("not acknowledged")}); err == nil {
 					t.Fatal("the append is acknowledged")
 				}
 			}
@@ -117,7 +117,7 @@
 	path := filepath.Join(t.TempDir(), "log")
 	l := openExpecting(t, path)
 	appendRecord(t, l, "first")
-	if err := l.Add([][]byte{{}}); err == nil {
+	if err := l.Append([][]byte{{}}); err == nil {
 		t.Error("an empty record is taken")
 	}
 	l.Close()
@@ -127,7 +127,7 @@
 	}
 	content = append(append(content, make([]byte, recordHeaderSize)...), 1) // Zeros and more behind them.
 	os.WriteFile(path, content, 0o600)
-	if l, _, err := Open(path); !errors.Is(err, ErrDamaged) {
+	if l, _, err := Open(path); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("zeros amid the file: %v", err)
 	} else {
 		l.Close()
@@ -148,10 +148,10 @@
 		return syscall.EIO
 	}
 	syncs = false
-	if err := l.Swap([][]byte{[]byte("swapped")}); err == nil {
+	if err := l.Replace([][]byte{[]byte("swapped")}); err == nil {
 		t.Error("the swap is acknowledged")
 	}
-	if err := l.Add([][]byte{[]byte("lost with the new file")}); err == nil {
+	if err := l.Append([][]byte{[]byte("lost with the new file")}); err == nil {
 		t.Error("what stands only in the new file is acknowledged")
 	}
 	syncs = true
--- a/store/log.go
+++ b/store/log.go
@@ -17,10 +17,10 @@
 )
 
 // ErrDamaged says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
-var ErrDamaged = errors.New("log is damaged")
+var ErrCorrupt = errors.New("log is damaged")
 
 // ErrHeld says that another process has the file open. Over an upgrade the caller tries again once that process has ended.
-var ErrHeld = errors.New("log is locked by another process")
+var ErrLocked = errors.New("log is locked by another process")
 
 // file is what Log needs of an os.File. Tests put a failing one in its place.
 type file interface {
@@ -53,7 +53,7 @@
 	}
 	l := &Log{path: path, lock: lock, syncDirectory: syncDirectory}
 	records, err := l.load()
-	if err != nil && !errors.Is(err, ErrDamaged) {
+	if err != nil && !errors.Is(err, ErrCorrupt) {
 		l.Close()
 		return nil, nil, err
 	}
@@ -69,7 +69,7 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, ErrHeld
+		return nil, ErrLocked
 	}
 	return lock, nil
 }
@@ -92,7 +92,7 @@
 	}
 	l.file = opened
 	if validSize == 0 { // Damaged, or created just now, or its creation was interrupted.
-		if err := l.Swap(nil); err != nil {
+		if err := l.Replace(nil); err != nil {
 			return nil, err
 		}
 		return nil, damage
@@ -111,7 +111,7 @@
 
 // Add appends records in one write and waits until they are on the disk. After an error none of them counts, and Add may be called
 // again. A record must have 1 byte to 4 MiB.
-func (l *Log) Add(records [][]byte) error {
+func (l *Log) Append(records [][]byte) error {
 	content, err := appendRecords(nil, records)
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 
 // Swap replaces all records by the given ones, and waits until that is on the disk. After an error either the old or the new records
 // are there; nothing is acknowledged by a later Append before it is sure which.
-func (l *Log) Swap(records [][]byte) error {
+func (l *Log) Replace(records [][]byte) error {
 	content, err := appendRecords([]byte(fileMagic), records)
 	if err != nil {
 		return err
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -21,7 +21,7 @@
 	ends := []int{len(fileMagic)}
 	for n := range 12 {
 		record := fmt.Appendf(nil, "record-%d-%v", n, make([]byte, n*3))
-		if err := l.Add([][]byte{record}); err != nil {
+		if err := l.Append([][]byte{record}); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, ends[n]+recordHeaderSize+len(record))
@@ -38,7 +38,7 @@
 		if err != nil || len(records) != want {
 			t.Fatalf("cut at %d: %d records, not %d, %v", cut, len(records), want, err)
 		}
-		if err := l.Add([][]byte{[]byte("more")}); err != nil {
+		if err := l.Append([][]byte{[]byte("more")}); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
@@ -54,8 +54,8 @@
 func TestDamagedLogIsReportedAndPutAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l, _, _ := Open(path)
-	l.Swap([][]byte{[]byte("one"), []byte("two"), []byte("three")})
-	if _, _, err := Open(path); !errors.Is(err, ErrHeld) {
+	l.Replace([][]byte{[]byte("one"), []byte("two"), []byte("three")})
+	if _, _, err := Open(path); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
 	l.Close()
@@ -73,7 +73,7 @@
 				t.Fatalf("byte %d is changed: record %d is %q", offset, n, record)
 			}
 		}
-		if errors.Is(err, ErrDamaged) {
+		if errors.Is(err, ErrCorrupt) {
 			if aside, err := os.ReadFile(path + ".damaged"); err != nil || len(aside) != len(content) {
 				t.Fatalf("byte %d: the damaged file is not kept", offset)
 			}
--- a/store/record.go
+++ b/store/record.go
@@ -28,12 +28,12 @@
 func parseFile(content []byte) (records [][]byte, validSize int, err error) {
 	if len(content) < len(fileMagic) {
 		if string(content) != fileMagic[:len(content)] {
-			return nil, 0, ErrDamaged
+			return nil, 0, ErrCorrupt
 		}
 		return nil, 0, nil // The process ended while it created the file.
 	}
 	if string(content[:len(fileMagic)]) != fileMagic || len(content) > maxFileSize {
-		return nil, 0, ErrDamaged
+		return nil, 0, ErrCorrupt
 	}
 	validSize = len(fileMagic)
 	for {
@@ -61,15 +61,15 @@
 		// Guards against a crash after which the file has its new length and none of the new bytes: it ends in zeros. No record is
 		// empty, so a length of zero with only zeros behind it is such an end, and anything else behind it is damage.
 		if len(bytes.Trim(content, "\x00")) > 0 {
-			return nil, false, ErrDamaged
+			return nil, false, ErrCorrupt
 		}
 		return nil, false, nil
 	case size > maxRecordSize:
-		return nil, false, ErrDamaged
+		return nil, false, ErrCorrupt
 	case size > len(body):
 		return nil, false, nil
 	case crc32.Checksum(body[:size], castagnoli) != checksum:
-		return nil, false, ErrDamaged
+		return nil, false, ErrCorrupt
 	default:
 		return body[:size], true, nil
 	}
