--- a/server/fleet.go
+++ b/server/fleet.go
@@ -35,12 +35,14 @@
 	} `json:"acting"`
 	Tends []string
 	Zones []struct {
-		Zone           string
-		Hosts, Failing int
-		Own            bool
-		ByHand         bool    `json:"left_by_hand"`
-		Fails          bool    `json:"left_as_it_fails"`
-		Part           float64 `json:"part_away"`
+		// These four keys stand so in the answer of zones list --json, and match the door's lower-case ones.
+		Zone    string  `json:"Zone"`
+		Hosts   int     `json:"Hosts"`
+		Failing int     `json:"Failing"`
+		Own     bool    `json:"Own"`
+		ByHand  bool    `json:"left_by_hand"`
+		Fails   bool    `json:"left_as_it_fails"`
+		Part    float64 `json:"part_away"`
 	}
 	Signals *struct {
 		Told, Taken, Lost int
@@ -177,7 +179,9 @@
 		}
 		for _, v := range all {
 			var flat bytes.Buffer
-			json.Compact(&flat, v.Document)
+			if json.Compact(&flat, v.Document) != nil {
+				return a.nonsense()
+			}
 			fmt.Fprintf(c.OutOrStdout(), "%d  %s  %s  %s\n", v.Number, printable(or(v.By, "-")), printable(or(v.Why, "-")), printable(flat.String()))
 		}
 		return nil
@@ -220,7 +224,9 @@
 		return a.nonsense()
 	}
 	if a.asJSON {
-		say(c, o)
+		if err := say(c, o); err != nil {
+			return err
+		}
 	}
 	switch {
 	case o.Revision != 0:
