--- a/decay/decay.go
+++ b/decay/decay.go
@@ -7,17 +7,17 @@
 
 import "math"
 
-// Memory is the time in which a sum decays to 1/e of itself, in nanoseconds: long enough to count some attempts to a server of a large
+// TimeConstant is the time in which a sum decays to 1/e of itself, in nanoseconds: long enough to count some attempts to a server of a large
 // fleet, short enough to see a server recover within seconds.
 const TimeConstant = int64(3e9)
 
 // Sum is a sum whose terms decay. The zero value is empty.
 type Sum struct {
-	Value     float64 // as of At
+	Value     float64 // as of UpdatedAt
 	UpdatedAt int64   // time to which Value has decayed
 }
 
-// Read lets the sum decay up to now and returns its value.
+// ValueAt lets the sum decay up to now and returns its value.
 func (s *Sum) ValueAt(now int64) float64 {
 	if now > s.UpdatedAt {
 		s.Value *= remaining(now - s.UpdatedAt)
@@ -29,16 +29,16 @@
 // Add lets the sum decay up to now and adds x.
 func (s *Sum) Add(now int64, x float64) { s.Value = s.ValueAt(now) + x }
 
-// Level is the time-weighted average of a level, such as the number of attempts in flight. The zero value starts at level 0.
+// Average is the time-weighted average of a level, such as the number of attempts in flight. The zero value starts at level 0.
 type Average Sum
 
-// Read counts the level as having held since the last call, and returns the average up to now.
-func (l *Average) Update(now int64, level int) float64 {
-	if now > l.UpdatedAt {
-		l.Value = float64(level) + (l.Value-float64(level))*remaining(now-l.UpdatedAt)
-		l.UpdatedAt = now
+// Update counts the level as having held since the last call, and returns the average up to now.
+func (a *Average) Update(now int64, level int) float64 {
+	if now > a.UpdatedAt {
+		a.Value = float64(level) + (a.Value-float64(level))*remaining(now-a.UpdatedAt)
+		a.UpdatedAt = now
 	}
-	return l.Value
+	return a.Value
 }
 
 // remaining returns the part of a value that remains after a time.
--- a/decay/golden_test.go
+++ b/decay/golden_test.go
@@ -25,7 +25,7 @@
 		}
 	}
 	var sum Sum
-	var level Average
+	var average Average
 	now := int64(0)
 	for range 20_000 {
 		now += random.Int64N(20e6) - 1e6
@@ -35,9 +35,9 @@
 		case 1, 2:
 			sum.Add(now, random.Float64()*3)
 		default:
-			record(level.Update(now, random.IntN(40)))
+			record(average.Update(now, random.IntN(40)))
 		}
-		record(sum.Value, float64(sum.UpdatedAt), level.Value, float64(level.UpdatedAt))
+		record(sum.Value, float64(sum.UpdatedAt), average.Value, float64(average.UpdatedAt))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
 	if *update {
--- a/outage/detector.go
+++ b/outage/detector.go
@@ -71,7 +71,7 @@
 	z.attempts += 1 - z.attempts/outcomeWindow
 }
 
-// Answered takes a response of any kind, a rejection too, from a server of the zone. It ends the zone's series.
+// RecordResponse takes a response of any kind, a rejection too, from a server of the zone. It ends the zone's series.
 func (d *Detector) RecordResponse(zoneIndex int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(0)
@@ -79,7 +79,7 @@
 	d.updateSuspicions()
 }
 
-// Failed takes an attempt without a response: no connection came up, or nothing came in time.
+// RecordFailure takes an attempt without a response: no connection came up, or nothing came in time.
 func (d *Detector) RecordFailure(zoneIndex, server int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(1)
@@ -100,11 +100,11 @@
 	}
 }
 
-// Suspects tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one of these has
+// IsSuspected tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one of these has
 // responded since it began.
 func (d *Detector) IsSuspected(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
 
-// isLikelyLost works out what Suspects tells, for a position in d.zones.
+// isLikelyLost works out what IsSuspected tells, for a position in d.zones.
 func (d *Detector) isLikelyLost(position int) bool {
 	z := &d.zones[position]
 	if len(z.failedServers) < minFailedServers {
@@ -126,7 +126,7 @@
 	return otherResponded && seriesProbability < maxFalseAlarmProbability
 }
 
-// Avoids tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is tried again with a
+// ShouldAvoid tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is tried again with a
 // probability that grows with the time since its last failure, and more slowly the more of its servers have failed.
 func (d *Detector) ShouldAvoid(zoneIndex int, now int64, draw float64) bool {
 	if !d.IsSuspected(zoneIndex) {
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -16,12 +16,12 @@
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
 // A draw more or less, or a share that is off by a bit, changes each decision that comes after it. Over tenants with and without
-// quotas that change, good times and poor ones, with load reports and without, and a gate that takes over from another, each
+// quotas that change, good times and poor ones, with load reports and without, and a limiter that takes over from another, each
 // decision, the draws it takes and what is handed on stay as those of version 860147b.
 func TestGoldenTrace(t *testing.T) {
 	trace, rejected := sha256.New(), 0
 	for seed := range uint64(20) {
-		random, g := rand.New(rand.NewPCG(seed, 7)), New([]float64{300, 0, 150, 20, 600, 90})
+		random, l := rand.New(rand.NewPCG(seed, 7)), New([]float64{300, 0, 150, 20, 600, 90})
 		now, timely, late := int64(0), 10.0, 0.0
 		draws := 0
 		draw := func() float64 {
@@ -31,11 +31,11 @@
 		for n := range 4000 {
 			now += random.Int64N(4e6)
 			tenant := []int{-1, 0, 0, 0, 1, 2, 3, 3, 4, 5}[random.IntN(10)]
-			view := Traffic{Now: now, WindowSeconds: windowSeconds, EvenShare: 0.1 * float64(seed%3)}
+			traffic := Traffic{Now: now, WindowSeconds: windowSeconds, EvenShare: 0.1 * float64(seed%3)}
 			if n/700%3 == 1 {
-				view.TrafficShare = random.Float64()
+				traffic.TrafficShare = random.Float64()
 			}
-			isRejected := g.ShouldReject(tenant, view, draw)
+			isRejected := l.ShouldReject(tenant, traffic, draw)
 			if isRejected {
 				rejected++
 			}
@@ -43,21 +43,21 @@
 			if n/500%2 == 1 && random.IntN(3) == 0 {
 				late++
 			}
-			g.RecordOutcomes(timely, late)
-			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(g.AdmittedFraction()))
+			l.RecordOutcomes(timely, late)
+			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(l.AdmittedFraction()))
 			switch n {
 			case 1500:
-				g.SetQuota(3, 0)
+				l.SetQuota(3, 0)
 			case 2200:
-				g.SetQuota(1, 45)
+				l.SetQuota(1, 45)
 			case 3000:
 				successor := New([]float64{300, 45, 150, 0, 600, 90, 10})
-				successor.Restore(g.AdmittedFraction(), g.RequestCounts())
-				g = successor
-				g.SetQuota(4, 500)
+				successor.Restore(l.AdmittedFraction(), l.RequestCounts())
+				l = successor
+				l.SetQuota(4, 500)
 			}
 		}
-		for _, asked := range g.RequestCounts() {
+		for _, asked := range l.RequestCounts() {
 			fmt.Fprintln(trace, math.Float64bits(asked.Value), asked.UpdatedAt)
 		}
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -1,11 +1,11 @@
-// Package shares decides which requests one balancer rejects because their tenant asks for more than its share of the fleet, while the
+// Package quota decides which requests one balancer rejects because their tenant asks for more than its share of the fleet, while the
 // fleet responds late. Package policy asks it once for each request and tells it how attempts end.
 //
 // A tenant's quota is stated for the whole fleet. A balancer knows only its own requests, so it estimates which part of the fleet's
 // traffic comes to it, and holds each tenant to that part of its quota. How many of the requests beyond a share are admitted follows
 // additive increase, multiplicative decrease: all while attempts end in time, fewer while too many end late.
 //
-// The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Gate must not be used concurrently.
+// The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Limiter must not be used concurrently.
 package quota
 
 import (
@@ -41,9 +41,9 @@
 type tenantLoad struct{ requests, quota float64 }
 
 // quotaShare returns which part of its quota the tenant used here.
-func (l tenantLoad) quotaShare() float64 { return l.requests / l.quota }
+func (t tenantLoad) quotaShare() float64 { return t.requests / t.quota }
 
-// Gate holds what one balancer knows of its tenants.
+// Limiter holds what one balancer knows of its tenants.
 type Limiter struct {
 	tenants          []tenant
 	admittedFraction float64 // of the requests beyond a share
@@ -53,21 +53,21 @@
 	loads              []tenantLoad // used again by each estimate
 }
 
-// New returns a Gate for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without one.
+// New returns a Limiter for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without one.
 func New(quotas []float64) *Limiter {
-	g := &Limiter{admittedFraction: 1}
+	l := &Limiter{admittedFraction: 1}
 	for _, quota := range quotas {
-		g.tenants = append(g.tenants, tenant{quota: quota})
+		l.tenants = append(l.tenants, tenant{quota: quota})
 	}
-	return g
+	return l
 }
 
 // SetQuota changes a tenant's quota, in requests a second of the whole fleet; 0 for none.
-func (g *Limiter) SetQuota(tenant int, requestsPerSecond float64) {
-	g.tenants[tenant].quota = requestsPerSecond
+func (l *Limiter) SetQuota(tenant int, requestsPerSecond float64) {
+	l.tenants[tenant].quota = requestsPerSecond
 }
 
-// View is what the balancer knows of its traffic when a request comes.
+// Traffic is what the balancer knows of its traffic when a request comes.
 type Traffic struct {
 	Now           int64   // nanoseconds of the clock by which counts decay
 	WindowSeconds float64 // seconds that the decaying counts stand for
@@ -75,23 +75,23 @@
 	EvenShare     float64 // the part of a balancer that gets as much as each other
 }
 
-// Rejects counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share. It takes one random
+// ShouldReject counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share. It takes one random
 // draw from 0 to 1 for a tenant with a quota, and a second one if the first makes the request one beyond the share.
-func (g *Limiter) ShouldReject(tenant int, view Traffic, draw func() float64) bool {
-	if tenant < 0 || g.tenants[tenant].quota <= 0 {
+func (l *Limiter) ShouldReject(tenant int, traffic Traffic, draw func() float64) bool {
+	if tenant < 0 || l.tenants[tenant].quota <= 0 {
 		return false
 	}
-	t := &g.tenants[tenant]
-	t.requests.Add(view.Now, 1)
-	trafficShare := view.TrafficShare
+	t := &l.tenants[tenant]
+	t.requests.Add(traffic.Now, 1)
+	trafficShare := traffic.TrafficShare
 	if trafficShare <= 0 {
-		trafficShare = g.estimateTrafficShare(view)
+		trafficShare = l.estimateTrafficShare(traffic)
 	}
-	requests, share := t.requests.Value, t.quota*view.WindowSeconds*max(trafficShare, view.EvenShare)
+	requests, share := t.requests.Value, t.quota*traffic.WindowSeconds*max(trafficShare, traffic.EvenShare)
 	// Guards against thin traffic: a count varies by its square root, and a tenant inside its share would often seem to be beyond it.
 	tolerance := math.Sqrt(share)
 	isBeyondShare := draw()*requests > share+tolerance
-	return isBeyondShare && draw() > g.admittedFraction
+	return isBeyondShare && draw() > l.admittedFraction
 }
 
 // estimateTrafficShare returns which part of the fleet's traffic comes here: the median of the tenants' quota shares, weighted by quota
@@ -100,56 +100,56 @@
 //
 // The lowest quota share in place of the median would be near zero wherever one small tenant is quiet by chance, and all others would
 // seem to be beyond their shares.
-func (g *Limiter) estimateTrafficShare(view Traffic) float64 {
-	if view.Now < g.estimateValidUntil {
-		return g.trafficShare
+func (l *Limiter) estimateTrafficShare(traffic Traffic) float64 {
+	if traffic.Now < l.estimateValidUntil {
+		return l.trafficShare
 	}
-	g.loads = g.loads[:0]
+	l.loads = l.loads[:0]
 	halfOfQuotas := 0.0
-	for i := range g.tenants {
-		if t := &g.tenants[i]; t.quota > 0 {
-			g.loads = append(g.loads, tenantLoad{t.requests.ValueAt(view.Now), t.quota * view.WindowSeconds})
-			halfOfQuotas += t.quota * view.WindowSeconds / 2
+	for i := range l.tenants {
+		if t := &l.tenants[i]; t.quota > 0 {
+			l.loads = append(l.loads, tenantLoad{t.requests.ValueAt(traffic.Now), t.quota * traffic.WindowSeconds})
+			halfOfQuotas += t.quota * traffic.WindowSeconds / 2
 		}
 	}
-	slices.SortFunc(g.loads, func(a, b tenantLoad) int { return cmp.Compare(a.quotaShare(), b.quotaShare()) })
+	slices.SortFunc(l.loads, func(a, b tenantLoad) int { return cmp.Compare(a.quotaShare(), b.quotaShare()) })
 	weight := 0.0
-	for _, load := range g.loads {
+	for _, load := range l.loads {
 		if weight += load.quota; weight >= halfOfQuotas {
-			g.trafficShare = load.quotaShare()
+			l.trafficShare = load.quotaShare()
 			break
 		}
 	}
-	g.estimateValidUntil = view.Now + estimateLifetimeNanos
-	return g.trafficShare
+	l.estimateValidUntil = traffic.Now + estimateLifetimeNanos
+	return l.trafficShare
 }
 
-// Ended takes the decaying counts of attempts that ended in time and late, after each attempt. While too many end late, fewer requests
-// beyond a share are admitted.
-func (g *Limiter) RecordOutcomes(timely, late float64) {
+// RecordOutcomes takes the decaying counts of attempts that ended in time and late, after each attempt. While too many end late, fewer
+// requests beyond a share are admitted.
+func (l *Limiter) RecordOutcomes(timely, late float64) {
 	if late > maxLateRatio*(timely+late)+lateSlack {
-		g.admittedFraction = max(minAdmittedFraction, g.admittedFraction*admittedDecrease)
+		l.admittedFraction = max(minAdmittedFraction, l.admittedFraction*admittedDecrease)
 	} else {
-		g.admittedFraction = min(1, g.admittedFraction+admittedIncrease)
+		l.admittedFraction = min(1, l.admittedFraction+admittedIncrease)
 	}
 }
 
-// Admitted returns the fraction of requests beyond a share that is admitted.
-func (g *Limiter) AdmittedFraction() float64 { return g.admittedFraction }
+// AdmittedFraction returns the fraction of requests beyond a share that is admitted.
+func (l *Limiter) AdmittedFraction() float64 { return l.admittedFraction }
 
-// Asked returns a copy of the decaying counts of the tenants' requests.
-func (g *Limiter) RequestCounts() []decay.Sum {
-	counts := make([]decay.Sum, len(g.tenants))
-	for i := range g.tenants {
-		counts[i] = g.tenants[i].requests
+// RequestCounts returns a copy of the decaying counts of the tenants' requests.
+func (l *Limiter) RequestCounts() []decay.Sum {
+	counts := make([]decay.Sum, len(l.tenants))
+	for i := range l.tenants {
+		counts[i] = l.tenants[i].requests
 	}
 	return counts
 }
 
-// Restore continues where another Gate was: with its Admitted, and its Asked for as many tenants as both have.
-func (g *Limiter) Restore(admittedFraction float64, requests []decay.Sum) {
-	g.admittedFraction = admittedFraction
-	for i := range min(len(requests), len(g.tenants)) {
-		g.tenants[i].requests = requests[i]
+// Restore continues where another Limiter was: with its AdmittedFraction, and its RequestCounts for as many tenants as both have.
+func (l *Limiter) Restore(admittedFraction float64, requests []decay.Sum) {
+	l.admittedFraction = admittedFraction
+	for i := range min(len(requests), len(l.tenants)) {
+		l.tenants[i].requests = requests[i]
 	}
 }
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -13,15 +13,15 @@
 // the part of each tenant's requests at one balancer, which gets trafficShare of the fleet's traffic, that was rejected in the last half.
 func rejectedRatios(seed uint64, rates, quotas []float64, trafficShare, evenShare float64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 1))
-	g := New(quotas)
-	g.Restore(0, nil)
+	l := New(quotas)
+	l.Restore(0, nil)
 	requests, rejected := make([]float64, len(rates)), make([]float64, len(rates))
 	for now := int64(0); now < 60e9; now += 1e6 {
 		for t, rate := range rates {
 			if random.Float64() >= rate*trafficShare/1000 {
 				continue
 			}
-			isRejected := g.ShouldReject(t, Traffic{Now: now, WindowSeconds: windowSeconds, EvenShare: evenShare}, random.Float64)
+			isRejected := l.ShouldReject(t, Traffic{Now: now, WindowSeconds: windowSeconds, EvenShare: evenShare}, random.Float64)
 			if now > 30e9 {
 				requests[t]++
 				if isRejected {
@@ -68,17 +68,17 @@
 // A tenant is beyond its share, and the fleet has room for it. Rejecting it would lose requests for nothing: quotas bind only while
 // attempts end late.
 func TestNothingIsRejectedWhileAttemptsEndInTime(t *testing.T) {
-	g := New([]float64{1})
+	l := New([]float64{1})
 	for n := range 1000 {
-		g.RecordOutcomes(100, 3)
-		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e6, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
+		l.RecordOutcomes(100, 3)
+		if l.ShouldReject(0, Traffic{Now: int64(n) * 1e6, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 			t.Fatal("rejected though attempts end in time")
 		}
 	}
 	for range 1000 {
-		g.RecordOutcomes(100, 50)
+		l.RecordOutcomes(100, 50)
 	}
-	if !g.ShouldReject(0, Traffic{Now: 1e9, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
+	if !l.ShouldReject(0, Traffic{Now: 1e9, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 		t.Fatal("not rejected though attempts end late")
 	}
 }
@@ -86,14 +86,15 @@
 // Half of a tenant's traffic comes to one balancer while the other tenant is idle. The estimate from quotas would put all of it beyond the
 // tenant's share; load reports know better, and go first.
 func TestLoadReportsOverrideTheEstimate(t *testing.T) {
-	g := New([]float64{300, 300})
-	g.Restore(0, nil)
+	l := New([]float64{300, 300})
+	l.Restore(0, nil)
 	for n := range 1000 { // The other tenant sends nothing.
-		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e7, WindowSeconds: windowSeconds, TrafficShare: 0.5, EvenShare: 0.01}, func() float64 { return 0.9 }) {
+		traffic := Traffic{Now: int64(n) * 1e7, WindowSeconds: windowSeconds, TrafficShare: 0.5, EvenShare: 0.01}
+		if l.ShouldReject(0, traffic, func() float64 { return 0.9 }) {
 			t.Fatal("rejected though reports tell that half of all traffic comes here")
 		}
 	}
-	if g.ShouldReject(-1, Traffic{}, nil) {
+	if l.ShouldReject(-1, Traffic{}, nil) {
 		t.Fatal("a request of no tenant rejected")
 	}
 }
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -25,7 +25,8 @@
 		amount := func(most Resources) Resources {
 			return forEachResource(func(r resource) int64 { return random.Int64N(most.of(r) + 1) })
 		}
-		state := processState{PID: 1, StartedAt: random.Int64N(4), Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
+		state := processState{PID: 1, StartedAt: random.Int64N(4),
+			Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
 		if random.IntN(4) == 0 {
 			state.Claim = Resources{}
 		}
@@ -54,7 +55,8 @@
 		if math.IsNaN(share) {
 			share = -1 // One NaN has many forms.
 		}
-		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 50 << 20}))
+		lowerLimits := Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 50 << 20}
+		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(lowerLimits))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "division.golden")
 	if *update {
@@ -72,10 +74,13 @@
 // states that version 860147b published; each is written the same to the byte and read by the process beside it with the same content.
 func TestPublishedStatesStayReadable(t *testing.T) {
 	for name, state := range map[string]processState{
-		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting, Claim: Resources{ClientConnections: 20, EndpointConnections: 21, MemoryBytes: 16 << 20}},
-		"serving": {PID: 1, StartedAt: startedAtBase, Phase: Serving, Claim: Resources{ClientConnections: 140, EndpointConnections: 139, MemoryBytes: 48 << 20},
+		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting,
+			Claim: Resources{ClientConnections: 20, EndpointConnections: 21, MemoryBytes: 16 << 20}},
+		"serving": {PID: 1, StartedAt: startedAtBase, Phase: Serving,
+			Claim: Resources{ClientConnections: 140, EndpointConnections: 139, MemoryBytes: 48 << 20},
 			Usage: Resources{ClientConnections: 9, EndpointConnections: 8, MemoryBytes: 7 << 20}, Attempts: 12.625},
-		"leaving": {PID: 2, StartedAt: 1_700_000_000_000_000_000, Phase: Draining, Claim: Resources{ClientConnections: 1}, Usage: Resources{ClientConnections: 1}, Attempts: 0.1},
+		"leaving": {PID: 2, StartedAt: 1_700_000_000_000_000_000, Phase: Draining,
+			Claim: Resources{ClientConnections: 1}, Usage: Resources{ClientConnections: 1}, Attempts: 0.1},
 	} {
 		directory, path := t.TempDir(), filepath.Join("testdata", "row-"+name+".json")
 		old := join(t, directory)
--- a/siblings/group.go
+++ b/siblings/group.go
@@ -41,12 +41,12 @@
 	mu           sync.Mutex // guards what follows
 	own          processState
 	others       []processState // as last read
-	attemptsSeen int            // at the last Tick
-	updatedAt    time.Time      // of the last Tick
+	attemptsSeen int            // at the last Update
+	updatedAt    time.Time      // of the last Update
 }
 
 // Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns ErrTooMany if no
-// slot is free. If only publishing the state fails it returns the group with the error: Tick publishes again.
+// slot is free. If only publishing the state fails it returns the group with the error: Update publishes again.
 func Join(directory string, total Resources) (*Group, error) {
 	raiseLock, err := openFile(filepath.Join(directory, raiseLockFile), os.O_CREATE)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return content[:n], true
 }
 
-// Tick publishes what this process uses and how many attempts it has handed over since its start, and adjusts its claim. It returns what
+// Update publishes what this process uses and how many attempts it has handed over since its start, and adjusts its claim. It returns what
 // the process may use from now on, its part of the attempts to cold servers, and how many other processes run. After an error these are
 // right, but the others have not been told.
 func (g *Group) Update(usage Resources, attempts int) (allowed Resources, share float64, others int, err error) {
@@ -149,7 +149,7 @@
 //
 // The lock guards against two processes that raise their claims into the same unclaimed rest, which would add up to more than there is.
 // It is held from before the others are read until the claim is published, and never waited for: a process that stands still with it
-// must not stop the others. Whoever does not get it only lowers its claim, and may raise it at the next Tick.
+// must not stop the others. Whoever does not get it only lowers its claim, and may raise it at the next Update.
 func (g *Group) adjustClaim() error {
 	mayRaise := tryLock(g.raiseLock, unix.LOCK_EX)
 	g.readOthers()
@@ -161,14 +161,14 @@
 	return err
 }
 
-// Now sets the phase of this process; the others see it after the next Tick.
+// SetPhase sets the phase of this process; the others see it after the next Update.
 func (g *Group) SetPhase(phase Phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.own.Phase = phase
 }
 
-// Writes tells whether this process is the one that writes the snapshot of what was learned, as of the last Tick.
+// IsSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned, as of the last Update.
 func (g *Group) IsSnapshotWriter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/siblings/group_test.go
+++ b/siblings/group_test.go
@@ -21,17 +21,17 @@
 	return g
 }
 
-// settle has all processes tick some times, one after the other, and returns what each may use in the end.
+// settle has all processes update some times, one after the other, and returns what each may use in the end.
 func settle(t *testing.T, processes ...*Group) (allowed []Resources) {
 	t.Helper()
 	for range 6 {
 		allowed = nil
 		for _, g := range processes {
-			amount, _, _, err := g.Update(g.own.Usage, 0)
+			resources, _, _, err := g.Update(g.own.Usage, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			allowed = append(allowed, amount)
+			allowed = append(allowed, resources)
 		}
 	}
 	return allowed
@@ -54,7 +54,8 @@
 			}
 			old.own.Usage = Resources{ClientConnections: 30, EndpointConnections: 10, MemoryBytes: 9 << 20}
 			old.SetPhase(Draining)
-			if a := settle(t, old, successor); a[0].ClientConnections != 30 || a[0].EndpointConnections != 25 || a[1].ClientConnections != 130 || a[1].EndpointConnections != 135 {
+			if a := settle(t, old, successor); a[0].ClientConnections != 30 || a[0].EndpointConnections != 25 ||
+				a[1].ClientConnections != 130 || a[1].EndpointConnections != 135 {
 				t.Errorf("one drains: %+v, %+v", a[0], a[1])
 			}
 			old.Close()
@@ -125,7 +126,7 @@
 	}
 }
 
-// Processes come, go, die, hang and tick late, and files are half written. Were the claims to add up to more than the limits, the balancer
+// Processes come, go, die, hang and update late, and files are half written. Were the claims to add up to more than the limits, the balancer
 // would run out of descriptors or memory amid an upgrade: they never do, and no process uses more than it claims. A process here takes up
 // to what it was allowed, and gives back at random.
 func TestClaimsNeverExceedTheLimits(t *testing.T) {
@@ -169,8 +170,10 @@
 					}
 				}
 			}
-			if claims.ClientConnections > limits.ClientConnections || claims.EndpointConnections > limits.EndpointConnections || claims.MemoryBytes > limits.MemoryBytes {
-				t.Fatalf("seed %d, step %d: %+v is claimed of %+v", seed, step, claims, limits)
+			for _, r := range resources {
+				if claims.of(r) > limits.of(r) {
+					t.Fatalf("seed %d, step %d: %+v is claimed of %+v", seed, step, claims, limits)
+				}
 			}
 		}
 		for _, g := range running {
@@ -219,8 +222,15 @@
 		own      processState
 		others   []processState
 		isWriter bool
-	}{{old, nil, true}, {old, []processState{successor}, true}, {successor, []processState{old}, false}, {successor, []processState{draining}, true}, {draining, []processState{successor}, false},
-		{draining, nil, true}, {processState{Phase: Starting}, []processState{old}, false}} {
+	}{
+		{old, nil, true},
+		{old, []processState{successor}, true},
+		{successor, []processState{old}, false},
+		{successor, []processState{draining}, true},
+		{draining, []processState{successor}, false},
+		{draining, nil, true},
+		{processState{Phase: Starting}, []processState{old}, false},
+	} {
 		if isSnapshotWriter(c.own, c.others) != c.isWriter {
 			t.Errorf("%+v beside %+v writes the snapshot: %t", c.own, c.others, !c.isWriter)
 		}
--- a/siblings/state.go
+++ b/siblings/state.go
@@ -16,14 +16,14 @@
 	Draining Phase = "leaving" // accepts no new clients, and ends
 )
 
-// Amount is an amount of each limited resource.
+// Resources is an amount of each limited resource.
 type Resources struct {
 	ClientConnections   int64 `json:"clients"` // connections to clients
 	EndpointConnections int64 `json:"hosts"`   // connections to cache hosts
 	MemoryBytes         int64 `json:"memory"`  // bytes
 }
 
-// resource names one field of an Amount; each resource is divided by itself.
+// resource names one field of Resources; each resource is divided by itself.
 type resource int
 
 const (
@@ -51,9 +51,13 @@
 	return forEachResource(func(r resource) int64 { return a.of(r) + b.of(r) })
 }
 
-// forEachResource returns the Amount that compute gives resource by resource.
+// forEachResource returns the Resources that compute gives resource by resource.
 func forEachResource(compute func(r resource) int64) Resources {
-	return Resources{ClientConnections: compute(clientConnections), EndpointConnections: compute(endpointConnections), MemoryBytes: compute(memory)}
+	return Resources{
+		ClientConnections:   compute(clientConnections),
+		EndpointConnections: compute(endpointConnections),
+		MemoryBytes:         compute(memory),
+	}
 }
 
 // processState is what a process publishes of itself. The keys are read by processes of other versions.
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrTaken says that another process is writing the file just now. Nothing is wrong: that process's snapshot is as good.
+// ErrLocked says that another process is writing the file just now. Nothing is wrong: that process's snapshot is as good.
 var ErrLocked = errors.New("another process is writing the snapshot")
 
 // Errors of files that others put in the directory, which may be writable for all.
@@ -53,7 +53,7 @@
 	return len(f.buffer), nil
 }
 
-// openLocked opens or creates a file for writing and locks it, until it is closed. It returns ErrTaken if another process has the lock.
+// openLocked opens or creates a file for writing and locks it, until it is closed. It returns ErrLocked if another process has the lock.
 func openLocked(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|unix.O_NOFOLLOW, 0o600)
 	if err != nil {
@@ -102,10 +102,10 @@
 	return nil
 }
 
-// Read returns the snapshot in the file if it applies to the named balancer under settings of this fingerprint and is no older than
-// maxAge; its Ago is then set. Without a file it returns nil and no error. ErrInvalid and ErrNotApplicable tell of a snapshot that is
-// refused; other errors come from the file system.
-func (f *File) Read(name string, settings uint64, now time.Time, maxAge time.Duration) (*Snapshot, error) {
+// Read returns the snapshot in the file if it is of this balancer, under these settings, and no older than maxAge; its Age is then set.
+// Without a file it returns nil and no error. ErrInvalid and ErrNotApplicable tell of a snapshot that is refused; other errors come from
+// the file system.
+func (f *File) Read(balancerName string, settingsFingerprint uint64, now time.Time, maxAge time.Duration) (*Snapshot, error) {
 	content, err := f.readOwned()
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -118,7 +118,7 @@
 		return nil, fmt.Errorf("read snapshot %s: %w", f.Path, err)
 	}
 	s.Age = s.age(now)
-	if err := s.checkApplies(name, settings, maxAge); err != nil {
+	if err := s.checkApplies(balancerName, settingsFingerprint, maxAge); err != nil {
 		return nil, fmt.Errorf("read snapshot %s: %w", f.Path, err)
 	}
 	s.Age = max(0, s.Age)
--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -23,7 +23,8 @@
 
 // sample returns a snapshot of two servers and a number of keys.
 func sample(keys int) *Snapshot {
-	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(), DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
+	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(),
+		DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
 	s.BalancerState = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
 		Servers: []policy.ServerState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
 		Kinds:   []policy.KindState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -28,8 +28,8 @@
 		return policy.ServerState{Hash: hash, Started: int64(hash) + 1, Held: sum(), Sent: sum(), Good: sum(), Bad: sum(), Busy: sum(),
 			Credit: value / 64, CutAt: int64(hash) + 2, Rate: value + 0.25, Strain: value + 0.5}
 	}
-	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(), BootID: "another start", SinceBoot: 77,
-		DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
+	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(),
+		BootID: "another start", SinceBoot: 77, DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
 		BalancerState: policy.State{Now: 5_000_000_000, Began: 1_000_000_001, Seen: 3_000_000_002, Pace: 0.75, Held: sum(), Good: sum(), Bad: sum(),
 			Warmed: sum(), Reads: sum(), Misses: sum(), Fails: sum(), Fine: sum(), Poor: sum(), Asked: sum(), Turned: sum(), Lacked: sum(),
 			Settled: sum(), Took: sum(), Unreached: sum(), Overdue: sum(), Credit: 3.5, Usual: 2e8, Admit: 0.625, OriginRoom: 12.5, Can: 33.25,
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,4 +1,4 @@
-// Package learnt keeps what a balancer has learned in one bounded file, so that the process that follows it in an upgrade or a restart
+// Package snapshot keeps what a balancer has learned in one bounded file, so that the process that follows it in an upgrade or a restart
 // goes on with it instead of starting cold.
 //
 // Package routing fills a Snapshot and restores from one. This package writes it to a File, completely or not at all (file.go), and
@@ -28,17 +28,22 @@
 // Snapshot is what one process leaves for the next. Its keys in the file are pinned by the tags: a file that is there at an upgrade
 // was written by the version before.
 type Snapshot struct {
-	BalancerName        string       `cbor:"Name"`      // the balancer's name
-	SettingsFingerprint uint64       `cbor:"Settings"`  // fingerprint of the operators' settings: State's indices of workloads, tenants and kinds depend on them
-	WrittenAt           int64        `cbor:"At"`        // wall clock when it was taken, Unix nanoseconds
-	BootID              string       `cbor:"Boot"`      // the machine's boot ID when it was taken; "" if unknown
-	SinceBoot           int64        `cbor:"BootAt"`    // time since that boot, nanoseconds
-	DiscoveryServer     string       `cbor:"Discovery"` // address of the discovery server that counted Index
-	ListIndex           uint64       `cbor:"Index"`     // revision of the endpoint list
-	EndpointList        []byte       `cbor:"List"`      // the endpoint list, in discovery's JSON
-	BalancerState       policy.State `cbor:"State"`     // what the decision module has learned
+	BalancerName string `cbor:"Name"`
+	// SettingsFingerprint identifies the operators' settings: BalancerState's indices of workloads, tenants and kinds depend on them.
+	SettingsFingerprint uint64 `cbor:"Settings"`
 
-	Age time.Duration `cbor:"-"` // age when it was read; Read sets it, Write ignores it
+	// When it was taken, by both clocks: see age.
+	WrittenAt int64  `cbor:"At"`     // wall clock, Unix nanoseconds
+	BootID    string `cbor:"Boot"`   // of the machine's boot; "" if unknown
+	SinceBoot int64  `cbor:"BootAt"` // nanoseconds since that boot
+
+	DiscoveryServer string `cbor:"Discovery"` // address of the server that counted ListIndex
+	ListIndex       uint64 `cbor:"Index"`     // revision of the endpoint list
+	EndpointList    []byte `cbor:"List"`      // in discovery's JSON
+
+	BalancerState policy.State `cbor:"State"` // what the decision module has learned
+
+	Age time.Duration `cbor:"-"` // when it was read; Read sets it, Write ignores it
 }
 
 // age returns how old the snapshot is. Guards against a wall clock that was stepped between the two processes: under the same boot of
@@ -52,11 +57,11 @@
 
 // checkApplies returns ErrNotApplicable if the snapshot is not for this balancer, these settings and this time. An age under zero
 // counts as zero down to -maxAge; a wall clock that went back further leaves nothing to tell the age by.
-func (s *Snapshot) checkApplies(name string, settings uint64, maxAge time.Duration) error {
+func (s *Snapshot) checkApplies(balancerName string, settingsFingerprint uint64, maxAge time.Duration) error {
 	switch {
-	case s.BalancerName != name:
+	case s.BalancerName != balancerName:
 		return fmt.Errorf("%w: of another balancer, %q", ErrNotApplicable, s.BalancerName)
-	case s.SettingsFingerprint != settings:
+	case s.SettingsFingerprint != settingsFingerprint:
 		return fmt.Errorf("%w: of other settings", ErrNotApplicable)
 	case s.Age > maxAge || s.Age < -maxAge:
 		return fmt.Errorf("%w: written %v ago", ErrNotApplicable, s.Age.Round(time.Millisecond))
--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -1,7 +1,7 @@
-// Package watch detects that the program stalled, and logs why.
+// Package stallwatch detects that the program stalled, and logs why.
 //
 // A Detector is a goroutine that should wake up every 25 ms; how late it does tells how long the whole process did not run. Beside that
-// it takes the decision module's lock as a request would, and reads the marks (timer.go) around accepted connections and writes of the
+// it takes the decision module's lock as a request would, and reads the timers (timer.go) around accepted connections and writes of the
 // log. Where anything took too long, it reads the counts of the kernel and the runtime (counters.go), diagnoses the cause (diagnose.go,
 // which has no clock and does no I/O) and logs it (report.go).
 //
@@ -33,7 +33,7 @@
 	maxResumeSignals = 16
 )
 
-// Watch detects stalls. Run owns all but the marks and the threshold, which any goroutine may use.
+// Detector detects stalls. Run owns all but the timers and the threshold, which any goroutine may use.
 type Detector struct {
 	Accept Timer // around the time for which an accepted connection waits for room
 
@@ -64,106 +64,106 @@
 // oldest returns the CPU time at the oldest reading; 0, as at the start of the process, until the ring is full.
 func (h *cpuHistory) oldest() time.Duration { return h.readings[h.count%cpuHistoryReadings] }
 
-// New returns a detector of stalls of the process, of the lock, and of what the marks measure: its Accept, and logWrite around writes of
+// New returns a detector of stalls of the process, of the lock, and of what the timers measure: its Accept, and logWrite around writes of
 // the log. It reports to log.
 func New(lock sync.Locker, log zerolog.Logger, logWrite *Timer) *Detector {
-	w := &Detector{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
-	w.SetThreshold(Over)
-	return w
+	d := &Detector{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
+	d.SetThreshold(DefaultThreshold)
+	return d
 }
 
-// Over sets the least time that counts as a stall.
-func (w *Detector) SetThreshold(threshold time.Duration) { w.threshold.Store(int64(threshold)) }
+// SetThreshold sets the least time that counts as a stall.
+func (d *Detector) SetThreshold(threshold time.Duration) { d.threshold.Store(int64(threshold)) }
 
 // Run detects stalls until the context ends.
-func (w *Detector) Run(ctx context.Context) {
-	w.resumeSignals = make(chan os.Signal, maxResumeSignals)
-	signal.Notify(w.resumeSignals, syscall.SIGCONT)
-	defer signal.Stop(w.resumeSignals)
-	go w.probeLock(ctx)
-	go w.reporter.run(ctx)
-	w.previous.read(&w.proc)
+func (d *Detector) Run(ctx context.Context) {
+	d.resumeSignals = make(chan os.Signal, maxResumeSignals)
+	signal.Notify(d.resumeSignals, syscall.SIGCONT)
+	defer signal.Stop(d.resumeSignals)
+	go d.probeLock(ctx)
+	go d.reporter.run(ctx)
+	d.previous.read(&d.proc)
 	dueAt := time.Now().Add(wakeupInterval)
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(time.Until(dueAt))
 		now := time.Now()
 		wakeupDelay := now.Sub(dueAt)
-		w.check(wakeupDelay, now)
-		if n%wakeupsPerReading == 0 || wakeupDelay >= time.Duration(w.threshold.Load()) {
-			w.previous.read(&w.proc)
-			w.cpuHistory.add(w.previous.cpu)
+		d.check(wakeupDelay, now)
+		if n%wakeupsPerReading == 0 || wakeupDelay >= time.Duration(d.threshold.Load()) {
+			d.previous.read(&d.proc)
+			d.cpuHistory.add(d.previous.cpu)
 		}
 		dueAt = now.Add(wakeupInterval)
 	}
 }
 
 // probeLock takes the decision module's lock now and then, as a request would, and measures how long it waits.
-func (w *Detector) probeLock(ctx context.Context) {
+func (d *Detector) probeLock(ctx context.Context) {
 	ticker := time.NewTicker(wakeupInterval)
 	defer ticker.Stop()
 	for ; ctx.Err() == nil; <-ticker.C {
-		w.lockWait.Begin()
-		w.lock.Lock()
-		w.lockWait.End()
-		w.lock.Unlock()
+		d.lockWait.Begin()
+		d.lock.Lock()
+		d.lockWait.End()
+		d.lock.Unlock()
 	}
 }
 
 // check diagnoses and reports the gap since the last wake-up, if anything took longer than the threshold.
-func (w *Detector) check(wakeupDelay time.Duration, now time.Time) {
-	threshold := time.Duration(w.threshold.Load())
+func (d *Detector) check(wakeupDelay time.Duration, now time.Time) {
+	threshold := time.Duration(d.threshold.Load())
 	if wakeupDelay < threshold {
-		w.takeResumeSignals(0) // Of a stop that was too short to count.
+		d.takeResumeSignals(0) // Of a stop that was too short to count.
 	}
 	o := Observation{WakeupDelay: wakeupDelay}
 	var isLockHeldNow bool
-	o.Lock, isLockHeldNow = w.lockWait.takeLongest()
-	o.Accept, _ = w.Accept.takeLongest()
-	o.Log, _ = w.logWrite.takeLongest()
+	o.Lock, isLockHeldNow = d.lockWait.takeLongest()
+	o.Accept, _ = d.Accept.takeLongest()
+	o.Log, _ = d.logWrite.takeLongest()
 	if max(o.WakeupDelay, o.Lock, o.Accept, o.Log) < threshold {
 		return
 	}
-	w.current.read(&w.proc)
-	w.observeCounters(&o)
+	d.current.read(&d.proc)
+	d.observeCounters(&o)
 	if wakeupDelay >= threshold {
-		o.ResumeSignals = w.takeResumeSignals(resumeSignalTimeout)
+		o.ResumeSignals = d.takeResumeSignals(resumeSignalTimeout)
 	}
 	for _, stall := range Diagnose(o, threshold) {
-		if !w.reporter.isDue(stall.Cause, now) {
+		if !d.reporter.isDue(stall.Cause, now) {
 			continue
 		}
 		functions := ""
 		if stall.Cause == CauseLock && isLockHeldNow {
 			functions = runningFunctions()
 		}
-		w.reporter.enqueue(report{Stall: stall, Observation: o, functions: functions,
-			schedulingLatency: w.current.longestSchedulingLatency(&w.previous), gcCycles: w.current.gcCycles(&w.previous),
-			cpuBefore: w.previous.cpu - w.cpuHistory.oldest()}, now)
+		d.reporter.enqueue(report{Stall: stall, Observation: o, functions: functions,
+			schedulingLatency: d.current.longestSchedulingLatency(&d.previous), gcCycles: d.current.gcCycles(&d.previous),
+			cpuBefore: d.previous.cpu - d.cpuHistory.oldest()}, now)
 	}
 }
 
 // observeCounters adds what the counters tell of the gap.
-func (w *Detector) observeCounters(o *Observation) {
-	o.CPU = w.current.cpu - w.previous.cpu
-	o.RunDelay, o.IsRunDelayKnown = w.current.runDelay-w.previous.runDelay, w.current.isRunDelayKnown
-	o.Steal = w.current.steal - w.previous.steal
-	o.GCPause = w.current.longestGCPause(&w.previous)
+func (d *Detector) observeCounters(o *Observation) {
+	o.CPU = d.current.cpu - d.previous.cpu
+	o.RunDelay, o.IsRunDelayKnown = d.current.runDelay-d.previous.runDelay, d.current.isRunDelayKnown
+	o.Steal = d.current.steal - d.previous.steal
+	o.GCPause = d.current.longestGCPause(&d.previous)
 }
 
 // takeResumeSignals returns how many SIGCONTs came since the last call.
 //
 // timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again, and the signal has
 // to come through the runtime first. Without waiting for it a moment, the stop would be reported as a frozen machine.
-func (w *Detector) takeResumeSignals(timeout time.Duration) (count int) {
-	if len(w.resumeSignals) == 0 && timeout > 0 {
+func (d *Detector) takeResumeSignals(timeout time.Duration) (count int) {
+	if len(d.resumeSignals) == 0 && timeout > 0 {
 		select {
-		case <-w.resumeSignals:
+		case <-d.resumeSignals:
 			count++
 		case <-time.After(timeout):
 		}
 	}
-	for ; len(w.resumeSignals) > 0; count++ {
-		<-w.resumeSignals
+	for ; len(d.resumeSignals) > 0; count++ {
+		<-d.resumeSignals
 	}
 	return count
 }
--- a/stallwatch/detector_test.go
+++ b/stallwatch/detector_test.go
@@ -25,21 +25,32 @@
 		want        []Cause
 	}{
 		{"nothing", Observation{WakeupDelay: 99 * ms, Lock: 99 * ms}, nil},
-		{"stopped by a signal", Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, ResumeSignals: 1}, []Cause{CauseStopped}},
-		{"the machine stood still", Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, Steal: 890 * ms}, []Cause{CauseFrozen}},
-		{"other processes ran", Observation{WakeupDelay: 900 * ms, CPU: 300 * ms, RunDelay: 600 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
-		{"a kernel that does not count run delay", Observation{WakeupDelay: 900 * ms, CPU: 5 * ms}, []Cause{CauseNotRun}},
-		{"work of its own", Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, IsRunDelayKnown: true}, []Cause{CauseRuntime}},
-		{"a collector that ran", Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseGCPause}},
-		{"a collector that did not run", Observation{WakeupDelay: 300 * ms, CPU: 9 * ms, RunDelay: 280 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
-		{"the lock is held", Observation{WakeupDelay: 2 * ms, Lock: 400 * ms}, []Cause{CauseLock}},
-		{"everything late in a process that did not run", Observation{WakeupDelay: 400 * ms, RunDelay: 390 * ms, Lock: 410 * ms, Accept: 420 * ms, Log: 400 * ms,
-			IsRunDelayKnown: true}, []Cause{CauseStarved}},
-		{"a lock held for longer than the process did not run", Observation{WakeupDelay: 100 * ms, RunDelay: 90 * ms, Lock: 410 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved, CauseLock}},
-		{"an accepted connection and the log", Observation{Accept: 120 * ms, Log: 130 * ms}, []Cause{CauseAccept, CauseLog}},
+		{"stopped by a signal",
+			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, ResumeSignals: 1}, []Cause{CauseStopped}},
+		{"the machine stood still",
+			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, Steal: 890 * ms}, []Cause{CauseFrozen}},
+		{"other processes ran",
+			Observation{WakeupDelay: 900 * ms, CPU: 300 * ms, RunDelay: 600 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
+		{"a kernel that does not count run delay",
+			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms}, []Cause{CauseNotRun}},
+		{"work of its own",
+			Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, IsRunDelayKnown: true}, []Cause{CauseRuntime}},
+		{"a collector that ran",
+			Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseGCPause}},
+		{"a collector that did not run",
+			Observation{WakeupDelay: 300 * ms, CPU: 9 * ms, RunDelay: 280 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
+		{"the lock is held",
+			Observation{WakeupDelay: 2 * ms, Lock: 400 * ms}, []Cause{CauseLock}},
+		{"everything late in a process that did not run",
+			Observation{WakeupDelay: 400 * ms, RunDelay: 390 * ms, Lock: 410 * ms, Accept: 420 * ms, Log: 400 * ms, IsRunDelayKnown: true},
+			[]Cause{CauseStarved}},
+		{"a lock held for longer than the process did not run",
+			Observation{WakeupDelay: 100 * ms, RunDelay: 90 * ms, Lock: 410 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved, CauseLock}},
+		{"an accepted connection and the log",
+			Observation{Accept: 120 * ms, Log: 130 * ms}, []Cause{CauseAccept, CauseLog}},
 	} {
 		var got []Cause
-		for _, stall := range Diagnose(c.observation, Over) {
+		for _, stall := range Diagnose(c.observation, DefaultThreshold) {
 			got = append(got, stall.Cause)
 		}
 		if len(got) != len(c.want) || len(got) > 0 && got[0] != c.want[0] || len(got) > 1 && got[1] != c.want[1] {
@@ -98,10 +109,10 @@
 	out, lock := &blockableLog{lines: make(chan []byte, 100)}, &sync.Mutex{}
 	var logWrite Timer
 	log := zerolog.New(TimedWriter{out, &logWrite})
-	w := New(lock, log, &logWrite)
+	d := New(lock, log, &logWrite)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	go w.Run(ctx)
+	go d.Run(ctx)
 
 	release, held := make(chan struct{}), make(chan struct{})
 	go holdLock(lock, release, held)
@@ -110,14 +121,14 @@
 		t.Errorf("a lock that is held: %q in %q", cause, functions)
 	}
 	close(release)
-	w.Accept.Begin()
+	d.Accept.Begin()
 	if cause, _ := out.nextStall(t); cause != "accept" {
 		t.Errorf("an accept in hand: %q", cause)
 	}
-	w.Accept.End()
+	d.Accept.End()
 	out.mu.Lock() // The log takes nothing; the detector goes on, and reports it afterwards.
 	go log.Info().Str("cause", "a line").Msg("")
-	for len(w.reporter.queue) == 0 {
+	for len(d.reporter.queue) == 0 {
 		time.Sleep(ms)
 		if logWrite.enteredAt.Load() > 0 && clock()-logWrite.enteredAt.Load() > int64(10*time.Second) {
 			t.Fatal("a log that takes nothing is not detected")
@@ -137,11 +148,11 @@
 func TestStopBySignalIsReported(t *testing.T) {
 	if os.Getenv(stoppedEnv) != "" {
 		var logWrite Timer
-		w := New(&sync.Mutex{}, zerolog.New(os.Stderr), &logWrite)
+		d := New(&sync.Mutex{}, zerolog.New(os.Stderr), &logWrite)
 		ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 		defer end()
 		go func() { time.Sleep(4 * wakeupInterval); os.Stderr.WriteString("{}\n") }()
-		w.Run(ctx)
+		d.Run(ctx)
 		return
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=TestStopBySignalIsReported$")
--- a/stallwatch/diagnose.go
+++ b/stallwatch/diagnose.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Over is the threshold where nothing else is set: the least time that counts as a stall.
-const Over = 100 * time.Millisecond
+// DefaultThreshold is the threshold where nothing else is set: the least time that counts as a stall.
+const DefaultThreshold = 100 * time.Millisecond
 
 // Observation is what was measured over one gap, from the last wake-up of the Detector to this one.
 type Observation struct {
@@ -51,7 +51,7 @@
 	}
 	for _, part := range []Stall{{CauseLock, o.Lock}, {CauseAccept, o.Accept}, {CauseLog, o.Log}} {
 		// A process that did not run explains what else was late for as long: a part is named only where it was held up for longer.
-		if part.Duration >= Over && part.Duration-o.WakeupDelay >= threshold/2 {
+		if part.Duration >= DefaultThreshold && part.Duration-o.WakeupDelay >= threshold/2 {
 			stalls = append(stalls, part)
 		}
 	}
--- a/stallwatch/golden_test.go
+++ b/stallwatch/golden_test.go
@@ -20,7 +20,7 @@
 // duration stay as version 860147b found them.
 func TestGoldenCauses(t *testing.T) {
 	trace, seen := sha256.New(), map[Cause]int{}
-	for _, threshold := range []time.Duration{50 * ms, Over, 400 * ms} {
+	for _, threshold := range []time.Duration{50 * ms, DefaultThreshold, 400 * ms} {
 		for _, delay := range []time.Duration{0, 49 * ms, 50 * ms, 100 * ms, 399 * ms, 400 * ms, 900 * ms} {
 			for n := range 4 * 4 * 4 * 2 * 2 * 4 {
 				of := func(choices int) int {
@@ -75,7 +75,8 @@
 	if sum, known := proc.runDelay(now); sum != 0 || known {
 		t.Errorf("of no thread: run delay %v, known: %t", sum, known)
 	}
-	if proc.runDelay(now.Add(threadListInterval + 1)); len(proc.schedstatFiles) == 0 || !strings.HasPrefix(proc.schedstatFiles[0], "/proc/self/task/") {
+	proc.runDelay(now.Add(threadListInterval + 1))
+	if len(proc.schedstatFiles) == 0 || !strings.HasPrefix(proc.schedstatFiles[0], "/proc/self/task/") {
 		t.Errorf("after %v the threads are %q", threadListInterval, proc.schedstatFiles)
 	}
 	steal := func() time.Duration {
--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -9,30 +9,30 @@
 // clockStart is the zero of clock, which counts in int64 so that it fits an atomic.
 var clockStart = time.Now()
 
-// clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Mark.
+// clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
 func clock() int64 { return int64(time.Since(clockStart)) + 1 }
 
-// Mark measures how long a section of the program takes that should be short. One goroutine at a time is meant to be inside; of several
+// Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be inside; of several
 // the newest is measured. Any goroutine may call its methods, and none waits.
 type Timer struct{ enteredAt, longest atomic.Int64 }
 
 // Begin enters the section.
-func (m *Timer) Begin() { m.enteredAt.Store(clock()) }
+func (t *Timer) Begin() { t.enteredAt.Store(clock()) }
 
 // End leaves the section.
-func (m *Timer) End() {
-	if enteredAt := m.enteredAt.Swap(0); enteredAt > 0 {
-		if took := clock() - enteredAt; took > m.longest.Load() {
-			m.longest.Store(took)
+func (t *Timer) End() {
+	if enteredAt := t.enteredAt.Swap(0); enteredAt > 0 {
+		if took := clock() - enteredAt; took > t.longest.Load() {
+			t.longest.Store(took)
 		}
 	}
 }
 
 // takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with its time so far;
 // isInside tells that this is the longest.
-func (m *Timer) takeLongest() (longest time.Duration, isInside bool) {
-	longest = time.Duration(m.longest.Swap(0))
-	if enteredAt := m.enteredAt.Load(); enteredAt > 0 {
+func (t *Timer) takeLongest() (longest time.Duration, isInside bool) {
+	longest = time.Duration(t.longest.Swap(0))
+	if enteredAt := t.enteredAt.Load(); enteredAt > 0 {
 		if elapsed := time.Duration(clock() - enteredAt); elapsed > longest {
 			return elapsed, true
 		}
@@ -40,7 +40,7 @@
 	return longest, false
 }
 
-// Writer measures each write with its Mark.
+// TimedWriter measures each write with its Timer.
 type TimedWriter struct {
 	io.Writer
 	*Timer
--- a/stallwatch/usage.go
+++ b/stallwatch/usage.go
@@ -15,18 +15,18 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Spent measures what the process uses from call to call. The zero value is ready; it must not be used concurrently.
+// UsageMeter measures what the process uses from call to call. The zero value is ready; it must not be used concurrently.
 type UsageMeter struct {
 	cpu      time.Duration
 	gcCycles uint64
 }
 
-// Since returns the CPU time that the process used, and how often the garbage collector ran, since the last call; at first since the
+// SinceLast returns the CPU time that the process used, and how often the garbage collector ran, since the last call; at first since the
 // process began.
-func (s *UsageMeter) SinceLast() (cpu time.Duration, gcCycles uint64) {
+func (m *UsageMeter) SinceLast() (cpu time.Duration, gcCycles uint64) {
 	sample := []metrics.Sample{{Name: metricNames[gcCyclesMetric]}}
 	metrics.Read(sample)
-	before := *s
-	s.cpu, s.gcCycles = cpuTime(s.cpu), sample[0].Value.Uint64()
-	return s.cpu - before.cpu, s.gcCycles - before.gcCycles
+	before := *m
+	m.cpu, m.gcCycles = cpuTime(m.cpu), sample[0].Value.Uint64()
+	return m.cpu - before.cpu, m.gcCycles - before.gcCycles
 }
--- a/store/log.go
+++ b/store/log.go
@@ -4,7 +4,7 @@
 // writes another file and renames it over the first, so that either all old or all new records are there.
 //
 // A file that ends amid a record lost the end of an Append that never returned, and is truncated there. Anything else that does not
-// fit is ErrDamaged, and nothing of the file is used: a replica that forgot a vote it has cast could cast it twice.
+// fit is ErrCorrupt, and nothing of the file is used: a replica that forgot a vote it has cast could cast it twice.
 package store
 
 import (
@@ -16,10 +16,10 @@
 	"syscall"
 )
 
-// ErrDamaged says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
-var ErrCorrupt = errors.New("log is damaged")
+// ErrCorrupt says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
+var ErrCorrupt = errors.New("log is corrupt")
 
-// ErrHeld says that another process has the file open. Over an upgrade the caller tries again once that process has ended.
+// ErrLocked says that another process has the file open. Over an upgrade the caller tries again once that process has ended.
 var ErrLocked = errors.New("log is locked by another process")
 
 // file is what Log needs of an os.File. Tests put a failing one in its place.
@@ -44,7 +44,7 @@
 
 // Open opens the file at path, or creates it, and returns the records in it.
 //
-// It returns ErrHeld where another process has the file. With ErrDamaged it returns an empty log all the same, and what was there
+// It returns ErrLocked where another process has the file. With ErrCorrupt it returns an empty log all the same, and what was there
 // remains as PATH.damaged; the caller either goes on with the empty log or closes it. Other errors come from the file system.
 func Open(path string) (*Log, [][]byte, error) {
 	lock, err := lockFile(path + ".lock")
@@ -61,7 +61,7 @@
 }
 
 // lockFile opens or creates a file and takes an exclusive lock on it, which the kernel releases when the file is closed or the
-// process ends, however it ends. It does not wait: a lock that another process has is ErrHeld.
+// process ends, however it ends. It does not wait: a lock that another process has is ErrLocked.
 func lockFile(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return lock, nil
 }
 
-// load reads the records and makes the file ready to be appended to. After ErrDamaged it is ready too, and empty.
+// load reads the records and makes the file ready to be appended to. After ErrCorrupt it is ready too, and empty.
 func (l *Log) load() ([][]byte, error) {
 	content, err := os.ReadFile(l.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -109,7 +109,7 @@
 	return records, nil
 }
 
-// Add appends records in one write and waits until they are on the disk. After an error none of them counts, and Add may be called
+// Append adds records in one write and waits until they are on the disk. After an error none of them counts, and Append may be called
 // again. A record must have 1 byte to 4 MiB.
 func (l *Log) Append(records [][]byte) error {
 	content, err := appendRecords(nil, records)
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Swap replaces all records by the given ones, and waits until that is on the disk. After an error either the old or the new records
-// are there; nothing is acknowledged by a later Append before it is sure which.
+// Replace puts records in the place of all that are there, and waits until that is on the disk. After an error either the old or the new
+// records are there; nothing is acknowledged by a later Append before it is sure which.
 func (l *Log) Replace(records [][]byte) error {
 	content, err := appendRecords([]byte(fileMagic), records)
 	if err != nil {
--- a/store/record.go
+++ b/store/record.go
@@ -24,7 +24,7 @@
 
 // parseFile returns the records in a file's content and the length of the part that holds them, magic included: 0 where not even the
 // magic is complete. A record that the content ends in is no error, as a crash during Append leaves that; what can't come from such a
-// crash is ErrDamaged. The records share the content's memory.
+// crash is ErrCorrupt. The records share the content's memory.
 func parseFile(content []byte) (records [][]byte, validSize int, err error) {
 	if len(content) < len(fileMagic) {
 		if string(content) != fileMagic[:len(content)] {
