--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -37,7 +37,7 @@
 // writeSnapshot writes a snapshot to a file of its own, and returns what the file holds.
 func writeSnapshot(t *testing.T, s *Snapshot) (*File, []byte) {
 	t.Helper()
-	f := &File{Path: filepath.Join(t.TempDir(), "learnt")}
+	f := &File{Path: filepath.Join(t.TempDir(), "snapshot")}
 	if _, err := f.Write(s); err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 }
 
 // writerEnv makes the test binary the process that is killed.
-const writerEnv = "HOLLYLEVER_LEARNT_TEST"
+const writerEnv = "HOLLYLEVER_SNAPSHOT_TEST"
 
 // A process is killed amid a write. The process after it must find the snapshot before that, complete, and be able to write its own.
 func TestKillDuringWriteLeavesACompleteSnapshot(t *testing.T) {
@@ -197,7 +197,7 @@
 		}
 		return
 	}
-	f := &File{Path: filepath.Join(t.TempDir(), "learnt")}
+	f := &File{Path: filepath.Join(t.TempDir(), "snapshot")}
 	for n := range 20 {
 		cmd := exec.Command(os.Args[0], "-test.run=TestKillDuringWriteLeavesACompleteSnapshot$")
 		cmd.Env = append(os.Environ(), writerEnv+"="+f.Path)
@@ -250,7 +250,7 @@
 		}
 	}
 	s.EndpointList = []byte(strings.Repeat("x", 5000*140))
-	f := &File{Path: filepath.Join(b.TempDir(), "learnt")}
+	f := &File{Path: filepath.Join(b.TempDir(), "snapshot")}
 	size := 0
 	for b.Loop() {
 		var err error
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -54,7 +54,7 @@
 	if _, content := writeSnapshot(t, fixture()); !bytes.Equal(content, stored) {
 		t.Errorf("the same snapshot is written otherwise: %x, stored %x", content, stored)
 	}
-	opened := &File{Path: filepath.Join(t.TempDir(), "learnt")}
+	opened := &File{Path: filepath.Join(t.TempDir(), "snapshot")}
 	if err := os.WriteFile(opened.Path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
