--- a/membership/plain.go
+++ b/membership/plain.go
@@ -70,9 +70,6 @@
 	return p, nil
 }
 
-// Address is where it listens.
-func (p *Plain) Address() string { return p.datagrams.LocalAddr().String() }
-
 func (p *Plain) sendFrame(to string, kind frameKind, payload []byte) error {
 	address := p.peers[to]
 	switch {
