--- a/server/cli_test.go
+++ b/cli/cli_test.go
@@ -1,9 +1,8 @@
-package server
+package cli
 
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -12,16 +11,16 @@
 	"path/filepath"
 	"strconv"
 	"strings"
-	"syscall"
 	"testing"
 
 	"hollylever/fields"
+	"hollylever/server"
 )
 
-func types(words ...string) (code int, out, wrong string) {
-	var o, w bytes.Buffer
-	code = commands(words, &o, &w)
-	return code, o.String(), w.String()
+func runCommand(args ...string) (code int, out, errOut string) {
+	var o, e bytes.Buffer
+	code = run(args, &o, &e, nil)
+	return code, o.String(), e.String()
 }
 
 // However it goes wrong, it is one line and the code that the page says.
@@ -68,7 +67,7 @@
 		{4, "no: not ready", []string{"ready", door(503, "not ready\n")}}, {4, "no: ?[2Jthis", []string{"hosts", "back", "x", door(404, "\x1b[2Jthis id")}},
 		{1, "no field or table", []string{"config", "explain", "log.volume"}},
 	} {
-		code, out, wrong := types(c.words...)
+		code, out, wrong := runCommand(c.words...)
 		if code != c.code || !strings.Contains(wrong, c.want) || strings.Count(wrong, "\n") != 1 || out != "" {
 			t.Errorf("%q: %d, %q, %q; want %d, %q", c.words, code, out, wrong, c.code, c.want)
 		}
@@ -85,16 +84,16 @@
 		}
 		return file
 	}
-	good := fileWith(t, nil)
-	if code, out, wrong := types("check", good, put("good.toml", fields.Example(parts))); code != 0 || strings.Count(out, ": good\n") != 2 || wrong != "" {
+	good := configurationFile(t, nil)
+	if code, out, wrong := runCommand("check", good, put("good.toml", fields.Example(server.SettingsTables))); code != 0 || strings.Count(out, ": good\n") != 2 || wrong != "" {
 		t.Errorf("good files: %d, %q, %q", code, out, wrong)
 	}
 	var nice bytes.Buffer
-	text, _ := os.ReadFile(fileWith(t, map[string]any{"seed": "none", "listen": "here", "limits": map[string]any{"cores": 0, "memory_mb": 192, "sockets": 3}}))
+	text, _ := os.ReadFile(configurationFile(t, map[string]any{"seed": "none", "listen": "here", "limits": map[string]any{"cores": 0, "memory_mb": 192, "sockets": 3}}))
 	json.Indent(&nice, text, "", " ")
 	bad := put("bad.json", nice.String())
 	own := put("own.toml", "[log]\nlevle = \"info\"\n[watch]\nover = 3\n")
-	code, out, wrong := types("check", bad, own, put("noise", "\x00\x01"), place, filepath.Join(place, "none"))
+	code, out, wrong := runCommand("check", bad, own, put("noise", "\x00\x01"), place, filepath.Join(place, "none"))
 	for _, want := range []string{": seed: not a hexadecimal", `: listen: "here" is not an address`, ": limits.cores: not a number over 0", ": limits.sockets: not a number of at least 64",
 		own + ":2:1: log.levle: no such field", own + ":4:1: watch.over: has to be a duration", place + ": not a regular file", "none: no such file"} {
 		if !strings.Contains(out, want) {
@@ -111,101 +110,14 @@
 	}
 }
 
-// The commands against a balancer that serves, and its own settings read again.
-func TestCommandsAtAServingBalancer(t *testing.T) {
-	at, came := host(t)
-	own := filepath.Join(t.TempDir(), "own.toml")
-	file := fileWith(t, map[string]any{"known": json.RawMessage(list(0, true, entry("s-1", at, "Ready"), entry("s-2", at, "Ready"))), "mgmt": "127.0.0.1:0"})
-	os.WriteFile(own, []byte("[log]\nsummary = \"1h\"\n"), 0o600)
-	p := started(t, file, programWith(file, "LB_EXTRA="+own))
-	door := "--door=" + p.mgmt
-	if code, out, _ := types("ready", door); code != 0 || out != "ready\n" {
-		t.Errorf("ready: %d %q", code, out)
-	}
-	c := p.client().ask("C.GET", "k", "a", "c=read,d=3000")
-	next(t, came, "the retrieval").Say(settled("v"))
-	c.answers("v")
-	p.figure("replies.read.success", 1)
-	if code, out, _ := types("figures", door, "--watch", "--times=2", "--every=10ms"); code != 0 || !strings.Contains(out, "trips handed over") || !strings.Contains(out, "+0") {
-		t.Errorf("figures: %d\n%s", code, out)
-	}
-	if code, out, _ := types("hosts", "out", "s-1", door); code != 0 || out != "s-1 is out\n" {
-		t.Errorf("hosts out: %d %q", code, out)
-	}
-	_, out, _ := types("hosts", "list", door)
-	if lines := strings.Split(out, "\n"); len(lines) != 4 || !strings.Contains(lines[1], "out by hand") || !strings.Contains(lines[2], "used") {
-		t.Errorf("hosts list:\n%s", out)
-	}
-	var all []struct {
-		ID     string
-		ByHand bool `json:"by_hand"`
-	}
-	if _, out, _ := types("hosts", "list", door, "--json"); json.Unmarshal([]byte(out), &all) != nil || len(all) != 2 || !all[0].ByHand {
-		t.Errorf("hosts list --json: %s", out)
-	}
-	if code, _, wrong := types("hosts", "back", "s-9", door); code != exitNo || !strings.Contains(wrong, "never listed") {
-		t.Errorf("hosts back of what never was: %d %q", code, wrong)
-	}
-	again := func(text, want string) {
-		t.Helper()
-		os.WriteFile(own, []byte(text), 0o600)
-		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.logged(want)
-	}
-	again("[log]\nsummary = \"soon\"\n", `own.toml:2:1: log.summary: \"soon\" is not a duration`)
-	again("[log]\nsummary = \"1s\"\nform = \"console\"\n", `"field":"log.form"`)
-	p.logged(`"field":"log.summary"`)
-	p.logged(`"message":"summary"`)
-	again("[log]\nsummary = \"1s\"\nlevel = \"warn\"\n", `"log.level"`) // The last that is logged at info.
-	again("[log]\nsummary = 1\n", "configuration not taken")
-}
-
 // The example that comes along is what the program itself would print.
 func TestExampleIsTheProgramsOwn(t *testing.T) {
 	text, err := os.ReadFile("../deploy/hollylever.toml")
-	if err != nil || string(text) != fields.Example(parts) {
+	if err != nil || string(text) != fields.Example(server.SettingsTables) {
 		t.Errorf("deploy/hollylever.toml: %v; hollylever config example > deploy/hollylever.toml mends it", err)
 	}
 }
 
-// Without a table fleet nothing listens but what the platform asked for; with one, this program says that it is built without.
-func TestNoFleetHere(t *testing.T) {
-	t.Parallel()
-	p := start(t, list(1, true), nil)
-	listens, datagrams := 0, 0
-	inodes := map[string]bool{}
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.cmd.Process.Pid))
-	for _, file := range files {
-		if at, err := os.Readlink(file); err == nil {
-			if inode, is := strings.CutPrefix(at, "socket:["); is {
-				inodes[strings.TrimSuffix(inode, "]")] = true
-			}
-		}
-	}
-	for _, table := range []string{"tcp", "tcp6", "udp", "udp6"} {
-		text, _ := os.ReadFile("/proc/net/" + table)
-		for _, line := range strings.Split(string(text), "\n") {
-			if f := strings.Fields(line); len(f) > 9 && inodes[f[9]] {
-				if strings.HasPrefix(table, "udp") {
-					datagrams++
-				} else if f[3] == "0A" {
-					listens++
-				}
-			}
-		}
-	}
-	if listens != 1 || datagrams != 0 {
-		t.Errorf("%d sockets listen, %d are for datagrams", listens, datagrams)
-	}
-	own := filepath.Join(t.TempDir(), "own.toml")
-	os.WriteFile(own, []byte("[fleet]\non = true\nlisten = \"127.0.0.1:1\"\npeers = \"n=127.0.0.1:1\"\nkeepers = \"n\"\n"), 0o600)
-	cmd := programWith(fileWith(t, map[string]any{"known": json.RawMessage(list(1, true))}), "LB_EXTRA="+own)
-	out, err := cmd.CombinedOutput()
-	if err == nil || !strings.Contains(string(out), "fleet.on: this program is built without") || strings.Count(string(out), "\n") != 1 {
-		t.Errorf("%v, %q", err, out)
-	}
-}
-
 // A table fleet that does not fit together is a mistake that names its field.
 func TestFleetIsChecked(t *testing.T) {
 	t.Parallel()
@@ -224,7 +136,7 @@
 	} {
 		os.WriteFile(file, []byte(text), 0o600)
 		var out bytes.Buffer
-		commands([]string{"check", file}, &out, io.Discard)
+		run([]string{"check", file}, &out, io.Discard, nil)
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%q, not %q", out.String(), want)
 		}
--- a/server/golden_test.go
+++ b/cli/golden_test.go
@@ -1,4 +1,4 @@
-package server
+package cli
 
 import (
 	"bytes"
@@ -14,6 +14,7 @@
 	"testing"
 
 	"hollylever/fields"
+	"hollylever/server"
 )
 
 var update = flag.Bool("update", false, "write testdata anew")
@@ -46,7 +47,7 @@
 	var out strings.Builder
 	for _, command := range []string{"", "serve", "check", "hosts", "hosts list", "hosts out", "hosts back", "ready", "figures", "fleet", "fleet propose", "fleet history",
 		"zones", "zones list", "zones plan", "zones leave", "zones return", "config", "config example", "config explain", "version", "completion", "help"} {
-		code, said, wrong := types(append(strings.Fields(command), "--help")...)
+		code, said, wrong := runCommand(append(strings.Fields(command), "--help")...)
 		fmt.Fprintf(&out, "$ hollylever %s --help\n%s%sexit %d\n\n", command, said, wrong, code)
 	}
 	golden(t, "usage.golden", out.String())
@@ -54,9 +55,9 @@
 
 // A file of own settings that an operator has written must mean the same: fields, defaults, bounds and when a change counts.
 func TestOwnSettingsAreAsBefore(t *testing.T) {
-	_, out, wrong := types("config", "explain")
-	_, example, _ := types("config", "example")
-	golden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(parts), "\n"))
+	_, out, wrong := runCommand("config", "explain")
+	_, example, _ := runCommand("config", "example")
+	golden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(server.SettingsTables), "\n"))
 }
 
 // What the commands make of a door's answers, and the code with which each ends, is what scripts build on. The door answers with the JSON of the fleet's
@@ -101,7 +102,7 @@
 		if words[0] != "config" && words[0] != "nonsense" {
 			words = append(words, "--door="+door.Listener.Addr().String())
 		}
-		code, said, wrong := types(words...)
+		code, said, wrong := runCommand(words...)
 		line := fmt.Sprintf("$ hollylever %s\n%s%sexit %d; asked %q\n\n", strings.Join(words, " "), said, wrong, code, asked)
 		out.WriteString(strings.NewReplacer(place, "PLACE", door.Listener.Addr().String(), "DOOR").Replace(line))
 	}
@@ -124,7 +125,7 @@
 	run("figures")
 	door.Close()
 	run("ready")
-	code, said, wrong := types("ready")
+	code, said, wrong := runCommand("ready")
 	fmt.Fprintf(&out, "$ hollylever ready, without a door\n%s%sexit %d\n", said, wrong, code)
 	golden(t, "commands.golden", out.String())
 }
--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -4,6 +4,7 @@
 import (
 	"github.com/rs/zerolog"
 
+	"hollylever/cli"
 	"hollylever/consensus"
 	"hollylever/fields"
 	"hollylever/fleet"
@@ -13,21 +14,22 @@
 	"hollylever/subset"
 )
 
-func main() { server.Main(join) }
+func main() { cli.Main(join) }
 
-func join(own fields.Values, name, zone, settings string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
-	f, err := fleet.Start(own, name, zone, settings, balancerAdapter{b}, log)
+// join starts the membership of a balancer in its fleet, and connects the two.
+func join(own fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
+	f, err := fleet.Start(own, name, zone, settingsDigest, balancerAdapter{b}, log)
 	if err != nil {
 		return nil, err
 	}
 	b.SetLeaseCheck(func() { f.CheckLease() })
-	if fellows := f.OutlierExchange(); fellows != nil {
-		b.SetOutlierExchange(fellows)
+	if exchange := f.OutlierExchange(); exchange != nil {
+		b.SetOutlierExchange(exchange)
 	}
 	return f, nil
 }
 
-// acts puts what is agreed on before the balancer.
+// balancerAdapter gives package fleet its view of the balancer, and the balancer what the fleet agreed on.
 type balancerAdapter struct{ *routing.Balancer }
 
 func (a balancerAdapter) ApplyConfig(what consensus.EffectiveConfig) {
--- a/cmd/hollylever/main.go
+++ b/cmd/hollylever/main.go
@@ -1,6 +1,6 @@
 // Command hollylever is one balancer that decides alone.
 package main
 
-import "hollylever/server"
+import "hollylever/cli"
 
-func main() { server.Main(nil) }
+func main() { cli.Main(nil) }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -191,9 +191,9 @@
 		return b, err
 	}
 	if servers, err := b.recall(before, known); err != nil {
-		log.Warn().Err(err).Msg("not recalled") // The start is as without it.
+		log.Warn().Err(err).Msg("snapshot not restored") // The start is as without it.
 	} else {
-		log.Info().Int("servers", servers).Int("keys", len(before.BalancerState.Keys)).Int64("ago_ms", before.Age.Milliseconds()).Msg("recalled")
+		log.Info().Int("servers", servers).Int("keys", len(before.BalancerState.Keys)).Int64("ago_ms", before.Age.Milliseconds()).Msg("snapshot restored")
 	}
 	return b, nil
 }
--- a/server/descriptors_test.go
+++ b/server/descriptors_test.go
@@ -96,8 +96,8 @@
 			call.Say(list(2, true, append(after, entry("s", at, "Terminating"))...))
 			p.logged(`"message":"servers changed"`)
 			c := p.client()
-			const each = (fewDescriptors-reserve)/2 - 1 // One is the busy client's.
-			for n := range each {                       // No connection to these hosts is open yet; each is one more.
+			const each = (fewDescriptors-reservedDescriptors)/2 - 1 // One is the busy client's.
+			for n := range each {                                   // No connection to these hosts is open yet; each is one more.
 				c.ask("C.GET", "k", strconv.Itoa(n), "c=read,t=acme,d=3000")
 			}
 			var asked []command
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			p.cmd.Process.Signal(syscall.SIGHUP)
-			p.logged(`"message":"configuration read again"`)
+			p.logged(`"message":"configuration reloaded"`)
 			next(t, movedCalls, "a call to the new discovery").Say(list(1, true, after...))
 			if code, text := p.calls("GET", "/ready"); code != 200 {
 				t.Errorf("ready: %d %q", code, text)
@@ -146,11 +146,11 @@
 // What is kept for the rest is kept, but of few descriptors at most half.
 func TestDescriptorsAreDivided(t *testing.T) {
 	for _, c := range []struct{ total, kept, clients, hosts int }{
-		{1024, reserve, 496, 496},
-		{1024, reserve + fleetReserve, 484, 484},
-		{65, reserve, 17, 16},
-		{64, reserve + fleetReserve, 16, 16},
-		{20, reserve, 5, 5},
+		{1024, reservedDescriptors, 496, 496},
+		{1024, reservedDescriptors + fleetDescriptors, 484, 484},
+		{65, reservedDescriptors, 17, 16},
+		{64, reservedDescriptors + fleetDescriptors, 16, 16},
+		{20, reservedDescriptors, 5, 5},
 	} {
 		if clients, hosts := divideDescriptors(c.total, c.kept); clients != c.clients || hosts != c.hosts {
 			t.Errorf("%d, %d kept: %d clients, %d hosts; want %d and %d", c.total, c.kept, clients, hosts, c.clients, c.hosts)
@@ -174,19 +174,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(platform.Close)
-	most := (fewDescriptors - reserve) / 2
+	most := (fewDescriptors - reservedDescriptors) / 2
 	var young *fakes.Process
 	for range 2 { // The old one, and a new one beside it.
 		if young, err = platform.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(young.Kill)
-		line, err := young.Logged(`"message":"limits divided"`, patience)
+		line, err := young.Logged(`"message":"resource limits changed"`, patience)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var said struct{ Clients, Hosts int }
-		if json.Unmarshal([]byte(line), &said); said.Clients > most || said.Hosts > most || said.Clients < 1 || said.Hosts < 1 {
+		var limits struct {
+			Clients   int `json:"max_clients"`
+			Endpoints int `json:"max_endpoint_connections"`
+		}
+		if json.Unmarshal([]byte(line), &limits); limits.Clients > most || limits.Endpoints > most || limits.Clients < 1 || limits.Endpoints < 1 {
 			t.Errorf("%s; the system allows %d for each", line, most)
 		}
 		next(t, calls, "a call").Say(unavailable)
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -49,8 +49,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	p := w.start(t)
-	if len(p.Log("recalled")) > 0 {
-		t.Errorf("the first one has %q", p.Log("recalled"))
+	if len(p.Log("snapshot restored")) > 0 {
+		t.Errorf("the first one has %q", p.Log("snapshot restored"))
 	}
 	clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 200, Keys: 300, Seed: 3, Patience: 2 * time.Second})
 	file := filepath.Join(w.Place, "hollylever.learnt")
@@ -70,9 +70,9 @@
 		Servers, Keys int
 		AgoMS         int `json:"ago_ms"`
 	}
-	line := says(t, p, `"message":"recalled"`)
+	line := says(t, p, `"message":"snapshot restored"`)
 	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Servers != 6 || said.Keys < 50 || said.AgoMS > 20000 {
-		t.Errorf("what is recalled: %s", line)
+		t.Errorf("what is restored: %s", line)
 	}
 	p.Kill()
 	text, err := os.ReadFile(file)
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		p := w.start(t)
-		says(t, p, `"message":"not recalled"`)
+		says(t, p, `"message":"snapshot not restored"`)
 		if err := p.Ready(patience); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -191,7 +191,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	says(t, young, `"message":"limits divided"`)
+	says(t, young, `"message":"resource limits changed"`)
 	crowd(200)
 	began := time.Now()
 	old.Cmd.Process.Signal(syscall.SIGTERM)
@@ -205,8 +205,8 @@
 		t.Errorf("%d descriptors of %d, with %d for clients", seen, limits.Sockets, clients)
 	}
 	until(t, "one holds all", func() bool {
-		lines := young.Log(`"message":"limits divided"`)
-		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"beside":0,"clients":64,"hosts":64`)
+		lines := young.Log(`"message":"resource limits changed"`)
+		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"siblings":0,"max_clients":64,"max_endpoint_connections":64`)
 	})
 	t.Logf("%d descriptors of %d at most", seen, limits.Sockets)
 }
@@ -287,8 +287,8 @@
 	}
 	settles()
 	until(t, "all limits are the old one's again", func() bool {
-		lines := old.Log(`"message":"limits divided"`)
-		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"beside":0`)
+		lines := old.Log(`"message":"resource limits changed"`)
+		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"siblings":0`)
 	})
 	end()
 	if f := clients.Wait(); f.Late+f.Wrong > 0 || f.Settled == 0 {
--- a/server/lines.go
+++ b/server/loglines.go
@@ -1,22 +1,22 @@
 package server
 
-// line is one that can be logged: its message, and its fields beside time, level, balancer and message. The summary has, besides, a field
+// logLine is one that can be logged: its message, and its fields beside time, level, balancer and message. The summary has, besides, a field
 // for each thing that happened.
-type line struct {
+type logLine struct {
 	message string
 	fields  []string
 }
 
-// lines are all of them. A test holds this list against what the sources log and against what on-call staff are told.
-var lines = []line{
+// logLines are all of them. A test compares this list with what the sources log and with the pages for on-call staff.
+var logLines = []logLine{
 	{"serving", []string{"listen", "mgmt", "clients", "hosts", "memory_mb"}},
 	{"servers changed", []string{"index", "changed", "ready", "draining", "gone"}},
 	{"list lost", []string{"error"}},
 	{"list followed again", []string{"discovery"}},
-	{"configuration read again", []string{"discovery", "before"}},
-	{"configuration not taken", []string{"error"}},
-	{"counts from now on", []string{"field"}},
-	{"counts at the next start", []string{"field"}},
+	{"configuration reloaded", []string{"discovery", "previous_discovery"}},
+	{"configuration rejected", []string{"error"}},
+	{"setting applied", []string{"field"}},
+	{"setting applies after restart", []string{"field"}},
 	{"accept failed", []string{"error"}},
 	{"server by hand", []string{"server", "out"}},
 	{"server by the fleet", []string{"server", "out"}},
@@ -46,12 +46,12 @@
 	{"proposed of a zone", []string{"zone", "leaves", "hosts", "failing", "version"}},
 	{"reads miss for all", []string{"is", "reads", "misses"}},
 	{"bans not taken", []string{"error"}},
-	{"recalled", []string{"servers", "keys", "ago_ms"}},
-	{"not recalled", []string{"error"}},
-	{"not kept", []string{"error"}},
-	{"limits divided", []string{"beside", "clients", "hosts", "memory_mb"}},
-	{"siblings not joined", []string{"error"}},
-	{"siblings not told", []string{"error"}},
+	{"snapshot restored", []string{"servers", "keys", "ago_ms"}},
+	{"snapshot not restored", []string{"error"}},
+	{"snapshot not written", []string{"error"}},
+	{"resource limits changed", []string{"siblings", "max_clients", "max_endpoint_connections", "memory_mb"}},
+	{"sibling processes not joined", []string{"error"}},
+	{"sibling processes not updated", []string{"error"}},
 	{"stall detected", []string{"cause", "duration_ms", "wakeup_delay_ms", "cpu_ms", "run_delay_ms", "gc_pause_ms", "scheduling_latency_ms",
 		"gc_cycles", "cpu_before_ms", "resume_signals", "steal_ms", "lock_ms", "accept_ms", "log_ms", "goroutines", "suppressed", "functions"}},
 	{"summary", []string{"clients", "hosts_open", "held", "servers", "index", "cpu_ms", "collections"}},
@@ -59,6 +59,6 @@
 	{"request ended badly", []string{"why", "more"}},
 	{"client connection closed", []string{"client", "end", "age_ms", "commands"}},
 	{"stopping", []string{"clients", "open", "limit_ms"}},
-	{"unanswered at the stop", []string{"open", "ids"}},
+	{"requests unanswered at shutdown", []string{"open", "ids"}},
 	{"stopped", []string{"all_answered", "cut_off", "took_ms"}},
 }
--- a/server/lines_test.go
+++ b/server/loglines_test.go
@@ -81,7 +81,7 @@
 		told += string(text)
 	}
 	found := logged(t)
-	for _, l := range lines {
+	for _, l := range logLines {
 		fields, is := found[l.message]
 		if !is {
 			t.Errorf("%q is listed, and nothing logs it", l.message)
--- a/server/main_test.go
+++ b/server/main_test.go
@@ -370,11 +370,11 @@
 	for _, bad := range []string{"", with(second)[:300], with("nowhere"), strings.Replace(with(second), `"known":`, `"other":`, 1)} {
 		os.WriteFile(p.file, []byte(bad), 0o600)
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.logged("configuration not taken")
+		p.logged("configuration rejected")
 	}
 	os.Remove(p.file)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.logged("configuration not taken")
+	p.logged("configuration rejected")
 	old.Say(list(5, false, entry("s", at, "Ready"))) // It is followed still.
 	os.WriteFile(p.file, []byte(with(second)), 0o600)
 	p.cmd.Process.Signal(syscall.SIGHUP)
--- /dev/null
+++ b/server/run.go
@@ -0,0 +1,155 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"hollylever/fields"
+	"hollylever/routing"
+	"hollylever/siblings"
+	"hollylever/snapshot"
+)
+
+// Run accepts clients and serves them until SIGTERM; it returns when the shutdown is over. Serve calls it once, after New.
+func (s *Server) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer s.close(cancel)
+	s.startTasks(ctx)
+	s.log.Info().Str("listen", s.listener.Address()).Str("mgmt", s.adminAddress).Int("clients", s.maxClients).
+		Int("hosts", s.maxEndpointConnections).Int64("memory_mb", int64(s.configuration.MemoryMB)).Msg("serving")
+	hardStop := s.configuration.longestHardStop() // A reload changes only the discovery address.
+	sweep := time.NewTicker(sweepInterval)
+	s.summaryTicker = time.NewTicker(s.settings.Duration("log.summary"))
+	for {
+		select {
+		case <-sweep.C:
+			s.sweep()
+		case <-s.summaryTicker.C:
+			s.logSummary()
+		case <-s.signals.Reload:
+			s.reload()
+		case <-s.signals.Terminate:
+			s.shutdown(hardStop)
+			return nil
+		}
+	}
+}
+
+// startTasks starts what runs beside the loop of Run, until the context ends. Clients are accepted from here on.
+func (s *Server) startTasks(ctx context.Context) {
+	if s.settings.Yes("watch.on") {
+		go s.stalls.Run(ctx)
+	}
+	go s.listener.Serve(s.balancer.Serve)
+	s.balancer.Takes(true)
+	if s.siblings != nil {
+		s.siblings.SetPhase(siblings.Serving)
+		go s.resources.share(ctx, s.siblings, s.log)
+	}
+	if s.snapshotPath != "" {
+		s.snapshotIntervals <- s.settings.Duration("learnt.every")
+		go writeSnapshots(ctx, s.balancer.Keeper(s.snapshotPath, s.configuration.Name), s.siblings, s.snapshotIntervals, s.log)
+	}
+	if s.fleet != nil {
+		s.fleetDone = make(chan struct{})
+		go func() { s.fleet.Run(ctx); close(s.fleetDone) }()
+	}
+	go s.balancer.Follow(ctx)
+	go s.balancer.FollowBans(ctx)
+}
+
+// close waits until the fleet has ended (it writes its handover file then), then writes what the log still holds.
+func (s *Server) close(cancel context.CancelFunc) {
+	if s.fleet != nil {
+		cancel()
+		<-s.fleetDone
+	}
+	s.flushLog()
+	cancel()
+}
+
+// sweep closes connections that are idle for too long.
+func (s *Server) sweep() {
+	s.pool.Sweep()
+	s.listener.Sweep()
+	if s.sweeps++; s.sweeps%sweepsPerDescriptorCheck == 0 {
+		s.checkDescriptors()
+	}
+}
+
+func (s *Server) logSummary() {
+	cpu, collections := s.usage.SinceLast()
+	s.balancer.Summary(s.listener.Count(), cpu, collections)
+}
+
+// reload reads both configuration files again (SIGHUP). If either is bad, neither is taken: what was in force stays.
+//
+// Of the platform's file only the discovery address applies to a running process. Of the balancer's own settings those apply that are marked
+// fields.AtOnce; the others are logged and apply at the next start.
+func (s *Server) reload() {
+	configuration, err := rereadConfiguration()
+	settings, settingsErr := readSettings(s.settingsFile)
+	if err == nil {
+		err = settingsErr
+	}
+	if err != nil {
+		s.log.Warn().Err(err).Msg("configuration rejected")
+		return
+	}
+	s.applyConfiguration(configuration)
+	s.applySettings(settings)
+}
+
+func (s *Server) applyConfiguration(c *Configuration) {
+	previous := s.configuration
+	s.log.Info().Str("discovery", c.DiscoveryAddress).Str("previous_discovery", previous.DiscoveryAddress).Msg("configuration reloaded")
+	if c.DiscoveryAddress != previous.DiscoveryAddress {
+		s.balancer.Move(c.DiscoveryAddress)
+	}
+	c.ListenDescriptor = previous.ListenDescriptor // LB_LISTEN_FD counts at the start only.
+	s.configuration = c
+}
+
+func (s *Server) applySettings(settings fields.Values) {
+	for _, name := range fields.Changed(SettingsTables, s.settings, settings, fields.AtStart) {
+		s.log.Info().Str("field", name).Msg("setting applies after restart")
+	}
+	for _, name := range fields.Changed(SettingsTables, s.settings, settings, fields.AtOnce) {
+		s.log.Info().Str("field", name).Msg("setting applied")
+	}
+	s.settings = settings
+	zerolog.SetGlobalLevel(logLevels[settings.Word("log.level")])
+	s.stalls.SetThreshold(settings.Duration("watch.over"))
+	s.summaryTicker.Reset(settings.Duration("log.summary"))
+	select {
+	case s.snapshotIntervals <- settings.Duration("learnt.every"):
+	default: // No snapshots are written, or the last change is not taken up yet; SIGHUP can be sent again.
+	}
+}
+
+// writeSnapshots writes what the balancer learned at the interval that was sent last. Guards against a process that is killed: it leaves a
+// snapshot at most one interval old, from which the next process starts.
+func writeSnapshots(ctx context.Context, keeper *routing.Keeper, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
+	failed, ticker := false, time.NewTicker(time.Hour) // The first interval is sent before the goroutine starts.
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case interval := <-intervals:
+			ticker.Reset(interval)
+			continue
+		case <-ticker.C:
+		}
+		if group != nil && !group.IsSnapshotWriter() {
+			continue // Another process of this balancer has learned more.
+		}
+		err := keeper.Keep()
+		if err != nil && !errors.Is(err, snapshot.ErrLocked) && !failed {
+			log.Warn().Err(err).Msg("snapshot not written") // Once for a run of errors.
+		}
+		failed = err != nil
+	}
+}
--- a/server/syscalls_test.go
+++ b/server/syscalls_test.go
@@ -107,7 +107,7 @@
 func TestRoomForClientsComesBackAfterAShortage(t *testing.T) {
 	t.Parallel()
 	const sockets = 256
-	const clients = sockets - reserve - (sockets-reserve)/2
+	const clients = sockets - reservedDescriptors - (sockets-reservedDescriptors)/2
 	r := recorder(t, fakes.Hanging)
 	changes := deadlines(8*time.Second, 20*time.Second)
 	changes["limits"] = map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets}
