--- a/server/loglines.go
+++ b/server/loglines.go
@@ -9,7 +9,7 @@
 
 // logLines are all of them. A test compares this list with what the sources log and with the pages for on-call staff.
 var logLines = []logLine{
-	{"serving", []string{"listen", "mgmt", "clients", "hosts", "memory_mb"}},
+	{"serving", []string{"listen", "mgmt", "max_clients", "max_endpoint_connections", "memory_mb"}},
 	{"servers changed", []string{"index", "changed", "ready", "draining", "gone"}},
 	{"list lost", []string{"error"}},
 	{"list followed again", []string{"discovery"}},
@@ -58,7 +58,7 @@
 	{"request", nil},
 	{"request ended badly", []string{"why", "more"}},
 	{"client connection closed", []string{"client", "end", "age_ms", "commands"}},
-	{"stopping", []string{"clients", "open", "limit_ms"}},
-	{"requests unanswered at shutdown", []string{"open", "ids"}},
+	{"stopping", []string{"clients", "open_requests", "timeout_ms"}},
+	{"requests unanswered at shutdown", []string{"open_requests", "request_ids"}},
 	{"stopped", []string{"all_answered", "cut_off", "took_ms"}},
 }
--- a/server/run.go
+++ b/server/run.go
@@ -18,8 +18,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.close(cancel)
 	s.startTasks(ctx)
-	s.log.Info().Str("listen", s.listener.Address()).Str("mgmt", s.adminAddress).Int("clients", s.maxClients).
-		Int("hosts", s.maxEndpointConnections).Int64("memory_mb", int64(s.configuration.MemoryMB)).Msg("serving")
+	s.log.Info().Str("listen", s.listener.Address()).Str("mgmt", s.adminAddress).Int("max_clients", s.maxClients).
+		Int("max_endpoint_connections", s.maxEndpointConnections).Int64("memory_mb", int64(s.configuration.MemoryMB)).Msg("serving")
 	hardStop := s.configuration.longestHardStop() // A reload changes only the discovery address.
 	sweep := time.NewTicker(sweepInterval)
 	s.summaryTicker = time.NewTicker(s.settings.Duration("log.summary"))
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -48,7 +48,7 @@
 // beginDraining has clients leave with their next answer, and every request answered by answerBy.
 func (s *Server) beginDraining(answerBy, closeBy time.Time) {
 	open, _ := s.balancer.OpenRequests()
-	s.log.Info().Int("clients", s.listener.Count()).Int("open", open).Int64("limit_ms", time.Until(closeBy).Milliseconds()).Msg("stopping")
+	s.log.Info().Int("clients", s.listener.Count()).Int("open_requests", open).Int64("timeout_ms", time.Until(closeBy).Milliseconds()).Msg("stopping")
 	s.balancer.Ends(answerBy)
 	s.listener.Last()
 	if s.configuration.hasInheritedSocket() {
@@ -63,7 +63,7 @@
 		return true, 0
 	}
 	if open, ids := s.balancer.OpenRequests(); open > 0 {
-		s.log.Warn().Int("open", open).Strs("ids", ids).Msg("requests unanswered at shutdown")
+		s.log.Warn().Int("open_requests", open).Strs("request_ids", ids).Msg("requests unanswered at shutdown")
 	}
 	return false, s.listener.Cut(cutTimeout)
 }
