--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// Without a table fleet nothing listens but what the platform asked for; with one, this program says that it is built without.
-func TestNoFleetHere(t *testing.T) {
+// A balancer without a table fleet listens at its clients' address only. With one, a program that is built without fleets refuses to start.
+func TestProgramWithoutFleet(t *testing.T) {
 	t.Parallel()
-	p := start(t, list(1, true), nil)
+	p := startProgram(t, endpointList(1, true), nil)
 	listens, datagrams := 0, 0
 	inodes := map[string]bool{}
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.cmd.Process.Pid))
@@ -40,7 +40,7 @@
 	}
 	own := filepath.Join(t.TempDir(), "own.toml")
 	os.WriteFile(own, []byte("[fleet]\non = true\nlisten = \"127.0.0.1:1\"\npeers = \"n=127.0.0.1:1\"\nkeepers = \"n\"\n"), 0o600)
-	cmd := programWith(fileWith(t, map[string]any{"known": json.RawMessage(list(1, true))}), "LB_EXTRA="+own)
+	cmd := programCommand(configurationFile(t, map[string]any{"known": json.RawMessage(endpointList(1, true))}), "LB_EXTRA="+own)
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "fleet.on: this program is built without") || strings.Count(string(out), "\n") != 1 {
 		t.Errorf("%v, %q", err, out)
--- a/server/handover_faults_test.go
+++ b/server/handover_faults_test.go
@@ -16,29 +16,29 @@
 	"hollylever/fakes"
 )
 
-// plans is how many seeds the test plays: some here, more by hand with HOLLYLEVER_PLANS.
-func plans() int {
+// planCount is the number of seeds: a few here, more by hand with HOLLYLEVER_PLANS.
+func planCount() int {
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_PLANS")); err == nil {
 		return n
 	}
 	return 3
 }
 
-// Hand-overs under load while hosts hang, crash, come back cold and drain, the holder of the socket changes its mode, processes
-// are read anew, killed at their start and told to stop in any order: each retrieval has one answer of its own in time, no effect
-// comes twice, drains are kept and no cold host is pushed over.
-func TestHandOversAmidFaults(t *testing.T) {
+// Upgrades under load while hosts hang, crash, restart cold and drain, the holder of the socket changes its mode, and processes
+// reload, are killed at their start and told to stop in any order: each request has one reply of its own in time, no write
+// happens twice, drains are kept and no cold host is overloaded.
+func TestUpgradesAmidFaults(t *testing.T) {
 	t.Parallel()
-	for seed := range uint64(plans()) {
+	for seed := range uint64(planCount()) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			handOvers(t, seed)
+			runUpgrades(t, seed)
 		})
 	}
 }
 
-// dies has a new process die before it is ready, after a while: it reads its configuration from a pipe that nobody fills.
-func dies(t *testing.T, w *town, while func()) {
+// startAndKill starts a process that waits for its configuration (a pipe that nobody fills), and kills it when meanwhile returns.
+func startAndKill(t *testing.T, w *testBed, meanwhile func()) {
 	t.Helper()
 	file := w.File
 	defer func() { w.File = file }()
@@ -50,16 +50,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	while()
+	meanwhile()
 	p.Kill()
 	if len(p.Log("serving")) > 0 {
 		t.Error("it serves without a configuration")
 	}
 }
 
-func handOvers(t *testing.T, seed uint64) {
+func runUpgrades(t *testing.T, seed uint64) {
 	chance := rand.New(rand.NewPCG(seed, 38))
-	w := newTown(t, 6, -1, townLimits)
+	w := newTestBed(t, 6, -1, testBedLimits)
 	p := w.start(t)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -67,7 +67,7 @@
 	settles := func(n int) {
 		t.Helper()
 		before := clients.Figures().Settled
-		until(t, "answers", func() bool { return clients.Figures().Settled >= before+n })
+		waitUntil(t, "answers", func() bool { return clients.Figures().Settled >= before+n })
 	}
 	out := -1 // the host that drains
 	settles(20)
@@ -94,7 +94,7 @@
 			w.Block()
 		}
 		if chance.IntN(2) == 0 {
-			dies(t, w, func() { settles(1 + chance.IntN(5)) })
+			startAndKill(t, w, func() { settles(1 + chance.IntN(5)) })
 		}
 		early := chance.IntN(3) == 0
 		if early { // Clients wait at the socket until the new one is there.
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -23,29 +23,29 @@
 	"hollylever/tables"
 )
 
-// until asks again until it is so.
-func until(t *testing.T, what string, so func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, so func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !so(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !so(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%s: it does not come", what)
 		}
 	}
 }
 
-func says(t *testing.T, p *fakes.Process, text string) string {
+func waitForLogLine(t *testing.T, p *fakes.Process, text string) string {
 	t.Helper()
-	line, err := p.Logged(text, patience)
+	line, err := p.Logged(text, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return line
 }
 
-// A process that was killed leaves what it learnt; the next one starts from it, and one that finds a damaged file as ever.
-func TestWhatWasLearntGoesAlong(t *testing.T) {
+// A process is killed. The next one starts from its snapshot; one that finds a damaged snapshot starts as without.
+func TestSnapshotIsRestoredByNextProcess(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, 6, -1, townLimits)
+	w := newTestBed(t, 6, -1, testBedLimits)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	p := w.start(t)
@@ -58,7 +58,7 @@
 		s, err := (&snapshot.File{Path: file}).Read("n1", fingerprint(), time.Now(), time.Minute)
 		return err == nil && s != nil && len(s.BalancerState.Keys) > 50
 	}
-	until(t, "a snapshot of fifty keys", many)
+	waitUntil(t, "a snapshot of fifty keys", many)
 	end()
 	clients.Wait()
 	p.Kill()
@@ -70,7 +70,7 @@
 		Servers, Keys int
 		AgoMS         int `json:"ago_ms"`
 	}
-	line := says(t, p, `"message":"snapshot restored"`)
+	line := waitForLogLine(t, p, `"message":"snapshot restored"`)
 	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Servers != 6 || said.Keys < 50 || said.AgoMS > 20000 {
 		t.Errorf("what is restored: %s", line)
 	}
@@ -84,23 +84,23 @@
 			t.Fatal(err)
 		}
 		p := w.start(t)
-		says(t, p, `"message":"snapshot not restored"`)
-		if err := p.Ready(patience); err != nil {
+		waitForLogLine(t, p, `"message":"snapshot not restored"`)
+		if err := p.Ready(testTimeout); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
 		p.Kill()
 	}
 }
 
-// A ban that comes at the new door while both run holds for both, and the host that it names is sent nothing more.
-func TestABanWhileBothRun(t *testing.T) {
+// During an upgrade an operator ejects a host at the new process: it gets nothing more from either.
+func TestEjectionDuringUpgradeHoldsAtBothProcesses(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, 5, -1, townLimits)
+	w := newTestBed(t, 5, -1, testBedLimits)
 	old := w.start(t)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 200, Keys: 300, Seed: 5, Patience: 2 * time.Second})
-	until(t, "traffic at the host", func() bool { return w.hosts[1].Figures().Asked > 5 })
+	waitUntil(t, "traffic at the host", func() bool { return w.hosts[1].Figures().Asked > 5 })
 	young := w.start(t)
 	answer, err := http.Post("http://"+young.Mgmt+"/cache-hosts/disable/s-1", "", nil)
 	if err != nil || answer.StatusCode != http.StatusOK {
@@ -108,9 +108,9 @@
 	}
 	answer.Body.Close()
 	w.hosts[1].Out(true)
-	says(t, old, `"message":"server by hand"`)
+	waitForLogLine(t, old, `"message":"server by hand"`)
 	for _, p := range []*fakes.Process{old, young} {
-		until(t, "both avoid it", func() bool {
+		waitUntil(t, "both avoid it", func() bool {
 			answer, err := http.Get("http://" + p.Mgmt + "/metrics")
 			if err != nil {
 				return false
@@ -128,7 +128,7 @@
 	again := w.start(t) // One more beside it: it follows the ban too.
 	young.Stop(3700 * time.Millisecond)
 	before := w.hosts[2].Figures().Asked
-	until(t, "traffic goes on elsewhere", func() bool { return w.hosts[2].Figures().Asked > before+20 })
+	waitUntil(t, "traffic goes on elsewhere", func() bool { return w.hosts[2].Figures().Asked > before+20 })
 	end()
 	f := clients.Wait()
 	if late := w.hosts[1].Figures(); late.Asked-quiet > 3 || late.Late > 0 { // What was decided on before may still arrive.
@@ -142,11 +142,12 @@
 
 const ownDescriptors = 20 // of a process: the log, files, discovery, the door
 
-// Guards the descriptors of both processes together, and clients at the new door: in a crowd none of them waits there.
-func TestLimitsCountTogether(t *testing.T) {
+// Two hundred clients connect during an upgrade: the descriptors of both processes together stay within the limit, and no client
+// of the new process waits.
+func TestDescriptorsOfBothProcessesStayWithinLimit(t *testing.T) {
 	t.Parallel()
 	limits := fakes.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 192}
-	w := newTown(t, 3, -1, limits)
+	w := newTestBed(t, 3, -1, limits)
 	old := w.start(t)
 	most := func(ps ...*fakes.Process) (sum int) {
 		for _, p := range ps {
@@ -155,8 +156,8 @@
 		return sum
 	}
 	asks := func(c net.Conn) bool {
-		c.SetDeadline(time.Now().Add(patience))
-		if _, err := c.Write([]byte(words("PING"))); err != nil {
+		c.SetDeadline(time.Now().Add(testTimeout))
+		if _, err := c.Write([]byte(encodeCommand("PING"))); err != nil {
 			return false
 		}
 		answer := make([]byte, 7)
@@ -191,7 +192,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	says(t, young, `"message":"resource limits changed"`)
+	waitForLogLine(t, young, `"message":"resource limits changed"`)
 	crowd(200)
 	began := time.Now()
 	old.Cmd.Process.Signal(syscall.SIGTERM)
@@ -204,7 +205,7 @@
 	if clients := 64; seen > clients+2*ownDescriptors {
 		t.Errorf("%d descriptors of %d, with %d for clients", seen, limits.Sockets, clients)
 	}
-	until(t, "one holds all", func() bool {
+	waitUntil(t, "one holds all", func() bool {
 		lines := young.Log(`"message":"resource limits changed"`)
 		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"siblings":0,"max_clients":64,"max_endpoint_connections":64`)
 	})
@@ -214,15 +215,15 @@
 // fingerprint is that of the stand-ins' settings.
 func fingerprint() uint64 { return routing.Fingerprint(tables.Flat(gjson.Parse(fakes.Settings))) }
 
-// By hand: for how many hosts each key is fetched in the seconds after an upgrade during which three hosts of fifteen come back cold
-// and empty, with what was learnt and without it. HOLLYLEVER_MEASURE=1.
+// A measurement, with HOLLYLEVER_MEASURE=1: to how many hosts each key is fetched in the seconds after an upgrade during which three hosts
+// of fifteen restart cold and empty, with the snapshot and without.
 func TestMeasureFetchesAfterAnUpgrade(t *testing.T) {
 	if os.Getenv("HOLLYLEVER_MEASURE") == "" {
 		t.Skip("a measurement")
 	}
 	for seed := range uint64(6) {
 		for _, with := range []bool{false, true} {
-			w := newTown(t, 15, -1, townLimits)
+			w := newTestBed(t, 15, -1, testBedLimits)
 			p := w.start(t)
 			ctx, end := context.WithCancel(context.Background())
 			clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 400, Keys: 1500, Seed: seed, Patience: 600 * time.Millisecond})
@@ -257,10 +258,10 @@
 	}
 }
 
-// A new process that dies before it is ready, at any moment of its start, leaves the old one with all limits and its clients.
-func TestANewOneThatDiesBeforeItIsReady(t *testing.T) {
+// New processes die before they are ready, at any moment of their start: the old one keeps its clients and gets all resources back.
+func TestNewProcessThatDiesBeforeItIsReadyTakesNothing(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, 3, -1, townLimits)
+	w := newTestBed(t, 3, -1, testBedLimits)
 	old := w.start(t)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -268,7 +269,7 @@
 	settles := func() {
 		t.Helper()
 		before := clients.Figures().Settled
-		until(t, "traffic", func() bool { return clients.Figures().Settled > before+20 })
+		waitUntil(t, "traffic", func() bool { return clients.Figures().Settled > before+20 })
 	}
 	settles()
 	rows := func() int {
@@ -281,12 +282,12 @@
 			t.Fatal(err)
 		}
 		if n%2 == 0 { // Once it has its place among its kin; else at once.
-			until(t, "its place", func() bool { return rows() > 1 })
+			waitUntil(t, "its place", func() bool { return rows() > 1 })
 		}
 		young.Kill()
 	}
 	settles()
-	until(t, "all limits are the old one's again", func() bool {
+	waitUntil(t, "all limits are the old one's again", func() bool {
 		lines := old.Log(`"message":"resource limits changed"`)
 		return len(lines) > 0 && strings.Contains(lines[len(lines)-1], `"siblings":0`)
 	})
@@ -299,10 +300,10 @@
 	}
 }
 
-// Old and new are told to stop at the same time: each answers what it has taken, and exits with 0.
-func TestBothAreToldToStop(t *testing.T) {
+// Both processes of an upgrade get SIGTERM at the same time: each answers the requests that it accepted, and exits with 0.
+func TestBothProcessesOfAnUpgradeShutDown(t *testing.T) {
 	t.Parallel()
-	w := newTown(t, 3, -1, townLimits)
+	w := newTestBed(t, 3, -1, testBedLimits)
 	both := []*fakes.Process{w.start(t), w.start(t)}
 	var goOn []func()
 	for _, h := range w.hosts {
@@ -316,11 +317,11 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		c.Write([]byte(fakes.Words("C.GET", "7f3a9c21e0b4d655", strconv.Itoa(n), "c=read,t=acme,d=3000")))
 		asked = append(asked, c)
 	}
-	until(t, "all are taken", func() bool {
+	waitUntil(t, "all are taken", func() bool {
 		sum := 0
 		for _, p := range both {
 			answer, err := http.Get("http://" + p.Mgmt + "/metrics")
@@ -344,13 +345,13 @@
 		p.Cmd.Process.Signal(syscall.SIGTERM)
 	}
 	for _, p := range both {
-		says(t, p, `"message":"stopping"`)
+		waitForLogLine(t, p, `"message":"stopping"`)
 	}
 	for _, g := range goOn {
 		g()
 	}
 	for n, c := range asked {
-		if got, err := message(bufio.NewReader(c)); err != nil || len(got) != 1 {
+		if got, err := readMessage(bufio.NewReader(c)); err != nil || len(got) != 1 {
 			t.Errorf("client %d has %q, %v", n, got, err)
 		}
 	}
--- a/server/incident_test.go
+++ b/server/incident_test.go
@@ -37,7 +37,7 @@
 
 // deadlines are settings with one class of a deadline.
 func deadlines(expected, deadline time.Duration) map[string]any {
-	return with(fmt.Sprintf(`"workloads":[{"name":"read","effect":"free","group":"all","expectedTime":%d,"hardStop":%d,"value":1,"tardyValue":0.2}]`,
+	return settingsWith(fmt.Sprintf(`"workloads":[{"name":"read","effect":"free","group":"all","expectedTime":%d,"hardStop":%d,"value":1,"tardyValue":0.2}]`,
 		expected.Milliseconds(), deadline.Milliseconds()))
 }
 
@@ -56,7 +56,7 @@
 // awaitState waits until the system shows the process in a state.
 func (p *program) awaitState(state string) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if processState(p.cmd.Process.Pid) == state {
 			return
 		}
@@ -64,8 +64,8 @@
 	p.t.Fatalf("the process does not come to state %s", state)
 }
 
-// Clients go while the process is held up, as their requests wait for a retry. Nothing may be sent for them once it goes on: their
-// end and the retry's time are both there then.
+// The process is stopped while requests wait for a retry, and their clients disconnect meanwhile. When it goes on, the disconnects and the
+// retry timers are due at once: nothing may be sent for these clients.
 func TestNothingIsSentForClientsThatLeftDuringAHoldUp(t *testing.T) {
 	const clients, rounds = 10, 12
 	for name, leaves := range map[string]func(*net.TCPConn){
@@ -79,7 +79,7 @@
 				}
 				return fakes.Serving(a)
 			})
-			p := start(t, list(0, true, entry("s", r.Address, "Ready")), with(`"allowed":{"cancelling":true,"connIdle":5000,"dialTimeout":200,
+			p := startProgram(t, endpointList(0, true, listEntry("s", r.Address, "Ready")), settingsWith(`"allowed":{"cancelling":true,"connIdle":5000,"dialTimeout":200,
 				"mostHeld":20000,"mostTrips":30,"secondCopies":true,"retryAfter":false}`))
 			leftAt := map[string]time.Time{}
 			resumedAt := map[string]time.Time{}
@@ -87,7 +87,7 @@
 				waiting := map[string]client{}
 				for n := range clients {
 					id := fmt.Sprintf("left-%d-%d", round, n)
-					c := p.client().ask("C.GET", "k", id, "c=read,t=acme,d=3000")
+					c := p.connect().send("C.GET", "k", id, "c=read,t=acme,d=3000")
 					if begins(r, id, c) {
 						waiting[id] = c
 					}
@@ -101,10 +101,10 @@
 				for id := range waiting {
 					resumedAt[id] = resumed
 				}
-				c := p.client()
+				c := p.connect()
 				for n := range 10 {
-					c.ask("C.GET", "k", fmt.Sprintf("stays-%d-%d", round, n), "c=read,t=acme,d=3000")
-					message(c.in)
+					c.send("C.GET", "k", fmt.Sprintf("stays-%d-%d", round, n), "c=read,t=acme,d=3000")
+					readMessage(c.in)
 				}
 				c.Close()
 			}
@@ -135,9 +135,8 @@
 	return len(ids)
 }
 
-// A request's time counts from its last byte, wherever it waits until it is taken up: behind others of its connection, or in the kernel
-// while the process is held up.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+// A request waits behind others of its connection, or in the kernel while the process is stopped: its deadline counts from its last byte.
+func TestDeadlineCountsFromLastByte(t *testing.T) {
 	for _, commands := range []int{40, 200, 600} {
 		t.Run(fmt.Sprint("of ", commands, " commands at once"), func(t *testing.T) {
 			t.Parallel()
@@ -155,12 +154,12 @@
 func timeOfPipelinedCommands(t *testing.T, commands int) {
 	const deadline = time.Second
 	r := recorder(t, fakes.Hanging)
-	p := start(t, list(0, true, entry("s", r.Address, "Ready")), deadlines(400*time.Millisecond, deadline))
+	p := startProgram(t, endpointList(0, true, listEntry("s", r.Address, "Ready")), deadlines(400*time.Millisecond, deadline))
 	var all strings.Builder
 	for n := range commands {
-		all.WriteString(words("C.GET", "k", fmt.Sprint("p-", n), "c=read,t=acme,d=1000"))
+		all.WriteString(encodeCommand("C.GET", "k", fmt.Sprint("p-", n), "c=read,t=acme,d=1000"))
 	}
-	c := p.client()
+	c := p.connect()
 	sent := time.Now()
 	io.WriteString(c, all.String())
 	answeredInTime(t, []client{c}, commands, sent, deadline)
@@ -170,12 +169,12 @@
 func timeWhileHeldUp(t *testing.T, isKept bool) {
 	const deadline, stopped, requests = time.Second, 600 * time.Millisecond, 20
 	r := recorder(t, fakes.Hanging)
-	p := start(t, list(0, true, entry("s", r.Address, "Ready")), deadlines(400*time.Millisecond, deadline))
+	p := startProgram(t, endpointList(0, true, listEntry("s", r.Address, "Ready")), deadlines(400*time.Millisecond, deadline))
 	clients := make([]client, requests)
 	if isKept {
 		for n := range clients {
-			clients[n] = p.client().ask("PING")
-			clients[n].answers("+PONG")
+			clients[n] = p.connect().send("PING")
+			clients[n].expectReply("+PONG")
 		}
 	}
 	var sent time.Time
@@ -183,9 +182,9 @@
 		sent = time.Now()
 		for n := range clients {
 			if !isKept {
-				clients[n] = p.client()
+				clients[n] = p.connect()
 			}
-			clients[n].ask("C.GET", "k", fmt.Sprint("h-", n), "c=read,t=acme,d=1000")
+			clients[n].send("C.GET", "k", fmt.Sprint("h-", n), "c=read,t=acme,d=1000")
 		}
 	})
 	answeredInTime(t, clients, 1, sent, deadline)
@@ -198,7 +197,7 @@
 	late, last := 0, time.Duration(0)
 	for n, c := range clients {
 		for range each {
-			if _, err := message(c.in); err != nil {
+			if _, err := readMessage(c.in); err != nil {
 				t.Fatalf("client %d: %v", n, err)
 			}
 			if last = time.Since(sent); last > deadline+answerSlack {
@@ -213,7 +212,7 @@
 
 // begins waits until an attempt of a request has begun, or it has its answer; it tells which.
 func begins(r *fakes.Recorder, id string, c client) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if countBegun(r, id) > 0 {
 			return true
 		}
@@ -240,29 +239,29 @@
 	}
 }
 
-// SIGKILL may come the longest deadline, of 3 s at most, and 0.7 s after SIGTERM: by then all that was taken has its answer, also where a
-// deadline is longer, servers hang, the process is held up as the signal comes, and clients go on asking on each connection.
-func TestAllIsAnsweredBeforeTheKill(t *testing.T) {
+// SIGKILL may come the longest deadline, of 3 s at most, and 0.7 s after SIGTERM. By then each accepted request has its reply, also where a
+// deadline is longer, hosts hang, the process is stopped as the signal comes, and clients keep requesting on each connection.
+func TestAllRequestsAreAnsweredBeforeSIGKILL(t *testing.T) {
 	for _, deadline := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 		for _, held := range []time.Duration{0, holdUp} {
 			t.Run(fmt.Sprint(deadline, ", held up for ", held), func(t *testing.T) {
 				t.Parallel()
 				r := recorder(t, fakes.Hanging)
-				p := start(t, list(0, true, entry("s", r.Address, "Ready")), deadlines(deadline*2/5, deadline))
-				early := p.client().ask("C.GET", "k", "early", fmt.Sprint("c=read,t=acme,d=", deadline.Milliseconds()))
-				until(t, "the attempt", func() bool { return countBegun(r, "early") > 0 })
+				p := startProgram(t, endpointList(0, true, listEntry("s", r.Address, "Ready")), deadlines(deadline*2/5, deadline))
+				early := p.connect().send("C.GET", "k", "early", fmt.Sprint("c=read,t=acme,d=", deadline.Milliseconds()))
+				waitUntil(t, "the attempt", func() bool { return countBegun(r, "early") > 0 })
 				kill := min(deadline, cappedAt) + killSlack
-				late := p.client().ask("PING")
-				late.answers("+PONG")
+				late := p.connect().send("PING")
+				late.expectReply("+PONG")
 				told := time.Now()
 				p.cmd.Process.Signal(syscall.SIGTERM)
 				if held > 0 {
 					p.holdUpFor(held, func() {})
 				}
-				late.ask("C.GET", "k", "late", fmt.Sprint("c=read,t=acme,d=", deadline.Milliseconds()))
+				late.send("C.GET", "k", "late", fmt.Sprint("c=read,t=acme,d=", deadline.Milliseconds()))
 				for name, c := range map[string]client{"the request before the signal": early, "the one after it": late} {
 					c.SetReadDeadline(told.Add(kill))
-					if _, err := message(c.in); err != nil {
+					if _, err := readMessage(c.in); err != nil {
 						t.Errorf("%s has no answer %v after SIGTERM: %v", name, kill, err)
 					}
 				}
--- a/server/loglines_test.go
+++ b/server/loglines_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// logged finds each line that the sources log: its message, and the fields that are named in the same chain of calls.
-func logged(t *testing.T) map[string][]string {
+// findLogLines returns each message that the sources log, with the fields that are named in the same chain of calls.
+func findLogLines(t *testing.T) map[string][]string {
 	found := map[string][]string{}
 	for _, place := range []string{".", "../routing", "../stallwatch", "../admin", "../transport", "../siblings", "../snapshot", "../fleet"} {
 		files, err := filepath.Glob(filepath.Join(place, "*.go"))
@@ -34,8 +34,8 @@
 					return true
 				}
 				if at, is := call.Fun.(*ast.SelectorExpr); is && at.Sel.Name == "Msg" && len(call.Args) == 1 {
-					if message := text(call.Args[0]); message != "" {
-						found[message] = append(found[message], chain(at.X)...)
+					if message := literalString(call.Args[0]); message != "" {
+						found[message] = append(found[message], loggedFields(at.X)...)
 					}
 				}
 				return true
@@ -45,7 +45,7 @@
 	return found
 }
 
-func text(e ast.Expr) string {
+func literalString(e ast.Expr) string {
 	if literal, is := e.(*ast.BasicLit); is && literal.Kind == token.STRING {
 		word, _ := strconv.Unquote(literal.Value)
 		return word
@@ -53,7 +53,7 @@
 	return ""
 }
 
-func chain(e ast.Expr) (names []string) {
+func loggedFields(e ast.Expr) (names []string) {
 	call, is := e.(*ast.CallExpr)
 	if !is {
 		return nil
@@ -65,13 +65,13 @@
 	if at.Sel.Name == "Err" {
 		names = []string{"error"}
 	} else if len(call.Args) == 2 {
-		names = []string{text(call.Args[0])}
+		names = []string{literalString(call.Args[0])}
 	}
-	return append(chain(at.X), names...)
+	return append(loggedFields(at.X), names...)
 }
 
-// What can be logged is listed, and on-call staff are told of each line and each of its fields.
-func TestLinesAreListedAndTold(t *testing.T) {
+// A line is added or a field renamed: the list of log lines and the pages for on-call staff have to follow, so that no line is unknown at night.
+func TestLogLinesAreListedAndDocumented(t *testing.T) {
 	var told string
 	for _, page := range []string{"../docs/oncall.md", "../docs/upgrades.md", "../docs/fleet.md"} {
 		text, err := os.ReadFile(page)
@@ -80,7 +80,7 @@
 		}
 		told += string(text)
 	}
-	found := logged(t)
+	found := findLogLines(t)
 	for _, l := range logLines {
 		fields, is := found[l.message]
 		if !is {
--- a/server/ready_test.go
+++ b/server/ready_test.go
@@ -18,16 +18,16 @@
 	readyWithin = 6 * time.Second // The terms name 10 s, or 6 s where a day ends sooner.
 )
 
-// manyKnown is a list of as many servers as a deployment may have; nobody listens at their addresses.
-func manyKnown() string {
+// largeEndpointList is a list of as many servers as a deployment may have; nobody listens at their addresses.
+func largeEndpointList() string {
 	entries := make([]string, manyServers)
 	for n := range entries {
-		entries[n] = entry(fmt.Sprint("s-", n), fmt.Sprintf("127.1.%d.%d:1", n/256, n%256), "Ready")
+		entries[n] = listEntry(fmt.Sprint("s-", n), fmt.Sprintf("127.1.%d.%d:1", n/256, n%256), "Ready")
 	}
-	return list(7, true, entries...)
+	return endpointList(7, true, entries...)
 }
 
-// A process that starts with a list is ready whatever discovery does: nothing of it is waited for.
+// Discovery is down, silent, overloaded or slow: a process that starts with a list is ready at once.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	for name, discoveryIs := range map[string]func(t *testing.T) string{
@@ -41,7 +41,7 @@
 			return l.Addr().String()
 		},
 		"overloaded": func(t *testing.T) string {
-			address, calls := discovery(t)
+			address, calls := startDiscovery(t)
 			go func() {
 				for one := range calls {
 					one.Say(unavailable)
@@ -50,10 +50,10 @@
 			return address
 		},
 		"slow": func(t *testing.T) string { // The list begins and does not end.
-			address, calls := discovery(t)
+			address, calls := startDiscovery(t)
 			go func() {
 				for one := range calls {
-					one.Give(list(8, true)[:5])
+					one.Give(endpointList(8, true)[:5])
 				}
 			}()
 			return address
@@ -61,10 +61,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			began := time.Now()
-			settings := with(fmt.Sprintf(`"balancers":%d`, manyServers))
+			settings := settingsWith(fmt.Sprintf(`"balancers":%d`, manyServers))
 			settings["discovery"] = discoveryIs(t)
-			p := start(t, manyKnown(), settings, "TMPDIR="+t.TempDir())
-			p.client().ask("PING").answers("+PONG")
+			p := startProgram(t, largeEndpointList(), settings, "TMPDIR="+t.TempDir())
+			p.connect().send("PING").expectReply("+PONG")
 			if took := time.Since(began); took > readyWithin {
 				t.Errorf("ready after %v", took)
 			} else {
@@ -74,10 +74,10 @@
 	}
 }
 
-// A process that starts while its configuration is being written, by whoever moves discovery, takes the whole file once it is there.
+// A process starts while its configuration is being replaced: it reads the complete file once it is there.
 func TestStartWhileTheConfigurationIsWritten(t *testing.T) {
 	t.Parallel()
-	good, err := os.ReadFile(fileWith(t, map[string]any{"known": json.RawMessage(manyKnown())}))
+	good, err := os.ReadFile(configurationFile(t, map[string]any{"known": json.RawMessage(largeEndpointList())}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 			if err := unix.Mkfifo(file, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			p := begun(t, file, programWith(file))
+			p := launch(t, file, programCommand(file))
 			into, err := os.OpenFile(file, os.O_WRONLY, 0) // Until it reads.
 			if err != nil {
 				t.Fatal(err)
@@ -103,31 +103,31 @@
 			into.Write(first)
 			into.Close()
 			var line struct{ Listen string }
-			json.Unmarshal([]byte(p.logged(`"message":"serving"`)), &line)
+			json.Unmarshal([]byte(p.waitForLog(`"message":"serving"`)), &line)
 			p.address = line.Listen
-			p.client().ask("PING").answers("+PONG")
+			p.connect().send("PING").expectReply("+PONG")
 		})
 	}
 }
 
-// A process whose list is stale tries the hosts on it for each request, though none is there any more, and serves with the first request
-// after discovery has told it of others: nothing that it met before holds it up.
-func TestAStaleListHoldsNothingUp(t *testing.T) {
+// All hosts of a stale list have gone, and requests are attempted there. The first request after discovery lists other hosts is served: nothing of
+// before delays it.
+func TestStaleEndpointListDelaysNothing(t *testing.T) {
 	t.Parallel()
-	address, calls := discovery(t)
-	settings := with(`"balancers":300`)
+	address, calls := startDiscovery(t)
+	settings := settingsWith(`"balancers":300`)
 	settings["discovery"], settings["mgmt"] = address, "127.0.0.1:0"
-	p := start(t, manyKnown(), settings)
-	call := next(t, calls, "a call")
-	c := p.client()
+	p := startProgram(t, largeEndpointList(), settings)
+	call := receive(t, calls, "a call")
+	c := p.connect()
 	const asks = 10
 	for n := range asks {
-		c.ask("C.GET", "k", strconv.Itoa(n), "c=read,t=acme,d=100").answers("-BUSY")
+		c.send("C.GET", "k", strconv.Itoa(n), "c=read,t=acme,d=100").expectReply("-BUSY")
 	}
-	at, came := host(t)
-	call.Say(list(8, true, entry("there", at, "Ready")))
-	p.figure("targets", 1)
-	c.ask("C.GET", "k", "served", "c=read,t=acme,d=3000")
-	next(t, came, "the request").Say(settled("v"))
-	c.answers("v")
+	at, came := startHost(t)
+	call.Say(endpointList(8, true, listEntry("there", at, "Ready")))
+	p.waitForMetric("targets", 1)
+	c.send("C.GET", "k", "served", "c=read,t=acme,d=3000")
+	receive(t, came, "the request").Say(valueReply("v"))
+	c.expectReply("v")
 }
--- a/server/size_test.go
+++ b/server/size_test.go
@@ -68,7 +68,7 @@
 				f.mu.Lock()
 				f.asked[n]++
 				f.mu.Unlock()
-				fmt.Fprint(c, settled("v"))
+				fmt.Fprint(c, valueReply("v"))
 			}
 		}()
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := settings
+	changed := defaultSettings
 	for old, now := range map[string]string{`"balancers":1`: fmt.Sprintf(`"balancers":%d`, large), `"zones":["z"]`: `"zones":` + string(names),
 		`{"name":"acme","quotaRps":100000}`: strings.Join(tenants, ","), `"invariants":{`: `"invariants":{` + invariants} {
 		if !strings.Contains(changed, old) {
@@ -117,11 +117,11 @@
 func largeBalancer(t *testing.T, invariants string) (p *program, watch fakes.Call) {
 	t.Helper()
 	place := t.TempDir()
-	at, calls := discovery(t)
-	p = start(t, list(0, true), map[string]any{"settings": json.RawMessage(largeSettings(t, invariants)), "discovery": at, "mgmt": "127.0.0.1:0",
+	at, calls := startDiscovery(t)
+	p = startProgram(t, endpointList(0, true), map[string]any{"settings": json.RawMessage(largeSettings(t, invariants)), "discovery": at, "mgmt": "127.0.0.1:0",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": largeMemory, "sockets": 512}}, "TMPDIR="+place)
 	p.place = place
-	return p, next(t, calls, "a watch")
+	return p, receive(t, calls, "a watch")
 }
 
 const (
@@ -154,10 +154,10 @@
 // serves asks for many keys, which all have to be served, and tells the answers that were none.
 func (p *program) serves(requests int) (refused int) {
 	p.t.Helper()
-	c := p.client()
+	c := p.connect()
 	for n := range requests {
-		c.ask("C.GET", fmt.Sprint("key-", n), fmt.Sprint(time.Now().UnixNano()), fmt.Sprintf("c=read,t=tenant-%d,d=3000", n%large))
-		got, err := message(c.in)
+		c.send("C.GET", fmt.Sprint("key-", n), fmt.Sprint(time.Now().UnixNano()), fmt.Sprintf("c=read,t=tenant-%d,d=3000", n%large))
+		got, err := readMessage(c.in)
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -192,7 +192,7 @@
 // byHand takes hosts out or back by the admin endpoint, one by one.
 func (p *program) byHand(word, kind string, hosts int) {
 	p.t.Helper()
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for n := range hosts {
 		answer, err := client.Post("http://"+p.mgmt+"/cache-hosts/"+word+"/"+url.PathEscape(farmName(kind, n)), "", nil)
 		if err != nil {
@@ -209,7 +209,7 @@
 	p.t.Helper()
 	for named := map[string]bool{}; len(named) < want; {
 		var line struct{ Draining []string }
-		if err := json.Unmarshal([]byte(p.logged(`"message":"servers changed"`)), &line); err != nil {
+		if err := json.Unmarshal([]byte(p.waitForLog(`"message":"servers changed"`)), &line); err != nil {
 			p.t.Fatal(err)
 		}
 		for _, name := range line.Draining {
@@ -218,14 +218,14 @@
 	}
 }
 
-// A list of 1,024 servers, each in a zone of its own, is taken and served from; all of them drain at once while as many new ones come, all of which
-// are then taken out by hand, and more beside them.
+// The list has 1,024 hosts, each in a zone of its own. All of them drain at once while as many new ones are listed, all of which are then ejected by
+// hand, and more beside them.
 func TestAThousandServers(t *testing.T) {
 	t.Parallel()
 	thousandServers(t)
 }
 
-// Through all of that memory stays within the settings' limit, and at the start within what the program takes whatever the settings say.
+// Through all of TestAThousandServers memory stays within the limit, and at the start within the least that a configuration may state.
 func TestMemoryOfAThousandServers(t *testing.T) {
 	t.Parallel()
 	start, now, most := thousandServers(t)
@@ -238,37 +238,37 @@
 	}
 }
 
-// thousandServers plays the day, and gives what the program had of memory, in MB.
+// thousandServers runs that story and returns the process's memory, in MB: at the start, at the end, and the most.
 func thousandServers(t *testing.T) (start, now, most float64) {
 	t.Helper()
 	old, young, last := newFarm(t, "old", 101), newFarm(t, "young", 102), newFarm(t, "last", 103)
 	p, watch := largeBalancer(t, "")
 	start, _ = p.resident()
-	watch.Say(list(1, true, old.entries...))
-	p.figure("targets", large)
+	watch.Say(endpointList(1, true, old.entries...))
+	p.waitForMetric("targets", large)
 	if refused := p.serves(300); refused > 0 || old.reached() < 100 {
 		t.Errorf("%d of 300 requests are not served", refused)
 	}
-	watch.Say(list(2, false, append(old.as("Terminating"), young.entries...)...))
-	p.figure("targets", 2*large)
+	watch.Say(endpointList(2, false, append(old.as("Terminating"), young.entries...)...))
+	p.waitForMetric("targets", 2*large)
 	if refused := p.serves(300); refused > 0 || old.reached() > 0 || young.reached() < 100 {
 		t.Errorf("%d of 300 requests are not served after all have drained", refused)
 	}
 	p.logsDrains(large) // None is lost, though nobody but the log's reader writes them all at once.
-	watch.Say(list(3, false, old.as("Gone")...))
-	p.figure("targets", large)
-	watch.Say(list(4, false, last.entries...))
-	p.figure("targets", 2*large)
+	watch.Say(endpointList(3, false, old.as("Gone")...))
+	p.waitForMetric("targets", large)
+	watch.Say(endpointList(4, false, last.entries...))
+	p.waitForMetric("targets", 2*large)
 	p.bansAll(t, "young")
-	p.figure("targets_disabled", large)
+	p.waitForMetric("targets_disabled", large)
 	if refused := p.serves(300); refused > 0 || young.reached() > 0 || last.reached() < 100 {
 		t.Errorf("%d of 300 requests are not served after half were taken out by hand", refused)
 	}
 	p.byHand("disable", "last", some) // Beside the others.
-	p.figure("targets_disabled", large+some)
+	p.waitForMetric("targets_disabled", large+some)
 	p.byHand("disable", "old", some) // Gone, and may come back.
 	p.byHand("enable", "young", some)
-	if code, text := p.calls("GET", "/cache-hosts"); code != http.StatusOK || strings.Count(text, `"by_hand":true`) != large+some {
+	if code, text := p.adminRequest("GET", "/cache-hosts"); code != http.StatusOK || strings.Count(text, `"by_hand":true`) != large+some {
 		t.Errorf("%d, and %d hosts out by hand", code, strings.Count(text, `"by_hand":true`))
 	}
 	if refused := p.serves(300); refused > 0 || young.reached() == 0 || last.reached() < 100 {
@@ -278,15 +278,15 @@
 	return start, now, most
 }
 
-// Where only draining binds, 1,024 servers that the list calls gone at once are all kept and used.
+// With onlyDrainingBinds, 1,024 hosts disappear from the list at once: all are kept and used.
 func TestAThousandServersGone(t *testing.T) {
 	t.Parallel()
 	hosts := newFarm(t, "s", 104)
 	p, watch := largeBalancer(t, `"onlyDrainingBinds":true,`)
-	watch.Say(list(1, true, hosts.entries...))
-	p.figure("targets", large)
-	watch.Say(list(2, true))
-	p.figure("targets", 0)
+	watch.Say(endpointList(1, true, hosts.entries...))
+	p.waitForMetric("targets", large)
+	watch.Say(endpointList(2, true))
+	p.waitForMetric("targets", 0)
 	if refused, reached := p.serves(large), hosts.reached(); refused > 0 || reached < large/2 { // By chance some 650.
 		t.Errorf("%d of %d requests are not served; %d hosts are used", refused, large, reached)
 	}
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -20,8 +20,8 @@
 	shownEvents = 20 // breaches that are shown
 )
 
-// Several real processes amid faults drawn from a seed: signals in series, hold-ups, servers that hang, turn away, reset and drain,
-// discovery that ends its watches, clients that leave, write slowly, write many commands at once or idle in a crowd. HOLLYLEVER_SOAK=N
+// Several real processes under faults drawn from a seed: series of signals, stops, hosts that hang, reject, reset and drain,
+// discovery that ends its watches, clients that disconnect, write slowly, pipeline many commands or idle in large numbers. HOLLYLEVER_SOAK=N
 // plays N seeds, HOLLYLEVER_SOAK_FROM the first of them; a plan that fails is printed and shrunk.
 func TestSoak(t *testing.T) {
 	seeds, from := soakSeeds, 1
@@ -31,7 +31,7 @@
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_SOAK_FROM")); err == nil {
 		from = n
 	}
-	program := soak.Program{Path: os.Args[0], Variables: []string{asProgram + "=1"}, Start: startWithFaults}
+	program := soak.Program{Path: os.Args[0], Variables: []string{programVariable + "=1"}, Start: startWithFaults}
 	for seed := from; seed < from+seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			plan := soak.NewPlan(uint64(seed), soakLength, program.Start != nil)
--- a/server/upgrade_test.go
+++ b/server/upgrade_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// held is a listening socket that the platform holds.
-func held(t *testing.T) *os.File {
+// openListeningSocket opens a listening socket as the platform does, which holds it across processes.
+func openListeningSocket(t *testing.T) *os.File {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,61 +23,61 @@
 	return file
 }
 
-// Guards clients over an upgrade: each is answered by the process that took it, idle ones may ask once more, and the
-// socket stays the other's.
+// Clients are connected to the old process of an upgrade: each has its reply from the process that accepted it, idle ones may send one more
+// request, and the new process goes on accepting on the shared socket.
 func TestUpgradeUnderLoad(t *testing.T) {
 	t.Parallel()
-	at, came := host(t)
-	socket, shared := held(t), "TMPDIR="+t.TempDir()
+	at, came := startHost(t)
+	socket, shared := openListeningSocket(t), "TMPDIR="+t.TempDir()
 	version := func() *program {
-		file := fileWith(t, map[string]any{"known": json.RawMessage(list(0, true, entry("s", at, "Ready")))})
-		cmd := programWith(file, "LB_LISTEN_FD=3", shared, "LB_MGMT=127.0.0.1:0")
+		file := configurationFile(t, map[string]any{"known": json.RawMessage(endpointList(0, true, listEntry("s", at, "Ready")))})
+		cmd := programCommand(file, "LB_LISTEN_FD=3", shared, "LB_MGMT=127.0.0.1:0")
 		cmd.ExtraFiles = []*os.File{socket}
-		return started(t, file, cmd)
+		return startCommand(t, file, cmd)
 	}
 	old := version()
-	out, idle, silent := old.client().ask("PING"), old.client().ask("PING"), old.client().ask("PING")
+	out, idle, silent := old.connect().send("PING"), old.connect().send("PING"), old.connect().send("PING")
 	for _, c := range []client{out, idle, silent} {
-		c.answers("+PONG")
+		c.expectReply("+PONG")
 	}
-	out.ask("C.GET", "k", "a", "c=read,d=3000")
-	h := next(t, came, "the retrieval")
+	out.send("C.GET", "k", "a", "c=read,d=3000")
+	h := receive(t, came, "the retrieval")
 	young := version()
-	if code, _ := young.calls("GET", "/ready"); code != 200 {
+	if code, _ := young.adminRequest("GET", "/ready"); code != 200 {
 		t.Fatalf("the new version is not ready: %d", code)
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
-	old.logged(`"message":"stopping"`)
-	if code, _ := old.calls("GET", "/ready"); code != 503 {
+	old.waitForLog(`"message":"stopping"`)
+	if code, _ := old.adminRequest("GET", "/ready"); code != 503 {
 		t.Errorf("ready after SIGTERM: %d", code)
 	}
-	idle.ask("C.GET", "k", "b", "c=read,d=3000")
-	next(t, came, "what an idle client asks after SIGTERM").Say(settled("once more"))
-	idle.answers("once more")
-	idle.ends()
+	idle.send("C.GET", "k", "b", "c=read,d=3000")
+	receive(t, came, "what an idle client asks after SIGTERM").Say(valueReply("once more"))
+	idle.expectReply("once more")
+	idle.expectClose()
 	for range 20 { // All that come now are the new one's.
-		c := old.client().ask("PING")
-		c.answers("+PONG")
-		c.ask("PING") // A connection of the old one would have gone with its last answer.
-		c.answers("+PONG")
+		c := old.connect().send("PING")
+		c.expectReply("+PONG")
+		c.send("PING") // A connection of the old one would have gone with its last answer.
+		c.expectReply("+PONG")
 		c.Close()
 	}
-	silent.ends()
-	h.Say(settled("the last"))
-	out.answers("the last")
-	out.ends()
-	if err := next(t, old.ended, "the end of the old version"); err != nil {
+	silent.expectClose()
+	h.Say(valueReply("the last"))
+	out.expectReply("the last")
+	out.expectClose()
+	if err := receive(t, old.exited, "the end of the old version"); err != nil {
 		t.Errorf("the old version ends with %v", err)
 	}
-	c := young.client().ask("C.GET", "k", "c", "c=read,d=3000")
-	next(t, came, "a retrieval at the new version").Say(settled("served"))
-	c.answers("served")
+	c := young.connect().send("C.GET", "k", "c", "c=read,d=3000")
+	receive(t, came, "a retrieval at the new version").Say(valueReply("served"))
+	c.expectReply("served")
 	young.cmd.Process.Signal(syscall.SIGTERM) // A planned restart: nobody accepts for a while, and nobody is refused.
-	c.ends()
-	if err := next(t, young.ended, "the end of the new version"); err != nil {
+	c.expectClose()
+	if err := receive(t, young.exited, "the end of the new version"); err != nil {
 		t.Errorf("the new version ends with %v", err)
 	}
-	waits := young.client().ask("PING")
+	waits := young.connect().send("PING")
 	version()
-	waits.answers("+PONG")
+	waits.expectReply("+PONG")
 }
--- a/server/upgrades_test.go
+++ b/server/upgrades_test.go
@@ -11,27 +11,27 @@
 	"hollylever/fakes"
 )
 
-// upgrades is how many the test plays: some here, hundreds by hand with HOLLYLEVER_UPGRADES.
-func upgrades() int {
+// upgradeCount is the number of upgrades: a few here, hundreds by hand with HOLLYLEVER_UPGRADES.
+func upgradeCount() int {
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_UPGRADES")); err == nil {
 		return n
 	}
 	return 3
 }
 
-// town is a fleet of cache hosts before one origin, with discovery and a platform.
-type town struct {
+// testBed is cache hosts before one origin, with discovery and a platform.
+type testBed struct {
 	*fakes.Platform
 	origin    *fakes.Origin
 	hosts     []*fakes.Host
 	discovery *fakes.Discovery
 }
 
-var townLimits = fakes.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 384}
+var testBedLimits = fakes.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 384}
 
-func newTown(t *testing.T, hosts, core int, limits fakes.Limits, variables ...string) *town {
+func newTestBed(t *testing.T, hosts, core int, limits fakes.Limits, variables ...string) *testBed {
 	t.Helper()
-	w := &town{origin: fakes.NewOrigin(20*time.Millisecond, 16), discovery: fakes.NewDiscovery()}
+	w := &testBed{origin: fakes.NewOrigin(20*time.Millisecond, 16), discovery: fakes.NewDiscovery()}
 	t.Cleanup(w.discovery.Close)
 	manner := fakes.Manner{Takes: time.Millisecond, AtOnce: 4, Queue: 64, WarmUp: 20 * time.Second, ColdPart: 0.2, Tips: 2.5}
 	entries := map[string]string{}
@@ -47,14 +47,14 @@
 	w.discovery.Tell(entries)
 	var err error
 	if w.Platform, err = fakes.NewPlatform(t.TempDir(), fakes.Setup{Known: w.discovery.Whole(), Discovery: w.discovery.Address,
-		Limits: limits, Core: core, Program: os.Args[0], Variables: append([]string{asProgram + "=1"}, variables...)}); err != nil {
+		Limits: limits, Core: core, Program: os.Args[0], Variables: append([]string{programVariable + "=1"}, variables...)}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
 	return w
 }
 
-func (w *town) start(t *testing.T) *fakes.Process {
+func (w *testBed) start(t *testing.T) *fakes.Process {
 	t.Helper()
 	p, err := w.Start()
 	if err != nil {
@@ -64,8 +64,8 @@
 	return p
 }
 
-// Guards clients and hosts over upgrades under load, on one core that something else uses too: nobody meets a closed
-// door, no effect comes twice, and no process stands still.
+// Upgrades under load, by hand on one core that something else uses too: no client is refused, no write happens twice, and no
+// process stalls.
 func TestUpgrades(t *testing.T) {
 	t.Parallel()
 	core := -1
@@ -73,19 +73,19 @@
 		core = n // By hand: all processes and a neighbour on it.
 		defer fakes.Neighbour(core, 0.5, time.Hour)()
 	}
-	w := newTown(t, 6, core, townLimits)
+	w := newTestBed(t, 6, core, testBedLimits)
 	p := w.start(t)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 150, Keys: 2000, Seed: 7, Patience: 2 * time.Second, Books: 0.1})
 	most, stood := 0, 0
-	for n := range upgrades() {
+	for n := range upgradeCount() {
 		time.Sleep(300 * time.Millisecond) // Some load on it; nothing is waited for.
 		young, err := w.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := young.Ready(patience); err != nil {
+		if err := young.Ready(testTimeout); err != nil {
 			t.Fatal(err)
 		}
 		most = max(most, p.Descriptors()+young.Descriptors())
@@ -107,7 +107,7 @@
 	end()
 	f := clients.Wait()
 	t.Logf("%+v; %d lines of standstills, %d descriptors at most", f, stood, most)
-	if f.Door > 0 || f.Wrong > 0 || f.Late > 0 || w.origin.Twice() > 0 || most > townLimits.Sockets {
+	if f.Door > 0 || f.Wrong > 0 || f.Late > 0 || w.origin.Twice() > 0 || most > testBedLimits.Sockets {
 		t.Errorf("%+v, %d effects twice, %d descriptors", f, w.origin.Twice(), most)
 	}
 	if settled := f.Settled; settled < f.Asked*9/10 {
