--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -17,10 +17,10 @@
 	"hollylever/server"
 )
 
-var update = flag.Bool("update", false, "write testdata anew")
+var update = flag.Bool("update", false, "write the golden files in testdata anew")
 
-// golden holds what is given against a file of testdata.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares a text with a file of testdata.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -34,43 +34,43 @@
 	}
 }
 
-// usual has nothing of this test's surroundings in what is printed.
-func usual(t *testing.T) {
+// fixEnvironment keeps the environment of this test run out of what is printed.
+func fixEnvironment(t *testing.T) {
 	for name, value := range map[string]string{"LB_MGMT": "", "LB_EXTRA": "", "USER": "ann"} {
 		t.Setenv(name, value)
 	}
 }
 
 // Runbooks and completions hold the commands and flags by name: one that is renamed with a Go name fails at night.
-func TestUsageIsAsBefore(t *testing.T) {
-	usual(t)
+func TestGoldenUsage(t *testing.T) {
+	fixEnvironment(t)
 	var out strings.Builder
 	for _, command := range []string{"", "serve", "check", "hosts", "hosts list", "hosts out", "hosts back", "ready", "figures", "fleet", "fleet propose", "fleet history",
 		"zones", "zones list", "zones plan", "zones leave", "zones return", "config", "config example", "config explain", "version", "completion", "help"} {
 		code, said, wrong := runCommand(append(strings.Fields(command), "--help")...)
 		fmt.Fprintf(&out, "$ hollylever %s --help\n%s%sexit %d\n\n", command, said, wrong, code)
 	}
-	golden(t, "usage.golden", out.String())
+	compareGolden(t, "usage.golden", out.String())
 }
 
 // A file of own settings that an operator has written must mean the same: fields, defaults, bounds and when a change counts.
-func TestOwnSettingsAreAsBefore(t *testing.T) {
+func TestGoldenSettings(t *testing.T) {
 	_, out, wrong := runCommand("config", "explain")
 	_, example, _ := runCommand("config", "example")
-	golden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(server.SettingsTables), "\n"))
+	compareGolden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(server.SettingsTables), "\n"))
 }
 
 // What the commands make of a door's answers, and the code with which each ends, is what scripts build on. The door answers with the JSON of the fleet's
 // own golden file, so that neither side's fields can be renamed alone.
-func TestCommandsAreAsBefore(t *testing.T) {
-	usual(t)
+func TestGoldenCommands(t *testing.T) {
+	fixEnvironment(t)
 	asked := []string{}
 	answers := map[string]string{"GET /ready": "ready\n", "GET /metrics": "replies.read.success=1\nreplies.read.overload=2\nreplies.read.error=3\ndispatches=4\nconcurrent=5\ntargets=6\n" +
 		"targets_disabled=7\nrejected.deadline=8\nrequests.late=9\nconnections.closed.left=10\n",
 		"GET /cache-hosts": `[{"id":"s/1","address":"10.0.0.1:70","kind":"std","zone":"z","listed":"Ready","by_hand":true,"avoided":true,"trips":3,"since_ms":1700000000000},` +
 			`{"id":"s2","address":"10.0.0.2:70","kind":"std","zone":"z","listed":"Ready","by_hand":false,"avoided":true,"trips":0,"since_ms":0},{"id":"s3"}]`,
 		"POST /cache-hosts/disable/s%2F1": "ok", "POST /cache-hosts/enable/s%2F1": "ok",
-		"GET /fleet": file(t, "../fleet/testdata/status.json"), "GET /fleet/history": file(t, "../fleet/testdata/history.json")}
+		"GET /fleet": readFile(t, "../fleet/testdata/status.json"), "GET /fleet/history": readFile(t, "../fleet/testdata/history.json")}
 	answer := `{"id":"p","version":7,"sure":true}`
 	id := regexp.MustCompile(`"id":"[A-Z0-9]+"`)
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -117,7 +117,7 @@
 		run("zones", "return", "z1")
 		run("zones", "return", "z1", "--json")
 	}
-	answers["GET /fleet"] = file(t, "../fleet/testdata/status_empty.json")
+	answers["GET /fleet"] = readFile(t, "../fleet/testdata/status_empty.json")
 	run("fleet")
 	run("zones", "list")
 	answers["GET /fleet"], answers["GET /metrics"] = "noise", "noise"
@@ -127,11 +127,11 @@
 	run("ready")
 	code, said, wrong := runCommand("ready")
 	fmt.Fprintf(&out, "$ hollylever ready, without a door\n%s%sexit %d\n", said, wrong, code)
-	golden(t, "commands.golden", out.String())
+	compareGolden(t, "commands.golden", out.String())
 }
 
-// file is the text of one.
-func file(t *testing.T, path string) string {
+// readFile returns the text of a file that is not empty.
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil || len(bytes.TrimSpace(text)) == 0 {
