--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -46,7 +46,8 @@
 		{ID: "s2", Listed: "not listed"}}
 }
 
-// Dashboards and scripts read the responses by names and status codes: a renamed field or a reworded code leaves them blind.
+// Dashboards and scripts read the responses by names and status codes: a renamed field or a reworded code leaves them
+// blind.
 func TestGoldenResponses(t *testing.T) {
 	fleet := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, "the fleet's:", r.Method, r.URL.Path) })
 	var out strings.Builder
--- a/admin/handler.go
+++ b/admin/handler.go
@@ -13,14 +13,15 @@
 	"hollylever/routing"
 )
 
-// Balancer is what the endpoint reads and changes. Its methods may be called concurrently; none waits for clients or cache hosts.
+// Balancer is what the endpoint reads and changes. Its methods may be called concurrently; none waits for clients or
+// cache hosts.
 type Balancer interface {
 	// Ready tells whether the balancer takes clients.
 	Ready() bool
 	// Figures returns counts since the start, and how things stand now.
 	Figures() routing.Figures
-	// Ban ejects a cache host by hand, or takes it back. The error is routing.ErrNeverListed for an unknown one, or that of the file in
-	// which ejections are kept.
+	// Ban ejects a cache host by hand, or takes it back. The error is routing.ErrNeverListed for an unknown one, or
+	// that of the file in which ejections are kept.
 	Ban(server string, out bool) error
 	// Hosts returns the state of all cache hosts.
 	Hosts() []routing.HostStands
--- a/admin/listener.go
+++ b/admin/listener.go
@@ -18,8 +18,9 @@
 	fullPollInterval = requestGrace / 10
 )
 
-// boundedListener accepts at most maxConnections at a time. Guards operators against clients that hold connections and send nothing: health
-// checks would time out behind them. Where it is full, the oldest connection without a complete request is closed after requestGrace.
+// boundedListener accepts at most maxConnections at a time. Guards operators against clients that hold connections and
+// send nothing: health checks would time out behind them. Where it is full, the oldest connection without a complete
+// request is closed after requestGrace.
 type boundedListener struct {
 	net.Listener
 
@@ -51,7 +52,8 @@
 	return c, nil
 }
 
-// makeRoom tells whether there is room for a connection. If there is none it closes the oldest one that has had its time for a request.
+// makeRoom tells whether there is room for a connection. If there is none it closes the oldest one that has had its
+// time for a request.
 func (l *boundedListener) makeRoom() bool {
 	l.mu.Lock()
 	isFull := len(l.connections) >= maxConnections
@@ -66,7 +68,8 @@
 	return !isFull || oldest != nil
 }
 
-// oldestWithoutRequest is the oldest connection that sent no complete request in requestGrace; nil: there is none. The caller holds mu.
+// oldestWithoutRequest is the oldest connection that sent no complete request in requestGrace; nil: there is none. The
+// caller holds mu.
 func (l *boundedListener) oldestWithoutRequest() *connection {
 	for _, c := range l.connections {
 		if !c.isRequestComplete && time.Since(c.acceptedAt) > requestGrace {
--- a/admin/server.go
+++ b/admin/server.go
@@ -1,8 +1,9 @@
-// Package admin is the operators' endpoint: HTTP/1.1 at an address of its own, one request per connection. It answers whether a balancer is
-// ready, with its metrics and the state of its cache hosts, and ejects cache hosts by hand. What is under /fleet it hands to the fleet.
+// Package admin is the operators' endpoint: HTTP/1.1 at an address of its own, one request per connection. It answers
+// whether a balancer is ready, with its metrics and the state of its cache hosts, and ejects cache hosts by hand. What
+// is under /fleet it hands to the fleet.
 //
-// It serves while everything else is short: it has few connections, so that it takes few descriptors, and a client that sends nothing
-// gives up its connection to one that waits (boundedListener).
+// It serves while everything else is short: it has few connections, so that it takes few descriptors, and a client that
+// sends nothing gives up its connection to one that waits (boundedListener).
 package admin
 
 import (
@@ -26,8 +27,8 @@
 	maxProposalBytes = 512 << 10
 )
 
-// Open listens at the address and serves from now on, until the process ends. It returns the address at which it listens. Requests under
-// /fleet go to fleet; nil: the balancer is in none, and they are unknown.
+// Open listens at the address and serves from now on, until the process ends. It returns the address at which it
+// listens. Requests under /fleet go to fleet; nil: the balancer is in none, and they are unknown.
 func Open(address string, balancer Balancer, fleet http.Handler) (string, error) {
 	listener, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", address)
 	if err != nil {
--- a/cli/check.go
+++ b/cli/check.go
@@ -33,7 +33,8 @@
 		}}
 }
 
-// checkFile returns all that is wrong with a file: with a platform's configuration if it begins as JSON, with own settings if not.
+// checkFile returns all that is wrong with a file: with a platform's configuration if it begins as JSON, with own
+// settings if not.
 func checkFile(file string) []fields.FieldError {
 	text, err := fields.Whole(file)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// describeDisagreement tells T, the longest time for which two processes under leases can act on contradicting configurations, where a file
-// has a fleet.
+// describeDisagreement tells T, the longest time for which two processes under leases can act on contradicting
+// configurations, where a file has a fleet.
 func describeDisagreement(file string) string {
 	settings, mistakes := fields.Read(file, server.SettingsTables)
 	if len(mistakes) > 0 || !settings.Yes("fleet.on") {
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,7 +1,8 @@
-// Package cli holds the commands of hollylever for people: a file each, and the client with which they speak to the admin endpoint of a
-// running balancer. Without a command the program serves (package server).
+// Package cli holds the commands of hollylever for people: a file each, and the client with which they speak to the
+// admin endpoint of a running balancer. Without a command the program serves (package server).
 //
-// Texts, flags, output and exit codes are an interface: runbooks and scripts use them. The tests compare them with files in testdata.
+// Texts, flags, output and exit codes are an interface: runbooks and scripts use them. The tests compare them with
+// files in testdata.
 package cli
 
 import (
@@ -36,8 +37,8 @@
 // errPrinted is the error of a command that has printed all there is to say.
 var errPrinted = errors.New("")
 
-// Main is the program. Without arguments it serves, as the platform starts it, and no command is set up. join is nil in a program without
-// fleets.
+// Main is the program. Without arguments it serves, as the platform starts it, and no command is set up. join is nil in
+// a program without fleets.
 func Main(join server.Join) {
 	if len(os.Args) > 1 {
 		os.Exit(run(os.Args[1:], os.Stdout, os.Stderr, join))
--- a/cli/figures.go
+++ b/cli/figures.go
@@ -75,8 +75,8 @@
 var metricLabels = map[string]string{"dispatches": "trips handed over", "concurrent": "retrievals open", "targets": "cache hosts listed",
 	"targets_disabled": "of them avoided"}
 
-// printMetricsTables prints a table with a row for each workload, then one of the other metrics. Where previous is not nil, each value is
-// followed by what it grew by.
+// printMetricsTables prints a table with a row for each workload, then one of the other metrics. Where previous is not
+// nil, each value is followed by what it grew by.
 func printMetricsTables(out io.Writer, metrics, previous map[string]int) error {
 	format := func(name string) string {
 		if previous != nil {
--- a/cli/fleetstatus.go
+++ b/cli/fleetstatus.go
@@ -1,6 +1,7 @@
 package cli
 
-// fleetStatus is what the commands show of the answer to GET /fleet; --json shows all of it. The keys are those of package fleet.
+// fleetStatus is what the commands show of the answer to GET /fleet; --json shows all of it. The keys are those of
+// package fleet.
 type fleetStatus struct {
 	Name             string         `json:"name"`
 	Leader           string         `json:"leads"` // empty: none is known
@@ -25,8 +26,8 @@
 	Limits         map[string]int64 `json:"limits"`
 }
 
-// zoneStatus is how a zone is used. The keys are those that zones list --json prints; four of them begin with a capital there, and match the
-// lower-case ones of the admin endpoint.
+// zoneStatus is how a zone is used. The keys are those that zones list --json prints; four of them begin with a capital
+// there, and match the lower-case ones of the admin endpoint.
 type zoneStatus struct {
 	Zone                     string  `json:"Zone"`
 	Endpoints                int     `json:"Hosts"`
@@ -73,8 +74,8 @@
 	HasLeft        bool   `json:"gone"`
 }
 
-// fleetStatus returns the state of the fleet as the process has it, and the text of the response. The text is there as well where it
-// cannot be decoded.
+// fleetStatus returns the state of the fleet as the process has it, and the text of the response. The text is there as
+// well where it cannot be decoded.
 func (a *adminClient) fleetStatus() (status fleetStatus, text string, err error) {
 	text, err = a.requestJSON("/fleet", &status)
 	return status, text, err
--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -53,15 +53,16 @@
 	compareGolden(t, "usage.golden", out.String())
 }
 
-// A file of own settings that an operator has written must mean the same: fields, defaults, bounds and when a change counts.
+// A file of own settings that an operator has written must mean the same: fields, defaults, bounds and when a change
+// counts.
 func TestGoldenSettings(t *testing.T) {
 	_, out, wrong := runCommand("config", "explain")
 	_, example, _ := runCommand("config", "example")
 	compareGolden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(server.SettingsTables), "\n"))
 }
 
-// What the commands make of a door's answers, and the code with which each ends, is what scripts build on. The door answers with the JSON of the fleet's
-// own golden file, so that neither side's fields can be renamed alone.
+// What the commands make of a door's answers, and the code with which each ends, is what scripts build on. The door
+// answers with the JSON of the fleet's own golden file, so that neither side's fields can be renamed alone.
 func TestGoldenCommands(t *testing.T) {
 	fixEnvironment(t)
 	asked := []string{}
--- a/cli/program_test.go
+++ b/cli/program_test.go
@@ -66,8 +66,8 @@
 	return file
 }
 
-// An operator asks a balancer that serves: whether it is ready, for its figures, for its cache hosts; takes one out, sees it out, and asks
-// for one that was never listed.
+// An operator asks a balancer that serves: whether it is ready, for its figures, for its cache hosts; takes one out,
+// sees it out, and asks for one that was never listed.
 func TestCommandsAtARunningBalancer(t *testing.T) {
 	host, err := fakes.Scripted()
 	if err != nil {
--- a/cli/propose.go
+++ b/cli/propose.go
@@ -31,8 +31,8 @@
 		}}
 }
 
-// propose makes a proposal to the fleet under a new id and prints its result. A proposal that was rejected is an error, and so is one whose
-// result is not known: it may still be accepted.
+// propose makes a proposal to the fleet under a new id and prints its result. A proposal that was rejected is an error,
+// and so is one whose result is not known: it may still be accepted.
 func (a *adminClient) propose(c *cobra.Command, proposal fleetconfig.Proposal) error {
 	proposal.ID = rand.Text()
 	if proposal.Author == "" {
--- a/cli/zones.go
+++ b/cli/zones.go
@@ -88,7 +88,8 @@
 	return exitError{fmt.Errorf("no zone %s", printable(zone)), exitMistake}
 }
 
-// withoutZone counts all cache hosts, and those that do not fail in the other zones that are not evacuated, with the number of these zones.
+// withoutZone counts all cache hosts, and those that do not fail in the other zones that are not evacuated, with the
+// number of these zones.
 func (s fleetStatus) withoutZone(zone string) (total, remaining, otherZones int) {
 	for _, z := range s.Zones {
 		total += z.Endpoints
--- a/server/admin_test.go
+++ b/server/admin_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Sixty clients hold connections to the admin endpoint and send nothing or half a request: an operator gets an answer all the same. Requests that make
-// no sense get the status for it.
+// Sixty clients hold connections to the admin endpoint and send nothing or half a request: an operator gets an answer
+// all the same. Requests that make no sense get the status for it.
 func TestAdminEndpointAnswersBesideSilentClients(t *testing.T) {
 	t.Parallel()
 	p := startProgram(t, endpointList(0, true, listEntry("s", "127.0.0.1:1", "Ready")), map[string]any{"mgmt": "127.0.0.1:0",
@@ -44,7 +44,8 @@
 	}
 }
 
-// Operators read the metrics: a line each, zeros too, and each request, attempt and rejection that clients and hosts saw is counted.
+// Operators read the metrics: a line each, zeros too, and each request, attempt and rejection that clients and hosts
+// saw is counted.
 func TestMetricsCountWhatClientsAndHostsSaw(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
@@ -86,8 +87,8 @@
 	p.waitForMetric("replies.read.overload", 1)
 }
 
-// An operator ejects a cache host at one of two processes of a balancer. It gets nothing more from either, whatever discovery lists meanwhile and though
-// somebody damages the file of ejections, until it is taken back.
+// An operator ejects a cache host at one of two processes of a balancer. It gets nothing more from either, whatever
+// discovery lists meanwhile and though somebody damages the file of ejections, until it is taken back.
 func TestHostsEjectedByHandGetNothing(t *testing.T) {
 	t.Parallel()
 	a, atA := startHost(t)
--- a/server/clients_test.go
+++ b/server/clients_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Clients send what is no command, break off, or send too much: each gets an error or a close and no value, and an ordinary client is served beside
-// them.
+// Clients send what is no command, break off, or send too much: each gets an error or a close and no value, and an
+// ordinary client is served beside them.
 func TestMalformedClientsGetNoValue(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
@@ -56,7 +56,8 @@
 	usual.send("PING").expectReply("+PONG")
 }
 
-// A client disconnects while its request is at a cache host: that connection is closed, and no other host gets the request.
+// A client disconnects while its request is at a cache host: that connection is closed, and no other host gets the
+// request.
 func TestAttemptIsCancelledWhenItsClientDisconnects(t *testing.T) {
 	at, came := startHost(t)
 	p := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil)
@@ -68,8 +69,8 @@
 	p.connect().send("PING").expectReply("+PONG")
 }
 
-// A client sends half a command, and nothing is sent for it until the rest comes. Then sixty clients ask for large values and read none of them:
-// the memory stays within the limit.
+// A client sends half a command, and nothing is sent for it until the rest comes. Then sixty clients ask for large
+// values and read none of them: the memory stays within the limit.
 func TestHalfACommandAndSlowReaders(t *testing.T) {
 	at, came := startHost(t)
 	p := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil)
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -14,7 +14,8 @@
 	"hollylever/transport"
 )
 
-// Configuration is what the platform tells a process: its configuration file (JSON), with the LB_ variables that are set before it.
+// Configuration is what the platform tells a process: its configuration file (JSON), with the LB_ variables that are
+// set before it.
 type Configuration struct {
 	File             string // where it was read; errors name it
 	Name             string // of the balancer; its processes share it
@@ -35,8 +36,8 @@
 
 const noDescriptor = -1
 
-// idleTimeoutShare is the part of the hosts' own time-out (allowed.connIdle) after which an idle connection is closed here, so that no
-// request is sent on one that the host is just closing.
+// idleTimeoutShare is the part of the hosts' own time-out (allowed.connIdle) after which an idle connection is closed
+// here, so that no request is sent on one that the host is just closing.
 const idleTimeoutShare = 0.7
 
 const nanosPerMilli = 1e6
@@ -73,21 +74,23 @@
 }
 
 const (
-	// A configuration that is being written as the process starts is complete within writeTimeout, and is read again each pollInterval.
+	// A configuration that is being written as the process starts is complete within writeTimeout, and is read again
+	// each pollInterval.
 	writeTimeout = time.Second
 	pollInterval = 10 * time.Millisecond
 )
 
 var errNoConfiguration = errors.New("LB_CONFIG: not set")
 
-// readConfiguration reads the file that LB_CONFIG names, as a process starts. The other variables, where they are set, go before it. An
-// error names the variable or the field; a fields.FieldError is in it where a field is wrong.
+// readConfiguration reads the file that LB_CONFIG names, as a process starts. The other variables, where they are set,
+// go before it. An error names the variable or the field; a fields.FieldError is in it where a field is wrong.
 func readConfiguration() (*Configuration, error) {
 	return readConfigurationWith(os.Getenv, writeTimeout)
 }
 
-// rereadConfiguration reads the file again in a process that serves. The variables are those of the start and the file is newer, so only
-// LB_NAME, which no file can change, goes before it. It never waits for a file that is being written: what is in force stays.
+// rereadConfiguration reads the file again in a process that serves. The variables are those of the start and the file
+// is newer, so only LB_NAME, which no file can change, goes before it. It never waits for a file that is being written:
+// what is in force stays.
 func rereadConfiguration() (*Configuration, error) {
 	onlyName := func(name string) string {
 		if name == "LB_NAME" {
@@ -116,9 +119,9 @@
 	return c, nil
 }
 
-// readJSONObject reads a file. One that is missing, is no complete JSON object, or cannot be opened for want of descriptors is read again
-// until the wait is over; what it holds then is returned. Guards a process that starts while the file is being replaced: it would end with
-// "not a JSON object" for half a file.
+// readJSONObject reads a file. One that is missing, is no complete JSON object, or cannot be opened for want of
+// descriptors is read again until the wait is over; what it holds then is returned. Guards a process that starts while
+// the file is being replaced: it would end with "not a JSON object" for half a file.
 func readJSONObject(file string, wait time.Duration) ([]byte, error) {
 	for end := time.Now().Add(wait); ; time.Sleep(pollInterval) {
 		text, err := os.ReadFile(file)
@@ -133,9 +136,9 @@
 	return gjson.ValidBytes(text) && gjson.ParseBytes(text).IsObject()
 }
 
-// ParseConfiguration parses and checks a configuration. getenv returns the LB_ variables that go before the file, "" for one that is not
-// set. It returns the configuration, or every mistake in it: those of the file with the line and column, those of a variable with its name
-// as the file, and a file that is no JSON object as a mistake of LB_CONFIG.
+// ParseConfiguration parses and checks a configuration. getenv returns the LB_ variables that go before the file, ""
+// for one that is not set. It returns the configuration, or every mistake in it: those of the file with the line and
+// column, those of a variable with its name as the file, and a file that is no JSON object as a mistake of LB_CONFIG.
 func ParseConfiguration(file string, text []byte, getenv func(string) string) (*Configuration, []fields.FieldError) {
 	if !isJSONObject(text) {
 		return nil, []fields.FieldError{{File: "LB_CONFIG", Why: file + " is not a JSON object"}}
--- a/server/configuration_parser.go
+++ b/server/configuration_parser.go
@@ -75,7 +75,8 @@
 	p.mistakes = append(p.mistakes, fields.FieldError{File: name, Why: why})
 }
 
-// position is where a field is in a JSON text, from 1; for one that is missing, where the object that it belongs to begins.
+// position is where a field is in a JSON text, from 1; for one that is missing, where the object that it belongs to
+// begins.
 func position(text []byte, field string) (line, column int) {
 	for ; field != ""; field = field[:max(0, strings.LastIndexByte(field, '.'))] {
 		if r := gjson.GetBytes(text, field); r.Exists() && r.Index > 0 {
@@ -152,7 +153,8 @@
 	return count
 }
 
-// checkNamedTables checks what workloads and tenants have in common. Two of one name would be counted, and limited, as one.
+// checkNamedTables checks what workloads and tenants have in common. Two of one name would be counted, and limited, as
+// one.
 func (p *configurationParser) checkNamedTables() {
 	for _, list := range []string{"workloads", "tenants"} {
 		names := map[string]bool{"": true}
@@ -167,7 +169,8 @@
 	}
 }
 
-// checkWorkloads checks how each workload's requests may be sent, their times in milliseconds, and what their answers are worth.
+// checkWorkloads checks how each workload's requests may be sent, their times in milliseconds, and what their answers
+// are worth.
 func (p *configurationParser) checkWorkloads() {
 	for n := range int(min(p.count("workloads"), maxNamed)) {
 		path := "workloads." + strconv.Itoa(n)
@@ -283,7 +286,8 @@
 	return isBool || p.settings[path] == nil
 }
 
-// isOneOf tells whether a setting is one of the words; one that is left out is, and means what the program has always taken it for.
+// isOneOf tells whether a setting is one of the words; one that is left out is, and means what the program has always
+// taken it for.
 func (p *configurationParser) isOneOf(path string, words ...string) bool {
 	value, stated := p.settings[path]
 	return !stated || slices.ContainsFunc(words, func(word string) bool { return value == word })
--- a/server/descriptors_test.go
+++ b/server/descriptors_test.go
@@ -46,8 +46,8 @@
 	return clients
 }
 
-// Idle clients fill the descriptors while discovery is down. Discovery, cache hosts, the configuration file and the admin endpoint get
-// theirs at once all the same, whether limits.sockets or the system bounds their number.
+// Idle clients fill the descriptors while discovery is down. Discovery, cache hosts, the configuration file and the
+// admin endpoint get theirs at once all the same, whether limits.sockets or the system bounds their number.
 func TestIdleClientsLeaveDescriptorsForTheRest(t *testing.T) {
 	for name, bounds := range map[string]struct{ sockets, atStart, later int }{
 		"by limits.sockets":         {sockets: fewDescriptors},
@@ -158,7 +158,8 @@
 	}
 }
 
-// During an upgrade two processes share limits.sockets, while the system allows each far fewer: each keeps within the system's limit.
+// During an upgrade two processes share limits.sockets, while the system allows each far fewer: each keeps within the
+// system's limit.
 func TestUpgradeKeepsWithinSystemDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
@@ -201,8 +202,8 @@
 	c.expectReply("v")
 }
 
-// Three hundred clients connect to a process with 150 descriptors, or 60 by the system: a request still gets a connection to its host, and clients do
-// not take what hosts need.
+// Three hundred clients connect to a process with 150 descriptors, or 60 by the system: a request still gets a
+// connection to its host, and clients do not take what hosts need.
 func TestHostsGetDescriptorsBesideManyClients(t *testing.T) {
 	for _, limit := range []int{0, 60} { // by its own count, and by the system's word
 		at, came := startHost(t)
--- a/server/discovery_test.go
+++ b/server/discovery_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Discovery is down at the start, comes back with changes, sends a damaged line, ends the watch and falls silent: the balancer serves from the last
-// good list, calls again, and takes each change. A host that drains gets no new request.
+// Discovery is down at the start, comes back with changes, sends a damaged line, ends the watch and falls silent: the
+// balancer serves from the last good list, calls again, and takes each change. A host that drains gets no new request.
 func TestEndpointListIsFollowed(t *testing.T) {
 	t.Parallel()
 	a, fromA := startHost(t)
@@ -58,7 +58,8 @@
 	receive(t, calls, "the fifth watch")
 }
 
-// Discovery accepts the watch and never answers it: the balancer serves from the list of its configuration and calls again.
+// Discovery accepts the watch and never answers it: the balancer serves from the list of its configuration and calls
+// again.
 func TestSilentDiscoveryIsCalledAgain(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
--- a/server/fleet_test.go
+++ b/server/fleet_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// A balancer without a table fleet listens at its clients' address only. With one, a program that is built without fleets refuses to start.
+// A balancer without a table fleet listens at its clients' address only. With one, a program that is built without
+// fleets refuses to start.
 func TestProgramWithoutFleet(t *testing.T) {
 	t.Parallel()
 	p := startProgram(t, endpointList(1, true), nil)
--- a/server/handover_faults_test.go
+++ b/server/handover_faults_test.go
@@ -24,9 +24,9 @@
 	return 3
 }
 
-// Upgrades under load while hosts hang, crash, restart cold and drain, the holder of the socket changes its mode, and processes
-// reload, are killed at their start and told to stop in any order: each request has one reply of its own in time, no write
-// happens twice, drains are kept and no cold host is overloaded.
+// Upgrades under load while hosts hang, crash, restart cold and drain, the holder of the socket changes its mode, and
+// processes reload, are killed at their start and told to stop in any order: each request has one reply of its own in
+// time, no write happens twice, drains are kept and no cold host is overloaded.
 func TestUpgradesAmidFaults(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(planCount()) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// startAndKill starts a process that waits for its configuration (a pipe that nobody fills), and kills it when meanwhile returns.
+// startAndKill starts a process that waits for its configuration (a pipe that nobody fills), and kills it when
+// meanwhile returns.
 func startAndKill(t *testing.T, w *testBed, meanwhile func()) {
 	t.Helper()
 	file := w.File
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -142,8 +142,8 @@
 
 const ownDescriptors = 20 // of a process: the log, files, discovery, the door
 
-// Two hundred clients connect during an upgrade: the descriptors of both processes together stay within the limit, and no client
-// of the new process waits.
+// Two hundred clients connect during an upgrade: the descriptors of both processes together stay within the limit, and
+// no client of the new process waits.
 func TestDescriptorsOfBothProcessesStayWithinLimit(t *testing.T) {
 	t.Parallel()
 	limits := fakes.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 192}
@@ -215,8 +215,8 @@
 // fingerprint is that of the stand-ins' settings.
 func fingerprint() uint64 { return routing.Fingerprint(tables.Flat(gjson.Parse(fakes.Settings))) }
 
-// A measurement, with HOLLYLEVER_MEASURE=1: to how many hosts each key is fetched in the seconds after an upgrade during which three hosts
-// of fifteen restart cold and empty, with the snapshot and without.
+// A measurement, with HOLLYLEVER_MEASURE=1: to how many hosts each key is fetched in the seconds after an upgrade
+// during which three hosts of fifteen restart cold and empty, with the snapshot and without.
 func TestMeasureFetchesAfterAnUpgrade(t *testing.T) {
 	if os.Getenv("HOLLYLEVER_MEASURE") == "" {
 		t.Skip("a measurement")
@@ -258,7 +258,8 @@
 	}
 }
 
-// New processes die before they are ready, at any moment of their start: the old one keeps its clients and gets all resources back.
+// New processes die before they are ready, at any moment of their start: the old one keeps its clients and gets all
+// resources back.
 func TestNewProcessThatDiesBeforeItIsReadyTakesNothing(t *testing.T) {
 	t.Parallel()
 	w := newTestBed(t, 3, -1, testBedLimits)
@@ -300,7 +301,8 @@
 	}
 }
 
-// Both processes of an upgrade get SIGTERM at the same time: each answers the requests that it accepted, and exits with 0.
+// Both processes of an upgrade get SIGTERM at the same time: each answers the requests that it accepted, and exits with
+// 0.
 func TestBothProcessesOfAnUpgradeShutDown(t *testing.T) {
 	t.Parallel()
 	w := newTestBed(t, 3, -1, testBedLimits)
--- a/server/incident_test.go
+++ b/server/incident_test.go
@@ -64,8 +64,8 @@
 	p.t.Fatalf("the process does not come to state %s", state)
 }
 
-// The process is stopped while requests wait for a retry, and their clients disconnect meanwhile. When it goes on, the disconnects and the
-// retry timers are due at once: nothing may be sent for these clients.
+// The process is stopped while requests wait for a retry, and their clients disconnect meanwhile. When it goes on, the
+// disconnects and the retry timers are due at once: nothing may be sent for these clients.
 func TestNothingIsSentForClientsThatLeftDuringAHoldUp(t *testing.T) {
 	const clients, rounds = 10, 12
 	for name, leaves := range map[string]func(*net.TCPConn){
@@ -135,7 +135,8 @@
 	return len(ids)
 }
 
-// A request waits behind others of its connection, or in the kernel while the process is stopped: its deadline counts from its last byte.
+// A request waits behind others of its connection, or in the kernel while the process is stopped: its deadline counts
+// from its last byte.
 func TestDeadlineCountsFromLastByte(t *testing.T) {
 	for _, commands := range []int{40, 200, 600} {
 		t.Run(fmt.Sprint("of ", commands, " commands at once"), func(t *testing.T) {
@@ -239,8 +240,9 @@
 	}
 }
 
-// SIGKILL may come the longest deadline, of 3 s at most, and 0.7 s after SIGTERM. By then each accepted request has its reply, also where a
-// deadline is longer, hosts hang, the process is stopped as the signal comes, and clients keep requesting on each connection.
+// SIGKILL may come the longest deadline, of 3 s at most, and 0.7 s after SIGTERM. By then each accepted request has its
+// reply, also where a deadline is longer, hosts hang, the process is stopped as the signal comes, and clients keep
+// requesting on each connection.
 func TestAllRequestsAreAnsweredBeforeSIGKILL(t *testing.T) {
 	for _, deadline := range []time.Duration{500 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 		for _, held := range []time.Duration{0, holdUp} {
--- a/server/large_test.go
+++ b/server/large_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// A value over 64 KiB is streamed. One whose stream breaks never looks complete to the client, and the request is not retried.
+// A value over 64 KiB is streamed. One whose stream breaks never looks complete to the client, and the request is not
+// retried.
 func TestLargeValuesAreStreamed(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
@@ -131,7 +132,8 @@
 	}
 }
 
-// SIGTERM comes while large values are being streamed: each is complete in time, or its connection is reset so that the client can tell.
+// SIGTERM comes while large values are being streamed: each is complete in time, or its connection is reset so that the
+// client can tell.
 func TestStreamsEndAtShutdown(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
--- a/server/leaves_test.go
+++ b/server/leaves_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Clients connect and disconnect in every way, whatever hosts do meanwhile: afterwards the process has as many descriptors as before, and no request
-// is in flight.
+// Clients connect and disconnect in every way, whatever hosts do meanwhile: afterwards the process has as many
+// descriptors as before, and no request is in flight.
 func TestDisconnectedClientsLeaveNothing(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
--- a/server/loglines.go
+++ b/server/loglines.go
@@ -1,7 +1,7 @@
 package server
 
-// logLine is one that can be logged: its message, and its fields beside time, level, balancer and message. The summary has, besides, a field
-// for each thing that happened.
+// logLine is one that can be logged: its message, and its fields beside time, level, balancer and message. The summary
+// has, besides, a field for each thing that happened.
 type logLine struct {
 	message string
 	fields  []string
--- a/server/loglines_test.go
+++ b/server/loglines_test.go
@@ -70,7 +70,8 @@
 	return append(loggedFields(at.X), names...)
 }
 
-// A line is added or a field renamed: the list of log lines and the pages for on-call staff have to follow, so that no line is unknown at night.
+// A line is added or a field renamed: the list of log lines and the pages for on-call staff have to follow, so that no
+// line is unknown at night.
 func TestLogLinesAreListedAndDocumented(t *testing.T) {
 	var told string
 	for _, page := range []string{"../docs/oncall.md", "../docs/upgrades.md", "../docs/fleet.md"} {
--- a/server/main.go
+++ b/server/main.go
@@ -22,12 +22,14 @@
 	http.Handler
 }
 
-// Join starts the membership of a balancer in a fleet, as the checked table "fleet" of its own settings says. settingsDigest names the
-// operators' settings that the process runs with, so that members can tell whether they run with the same ones.
+// Join starts the membership of a balancer in a fleet, as the checked table "fleet" of its own settings says.
+// settingsDigest names the operators' settings that the process runs with, so that members can tell whether they run
+// with the same ones.
 type Join func(settings fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger) (Fleet, error)
 
-// Main serves as the platform starts the program: under LB_CONFIG and the other variables, with LB_EXTRA naming the balancer's own
-// settings. It ends the process with 1 and one line on standard error if the start fails. join is nil in a program without fleets.
+// Main serves as the platform starts the program: under LB_CONFIG and the other variables, with LB_EXTRA naming the
+// balancer's own settings. It ends the process with 1 and one line on standard error if the start fails. join is nil in
+// a program without fleets.
 func Main(join Join) {
 	if err := Serve(os.Getenv("LB_EXTRA"), join); err != nil {
 		fmt.Fprintln(os.Stderr, "hollylever:", err)
@@ -35,8 +37,9 @@
 	}
 }
 
-// Serve runs one balancer until SIGTERM or an interrupt. settingsFile names the file of the balancer's own settings; with an empty name all
-// are at their defaults. join is nil in a program without fleets. The error is that of a failed start; it names the variable or field.
+// Serve runs one balancer until SIGTERM or an interrupt. settingsFile names the file of the balancer's own settings;
+// with an empty name all are at their defaults. join is nil in a program without fleets. The error is that of a failed
+// start; it names the variable or field.
 func Serve(settingsFile string, join Join) error {
 	signals := catchSignals() // First of all: a SIGHUP that is not caught ends the process.
 	ctx, cancel := context.WithCancel(context.Background())
--- a/server/ready_test.go
+++ b/server/ready_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// All hosts of a stale list have gone, and requests are attempted there. The first request after discovery lists other hosts is served: nothing of
-// before delays it.
+// All hosts of a stale list have gone, and requests are attempted there. The first request after discovery lists other
+// hosts is served: nothing of before delays it.
 func TestStaleEndpointListDelaysNothing(t *testing.T) {
 	t.Parallel()
 	address, calls := startDiscovery(t)
--- a/server/reload_test.go
+++ b/server/reload_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Discovery moves. A file that is empty, cut short, wrong or missing changes nothing; a good one has the balancer follow the list at the new address
-// alone, without an interruption for clients. SIGHUP during the shutdown is ignored.
+// Discovery moves. A file that is empty, cut short, wrong or missing changes nothing; a good one has the balancer
+// follow the list at the new address alone, without an interruption for clients. SIGHUP during the shutdown is ignored.
 func TestConfigurationIsReloaded(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
@@ -62,8 +62,9 @@
 	}
 }
 
-// An operator changes the balancer's own settings and sends SIGHUP. A file with a mistake changes nothing, and the log names its place; of a
-// good one each field that changed is logged, and a shorter interval of the summary holds at once.
+// An operator changes the balancer's own settings and sends SIGHUP. A file with a mistake changes nothing, and the log
+// names its place; of a good one each field that changed is logged, and a shorter interval of the summary holds at
+// once.
 func TestSettingsAreReloaded(t *testing.T) {
 	own := filepath.Join(t.TempDir(), "own.toml")
 	write := func(text string) {
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// A client reads and writes: the cache host gets each request with the time that is left, and its reply goes back. A command with a mistake gets an
-// error and the connection goes on; bytes that are no command get an error and the end of the connection.
+// A client reads and writes: the cache host gets each request with the time that is left, and its reply goes back. A
+// command with a mistake gets an error and the connection goes on; bytes that are no command get an error and the end
+// of the connection.
 func TestServesRequests(t *testing.T) {
 	at, came := startHost(t)
 	p := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil)
@@ -65,8 +66,8 @@
 	expectNoCommand(t, came)
 }
 
-// A client sends commands without waiting for replies, more than are handled side by side, and hosts reply in another order: the client gets the
-// replies in the order of its commands.
+// A client sends commands without waiting for replies, more than are handled side by side, and hosts reply in another
+// order: the client gets the replies in the order of its commands.
 func TestRepliesKeepTheOrderOfCommands(t *testing.T) {
 	at, came := startHost(t)
 	c := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil).connect()
@@ -104,7 +105,8 @@
 	}
 }
 
-// An attempt ends in each way that it can, for a request that may run only once: it is retried, or rejected, only if it never ran.
+// An attempt ends in each way that it can, for a request that may run only once: it is retried, or rejected, only if it
+// never ran.
 func TestEveryOutcomeOfAnAttempt(t *testing.T) {
 	for _, row := range []struct {
 		name, list, want string
--- a/server/resources.go
+++ b/server/resources.go
@@ -17,7 +17,8 @@
 	shareInterval = 50 * time.Millisecond // between two exchanges with the siblings while this process is alone
 	// sharedInterval is that while siblings run: clients that move from one process to another must not wait for room.
 	sharedInterval = 5 * time.Millisecond
-	// waitForShareTimeout bounds the wait of a new process for the others to make room: one that hangs must not keep it from serving.
+	// waitForShareTimeout bounds the wait of a new process for the others to make room: one that hangs must not keep it
+	// from serving.
 	waitForShareTimeout = 400 * time.Millisecond
 
 	minConnections  = 8   // clients, and as many cache hosts, with which a process can serve at all
@@ -42,7 +43,8 @@
 	reserved := result.reservedDescriptors
 	result.maxClients, result.maxEndpointConnections = divideDescriptors(c.MaxDescriptors, reserved)
 	if c.hasInheritedSocket() {
-		// Guards against two processes during an upgrade, whose memory counts together and each of which reserves descriptors.
+		// Guards against two processes during an upgrade, whose memory counts together and each of which reserves
+		// descriptors.
 		result.memoryBytes /= 2
 		result.maxEndpointConnections = max(0, result.maxEndpointConnections-reserved/2)
 		result.maxClients = max(0, result.maxClients-reserved/2)
@@ -51,8 +53,8 @@
 	return result
 }
 
-// collectorLimit is the garbage collector's soft limit. The rest is for what the collector does not count, and for what grows between two
-// collections.
+// collectorLimit is the garbage collector's soft limit. The rest is for what the collector does not count, and for what
+// grows between two collections.
 func collectorLimit(memory int64) int64 { return memory * 7 / 10 }
 
 // collectorPercent is GOGC by the memory, in its MB: a small machine collects sooner.
@@ -72,7 +74,8 @@
 	reservedDescriptors int
 }
 
-// setConnectionLimits sets how many connections there may be from now on, within what the system allows, and returns these numbers.
+// setConnectionLimits sets how many connections there may be from now on, within what the system allows, and returns
+// these numbers.
 func (l resourceLimits) setConnectionLimits(clients, endpoints int) (int, int) {
 	clients, endpoints = withinSystem(clients, endpoints, l.reservedDescriptors)
 	l.listener.Allow(clients)
@@ -80,7 +83,8 @@
 	return clients, endpoints
 }
 
-// set sets what this process may use from now on, and which share of the balancer's attempts it sends. It returns the numbers of connections.
+// set sets what this process may use from now on, and which share of the balancer's attempts it sends. It returns the
+// numbers of connections.
 func (l resourceLimits) set(allowed siblings.Resources, attemptShare float64) (clients, endpoints int) {
 	l.listener.Budget.Allow(clientMemory(allowed.MemoryBytes))
 	l.balancer.Allow(balancerMemory(allowed.MemoryBytes), attemptShare)
@@ -99,7 +103,8 @@
 	return int64(samples[0].Value.Uint64() - samples[1].Value.Uint64())
 }
 
-// waitForShare waits until the siblings have made room for this process, at most for waitForShareTimeout; it starts with the least then.
+// waitForShare waits until the siblings have made room for this process, at most for waitForShareTimeout; it starts
+// with the least then.
 func (l resourceLimits) waitForShare(group *siblings.Group) {
 	for end := time.Now().Add(waitForShareTimeout); time.Now().Before(end); time.Sleep(sharedInterval) {
 		allowed, attemptShare, others, err := group.Update(l.usage(), 0)
--- a/server/run.go
+++ b/server/run.go
@@ -13,7 +13,8 @@
 	"hollylever/snapshot"
 )
 
-// Run accepts clients and serves them until SIGTERM; it returns when the shutdown is over. Serve calls it once, after New.
+// Run accepts clients and serves them until SIGTERM; it returns when the shutdown is over. Serve calls it once, after
+// New.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer s.close(cancel)
@@ -87,8 +88,8 @@
 
 // reload reads both configuration files again (SIGHUP). If either is bad, neither is taken: what was in force stays.
 //
-// Of the platform's file only the discovery address applies to a running process. Of the balancer's own settings those apply that are marked
-// fields.AtOnce; the others are logged and apply at the next start.
+// Of the platform's file only the discovery address applies to a running process. Of the balancer's own settings those
+// apply that are marked fields.AtOnce; the others are logged and apply at the next start.
 func (s *Server) reload() {
 	configuration, err := rereadConfiguration()
 	settings, settingsErr := readSettings(s.settingsFile)
@@ -130,8 +131,8 @@
 	}
 }
 
-// writeSnapshots writes what the balancer learned at the interval that was sent last. Guards against a process that is killed: it leaves a
-// snapshot at most one interval old, from which the next process starts.
+// writeSnapshots writes what the balancer learned at the interval that was sent last. Guards against a process that is
+// killed: it leaves a snapshot at most one interval old, from which the next process starts.
 func writeSnapshots(ctx context.Context, keeper *routing.Keeper, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
 	failed, ticker := false, time.NewTicker(time.Hour) // The first interval is sent before the goroutine starts.
 	for {
--- a/server/server.go
+++ b/server/server.go
@@ -1,13 +1,15 @@
 // Package server is the life of one balancer process: start, serve, reload, drain, stop.
 //
-// A Server owns what a process has once: the listening socket, the pool of connections to cache hosts, the balancer between them (package
-// routing), the admin endpoint, and the membership in a fleet where there is one. It decides nothing about requests.
+// A Server owns what a process has once: the listening socket, the pool of connections to cache hosts, the balancer
+// between them (package routing), the admin endpoint, and the membership in a fleet where there is one. It decides
+// nothing about requests.
 //
-// The start (New) goes through the steps of Server.start in order; each needs the ones before it. Run starts the background tasks and then
-// handles one event at a time until SIGTERM: a sweep of idle connections, a summary in the log, SIGHUP (reload), SIGTERM (shutdown).
+// The start (New) goes through the steps of Server.start in order; each needs the ones before it. Run starts the
+// background tasks and then handles one event at a time until SIGTERM: a sweep of idle connections, a summary in the
+// log, SIGHUP (reload), SIGTERM (shutdown).
 //
-// cmd/hollylever runs a balancer alone; cmd/hollyfleet passes a Join, which makes it a member of a fleet. The commands for people are in
-// package cli.
+// cmd/hollylever runs a balancer alone; cmd/hollyfleet passes a Join, which makes it a member of a fleet. The commands
+// for people are in package cli.
 package server
 
 import (
@@ -36,7 +38,8 @@
 const (
 	// sweepInterval is how often idle connections are looked for.
 	sweepInterval = 50 * time.Millisecond
-	// sweepsPerDescriptorCheck: so many sweeps apart the system's limit on descriptors is read again, as it may rise again (each second).
+	// sweepsPerDescriptorCheck: so many sweeps apart the system's limit on descriptors is read again, as it may rise
+	// again (each second).
 	sweepsPerDescriptorCheck = 20
 )
 
@@ -46,8 +49,8 @@
 	snapshotFile  = "hollylever.learnt" // what the balancer learned
 )
 
-// Server is one balancer process. New and Run are called by one goroutine, which owns all fields; what it shares with the background tasks
-// has locks of its own.
+// Server is one balancer process. New and Run are called by one goroutine, which owns all fields; what it shares with
+// the background tasks has locks of its own.
 type Server struct {
 	signals      Signals
 	settingsFile string // of the balancer's own settings; empty: none
@@ -84,8 +87,8 @@
 	sweeps        int
 }
 
-// New starts a process up to the point where it listens; no client is accepted before Run. settingsFile and join are as for Serve. The
-// context ends the background tasks that begin here. An error names the variable or the field at fault.
+// New starts a process up to the point where it listens; no client is accepted before Run. settingsFile and join are as
+// for Serve. The context ends the background tasks that begin here. An error names the variable or the field at fault.
 func New(ctx context.Context, signals Signals, settingsFile string, join Join) (*Server, error) {
 	s := &Server{signals: signals, settingsFile: settingsFile, join: join, flushLog: func() {}, snapshotIntervals: make(chan time.Duration, 1)}
 	if err := s.start(ctx); err != nil {
@@ -143,8 +146,8 @@
 
 func (s *Server) inFleet() bool { return s.settings.Yes("fleet.on") }
 
-// openStateDirectory joins the other processes of this balancer and reads the snapshot of an earlier one, both in $TMPDIR. Neither is
-// needed to serve: an error is logged, and the process runs as without.
+// openStateDirectory joins the other processes of this balancer and reads the snapshot of an earlier one, both in
+// $TMPDIR. Neither is needed to serve: an error is logged, and the process runs as without.
 func (s *Server) openStateDirectory() {
 	directory := os.Getenv("TMPDIR")
 	if directory == "" {
@@ -199,13 +202,15 @@
 	return nil
 }
 
-// handleAcceptError lowers the limits on connections if the system has fewer descriptors than at the start. The listener's goroutine calls it.
+// handleAcceptError lowers the limits on connections if the system has fewer descriptors than at the start. The
+// listener's goroutine calls it.
 func (s *Server) handleAcceptError(err error) {
 	s.log.Warn().Err(err).Msg("accept failed")
 	s.checkDescriptors()
 }
 
-// checkDescriptors adapts the limits on connections to the system's limit. With siblings, resourceLimits.share does so all the time.
+// checkDescriptors adapts the limits on connections to the system's limit. With siblings, resourceLimits.share does so
+// all the time.
 func (s *Server) checkDescriptors() {
 	if s.siblings == nil {
 		s.resources.setConnectionLimits(s.capacity.maxClients, s.capacity.maxEndpointConnections)
--- a/server/settings.go
+++ b/server/settings.go
@@ -30,10 +30,12 @@
 
 var logLevels = map[string]zerolog.Level{"debug": zerolog.DebugLevel, "info": zerolog.InfoLevel, "warn": zerolog.WarnLevel, "error": zerolog.ErrorLevel}
 
-// flushTimeout bounds the writing of what the log holds as the process ends: the reader of standard error may have gone.
+// flushTimeout bounds the writing of what the log holds as the process ends: the reader of standard error may have
+// gone.
 const flushTimeout = 100 * time.Millisecond
 
-// readSettings reads the balancer's own settings. With an empty name all are at their defaults. The error is the first mistake of the file.
+// readSettings reads the balancer's own settings. With an empty name all are at their defaults. The error is the first
+// mistake of the file.
 func readSettings(file string) (fields.Values, error) {
 	if file == "" {
 		return fields.Standard(SettingsTables), nil
@@ -45,8 +47,8 @@
 	return values, nil
 }
 
-// newLogger makes the log, on standard error. Logging never blocks: lines that the reader does not take in time are dropped, the oldest
-// first. writes times the writes; flush writes what is left, for at most flushTimeout.
+// newLogger makes the log, on standard error. Logging never blocks: lines that the reader does not take in time are
+// dropped, the oldest first. writes times the writes; flush writes what is left, for at most flushTimeout.
 func newLogger(settings fields.Values, name string) (log zerolog.Logger, writes *stallwatch.Timer, flush func()) {
 	writes = &stallwatch.Timer{}
 	var output io.Writer = stallwatch.TimedWriter{Writer: os.Stderr, Timer: writes}
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -6,8 +6,9 @@
 	"hollylever/siblings"
 )
 
-// The platform sends SIGKILL killDelay after the longest deadline of a request, which counts as at most maxKillDeadline, both from the time
-// at which it sent SIGTERM. The process may be held up by maxHoldUp at any time: also as the signal comes and as the last answers go out.
+// The platform sends SIGKILL killDelay after the longest deadline of a request, which counts as at most
+// maxKillDeadline, both from the time at which it sent SIGTERM. The process may be held up by maxHoldUp at any time:
+// also as the signal comes and as the last answers go out.
 //
 // From the time at which the process handles SIGTERM, with D the longest deadline:
 //
@@ -16,7 +17,8 @@
 //	D + finalAnswerDelay  each request that was accepted has its final answer
 //	... + cutTimeout      answers that are still being written are over; connections that remain are reset
 //
-// The last of these is D + 400 ms. With a hold-up at each end that is D + 700 ms after SIGTERM was sent: just before SIGKILL.
+// The last of these is D + 400 ms. With a hold-up at each end that is D + 700 ms after SIGTERM was sent: just before
+// SIGKILL.
 const (
 	killDelay        = 700 * time.Millisecond
 	maxKillDeadline  = 3 * time.Second
@@ -27,8 +29,9 @@
 	cutTimeout      = 50 * time.Millisecond  // for the last bytes of an answer to be written; a loopback or local network needs less
 )
 
-// shutdown answers what was accepted, closes what is open and returns in time for an exit before SIGKILL. hardStop is the longest deadline
-// that a request can have. Clients that go on asking are rejected when there is no time left for an answer.
+// shutdown answers what was accepted, closes what is open and returns in time for an exit before SIGKILL. hardStop is
+// the longest deadline that a request can have. Clients that go on asking are rejected when there is no time left for
+// an answer.
 func (s *Server) shutdown(hardStop time.Duration) {
 	s.balancer.Takes(false)
 	if s.siblings != nil {
@@ -56,8 +59,8 @@
 	}
 }
 
-// closeClients waits until all clients have left, at most until closeBy, and resets the connections that remain: those of an answer that is
-// still being streamed, or of a client that does not read.
+// closeClients waits until all clients have left, at most until closeBy, and resets the connections that remain: those
+// of an answer that is still being streamed, or of a client that does not read.
 func (s *Server) closeClients(closeBy time.Time) (allAnswered bool, cutOff int) {
 	if s.listener.Close(latest(closeBy, time.Now().Add(cutTimeout))) {
 		return true, 0
--- a/server/shutdown_test.go
+++ b/server/shutdown_test.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// SIGTERM comes while one client waits for a reply, one is idle and one has sent half a command, and another still connects: each request has its
-// reply, all connections are closed, and the process exits with 0.
+// SIGTERM comes while one client waits for a reply, one is idle and one has sent half a command, and another still
+// connects: each request has its reply, all connections are closed, and the process exits with 0.
 func TestShutdown(t *testing.T) {
 	at, came := startHost(t)
 	p := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil)
@@ -41,8 +41,8 @@
 	p.waitForLog(`"all_answered":true`)
 }
 
-// A client keeps requesting on a connection that always has a request in flight. After SIGTERM it ends all the same, with a reply to each
-// accepted request: what would be too late is rejected at once.
+// A client keeps requesting on a connection that always has a request in flight. After SIGTERM it ends all the same,
+// with a reply to each accepted request: what would be too late is rejected at once.
 func TestShutdownWithClientsThatKeepRequesting(t *testing.T) {
 	t.Parallel()
 	at, _ := startHost(t) // It hangs: each retrieval lasts for all of its time.
@@ -88,7 +88,8 @@
 	}
 }
 
-// Operators and the platform send signals in any order: the process exits with 0 after the line `stopped`, and later signals change nothing.
+// Operators and the platform send signals in any order: the process exits with 0 after the line `stopped`, and later
+// signals change nothing.
 func TestSignalsInAnyOrder(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -124,7 +125,8 @@
 	}
 }
 
-// SIGTERM comes while the process reads its configuration (a pipe that the test fills after the signal): it starts, and shuts down at once.
+// SIGTERM comes while the process reads its configuration (a pipe that the test fills after the signal): it starts, and
+// shuts down at once.
 func TestShutdownDuringStart(t *testing.T) {
 	t.Parallel()
 	good, err := os.ReadFile(configurationFile(t, nil))
@@ -151,7 +153,8 @@
 	}
 }
 
-// The process is killed with a request in flight and started again at the same address, with a list in which one host is gone: it serves at once.
+// The process is killed with a request in flight and started again at the same address, with a list in which one host
+// is gone: it serves at once.
 func TestRestartAfterKill(t *testing.T) {
 	at, came := startHost(t)
 	p := startProgram(t, endpointList(0, true, listEntry("s", at, "Ready")), nil)
--- a/server/size_test.go
+++ b/server/size_test.go
@@ -23,7 +23,8 @@
 // large is how many cache hosts, balancers and zones the tests of size have.
 const large = 1024
 
-// farm is many cache hosts, each at an address of its own of 21 characters, with a name as long as may be and a zone of its own. All answer at once.
+// farm is many cache hosts, each at an address of its own of 21 characters, with a name as long as may be and a zone of
+// its own. All answer at once.
 type farm struct {
 	entries []string // of the list, ready
 
@@ -130,7 +131,8 @@
 	startMemory = 6  // MB of anonymous pages, before there is a list
 )
 
-// resident is what the program has of memory, in MB: anonymous pages now (the others are of the program's own file), and all at the most.
+// resident is what the program has of memory, in MB: anonymous pages now (the others are of the program's own file),
+// and all at the most.
 func (p *program) resident() (now, most float64) {
 	p.t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
@@ -218,14 +220,15 @@
 	}
 }
 
-// The list has 1,024 hosts, each in a zone of its own. All of them drain at once while as many new ones are listed, all of which are then ejected by
-// hand, and more beside them.
+// The list has 1,024 hosts, each in a zone of its own. All of them drain at once while as many new ones are listed, all
+// of which are then ejected by hand, and more beside them.
 func TestAThousandServers(t *testing.T) {
 	t.Parallel()
 	thousandServers(t)
 }
 
-// Through all of TestAThousandServers memory stays within the limit, and at the start within the least that a configuration may state.
+// Through all of TestAThousandServers memory stays within the limit, and at the start within the least that a
+// configuration may state.
 func TestMemoryOfAThousandServers(t *testing.T) {
 	t.Parallel()
 	start, now, most := thousandServers(t)
--- a/server/soak_test.go
+++ b/server/soak_test.go
@@ -20,9 +20,10 @@
 	shownEvents = 20 // breaches that are shown
 )
 
-// Several real processes under faults drawn from a seed: series of signals, stops, hosts that hang, reject, reset and drain,
-// discovery that ends its watches, clients that disconnect, write slowly, pipeline many commands or idle in large numbers. HOLLYLEVER_SOAK=N
-// plays N seeds, HOLLYLEVER_SOAK_FROM the first of them; a plan that fails is printed and shrunk.
+// Several real processes under faults drawn from a seed: series of signals, stops, hosts that hang, reject, reset and
+// drain, discovery that ends its watches, clients that disconnect, write slowly, pipeline many commands or idle in
+// large numbers. HOLLYLEVER_SOAK=N plays N seeds, HOLLYLEVER_SOAK_FROM the first of them; a plan that fails is printed
+// and shrunk.
 func TestSoak(t *testing.T) {
 	seeds, from := soakSeeds, 1
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_SOAK")); err == nil {
--- a/server/syscalls_test.go
+++ b/server/syscalls_test.go
@@ -41,7 +41,8 @@
 	return p, faults
 }
 
-// System calls fail for a moment, each with each of its errors: every request meanwhile and after it has its reply in time.
+// System calls fail for a moment, each with each of its errors: every request meanwhile and after it has its reply in
+// time.
 func TestSystemCallFailuresDelayButLoseNothing(t *testing.T) {
 	const moment, deadline = 300 * time.Millisecond, time.Second
 	for name, rule := range map[string]syscalls.Rule{
@@ -103,7 +104,8 @@
 
 const shortAtStart = 400 * time.Millisecond
 
-// Accepts fail for want of descriptors, which lowers the limit on clients. Once there are enough again, the limit is as before.
+// Accepts fail for want of descriptors, which lowers the limit on clients. Once there are enough again, the limit is as
+// before.
 func TestClientLimitRecoversAfterDescriptorShortage(t *testing.T) {
 	t.Parallel()
 	const sockets = 256
--- a/server/upgrade_test.go
+++ b/server/upgrade_test.go
@@ -23,8 +23,8 @@
 	return file
 }
 
-// Clients are connected to the old process of an upgrade: each has its reply from the process that accepted it, idle ones may send one more
-// request, and the new process goes on accepting on the shared socket.
+// Clients are connected to the old process of an upgrade: each has its reply from the process that accepted it, idle
+// ones may send one more request, and the new process goes on accepting on the shared socket.
 func TestUpgradeUnderLoad(t *testing.T) {
 	t.Parallel()
 	at, came := startHost(t)
--- a/server/upgrades_test.go
+++ b/server/upgrades_test.go
@@ -64,8 +64,8 @@
 	return p
 }
 
-// Upgrades under load, by hand on one core that something else uses too: no client is refused, no write happens twice, and no
-// process stalls.
+// Upgrades under load, by hand on one core that something else uses too: no client is refused, no write happens twice,
+// and no process stalls.
 func TestUpgrades(t *testing.T) {
 	t.Parallel()
 	core := -1
