--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-func (fakeBalancer) Hosts() []routing.HostStands {
-	return []routing.HostStands{{ID: "s/1", Address: "10.0.0.1:70", Kind: "std", Zone: "z", Listed: "Ready", ByHand: true, Avoided: true, Trips: 3, Started: 1_700_000_000_000},
+func (fakeBalancer) Hosts() []routing.EndpointStatus {
+	return []routing.EndpointStatus{{ID: "s/1", Address: "10.0.0.1:70", Kind: "std", Zone: "z", Listed: "Ready", ByHand: true, Avoided: true, Trips: 3, Started: 1_700_000_000_000},
 		{ID: "s2", Listed: "not listed"}}
 }
 
@@ -61,8 +61,8 @@
 		{"POST", "/cache-hosts/disable/a", "", handler{fakeBalancer{}, nil}}, {"POST", "/cache-hosts/enable/a%2F1", "", handler{fakeBalancer{}, nil}},
 		{"GET", "/cache-hosts/enable/a", "", handler{fakeBalancer{}, nil}}, {"POST", "/cache-hosts/disable/", "", handler{fakeBalancer{}, nil}},
 		{"POST", "/cache-hosts/disable/a/1", "", handler{fakeBalancer{}, nil}}, {"POST", "/cache-hosts/disable/never", "", handler{fakeBalancer{}, nil}},
-		{"POST", "/cache-hosts/disable/disk", "", handler{fakeBalancer{}, nil}}, {"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxServerName), "", handler{fakeBalancer{}, nil}},
-		{"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxServerName+1), "", handler{fakeBalancer{}, nil}},
+		{"POST", "/cache-hosts/disable/disk", "", handler{fakeBalancer{}, nil}}, {"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxEndpointName), "", handler{fakeBalancer{}, nil}},
+		{"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxEndpointName+1), "", handler{fakeBalancer{}, nil}},
 		{"POST", "/cache-hosts/disable/a", strings.Repeat("b", maxBodyBytes+1), handler{fakeBalancer{}, nil}},
 		{"GET", "/", "", handler{fakeBalancer{}, nil}}, {"GET", "/fleet", "", handler{fakeBalancer{}, nil}}, {"GET", "/fleet", "", handler{fakeBalancer{}, fleet}},
 		{"POST", "/fleet/propose", "{}", handler{fakeBalancer{}, fleet}}, {"GET", "/fleets", "", handler{fakeBalancer{}, fleet}},
--- a/admin/handler.go
+++ b/admin/handler.go
@@ -24,7 +24,7 @@
 	// that of the file in which ejections are kept.
 	Ban(server string, out bool) error
 	// Hosts returns the state of all cache hosts.
-	Hosts() []routing.HostStands
+	Hosts() []routing.EndpointStatus
 }
 
 // handler answers the requests of operators.
@@ -130,7 +130,7 @@
 		return
 	}
 	id, err := url.PathUnescape(escapedID)
-	if err != nil || id == "" || len(id) > routing.MaxServerName || strings.Contains(escapedID, "/") {
+	if err != nil || id == "" || len(id) > routing.MaxEndpointName || strings.Contains(escapedID, "/") {
 		http.Error(w, "no id of a cache host", http.StatusBadRequest)
 		return
 	}
--- a/cli/hosts.go
+++ b/cli/hosts.go
@@ -24,7 +24,7 @@
 }
 
 // endpoints returns the state of all cache hosts at the balancer.
-func (a *adminClient) endpoints() (all []routing.HostStands, err error) {
+func (a *adminClient) endpoints() (all []routing.EndpointStatus, err error) {
 	if _, err := a.requestJSON("/cache-hosts", &all); err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 }
 
 // endpointRow is a cache host as a row of hosts list.
-func endpointRow(endpoint routing.HostStands) []string {
+func endpointRow(endpoint routing.EndpointStatus) []string {
 	use, startedAt := "used", "long ago"
 	switch {
 	case endpoint.ByHand:
--- a/routing/bans.go
+++ b/routing/bans.go
@@ -71,7 +71,7 @@
 }
 
 // FollowBans takes what another process wrote, and closes connections to servers that are out as they become idle.
-func (b *Balancer) FollowBans(ctx context.Context) {
+func (b *Balancer) WatchEjectionFile(ctx context.Context) {
 	for tick := time.NewTicker(lookEvery); ctx.Err() == nil; <-tick.C {
 		b.lookAtBans()
 	}
--- a/routing/figures.go
+++ b/routing/figures.go
@@ -83,7 +83,7 @@
 }
 
 // HostStands is how a cache host stands with this balancer.
-type HostStands struct {
+type EndpointStatus struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Kind    string `json:"kind"`
@@ -96,22 +96,22 @@
 }
 
 // Hosts are those that the list has and those that are out by hand, in order of their ids.
-func (b *Balancer) Hosts() []HostStands {
+func (b *Balancer) Hosts() []EndpointStatus {
 	b.mu.Lock()
-	all := make([]HostStands, 0, len(b.byName))
+	all := make([]EndpointStatus, 0, len(b.byName))
 	for s := range b.servers {
 		if h := &b.servers[s]; h.name != "" && (h.health != policy.Gone || b.banned[h.name]) {
-			all = append(all, HostStands{h.name, h.address, named(b.kindNames, h.kind), named(b.zoneNames, h.zone), names[h.health], b.banned[h.name],
+			all = append(all, EndpointStatus{h.name, h.address, named(b.kindNames, h.kind), named(b.zoneNames, h.zone), names[h.health], b.banned[h.name],
 				b.avoids(s), h.trips, sinceMS(h.started)})
 		}
 	}
 	for name := range b.banned {
 		if _, listed := b.byName[name]; !listed {
-			all = append(all, HostStands{ID: name, Listed: "not listed", ByHand: true, Avoided: true})
+			all = append(all, EndpointStatus{ID: name, Listed: "not listed", ByHand: true, Avoided: true})
 		}
 	}
 	b.mu.Unlock()
-	slices.SortFunc(all, func(x, y HostStands) int { return strings.Compare(x.ID, y.ID) })
+	slices.SortFunc(all, func(x, y EndpointStatus) int { return strings.Compare(x.ID, y.ID) })
 	return all
 }
 
@@ -119,11 +119,11 @@
 func (b *Balancer) Ready() bool { return b.taking.Load() && b.knowsAny() }
 
 // Takes tells that clients are taken from now on, or no more.
-func (b *Balancer) Takes(clients bool) { b.taking.Store(clients) }
+func (b *Balancer) SetReady(clients bool) { b.taking.Store(clients) }
 
 // Ends tells by when all has to have its answer: what comes too late for its latency target before that is rejected at once, and what
 // was taken up before and has a later deadline gets its final answer then.
-func (b *Balancer) Ends(at time.Time) {
+func (b *Balancer) ExpireAt(at time.Time) {
 	b.ends.Store(b.began.UnixNano() + int64(at.Sub(b.began)))
 	time.AfterFunc(time.Until(at), b.expireAll)
 }
@@ -165,7 +165,7 @@
 func (b *Balancer) Lock() sync.Locker { return &b.mu }
 
 // Allow sets how many bytes of retrievals may be held from now on, and which part of the balancer's trips this process sends.
-func (b *Balancer) Allow(heap int64, part float64) {
+func (b *Balancer) SetLimits(heap int64, part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.mostHeap = heap
@@ -173,7 +173,7 @@
 }
 
 // Handed tells how many trips were handed over since the start.
-func (b *Balancer) Handed() int {
+func (b *Balancer) AttemptsSent() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts[count{"handed", none}]
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -232,7 +232,7 @@
 
 // Move follows the list at another address from now on. The old watches are let go at once: they may stay open for a
 // while and tell nothing more.
-func (b *Balancer) Move(discovery string) {
+func (b *Balancer) SetDiscovery(discovery string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.discovery, b.index = discovery, 0 // Another discovery may count its lists in its own way.
--- a/routing/follow_budget_test.go
+++ b/routing/follow_budget_test.go
@@ -249,7 +249,7 @@
 			synctest.Wait()
 			close(old.breaks)
 			time.Sleep(at)
-			b.Move("moved:1")
+			b.SetDiscovery("moved:1")
 			if took := untilKnown(b); took > movedWithin {
 				t.Fatalf("moved %v after the silence amid %q: known after %v, when the first call goes by %q", at, olds, took, plan)
 			}
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -201,7 +201,7 @@
 	moved := fakes.ScriptedDiscovery()
 	t.Cleanup(moved.Close)
 	calls := []fakes.Call{next(t, d.Calls, "a watch"), next(t, d.Calls, "a further call")}
-	b.Move(moved.Address)
+	b.SetDiscovery(moved.Address)
 	for _, call := range calls {
 		call.Give(fakes.List(9, true, fakes.Entry("old", "127.0.0.1:1", "Ready")) + "\n")
 		next(t, call.Ended, "the end of a watch")
--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -38,7 +38,7 @@
 }
 
 // Keeper writes down what a balancer has learnt, while it serves.
-type Keeper struct {
+type SnapshotWriter struct {
 	b        *Balancer
 	file     snapshot.File
 	snapshot snapshot.Snapshot // its room is used again
@@ -48,13 +48,13 @@
 }
 
 // Keeper makes one that writes to a file.
-func (b *Balancer) Keeper(path, name string) *Keeper {
-	return &Keeper{b: b, file: snapshot.File{Path: path}, snapshot: snapshot.Snapshot{BalancerName: name, SettingsFingerprint: Fingerprint(b.settings)}, told: -1}
+func (b *Balancer) NewSnapshotWriter(path, name string) *SnapshotWriter {
+	return &SnapshotWriter{b: b, file: snapshot.File{Path: path}, snapshot: snapshot.Snapshot{BalancerName: name, SettingsFingerprint: Fingerprint(b.settings)}, told: -1}
 }
 
 // Keep writes what is known now, if any retrieval came since the last time. State is copied under the lock, and packed and written
 // outside of it.
-func (k *Keeper) Keep() error {
+func (k *SnapshotWriter) Write() error {
 	b, s := k.b, &k.snapshot
 	began := time.Now()
 	b.mu.Lock()
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -265,11 +265,11 @@
 		}
 	})
 	b.Run("snapshot", func(b *testing.B) {
-		k := r.Keeper(b.TempDir()+"/learnt", "n1")
+		k := r.NewSnapshotWriter(b.TempDir()+"/learnt", "n1")
 		held := time.Duration(0)
 		for b.Loop() {
 			r.counts[count{"retrievals", none}]++
-			if err := k.Keep(); err != nil {
+			if err := k.Write(); err != nil {
 				b.Fatal(err)
 			}
 			held += k.Held
--- a/server/admin_test.go
+++ b/server/admin_test.go
@@ -138,7 +138,7 @@
 	if err := os.WriteFile(filepath.Join(place, "hollylever.bans"), []byte(`["b"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.waitForLog(`"message":"bans not taken"`)
+	p.waitForLog(`"message":"ejections not read"`)
 	for range 30 {
 		ask(atA)
 	}
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -108,7 +108,7 @@
 	}
 	answer.Body.Close()
 	w.hosts[1].Out(true)
-	waitForLogLine(t, old, `"message":"server by hand"`)
+	waitForLogLine(t, old, `"message":"ejection by hand"`)
 	for _, p := range []*fakes.Process{old, young} {
 		waitUntil(t, "both avoid it", func() bool {
 			answer, err := http.Get("http://" + p.Mgmt + "/metrics")
--- a/server/resources.go
+++ b/server/resources.go
@@ -87,7 +87,7 @@
 // numbers of connections.
 func (l resourceLimits) set(allowed siblings.Resources, attemptShare float64) (clients, endpoints int) {
 	l.listener.Budget.Allow(clientMemory(allowed.MemoryBytes))
-	l.balancer.Allow(balancerMemory(allowed.MemoryBytes), attemptShare)
+	l.balancer.SetLimits(balancerMemory(allowed.MemoryBytes), attemptShare)
 	return l.setConnectionLimits(int(allowed.ClientConnections), int(allowed.EndpointConnections))
 }
 
@@ -121,7 +121,7 @@
 	previousOthers, failed, previousLimit := -1, false, int64(0)
 	ticker := time.NewTicker(shareInterval)
 	for ; ctx.Err() == nil; <-ticker.C {
-		allowed, attemptShare, others, err := group.Update(l.usage(), l.balancer.Handed())
+		allowed, attemptShare, others, err := group.Update(l.usage(), l.balancer.AttemptsSent())
 		if err != nil && !failed {
 			log.Warn().Err(err).Msg("sibling processes not updated") // Once for a run of errors.
 		}
--- a/server/run.go
+++ b/server/run.go
@@ -45,21 +45,21 @@
 		go s.stalls.Run(ctx)
 	}
 	go s.listener.Serve(s.balancer.Serve)
-	s.balancer.Takes(true)
+	s.balancer.SetReady(true)
 	if s.siblings != nil {
 		s.siblings.SetPhase(siblings.Serving)
 		go s.resources.share(ctx, s.siblings, s.log)
 	}
 	if s.snapshotPath != "" {
 		s.snapshotIntervals <- s.settings.Duration("learnt.every")
-		go writeSnapshots(ctx, s.balancer.Keeper(s.snapshotPath, s.configuration.Name), s.siblings, s.snapshotIntervals, s.log)
+		go writeSnapshots(ctx, s.balancer.NewSnapshotWriter(s.snapshotPath, s.configuration.Name), s.siblings, s.snapshotIntervals, s.log)
 	}
 	if s.fleet != nil {
 		s.fleetDone = make(chan struct{})
 		go func() { s.fleet.Run(ctx); close(s.fleetDone) }()
 	}
 	go s.balancer.Follow(ctx)
-	go s.balancer.FollowBans(ctx)
+	go s.balancer.WatchEjectionFile(ctx)
 }
 
 // close waits until the fleet has ended (it writes its handover file then), then writes what the log still holds.
@@ -108,7 +108,7 @@
 	previous := s.configuration
 	s.log.Info().Str("discovery", c.DiscoveryAddress).Str("previous_discovery", previous.DiscoveryAddress).Msg("configuration reloaded")
 	if c.DiscoveryAddress != previous.DiscoveryAddress {
-		s.balancer.Move(c.DiscoveryAddress)
+		s.balancer.SetDiscovery(c.DiscoveryAddress)
 	}
 	c.ListenDescriptor = previous.ListenDescriptor // LB_LISTEN_FD counts at the start only.
 	s.configuration = c
@@ -133,7 +133,7 @@
 
 // writeSnapshots writes what the balancer learned at the interval that was sent last. Guards against a process that is
 // killed: it leaves a snapshot at most one interval old, from which the next process starts.
-func writeSnapshots(ctx context.Context, keeper *routing.Keeper, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
+func writeSnapshots(ctx context.Context, keeper *routing.SnapshotWriter, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
 	failed, ticker := false, time.NewTicker(time.Hour) // The first interval is sent before the goroutine starts.
 	for {
 		select {
@@ -147,7 +147,7 @@
 		if group != nil && !group.IsSnapshotWriter() {
 			continue // Another process of this balancer has learned more.
 		}
-		err := keeper.Keep()
+		err := keeper.Write()
 		if err != nil && !errors.Is(err, snapshot.ErrLocked) && !failed {
 			log.Warn().Err(err).Msg("snapshot not written") // Once for a run of errors.
 		}
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -33,7 +33,7 @@
 // the longest deadline that a request can have. Clients that go on asking are rejected when there is no time left for
 // an answer.
 func (s *Server) shutdown(hardStop time.Duration) {
-	s.balancer.Takes(false)
+	s.balancer.SetReady(false)
 	if s.siblings != nil {
 		s.siblings.SetPhase(siblings.Draining)
 	}
@@ -52,7 +52,7 @@
 func (s *Server) beginDraining(answerBy, closeBy time.Time) {
 	open, _ := s.balancer.OpenRequests()
 	s.log.Info().Int("clients", s.listener.Count()).Int("open_requests", open).Int64("timeout_ms", time.Until(closeBy).Milliseconds()).Msg("stopping")
-	s.balancer.Ends(answerBy)
+	s.balancer.ExpireAt(answerBy)
 	s.listener.Last()
 	if s.configuration.hasInheritedSocket() {
 		s.listener.Leave() // The other processes that hold the socket go on accepting.
