--- a/signals/golden_test.go
+++ b/signals/golden_test.go
@@ -48,65 +48,65 @@
 
 // goldenRun plays 25 s with members that come, go and lie, and a network that loses, delays and repeats; it gives the hash of all that is seen.
 func goldenRun(t *testing.T, seed uint64) string {
-	w := newTown(t, 100+seed, 6+int(seed)*3, 40, 1+int(seed)%4)
+	w := newSimulation(t, 100+seed, 6+int(seed)*3, 40, 1+int(seed)%4)
 	w.trace = sha256.New()
-	members, reads, misses := slices.Clone(w.boards[0].all), make([]int, len(w.boards)), make([]int, len(w.boards))
+	members, reads, misses := slices.Clone(w.detectors[0].members), make([]int, len(w.detectors)), make([]int, len(w.detectors))
 	missing := 0.05
 	for step := range 2500 {
 		if step%40 == 0 {
-			h, n := w.chance.IntN(len(w.hosts)), w.chance.IntN(len(w.boards))
-			switch w.chance.IntN(14) {
+			h, n := w.random.IntN(len(w.endpoints)), w.random.IntN(len(w.detectors))
+			switch w.random.IntN(14) {
 			case 0, 1:
-				w.fails[h] = 1
+				w.failureRates[h] = 1
 			case 2:
-				w.fails[h] = w.chance.Float64()
+				w.failureRates[h] = w.random.Float64()
 			case 3, 4:
-				clear(w.fails)
+				clear(w.failureRates)
 			case 5:
-				w.broken[n] = !w.broken[n]
+				w.disconnected[n] = !w.disconnected[n]
 			case 6:
-				w.loss, w.repeats, w.delay = w.chance.Float64()*0.6, w.chance.Float64()*0.5, 1+w.chance.Int64N(2000*ms)
+				w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*ms)
 			case 7:
 				w.alive[n] = !w.alive[n]
 			case 8: // A new process under the same name.
-				w.boards[n] = New(members[n], w.boards[n].life+1)
-				w.boards[n].Members(members)
-				w.boards[n].Hosts(w.hosts)
+				w.detectors[n] = New(members[n], w.detectors[n].incarnation+1)
+				w.detectors[n].Members(members)
+				w.detectors[n].Hosts(w.endpoints)
 				reads[n], misses[n] = 0, 0
 			case 9: // Members and endpoints that are gone, and come again.
-				w.boards[n].Members(members[:len(members)/2])
-				w.boards[n].Hosts(w.hosts[:len(w.hosts)/2])
+				w.detectors[n].Members(members[:len(members)/2])
+				w.detectors[n].Hosts(w.endpoints[:len(w.endpoints)/2])
 			case 10:
-				for _, b := range w.boards {
+				for _, b := range w.detectors {
 					b.Members(members)
-					b.Hosts(w.hosts)
-					b.Delay(w.chance.Int64N(6000*ms) - 100*ms)
+					b.Hosts(w.endpoints)
+					b.Delay(w.random.Int64N(6000*ms) - 100*ms)
 				}
 			case 11:
 				missing = 0.6 - missing
 			case 12: // More fail than a message holds.
-				for at := range w.fails {
+				for at := range w.failureRates {
 					if at%3 != 0 {
-						w.fails[at] = float64(step / 40 % 2)
+						w.failureRates[at] = float64(step / 40 % 2)
 					}
 				}
 			case 13:
-				w.liar = n
+				w.lyingMember = n
 			}
 		}
 		w.tick(1.5)
-		for n, b := range w.boards {
-			for at, id := range w.hosts {
+		for n, b := range w.detectors {
+			for at, id := range w.endpoints {
 				if (at+step)%4 != 0 {
 					continue
 				}
-				if part := b.Part(w.now, id); part != 0 {
+				if part := b.Penalty(w.now, id); part != 0 {
 					fmt.Fprintf(w.trace, "penalty %d %d %d %v\n", w.now, n, at, part)
 				}
 			}
 			if step%5 == 0 {
-				reads[n] += w.chance.IntN(30)
-				misses[n] += int(missing * float64(w.chance.IntN(40)))
+				reads[n] += w.random.IntN(30)
+				misses[n] += int(missing * float64(w.random.IntN(40)))
 				fmt.Fprintf(w.trace, "misses %d %t\n", n, b.Misses(w.now, reads[n], misses[n]))
 			}
 			if step%20 == 0 {
@@ -117,10 +117,10 @@
 	return hex.EncodeToString(w.trace.Sum(nil))
 }
 
-func traceStatus(t *testing.T, w *town, n int) {
-	b := w.boards[n]
-	b.Saw(w.now, 77, Fails) // An endpoint that is not listed.
-	b.Saw(w.now, w.hosts[0], Nothing)
+func traceStatus(t *testing.T, w *simulation, n int) {
+	b := w.detectors[n]
+	b.Saw(w.now, 77, Failure) // An endpoint that is not listed.
+	b.Saw(w.now, w.endpoints[0], Nothing)
 	status := b.Status(w.now)
 	slices.SortFunc(status, func(a, b Stands) int { return cmp.Compare(a.Host, b.Host) })
 	for i := range status {
@@ -138,12 +138,12 @@
 
 // Processes of two builds exchange these bytes over an upgrade: one that wrote them otherwise would be heard by nobody.
 func TestGoldenMessages(t *testing.T) {
-	full := &Message{From: 1<<32 - 1, Life: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, Miss: 100}
-	for n := range uint32(mostWords) {
-		full.Words = append(full.Words, Word{Host: 70000 * n, Run: uint8(n * 11), Age: uint16(n * 3000)})
+	full := &Message{From: 1<<32 - 1, Incarnation: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, MissPercent: 100}
+	for n := range uint32(maxReportsPerMessage) {
+		full.Reports = append(full.Reports, Report{Endpoint: 70000 * n, ConsecutiveFailures: uint8(n * 11), AgeMillis: uint16(n * 3000)})
 	}
 	lines := []string{fmt.Sprint("names ", ID(""), " ", ID("cache-3"), " ", MostBytes, " ", NoZone, " ", MaxMembers)}
-	for _, m := range []*Message{{}, {From: 7, Life: 1 << 40, Seq: 3, Zone: 2, Words: []Word{{Host: 9, Run: 2, Age: 40}, {Host: 10}}}, {Miss: 33, Words: []Word{}}, full} {
+	for _, m := range []*Message{{}, {From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}, {Endpoint: 10}}}, {MissPercent: 33, Reports: []Report{}}, full} {
 		bytes := m.Pack()
 		lines = append(lines, hex.EncodeToString(bytes))
 		back, err := Unpack(bytes)
@@ -155,7 +155,7 @@
 		lines = append(lines, fmt.Sprintf("outcome %d: %d %d %d", how, Of(how, 0, 1000), Of(how, 499, 1000), Of(how, 500, 1000)))
 	}
 	compareGolden(t, "messages.golden", lines)
-	many := &Message{Words: make([]Word, mostWords+1)}
+	many := &Message{Reports: make([]Report, maxReportsPerMessage+1)}
 	for name, bytes := range map[string][]byte{"empty": {}, "a map": {0xa0}, "short": {0x81, 0x01}, "trailing": append(full.Pack(), 0), "large": make([]byte, MostBytes+1),
 		"many": many.Pack(), "indefinite": {0x9f, 0xff}, "tagged": {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1}} {
 		if m, err := Unpack(bytes); err == nil {
@@ -176,17 +176,17 @@
 	b.Hosts(hosts)
 	for round := range uint32(3) {
 		for from := uint32(2); from <= 500; from++ {
-			for first := uint32(0); first < 180; first += mostWords {
-				m := &Message{From: from, Life: 1, Seq: round*1000 + first + 1, Zone: uint16(from % 7)}
-				for h := first; h < first+mostWords; h++ {
-					m.Words = append(m.Words, Word{Host: 5000 + (h*31+round*97)%500, Run: uint8((from + h + round) % 5), Age: uint16(from * h % 4000)})
+			for first := uint32(0); first < 180; first += maxReportsPerMessage {
+				m := &Message{From: from, Incarnation: 1, Seq: round*1000 + first + 1, Zone: uint16(from % 7)}
+				for h := first; h < first+maxReportsPerMessage; h++ {
+					m.Reports = append(m.Reports, Report{Endpoint: 5000 + (h*31+round*97)%500, ConsecutiveFailures: uint8((from + h + round) % 5), AgeMillis: uint16(from * h % 4000)})
 				}
 				b.Hear(now, m)
 				now += ms / 10
 			}
 		}
 		b.Look(now)
-		w := &town{now: now, boards: []*Board{b}, hosts: hosts, trace: sum}
+		w := &simulation{now: now, detectors: []*Board{b}, endpoints: hosts, trace: sum}
 		traceStatus(t, w, 0)
 		now += 600 * ms
 	}
@@ -195,8 +195,8 @@
 	}
 	b.Hosts(hosts)
 	for _, id := range hosts[8190:8194] { // The first two of these are the last that are known.
-		b.Saw(now, id, Refuses)
+		b.Saw(now, id, ConnectFailure)
 	}
-	traceStatus(t, &town{now: now, boards: []*Board{b}, hosts: hosts, trace: sum}, 0)
+	traceStatus(t, &simulation{now: now, detectors: []*Board{b}, endpoints: hosts, trace: sum}, 0)
 	compareGolden(t, "full.golden", []string{hex.EncodeToString(sum.Sum(nil))})
 }
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -12,140 +12,140 @@
 )
 
 // town is a fleet of boards before hosts, under one clock: trips, and a network that loses, delays and repeats.
-type town struct {
-	t       testing.TB
-	chance  *rand.Rand
-	now     int64
-	boards  []*Board
-	alive   []bool
-	hosts   []uint32
-	fails   []float64 // by host: the chance that a trip fails
-	broken  []bool    // by balancer: all its trips fail
-	flying  []flight
-	loss    float64
-	delay   int64
-	silent  bool // no message arrives
-	bad     int  // trips that failed at hosts that fail
-	took    int64
-	bytes   int
-	liar    int // tells 100 times what it saw; -1: nobody
-	repeats float64
-	trace   hash.Hash // of all messages and attempts, where one is kept
+type simulation struct {
+	tb              testing.TB
+	random          *rand.Rand
+	now             int64
+	detectors       []*Board
+	alive           []bool
+	endpoints       []uint32
+	failureRates    []float64 // by host: the chance that a trip fails
+	disconnected    []bool    // by balancer: all its trips fail
+	inTransit       []delivery
+	lossRate        float64
+	messageDelay    int64
+	messagesBlocked bool // no message arrives
+	failedAttempts  int  // trips that failed at hosts that fail
+	took            int64
+	bytesSent       int
+	lyingMember     int // tells 100 times what it saw; -1: nobody
+	repeatRate      float64
+	trace           hash.Hash // of all messages and attempts, where one is kept
 }
 
-type flight struct {
-	at   int64
-	to   int
-	what []byte
+type delivery struct {
+	arrivesAt int64
+	to        int
+	payload   []byte
 }
 
-func newTown(t testing.TB, seed uint64, balancers, hosts, zones int) *town {
-	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 9)), now: 1e12, took: 400 * ms, delay: 20 * ms, liar: -1}
+func newSimulation(t testing.TB, seed uint64, balancers, hosts, zones int) *simulation {
+	w := &simulation{tb: t, random: rand.New(rand.NewPCG(seed, 9)), now: 1e12, took: 400 * ms, messageDelay: 20 * ms, lyingMember: -1}
 	var all []Member
 	for n := range balancers {
 		all = append(all, Member{uint32(n + 1), uint16(n % zones)})
 	}
 	for h := range hosts {
-		w.hosts, w.fails = append(w.hosts, uint32(1000+h)), append(w.fails, 0)
+		w.endpoints, w.failureRates = append(w.endpoints, uint32(1000+h)), append(w.failureRates, 0)
 	}
 	for _, m := range all {
 		b := New(m, 1)
 		b.Members(all)
-		b.Hosts(w.hosts)
-		w.boards, w.alive, w.broken = append(w.boards, b), append(w.alive, true), append(w.broken, false)
+		b.Hosts(w.endpoints)
+		w.detectors, w.alive, w.disconnected = append(w.detectors, b), append(w.alive, true), append(w.disconnected, false)
 	}
 	return w
 }
 
 // send puts a message on its way to all others.
-func (w *town) send(from int, bytes []byte) {
-	w.bytes += len(bytes) * (len(w.boards) - 1)
+func (w *simulation) send(from int, bytes []byte) {
+	w.bytesSent += len(bytes) * (len(w.detectors) - 1)
 	if w.trace != nil {
 		fmt.Fprintf(w.trace, "message %d %d %x\n", w.now, from, bytes)
 	}
-	for to := range w.boards {
-		for again := true; again && to != from; again = w.chance.Float64() < w.repeats {
-			if !w.silent && w.chance.Float64() >= w.loss {
-				w.flying = append(w.flying, flight{w.now + w.chance.Int64N(w.delay+1) + w.delay/2, to, bytes})
+	for to := range w.detectors {
+		for again := true; again && to != from; again = w.random.Float64() < w.repeatRate {
+			if !w.messagesBlocked && w.random.Float64() >= w.lossRate {
+				w.inTransit = append(w.inTransit, delivery{w.now + w.random.Int64N(w.messageDelay+1) + w.messageDelay/2, to, bytes})
 			}
 		}
 	}
 }
 
 // tick plays 10 ms: each balancer sends so many trips to hosts by chance, passing by what others' word or its own sight speaks against.
-func (w *town) tick(trips float64) {
+func (w *simulation) tick(trips float64) {
 	w.now += 10 * ms
-	rest := w.flying[:0]
-	for _, f := range w.flying {
-		if f.at > w.now {
+	rest := w.inTransit[:0]
+	for _, f := range w.inTransit {
+		if f.arrivesAt > w.now {
 			rest = append(rest, f)
 			continue
 		}
-		m, err := Unpack(f.what)
+		m, err := Unpack(f.payload)
 		if err != nil {
-			w.t.Fatal(err)
+			w.tb.Fatal(err)
 		}
 		if w.alive[f.to] {
-			w.boards[f.to].Hear(w.now, m)
+			w.detectors[f.to].Hear(w.now, m)
 		}
 	}
-	w.flying = rest
-	for n, b := range w.boards {
+	w.inTransit = rest
+	for n, b := range w.detectors {
 		if !w.alive[n] {
 			continue
 		}
 		b.Look(w.now)
 		if m := b.Tell(w.now); m != nil {
 			if bytes := m.Pack(); len(bytes) > MostBytes {
-				w.t.Fatalf("%d bytes", len(bytes))
+				w.tb.Fatalf("%d bytes", len(bytes))
 			}
-			if w.liar == n {
-				for i := range m.Words {
-					m.Words[i].Run = 200
+			if w.lyingMember == n {
+				for i := range m.Reports {
+					m.Reports[i].ConsecutiveFailures = 200
 				}
 			}
 			w.send(n, m.Pack())
 		}
 		for todo := trips; todo > 0; todo-- {
-			if w.chance.Float64() >= todo {
+			if w.random.Float64() >= todo {
 				continue
 			}
-			at := w.chance.IntN(len(w.hosts))
-			id := w.hosts[at]
-			h := b.hosts[id]
+			at := w.random.IntN(len(w.endpoints))
+			id := w.endpoints[at]
+			h := b.endpoints[id]
 			if h == nil {
 				continue
 			}
-			part := b.Part(w.now, id)
-			if w.chance.Float64() < part || part >= 0 && h.run >= 2 && w.now-h.failed < 3000*ms && w.chance.Float64() < 0.9 {
+			part := b.Penalty(w.now, id)
+			if w.random.Float64() < part || part >= 0 && h.consecutiveFailures >= 2 && w.now-h.lastFailure < 3000*ms && w.random.Float64() < 0.9 {
 				continue
 			}
 			penalty, ejected := b.Sent(w.now, id)
 			if w.trace != nil {
 				fmt.Fprintf(w.trace, "attempt %d %d %d %v %t\n", w.now, n, id, penalty, ejected)
 			}
-			if w.chance.Float64() < w.fails[at] || w.broken[n] {
-				if w.fails[at] > 0 {
-					w.bad++
+			if w.random.Float64() < w.failureRates[at] || w.disconnected[n] {
+				if w.failureRates[at] > 0 {
+					w.failedAttempts++
 				}
-				b.Saw(w.now, id, Fails)
+				b.Saw(w.now, id, Failure)
 			} else {
-				b.Saw(w.now, id, Settles)
+				b.Saw(w.now, id, Success)
 			}
 		}
 	}
 }
 
-func (w *town) run(over int64, trips float64) {
+func (w *simulation) run(over int64, trips float64) {
 	for end := w.now + over; w.now < end; {
 		w.tick(trips)
 	}
 }
 
 // held is how many balancers hold back a host on others' word.
-func (w *town) held(host int) (n int) {
-	for i, b := range w.boards {
-		if w.alive[i] && b.Part(w.now, w.hosts[host]) > 0 {
+func (w *simulation) ejectedBy(host int) (n int) {
+	for i, b := range w.detectors {
+		if w.alive[i] && b.Penalty(w.now, w.endpoints[host]) > 0 {
 			n++
 		}
 	}
@@ -156,18 +156,18 @@
 func TestAllLeaveAHostThatFails(t *testing.T) {
 	paid := map[bool]int{}
 	for _, silent := range []bool{true, false} {
-		w := newTown(t, 1, 12, 24, 3)
-		w.silent = silent
+		w := newSimulation(t, 1, 12, 24, 3)
+		w.messagesBlocked = silent
 		w.run(5000*ms, 0.25)
-		w.fails[3] = 1
+		w.failureRates[3] = 1
 		w.run(20000*ms, 0.25) // One trip a balancer and second at each host.
-		paid[silent] = w.bad
-		if held := w.held(3); !silent && held < 12-5 {
+		paid[silent] = w.failedAttempts
+		if held := w.ejectedBy(3); !silent && held < 12-5 {
 			t.Errorf("%d of 12 hold it back", held)
 		}
-		w.fails[3] = 0
+		w.failureRates[3] = 0
 		w.run(15000*ms, 0.25)
-		if held := w.held(3); held != 0 {
+		if held := w.ejectedBy(3); held != 0 {
 			t.Errorf("%d still hold it back 15 s after it was well", held)
 		}
 	}
@@ -181,24 +181,24 @@
 func TestOneAloneIsNotHeeded(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *town)
+		do   func(w *simulation)
 	}{
-		{"a broken cable", func(w *town) { w.broken[4] = true }},
-		{"a liar", func(w *town) { w.broken[4], w.liar = true, 4 }},
-		{"a zone that is cut off", func(w *town) {
+		{"a broken cable", func(w *simulation) { w.disconnected[4] = true }},
+		{"a liar", func(w *simulation) { w.disconnected[4], w.lyingMember = true, 4 }},
+		{"a zone that is cut off", func(w *simulation) {
 			for n := 0; n < 12; n += 3 {
-				w.broken[n] = true
+				w.disconnected[n] = true
 			}
 		}},
 	} {
-		w := newTown(t, 2, 12, 24, 3)
+		w := newSimulation(t, 2, 12, 24, 3)
 		w.run(3000*ms, 2)
 		c.do(w)
 		for range 100 {
 			w.run(100*ms, 2)
-			for h := range w.hosts {
-				for n, b := range w.boards {
-					if !w.broken[n] && b.Part(w.now, w.hosts[h]) > 0 {
+			for h := range w.endpoints {
+				for n, b := range w.detectors {
+					if !w.disconnected[n] && b.Penalty(w.now, w.endpoints[h]) > 0 {
 						t.Fatalf("%s: balancer %d holds host %d back", c.name, n, h)
 					}
 				}
@@ -210,20 +210,20 @@
 // What fails everywhere is behind all hosts: none is left for it, and never more than a half of them.
 func TestWhatFailsEverywhereIsNoHosts(t *testing.T) {
 	for _, fails := range []float64{0.9, 1} {
-		w := newTown(t, 3, 12, 24, 3)
-		for h := range w.fails {
-			w.fails[h] = fails
+		w := newSimulation(t, 3, 12, 24, 3)
+		for h := range w.failureRates {
+			w.failureRates[h] = fails
 		}
 		for tenth := range 100 {
 			w.run(100*ms, 2)
-			for n, b := range w.boards {
+			for n, b := range w.detectors {
 				left := 0
-				for _, id := range w.hosts {
-					if b.Part(w.now, id) > 0 {
+				for _, id := range w.endpoints {
+					if b.Penalty(w.now, id) > 0 {
 						left++
 					}
 				}
-				if left > len(w.hosts)/2 || left > 0 && fails == 1 && tenth > 20 {
+				if left > len(w.endpoints)/2 || left > 0 && fails == 1 && tenth > 20 {
 					t.Fatalf("balancer %d holds %d hosts back", n, left)
 				}
 			}
@@ -233,38 +233,38 @@
 
 // Who has the turn and is gone is passed over; when nobody speaks any more, no host is held back for longer than Lasts and a return.
 func TestTurnsOfTheDead(t *testing.T) {
-	w := newTown(t, 4, 12, 24, 1)
-	w.fails[5] = 1
+	w := newSimulation(t, 4, 12, 24, 1)
+	w.failureRates[5] = 1
 	w.run(5000*ms, 1)
-	if w.held(5) == 0 {
+	if w.ejectedBy(5) == 0 {
 		t.Fatal("nobody holds it back")
 	}
 	// The first three in its order are gone, and nobody knows yet: it is found well all the same.
-	at := slices.Clone(w.boards)
+	at := slices.Clone(w.detectors)
 	slices.SortFunc(at, func(x, y *Board) int {
-		if mix(w.hosts[5], x.me.ID) > mix(w.hosts[5], y.me.ID) {
+		if memberScore(w.endpoints[5], x.self.ID) > memberScore(w.endpoints[5], y.self.ID) {
 			return -1
 		}
 		return 1
 	})
-	for n, b := range w.boards {
+	for n, b := range w.detectors {
 		w.alive[n] = !slices.Contains(at[:3], b)
 	}
-	w.fails[5] = 0
-	w.run(mostWait+4*leastStep+backOver+1000*ms, 1)
-	if held := w.held(5); held != 0 {
+	w.failureRates[5] = 0
+	w.run(maxProbeDelay+4*minProbeStep+minReturnSpread+1000*ms, 1)
+	if held := w.ejectedBy(5); held != 0 {
 		t.Errorf("%d hold it back", held)
 	}
 	// Nobody speaks any more.
-	w.fails[5] = 1
+	w.failureRates[5] = 1
 	w.run(5000*ms, 1)
-	if w.held(5) == 0 {
+	if w.ejectedBy(5) == 0 {
 		t.Fatal("nobody holds it back")
 	}
-	w.fails[5], w.silent = 0, true
-	w.run(Lasts+2*backOver+1000*ms, 1)
-	if held := w.held(5); held != 0 {
-		t.Errorf("%d hold it back though nobody has said anything for longer than %v", held, Lasts)
+	w.failureRates[5], w.messagesBlocked = 0, true
+	w.run(evidenceTimeout+2*minReturnSpread+1000*ms, 1)
+	if held := w.ejectedBy(5); held != 0 {
+		t.Errorf("%d hold it back though nobody has said anything for longer than %v", held, evidenceTimeout)
 	}
 }
 
@@ -275,9 +275,9 @@
 		var all []*Message
 		for from := range 6 {
 			for seq := range 4 {
-				m := &Message{From: uint32(from + 2), Life: 1, Seq: uint32(seq + 1), Zone: uint16(from % 2)}
+				m := &Message{From: uint32(from + 2), Incarnation: 1, Seq: uint32(seq + 1), Zone: uint16(from % 2)}
 				for h := range 5 { // All words in each: what is in a later one is all that counts of an earlier one.
-					m.Words = append(m.Words, Word{Host: uint32(1000 + h), Run: uint8(chance.IntN(5)), Age: uint16(chance.IntN(2000))})
+					m.Reports = append(m.Reports, Report{Endpoint: uint32(1000 + h), ConsecutiveFailures: uint8(chance.IntN(5)), AgeMillis: uint16(chance.IntN(2000))})
 				}
 				all = append(all, m)
 			}
@@ -296,7 +296,7 @@
 			b.Look(1e12)
 			text := ""
 			for h := range 5 {
-				text += fmt.Sprint(b.hosts[uint32(1000+h)].since != 0, " ")
+				text += fmt.Sprint(b.endpoints[uint32(1000+h)].ejectedAt != 0, " ")
 			}
 			return text
 		}
@@ -313,19 +313,19 @@
 // a quarter comes back in one delay, and returns that do not hold come ever slower.
 func TestNoHerd(t *testing.T) {
 	for _, delay := range []int64{0, 200 * ms, 1000 * ms, 2000 * ms} {
-		w := newTown(t, 6, 40, 24, 1)
-		w.delay = delay
-		for _, b := range w.boards {
+		w := newSimulation(t, 6, 40, 24, 1)
+		w.messageDelay = delay
+		for _, b := range w.detectors {
 			b.Delay(delay * 3 / 2)
 		}
-		w.fails[7] = 1
+		w.failureRates[7] = 1
 		w.run(8000*ms+4*delay, 1)
-		w.fails[7] = 0
+		w.failureRates[7] = 0
 		most, over := 0, max(1, delay/(10*ms))
 		var held []int
 		for range 2000 {
 			w.tick(1)
-			held = append(held, w.held(7))
+			held = append(held, w.ejectedBy(7))
 			if n := len(held); n > int(over) {
 				most = max(most, held[n-1-int(over)]-held[n-1])
 			}
@@ -348,60 +348,60 @@
 		steps = n
 	}
 	for seed := range uint64(4) {
-		w := newTown(t, 10+seed, 5+int(seed)*7, 16, 1+int(seed%3))
+		w := newSimulation(t, 10+seed, 5+int(seed)*7, 16, 1+int(seed%3))
 		for step := range steps {
 			if step%50 == 0 {
-				h, n := w.chance.IntN(len(w.hosts)), w.chance.IntN(len(w.boards))
-				switch w.chance.IntN(8) {
+				h, n := w.random.IntN(len(w.endpoints)), w.random.IntN(len(w.detectors))
+				switch w.random.IntN(8) {
 				case 0, 1:
-					w.fails[h] = w.chance.Float64()
+					w.failureRates[h] = w.random.Float64()
 				case 2, 3:
-					w.fails[h] = 0
+					w.failureRates[h] = 0
 				case 4:
-					w.broken[n] = !w.broken[n]
+					w.disconnected[n] = !w.disconnected[n]
 				case 5:
-					w.loss, w.repeats, w.delay = w.chance.Float64()*0.6, w.chance.Float64()*0.5, 1+w.chance.Int64N(2000*ms)
+					w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*ms)
 				case 6:
 					w.alive[n] = !w.alive[n]
 				case 7: // A new life, which knows nothing.
-					old := w.boards[n]
-					w.boards[n] = New(old.me, old.life+1)
-					w.boards[n].Members(old.all)
-					w.boards[n].Hosts(w.hosts)
+					old := w.detectors[n]
+					w.detectors[n] = New(old.self, old.incarnation+1)
+					w.detectors[n].Members(old.members)
+					w.detectors[n].Hosts(w.endpoints)
 				}
 			}
 			var before [64][16]int64
-			for n, b := range w.boards {
-				for h, id := range w.hosts {
-					before[n][h] = b.hosts[id].since
+			for n, b := range w.detectors {
+				for h, id := range w.endpoints {
+					before[n][h] = b.endpoints[id].ejectedAt
 				}
 			}
 			w.tick(0.5)
-			for n, b := range w.boards {
-				if len(b.spoke) > len(b.all) || len(b.active) > len(w.hosts) {
-					t.Fatalf("seed %d step %d: %d speakers, %d hosts", seed, step, len(b.spoke), len(b.active))
+			for n, b := range w.detectors {
+				if len(b.senders) > len(b.members) || len(b.active) > len(w.endpoints) {
+					t.Fatalf("seed %d step %d: %d speakers, %d hosts", seed, step, len(b.senders), len(b.active))
 				}
-				for h, id := range w.hosts {
-					o := b.hosts[id]
-					if o.since == w.now && before[n][h] != w.now && w.alive[n] && o.good < w.now {
-						if e := b.said(w.now, o, freshFor+20*ms); e.witnesses < 2 || e.zones < min(2, b.zones) {
+				for h, id := range w.endpoints {
+					o := b.endpoints[id]
+					if o.ejectedAt == w.now && before[n][h] != w.now && w.alive[n] && o.lastSuccess < w.now {
+						if e := b.collectEvidence(w.now, o, ejectionWindow+20*ms); e.witnesses < 2 || e.zones < min(2, b.zoneCount) {
 							t.Fatalf("seed %d step %d: balancer %d heeds %+v on host %d", seed, step, n, e, h)
 						}
 					}
-					if part := b.Part(w.now, id); part < 0 && part != Try || part > mostPart || len(o.words) > len(b.all) {
-						t.Fatalf("seed %d step %d: part %v, %d words", seed, step, part, len(o.words))
+					if part := b.Penalty(w.now, id); part < 0 && part != ProbePenalty || part > ejectedPenalty || len(o.reports) > len(b.members) {
+						t.Fatalf("seed %d step %d: part %v, %d words", seed, step, part, len(o.reports))
 					}
 				}
 			}
 		}
-		for n := range w.boards {
-			w.alive[n], w.broken[n] = true, false
+		for n := range w.detectors {
+			w.alive[n], w.disconnected[n] = true, false
 		}
-		clear(w.fails)
-		w.loss, w.delay = 0, 20*ms
-		w.run(Lasts+mostBack+5000*ms, 0.5)
-		for h := range w.hosts {
-			if held := w.held(h); held > 0 {
+		clear(w.failureRates)
+		w.lossRate, w.messageDelay = 0, 20*ms
+		w.run(evidenceTimeout+maxReturnSpread+5000*ms, 0.5)
+		for h := range w.endpoints {
+			if held := w.ejectedBy(h); held > 0 {
 				t.Errorf("seed %d: %d hold host %d back though all is well", seed, held, h)
 			}
 		}
@@ -423,7 +423,7 @@
 		now := int64(1e12)
 		for seq := range uint32(2) {
 			for _, from := range c.from {
-				b.Hear(now, &Message{From: from, Life: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), Miss: 60})
+				b.Hear(now, &Message{From: from, Incarnation: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), MissPercent: 60})
 			}
 		}
 		own := 10
@@ -433,13 +433,13 @@
 		if is := b.Misses(now, 100, own); is != c.is {
 			t.Errorf("%v: %t", c.from, is)
 		}
-		if b.Misses(now+missFor+1, 300, own+20) {
+		if b.Misses(now+minHighMissDuration+1, 300, own+20) {
 			t.Errorf("%v: it does not end", c.from)
 		}
 	}
 	b := New(Member{1, 0}, 1)
 	b.Misses(1e12, 100, 50)
-	if m := b.Tell(1e12); m == nil || m.Miss != 50 || len(m.Pack()) > 40 {
+	if m := b.Tell(1e12); m == nil || m.MissPercent != 50 || len(m.Pack()) > 40 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -449,17 +449,17 @@
 	b := New(Member{1, 0}, 1)
 	b.Members([]Member{{2, 0}, {3, 0}})
 	b.Hosts([]uint32{1000})
-	b.Hear(1e12, &Message{From: 2, Life: 5, Seq: 1, Words: []Word{{Host: 1000, Run: 0}}})
-	b.Hear(1e12, &Message{From: 2, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
-	b.Hear(1e12, &Message{From: 9, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
-	b.Hear(1e12, &Message{From: 1, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
+	b.Hear(1e12, &Message{From: 2, Incarnation: 5, Seq: 1, Reports: []Report{{Endpoint: 1000, ConsecutiveFailures: 0}}})
+	b.Hear(1e12, &Message{From: 2, Incarnation: 4, Seq: 9, Reports: []Report{{Endpoint: 1000, ConsecutiveFailures: 9}}})
+	b.Hear(1e12, &Message{From: 9, Incarnation: 4, Seq: 9, Reports: []Report{{Endpoint: 1000, ConsecutiveFailures: 9}}})
+	b.Hear(1e12, &Message{From: 1, Incarnation: 4, Seq: 9, Reports: []Report{{Endpoint: 1000, ConsecutiveFailures: 9}}})
 	if b.Took != 1 || b.Late != 1 || b.Odd != 2 {
 		t.Errorf("%d taken, %d late, %d of nobody", b.Took, b.Late, b.Odd)
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add((&Message{From: 7, Life: 1 << 40, Seq: 3, Zone: 2, Words: []Word{{Host: 9, Run: 2, Age: 40}}}).Pack())
+	f.Add((&Message{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}}}).Pack())
 	f.Add([]byte{0x85, 0xff})
 	f.Fuzz(func(t *testing.T, bytes []byte) {
 		m, err := Unpack(bytes)
@@ -468,8 +468,8 @@
 		}
 		b := New(Member{1, 0}, 1)
 		b.Members([]Member{{m.From, 0}})
-		for _, w := range m.Words {
-			b.Hosts([]uint32{w.Host})
+		for _, w := range m.Reports {
+			b.Hosts([]uint32{w.Endpoint})
 		}
 		b.Hear(1e12, m)
 		b.Look(1e12)
@@ -490,13 +490,13 @@
 		}
 		var paid, bytes [2]int
 		for on := range 2 {
-			w := newTown(t, 1, n, 2*n, 3)
-			w.silent = on == 0
+			w := newSimulation(t, 1, n, 2*n, 3)
+			w.messagesBlocked = on == 0
 			w.run(2000*ms, 0.5)
-			w.fails[3] = 1
-			w.bytes = 0
+			w.failureRates[3] = 1
+			w.bytesSent = 0
 			w.run(20000*ms, 0.5)
-			paid[on], bytes[on] = w.bad, w.bytes
+			paid[on], bytes[on] = w.failedAttempts, w.bytesSent
 		}
 		t.Logf("%d balancers, %d hosts, 50 trips a second each, one host fails for 20 s: %d failures alone, %d with signals; %.0f bytes a balancer and second sent", n, 2*n,
 			paid[0], paid[1], float64(bytes[1])/20/float64(n))
