--- a/signals/golden_test.go
+++ b/signals/golden_test.go
@@ -65,7 +65,7 @@
 			case 5:
 				w.disconnected[n] = !w.disconnected[n]
 			case 6:
-				w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*ms)
+				w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*millisecond)
 			case 7:
 				w.alive[n] = !w.alive[n]
 			case 8: // A new process under the same name.
@@ -80,7 +80,7 @@
 				for _, b := range w.detectors {
 					b.Members(members)
 					b.Hosts(w.endpoints)
-					b.Delay(w.random.Int64N(6000*ms) - 100*ms)
+					b.Delay(w.random.Int64N(6000*millisecond) - 100*millisecond)
 				}
 			case 11:
 				missing = 0.6 - missing
@@ -182,13 +182,13 @@
 					m.Reports = append(m.Reports, Report{Endpoint: 5000 + (h*31+round*97)%500, ConsecutiveFailures: uint8((from + h + round) % 5), AgeMillis: uint16(from * h % 4000)})
 				}
 				b.Hear(now, m)
-				now += ms / 10
+				now += millisecond / 10
 			}
 		}
 		b.Look(now)
 		w := &simulation{now: now, detectors: []*Board{b}, endpoints: hosts, trace: sum}
 		traceStatus(t, w, 0)
-		now += 600 * ms
+		now += 600 * millisecond
 	}
 	for id := uint32(10_000); len(hosts) < 9000; id++ {
 		hosts = append(hosts, id)
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -40,7 +40,7 @@
 }
 
 func newSimulation(t testing.TB, seed uint64, balancers, hosts, zones int) *simulation {
-	w := &simulation{tb: t, random: rand.New(rand.NewPCG(seed, 9)), now: 1e12, took: 400 * ms, messageDelay: 20 * ms, lyingMember: -1}
+	w := &simulation{tb: t, random: rand.New(rand.NewPCG(seed, 9)), now: 1e12, took: 400 * millisecond, messageDelay: 20 * millisecond, lyingMember: -1}
 	var all []Member
 	for n := range balancers {
 		all = append(all, Member{uint32(n + 1), uint16(n % zones)})
@@ -72,9 +72,9 @@
 	}
 }
 
-// tick plays 10 ms: each balancer sends so many trips to hosts by chance, passing by what others' word or its own sight speaks against.
+// tick plays 10 millisecond: each balancer sends so many trips to hosts by chance, passing by what others' word or its own sight speaks against.
 func (w *simulation) tick(trips float64) {
-	w.now += 10 * ms
+	w.now += 10 * millisecond
 	rest := w.inTransit[:0]
 	for _, f := range w.inTransit {
 		if f.arrivesAt > w.now {
@@ -117,7 +117,7 @@
 				continue
 			}
 			part := b.Penalty(w.now, id)
-			if w.random.Float64() < part || part >= 0 && h.consecutiveFailures >= 2 && w.now-h.lastFailure < 3000*ms && w.random.Float64() < 0.9 {
+			if w.random.Float64() < part || part >= 0 && h.consecutiveFailures >= 2 && w.now-h.lastFailure < 3000*millisecond && w.random.Float64() < 0.9 {
 				continue
 			}
 			penalty, ejected := b.Sent(w.now, id)
@@ -158,15 +158,15 @@
 	for _, silent := range []bool{true, false} {
 		w := newSimulation(t, 1, 12, 24, 3)
 		w.messagesBlocked = silent
-		w.run(5000*ms, 0.25)
+		w.run(5000*millisecond, 0.25)
 		w.failureRates[3] = 1
-		w.run(20000*ms, 0.25) // One trip a balancer and second at each host.
+		w.run(20000*millisecond, 0.25) // One trip a balancer and second at each host.
 		paid[silent] = w.failedAttempts
 		if held := w.ejectedBy(3); !silent && held < 12-5 {
 			t.Errorf("%d of 12 hold it back", held)
 		}
 		w.failureRates[3] = 0
-		w.run(15000*ms, 0.25)
+		w.run(15000*millisecond, 0.25)
 		if held := w.ejectedBy(3); held != 0 {
 			t.Errorf("%d still hold it back 15 s after it was well", held)
 		}
@@ -192,10 +192,10 @@
 		}},
 	} {
 		w := newSimulation(t, 2, 12, 24, 3)
-		w.run(3000*ms, 2)
+		w.run(3000*millisecond, 2)
 		c.do(w)
 		for range 100 {
-			w.run(100*ms, 2)
+			w.run(100*millisecond, 2)
 			for h := range w.endpoints {
 				for n, b := range w.detectors {
 					if !w.disconnected[n] && b.Penalty(w.now, w.endpoints[h]) > 0 {
@@ -215,7 +215,7 @@
 			w.failureRates[h] = fails
 		}
 		for tenth := range 100 {
-			w.run(100*ms, 2)
+			w.run(100*millisecond, 2)
 			for n, b := range w.detectors {
 				left := 0
 				for _, id := range w.endpoints {
@@ -235,7 +235,7 @@
 func TestTurnsOfTheDead(t *testing.T) {
 	w := newSimulation(t, 4, 12, 24, 1)
 	w.failureRates[5] = 1
-	w.run(5000*ms, 1)
+	w.run(5000*millisecond, 1)
 	if w.ejectedBy(5) == 0 {
 		t.Fatal("nobody holds it back")
 	}
@@ -251,18 +251,18 @@
 		w.alive[n] = !slices.Contains(at[:3], b)
 	}
 	w.failureRates[5] = 0
-	w.run(maxProbeDelay+4*minProbeStep+minReturnSpread+1000*ms, 1)
+	w.run(maxProbeDelay+4*minProbeStep+minReturnSpread+1000*millisecond, 1)
 	if held := w.ejectedBy(5); held != 0 {
 		t.Errorf("%d hold it back", held)
 	}
 	// Nobody speaks any more.
 	w.failureRates[5] = 1
-	w.run(5000*ms, 1)
+	w.run(5000*millisecond, 1)
 	if w.ejectedBy(5) == 0 {
 		t.Fatal("nobody holds it back")
 	}
 	w.failureRates[5], w.messagesBlocked = 0, true
-	w.run(evidenceTimeout+2*minReturnSpread+1000*ms, 1)
+	w.run(evidenceTimeout+2*minReturnSpread+1000*millisecond, 1)
 	if held := w.ejectedBy(5); held != 0 {
 		t.Errorf("%d hold it back though nobody has said anything for longer than %v", held, evidenceTimeout)
 	}
@@ -312,16 +312,16 @@
 // No herd: a host that fails for as long as more than a half of the fleet uses it. With signals late by up to 2 s, of what is left no more than
 // a quarter comes back in one delay, and returns that do not hold come ever slower.
 func TestNoHerd(t *testing.T) {
-	for _, delay := range []int64{0, 200 * ms, 1000 * ms, 2000 * ms} {
+	for _, delay := range []int64{0, 200 * millisecond, 1000 * millisecond, 2000 * millisecond} {
 		w := newSimulation(t, 6, 40, 24, 1)
 		w.messageDelay = delay
 		for _, b := range w.detectors {
 			b.Delay(delay * 3 / 2)
 		}
 		w.failureRates[7] = 1
-		w.run(8000*ms+4*delay, 1)
+		w.run(8000*millisecond+4*delay, 1)
 		w.failureRates[7] = 0
-		most, over := 0, max(1, delay/(10*ms))
+		most, over := 0, max(1, delay/(10*millisecond))
 		var held []int
 		for range 2000 {
 			w.tick(1)
@@ -330,12 +330,12 @@
 				most = max(most, held[n-1-int(over)]-held[n-1])
 			}
 		}
-		t.Logf("delay %d ms: at most %d of 40 come back within one", delay/ms, most)
+		t.Logf("delay %d ms: at most %d of 40 come back within one", delay/millisecond, most)
 		if most > 40/4+4 { // A quarter, and what the draw of places varies by.
-			t.Errorf("delay %d ms: %d of 40 come back within one", delay/ms, most)
+			t.Errorf("delay %d ms: %d of 40 come back within one", delay/millisecond, most)
 		}
 		if held[len(held)-1] != 0 {
-			t.Errorf("delay %d ms: %d are still away after 20 s", delay/ms, held[len(held)-1])
+			t.Errorf("delay %d ms: %d are still away after 20 s", delay/millisecond, held[len(held)-1])
 		}
 	}
 }
@@ -360,7 +360,7 @@
 				case 4:
 					w.disconnected[n] = !w.disconnected[n]
 				case 5:
-					w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*ms)
+					w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*millisecond)
 				case 6:
 					w.alive[n] = !w.alive[n]
 				case 7: // A new life, which knows nothing.
@@ -384,7 +384,7 @@
 				for h, id := range w.endpoints {
 					o := b.endpoints[id]
 					if o.ejectedAt == w.now && before[n][h] != w.now && w.alive[n] && o.lastSuccess < w.now {
-						if e := b.collectEvidence(w.now, o, ejectionWindow+20*ms); e.witnesses < 2 || e.zones < min(2, b.zoneCount) {
+						if e := b.collectEvidence(w.now, o, ejectionWindow+20*millisecond); e.witnesses < 2 || e.zones < min(2, b.zoneCount) {
 							t.Fatalf("seed %d step %d: balancer %d heeds %+v on host %d", seed, step, n, e, h)
 						}
 					}
@@ -398,8 +398,8 @@
 			w.alive[n], w.disconnected[n] = true, false
 		}
 		clear(w.failureRates)
-		w.lossRate, w.messageDelay = 0, 20*ms
-		w.run(evidenceTimeout+maxReturnSpread+5000*ms, 0.5)
+		w.lossRate, w.messageDelay = 0, 20*millisecond
+		w.run(evidenceTimeout+maxReturnSpread+5000*millisecond, 0.5)
 		for h := range w.endpoints {
 			if held := w.ejectedBy(h); held > 0 {
 				t.Errorf("seed %d: %d hold host %d back though all is well", seed, held, h)
@@ -433,7 +433,7 @@
 		if is := b.Misses(now, 100, own); is != c.is {
 			t.Errorf("%v: %t", c.from, is)
 		}
-		if b.Misses(now+minHighMissDuration+1, 300, own+20) {
+		if b.Misses(now+minAlarmDuration+1, 300, own+20) {
 			t.Errorf("%v: it does not end", c.from)
 		}
 	}
@@ -492,10 +492,10 @@
 		for on := range 2 {
 			w := newSimulation(t, 1, n, 2*n, 3)
 			w.messagesBlocked = on == 0
-			w.run(2000*ms, 0.5)
+			w.run(2000*millisecond, 0.5)
 			w.failureRates[3] = 1
 			w.bytesSent = 0
-			w.run(20000*ms, 0.5)
+			w.run(20000*millisecond, 0.5)
 			paid[on], bytes[on] = w.failedAttempts, w.bytesSent
 		}
 		t.Logf("%d balancers, %d hosts, 50 trips a second each, one host fails for 20 s: %d failures alone, %d with signals; %.0f bytes a balancer and second sent", n, 2*n,
--- a/signals/size_test.go
+++ b/signals/size_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-// Of 400 of 1,024 hosts that fail at once, and of as many that settle again, all are told within as many messages as they take, 50 ms apart.
+// Of 400 of 1,024 hosts that fail at once, and of as many that settle again, all are told within as many messages as they take, 50 millisecond apart.
 func TestAllOfManyHostsAreTold(t *testing.T) {
 	b, now := newLargeFleetDetector(), int64(1e15)
 	const failing = 400
