--- /dev/null
+++ b/signals/ejection_test.go
@@ -0,0 +1,267 @@
+package signals
+
+import (
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// An endpoint that hangs cost each balancer its own failed attempts before anybody left it. Together all but those that
+// probe leave it for less than half of the failures that each alone pays, and take it back soon after it is well.
+func TestFleetEjectsFailingEndpoint(t *testing.T) {
+	failures := map[bool]int{}
+	for _, blocked := range []bool{true, false} {
+		s := newSimulation(t, 1, 12, 24, 3)
+		s.messagesBlocked = blocked
+		s.run(5000*millisecond, 0.25)
+		s.failureRates[3] = 1
+		s.run(20000*millisecond, 0.25) // One attempt a balancer and second at each endpoint.
+		failures[blocked] = s.failedAttempts
+		if ejected := s.ejectedBy(3); !blocked && ejected < 12-5 {
+			t.Errorf("only %d of 12 ejected it", ejected)
+		}
+		s.failureRates[3] = 0
+		s.run(15000*millisecond, 0.25)
+		if ejected := s.ejectedBy(3); ejected != 0 {
+			t.Errorf("ejected by %d still, 15 s after it was well", ejected)
+		}
+	}
+	t.Logf("failed attempts: %d alone, %d with messages", failures[true], failures[false])
+	if failures[false] > failures[true]/2 {
+		t.Errorf("%d failed attempts with messages, %d without", failures[false], failures[true])
+	}
+}
+
+// A balancer whose own network fails, one that lies, and a zone that is cut off see every endpoint fail. If that were
+// enough, they would take healthy endpoints from all the others.
+func TestNoEjectionOnEvidenceOfOneMemberOrZone(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		fault func(s *simulation)
+	}{
+		{"a broken cable", func(s *simulation) { s.disconnected[4] = true }},
+		{"a liar", func(s *simulation) { s.disconnected[4], s.lyingMember = true, 4 }},
+		{"a zone that is cut off", func(s *simulation) {
+			for n := 0; n < 12; n += 3 {
+				s.disconnected[n] = true
+			}
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newSimulation(t, 2, 12, 24, 3)
+			s.run(3000*millisecond, 2)
+			c.fault(s)
+			for range 100 {
+				s.run(100*millisecond, 2)
+				for n, detector := range s.detectors {
+					for _, id := range s.endpoints {
+						if !s.disconnected[n] && detector.Penalty(s.now, id) > 0 {
+							t.Fatalf("balancer %d ejected endpoint %d", n, id)
+						}
+					}
+				}
+			}
+		})
+	}
+}
+
+// When the origin behind all endpoints fails, ejecting them one by one would overload those that are left. None is
+// ejected where everything fails, and never more than a half.
+func TestNoEjectionWhenEverythingFails(t *testing.T) {
+	for _, failureRate := range []float64{0.9, 1} {
+		s := newSimulation(t, 3, 12, 24, 3)
+		for n := range s.failureRates {
+			s.failureRates[n] = failureRate
+		}
+		for tenth := range 100 {
+			s.run(100*millisecond, 2)
+			for n, detector := range s.detectors {
+				ejected := 0
+				for _, id := range s.endpoints {
+					if detector.Penalty(s.now, id) > 0 {
+						ejected++
+					}
+				}
+				if ejected > len(s.endpoints)/2 || ejected > 0 && failureRate == 1 && tenth > 20 {
+					t.Fatalf("failure rate %v: balancer %d ejected %d endpoints", failureRate, n, ejected)
+				}
+			}
+		}
+	}
+}
+
+// A probe lease of a member that has died kept an endpoint ejected that was well again. The next in its order probes a
+// step later; and when no message arrives at all, every ejection ends by itself.
+func TestProbeLeasePassesOverDeadMembers(t *testing.T) {
+	s := newSimulation(t, 4, 12, 24, 1)
+	s.failureRates[5] = 1
+	s.run(5000*millisecond, 1)
+	if s.ejectedBy(5) == 0 {
+		t.Fatal("nobody ejected it")
+	}
+	// The first three in its order are dead, and nobody knows yet.
+	inOrder := slices.Clone(s.detectors)
+	slices.SortFunc(inOrder, func(a, b *Board) int {
+		if memberScore(s.endpoints[5], a.self.ID) > memberScore(s.endpoints[5], b.self.ID) {
+			return -1
+		}
+		return 1
+	})
+	for n, detector := range s.detectors {
+		s.alive[n] = !slices.Contains(inOrder[:3], detector)
+	}
+	s.failureRates[5] = 0
+	s.run(maxProbeDelay+4*minProbeStep+minReturnSpread+1000*millisecond, 1)
+	if ejected := s.ejectedBy(5); ejected != 0 {
+		t.Errorf("still ejected by %d after it was well", ejected)
+	}
+	// No message arrives any more.
+	s.failureRates[5] = 1
+	s.run(5000*millisecond, 1)
+	if s.ejectedBy(5) == 0 {
+		t.Fatal("nobody ejected it")
+	}
+	s.failureRates[5], s.messagesBlocked = 0, true
+	s.run(evidenceTimeout+2*minReturnSpread+1000*millisecond, 1)
+	if ejected := s.ejectedBy(5); ejected != 0 {
+		t.Errorf("ejected by %d though no message has arrived for longer than %d ns", ejected, evidenceTimeout)
+	}
+}
+
+// An endpoint that fails as soon as more than a half of the fleet uses it would be taken back and dropped by all at
+// once, for ever. However late messages are, at most a quarter returns within one message delay.
+func TestReturnsAreSpread(t *testing.T) {
+	const balancers = 40
+	for _, delay := range []int64{0, 200 * millisecond, 1000 * millisecond, 2000 * millisecond} {
+		s := newSimulation(t, 6, balancers, 24, 1)
+		s.messageDelay = delay
+		for _, detector := range s.detectors {
+			detector.Delay(delay * 3 / 2)
+		}
+		s.failureRates[7] = 1
+		s.run(8000*millisecond+4*delay, 1)
+		s.failureRates[7] = 0
+		ticksPerDelay, mostReturns := max(1, int(delay/tickInterval)), 0
+		var ejected []int
+		for range 2000 {
+			s.tick(1)
+			ejected = append(ejected, s.ejectedBy(7))
+			if n := len(ejected); n > ticksPerDelay {
+				mostReturns = max(mostReturns, ejected[n-1-ticksPerDelay]-ejected[n-1])
+			}
+		}
+		t.Logf("delay %d ms: at most %d of %d return within one", delay/millisecond, mostReturns, balancers)
+		if mostReturns > balancers/4+4 { // A quarter, and some for the rounding of places and for probes.
+			t.Errorf("delay %d ms: %d of %d return within one", delay/millisecond, mostReturns, balancers)
+		}
+		if last := ejected[len(ejected)-1]; last != 0 {
+			t.Errorf("delay %d ms: ejected by %d still, after 20 s", delay/millisecond, last)
+		}
+	}
+}
+
+// Under seeded faults (members come, go, break and lose their memory; the network loses, delays and repeats) nothing is
+// ejected without its witnesses, everything stored has its bound, and once all is well nothing stays ejected.
+func TestInvariantsUnderRandomFaults(t *testing.T) {
+	steps := 3000
+	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
+		steps = n
+	}
+	for seed := range uint64(4) {
+		s := newSimulation(t, 10+seed, 5+int(seed)*7, 16, 1+int(seed%3))
+		for step := range steps {
+			if step%50 == 0 {
+				s.injectFault()
+			}
+			var before [64][16]int64
+			for n, detector := range s.detectors {
+				for at, id := range s.endpoints {
+					before[n][at] = detector.endpoints[id].ejectedAt
+				}
+			}
+			s.tick(0.5)
+			for n, detector := range s.detectors {
+				if len(detector.senders) > len(detector.members) || len(detector.active) > len(s.endpoints) {
+					t.Fatalf("seed %d step %d: %d senders, %d endpoints", seed, step, len(detector.senders), len(detector.active))
+				}
+				for at, id := range s.endpoints {
+					endpoint := detector.endpoints[id]
+					if endpoint.ejectedAt == s.now && before[n][at] != s.now && s.alive[n] && endpoint.lastSuccess < s.now {
+						e := detector.collectEvidence(s.now, endpoint, ejectionWindow+20*millisecond)
+						if e.witnesses < 2 || e.zones < min(2, detector.zoneCount) {
+							t.Fatalf("seed %d step %d: balancer %d ejects endpoint %d on %+v", seed, step, n, at, e)
+						}
+					}
+					penalty := detector.Penalty(s.now, id)
+					if penalty < 0 && penalty != ProbePenalty || penalty > ejectedPenalty || len(endpoint.reports) > len(detector.members) {
+						t.Fatalf("seed %d step %d: penalty %v, %d reports", seed, step, penalty, len(endpoint.reports))
+					}
+				}
+			}
+		}
+		for n := range s.detectors {
+			s.alive[n], s.disconnected[n] = true, false
+		}
+		clear(s.failureRates)
+		s.lossRate, s.messageDelay = 0, 20*millisecond
+		s.run(evidenceTimeout+maxReturnSpread+5000*millisecond, 0.5)
+		for at := range s.endpoints {
+			if ejected := s.ejectedBy(at); ejected > 0 {
+				t.Errorf("seed %d: endpoint %d is ejected by %d though all is well", seed, at, ejected)
+			}
+		}
+	}
+}
+
+// injectFault changes one thing by chance, for better or worse.
+func (s *simulation) injectFault() {
+	endpoint, balancer := s.random.IntN(len(s.endpoints)), s.random.IntN(len(s.detectors))
+	switch s.random.IntN(8) {
+	case 0, 1:
+		s.failureRates[endpoint] = s.random.Float64()
+	case 2, 3:
+		s.failureRates[endpoint] = 0
+	case 4:
+		s.disconnected[balancer] = !s.disconnected[balancer]
+	case 5:
+		s.lossRate, s.repeatRate = s.random.Float64()*0.6, s.random.Float64()*0.5
+		s.messageDelay = 1 + s.random.Int64N(2000*millisecond)
+	case 6:
+		s.alive[balancer] = !s.alive[balancer]
+	case 7: // A new process of the same name, which knows nothing.
+		previous := s.detectors[balancer]
+		s.detectors[balancer] = New(previous.self, previous.incarnation+1)
+		s.detectors[balancer].Members(previous.members)
+		s.detectors[balancer].Hosts(s.endpoints)
+	}
+}
+
+// TestSizes is a measurement and not for CI: what messages save and cost at sizes that processes do not reach.
+// HOLLYLEVER_SIZES names the numbers of balancers.
+func TestSizes(t *testing.T) {
+	sizes := os.Getenv("HOLLYLEVER_SIZES")
+	if sizes == "" {
+		t.Skip("HOLLYLEVER_SIZES is not set")
+	}
+	for _, size := range strings.Split(sizes, ",") {
+		balancers, err := strconv.Atoi(size)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var failures, bytes [2]int
+		for connected := range 2 {
+			s := newSimulation(t, 1, balancers, 2*balancers, 3)
+			s.messagesBlocked = connected == 0
+			s.run(2000*millisecond, 0.5)
+			s.failureRates[3] = 1
+			s.bytesSent = 0
+			s.run(20000*millisecond, 0.5)
+			failures[connected], bytes[connected] = s.failedAttempts, s.bytesSent
+		}
+		t.Logf("%d balancers, %d endpoints, 50 attempts a second each, one endpoint fails for 20 s: %d failures alone, "+
+			"%d with messages; %.0f bytes a balancer and second sent", balancers, 2*balancers,
+			failures[0], failures[1], float64(bytes[1])/20/float64(balancers))
+	}
+}
--- /dev/null
+++ b/signals/message_test.go
@@ -0,0 +1,35 @@
+package signals
+
+import "testing"
+
+// A message that is larger than its bound is refused by all who receive it. The largest one there can be is not.
+func TestLargestMessageFits(t *testing.T) {
+	m := &Message{From: 1<<32 - 1, Incarnation: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, MissPercent: 100}
+	for n := range uint32(maxReportsPerMessage) {
+		m.Reports = append(m.Reports, Report{Endpoint: 1<<32 - 1 - n, ConsecutiveFailures: maxReportedFailures, AgeMillis: 1<<16 - 1})
+	}
+	if size := len(m.Pack()); size > MostBytes {
+		t.Errorf("it has %d bytes", size)
+	}
+}
+
+// Whatever bytes a peer sends, nothing panics.
+func FuzzDecodeMessage(f *testing.F) {
+	reports := []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}}
+	f.Add((&Message{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: reports}).Pack())
+	f.Add([]byte{0x85, 0xff})
+	f.Fuzz(func(_ *testing.T, encoded []byte) {
+		m, err := Unpack(encoded)
+		if err != nil {
+			return
+		}
+		detector := New(Member{1, 0}, 1)
+		detector.Members([]Member{{m.From, 0}})
+		for _, r := range m.Reports {
+			detector.Hosts([]uint32{r.Endpoint})
+		}
+		detector.Hear(1e12, m)
+		detector.Look(1e12)
+		detector.Status(1e12)
+	})
+}
--- /dev/null
+++ b/signals/missrate_test.go
@@ -0,0 +1,46 @@
+package signals
+
+import "testing"
+
+// A balancer that restarted misses all its reads; if the fleet took that for a cold cache, all would change how they
+// rank endpoints. A third of the members in two zones must say so, and the alarm ends when fewer do.
+func TestHighMissAlarmNeedsQuorum(t *testing.T) {
+	for _, c := range []struct {
+		from []uint32
+		own  int // misses of 100 own reads
+		want bool
+	}{
+		{[]uint32{2}, 10, false},
+		{[]uint32{4, 7, 10}, 90, false}, // All of this balancer's zone.
+		{[]uint32{2, 3, 4, 5}, 10, true},
+		{[]uint32{2, 3}, 10, false},
+	} {
+		detector := New(Member{1, 0}, 1)
+		var members []Member
+		for id := range uint32(12) {
+			members = append(members, Member{id + 1, uint16(id % 3)})
+		}
+		detector.Members(members)
+		now := int64(1e12)
+		for seq := range uint32(2) {
+			for _, from := range c.from {
+				detector.Hear(now, &Message{From: from, Incarnation: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), MissPercent: 60})
+			}
+		}
+		if got := detector.Misses(now, 100, c.own); got != c.want {
+			t.Errorf("%v: %t", c.from, got)
+		}
+		if detector.Misses(now+minAlarmDuration+1, 300, c.own+20) {
+			t.Errorf("%v: it does not end", c.from)
+		}
+	}
+}
+
+// A message that only says how many reads miss is sent, and is small.
+func TestMissRateIsReportedWithoutReports(t *testing.T) {
+	detector := New(Member{1, 0}, 1)
+	detector.Misses(1e12, 100, 50)
+	if m := detector.Tell(1e12); m == nil || m.MissPercent != 50 || len(m.Pack()) > 40 {
+		t.Errorf("%+v", m)
+	}
+}
