--- a/zones/golden_test.go
+++ b/zones/golden_test.go
@@ -86,8 +86,8 @@
 			for _, v := range stays {
 				fmt.Fprintf(sum, "%d stays %s %d %d\n", now, v.Zone, v.Hosts, v.Failing)
 			}
-			if now += 100 * ms; step%1200 == 1199 { // A calm of eight minutes.
-				now += 480_000 * ms
+			if now += 100 * millisecond; step%1200 == 1199 { // A calm of eight minutes.
+				now += 480_000 * millisecond
 			}
 		}
 		lines = append(lines, fmt.Sprint("seed ", seed, " ", counts, " ", hex.EncodeToString(sum.Sum(nil))))
@@ -98,11 +98,11 @@
 // Processes that stand at different places of the way send the same key to different hosts. Seeded ways out and back, by operators and by the fleet,
 // with slow steps, own zones, clocks that jump and processes that go on from another's place.
 func TestGoldenRamps(t *testing.T) {
-	lines := []string{fmt.Sprint(Fails, " ", Remains, " ", Steps)}
+	lines := []string{fmt.Sprint(Fails, " ", Remains, " ", rampSteps)}
 	for seed := range uint64(8) {
 		chance := rand.New(rand.NewPCG(seed, 13))
 		p, sum, now := &Path{}, sha256.New(), int64(1e12)
-		terms := Terms{Leaves: int64(seed) * 2000 * ms, Returns: chance.Int64N(60_000 * ms)}
+		terms := Terms{Leaves: int64(seed) * 2000 * millisecond, Returns: chance.Int64N(60_000 * millisecond)}
 		var left []string
 		own, slow := false, false
 		for range 20_000 {
@@ -124,14 +124,14 @@
 			case 10:
 				part, at := p.Stands()
 				p = &Path{}
-				p.Recall(part, at+chance.Int64N(4000*ms)-2000*ms, now)
+				p.Recall(part, at+chance.Int64N(4000*millisecond)-2000*millisecond, now)
 			case 11:
-				now -= chance.Int64N(500 * ms)
+				now -= chance.Int64N(500 * millisecond)
 			}
-			now += chance.Int64N(200 * ms)
+			now += chance.Int64N(200 * millisecond)
 			share := p.Look(now, "z", left, own, slow, terms)
 			part, at := p.Stands()
-			fmt.Fprintln(sum, share, part, at, p.Part())
+			fmt.Fprintln(sum, share, part, at, p.roundedShare())
 		}
 		lines = append(lines, fmt.Sprint("seed ", seed, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
