--- a/budgets/golden_test.go
+++ b/budgets/golden_test.go
@@ -39,7 +39,7 @@
 	var lines []string
 	for most := range 8 {
 		chance, sum := rand.New(rand.NewPCG(uint64(most), 21)), sha256.New()
-		const outlasts = 1837 * ms
+		const outlasts = 1837 * millisecond
 		now := int64(1e12)
 		l := New(now, most, outlasts)
 		lives, seqs, held := [3]uint64{1, 1, 1}, [3]uint64{}, [3]Held{}
@@ -47,14 +47,14 @@
 		over, deaf := 0, false
 		processes := 2 + most%2 // With three nobody crashes: a new life is one process more.
 		for range 20_000 {
-			now += chance.Int64N(60 * ms)
+			now += chance.Int64N(60 * millisecond)
 			switch n := chance.IntN(processes); chance.IntN(300) {
 			case 0:
 				if processes == 2 && now > crashed+outlasts {
 					crashed, lives[n], seqs[n], held[n] = now, lives[n]+1, 0, Held{}
 				}
 			case 1:
-				over += l.Over
+				over += l.Overcommits
 				l = New(now, most, outlasts) // Another leads.
 			case 2:
 				now += 2 * outlasts
@@ -74,21 +74,21 @@
 			if !deaf && chance.IntN(3) != 0 { // Else the answer is lost.
 				held[n].Take(told.Seq-uint64(chance.IntN(2)), share)
 			}
-			fmt.Fprintln(sum, n, share, held[n].Part, held[n].From, l.Over, l.Promised(now) > 0)
+			fmt.Fprintln(sum, n, share, held[n].Part, held[n].From, l.Overcommits, promised(l, now) > 0)
 		}
-		lines = append(lines, fmt.Sprint("most ", most, " alone ", Alone(most), " over ", over+l.Over, " ", hex.EncodeToString(sum.Sum(nil))))
+		lines = append(lines, fmt.Sprint("most ", most, " alone ", Alone(most), " over ", over+l.Overcommits, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
 	compareGolden(t, "grants.golden", lines)
 }
 
 // A ledger that knows as many processes as it may keep gives any other the share of one alone, and keeps nothing of it.
 func TestGoldenFullLedger(t *testing.T) {
-	l, now := New(0, 4, 1837*ms), int64(1e12)
+	l, now := New(0, 4, 1837*millisecond), int64(1e12)
 	for n := range maxAccounts {
-		l.holders[Holder{fmt.Sprint("p", n), 1}] = &account{rate: 1, promises: []promise{{1, 1e-6, now + 1}}}
+		l.accounts[Holder{fmt.Sprint("p", n), 1}] = &account{requestRate: 1, promises: []promise{{1, 1e-6, now + 1}}}
 	}
-	if share := l.Grant(now, Holder{"one more", 1}, Told{Seq: 1, Rate: 100}); share != Alone(4) || len(l.holders) != maxAccounts {
-		t.Errorf("share %v, %d processes known", share, len(l.holders))
+	if share := l.Grant(now, Holder{"one more", 1}, Told{Seq: 1, Rate: 100}); share != Alone(4) || len(l.accounts) != maxAccounts {
+		t.Errorf("share %v, %d processes known", share, len(l.accounts))
 	}
 	var h Held
 	for _, c := range []struct {
