--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,12 +1,13 @@
-// Package subset says which hosts a balancer keeps connections to and looks after, of all that it may use. It is pure: names in, names out, and whoever
-// holds the same lists says the same without a word. It takes nothing from the ordinary path: a key's three candidates are the same three for
-// all, and a host outside the subset is sent to whenever a key asks for it; only what costs while nothing is sent - connections kept while
-// idle, looking after it - is the subset's.
+// Package subset says which endpoints a balancer keeps idle connections to and checks the health of, out of all it may
+// use. It takes nothing from the ordinary path: the candidates of a key are the same for all balancers, and an endpoint
+// outside the subset is sent to whenever a key asks for it. Only what costs while nothing is sent is divided.
 //
-// Each host chooses its balancers, not each balancer its hosts: the first so many in the host's own order of balancers (rendezvous hashing:
-// Thaler and Ravishankar, A name-based mapping scheme for rendezvous, 1996). So all hosts of one weight have exactly as many, whatever the
-// sizes; a balancer that comes or goes moves only what it gained or leaves behind, which is the least that can move; and a host that
-// comes or goes moves nothing of the others'.
+// Each endpoint chooses its balancers, not each balancer its endpoints: it takes the first ones in its own order, by
+// rendezvous hashing (see package rendezvous). So all endpoints of one weight have exactly as many; a balancer that
+// comes or goes moves only what it gains or leaves behind, which is the least that can move; and an endpoint that comes or
+// goes moves nothing of the others'.
+//
+// The package is pure: names in, names out. Whoever holds the same lists gets the same result without a message.
 package subset
 
 import (
@@ -14,123 +15,139 @@
 	"hash/fnv"
 	"math"
 	"slices"
+
+	"hollylever/rendezvous"
 )
 
-// Balancer is one that uses hosts.
+// Balancer is one that uses endpoints.
 type Balancer struct {
 	Name, Zone string
 }
 
-// Host is one that is used. Weight is its size against others'; 0 counts as 1.
+// Host is an endpoint. Weight is its size relative to others; one that is not positive and finite counts as 1.
 type Host struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// Rule is how large subsets are.
+// Rule says how large subsets are. More of either costs idle connections and health checks.
 type Rule struct {
-	Hosts     int  // that a balancer has in the mean, at least
-	Balancers int  // that a host has, at least: where some of them go, others still look after it
-	Near      bool // hosts are given to balancers of their zone, as far as there are so many
+	Hosts     int  // endpoints that a balancer has in the mean, at least
+	Balancers int  // balancers that an endpoint has, at least: when some of them go, others still check it
+	Near      bool // prefer balancers of the endpoint's zone, where it has enough of them
 }
 
-// Usual keeps twenty hosts a balancer and three balancers a host.
+// Usual is for fleets of all sizes: enough endpoints that a first request seldom waits for a connection, and three
+// balancers an endpoint, so that two may go at once.
 var Usual = Rule{Hosts: 20, Balancers: 3}
 
-// PerHost is how many balancers a host of mean weight has.
-func (r Rule) PerHost(balancers, hosts int) int {
-	if balancers == 0 || hosts == 0 {
+// PerHost is how many balancers an endpoint of mean weight has, in a fleet of so many balancers and endpoints.
+func (c Rule) PerHost(balancers, endpoints int) int {
+	if balancers == 0 || endpoints == 0 {
 		return 0
 	}
-	each := (r.Hosts*balancers + hosts - 1) / hosts
-	return min(balancers, max(r.Balancers, each))
+	needed := (c.Hosts*balancers + endpoints - 1) / endpoints // Rounded up.
+	return min(balancers, max(c.Balancers, needed))
 }
 
-// Sets are who has which hosts.
+// Sets says which balancers have which endpoints. It does not change once it is made; any number of goroutines may use
+// it.
 type Sets struct {
-	rule      Rule
-	balancers []Balancer
-	hashes    []uint64 // of their names
-	zones     map[string][]int
-	mean      float64 // of the hosts' weights
-	each      int
+	config      Rule
+	balancers   []Balancer       // sorted by name
+	hashes      []uint64         // of their names
+	all         []int            // indices of balancers: all,
+	byZone      map[string][]int // and those of each zone
+	perEndpoint int              // balancers of an endpoint of mean weight
+	meanWeight  float64          // of endpoints
 }
 
-// New makes sets for these lists; their order does not matter.
-func New(balancers []Balancer, hosts []Host, rule Rule) *Sets {
-	s := &Sets{rule: rule, balancers: slices.Clone(balancers), zones: map[string][]int{}}
-	slices.SortFunc(s.balancers, func(a, b Balancer) int { return cmp.Compare(a.Name, b.Name) })
-	for n, b := range s.balancers {
-		s.hashes = append(s.hashes, hash(b.Name))
-		s.zones[b.Zone] = append(s.zones[b.Zone], n)
+// New assigns these endpoints to these balancers. The order of the lists does not matter.
+func New(balancers []Balancer, endpoints []Host, config Rule) *Sets {
+	a := &Sets{
+		config:      config,
+		balancers:   slices.Clone(balancers),
+		byZone:      map[string][]int{},
+		perEndpoint: config.PerHost(len(balancers), len(endpoints)),
 	}
-	for _, h := range hosts {
-		s.mean += weight(h) / float64(len(hosts))
+	slices.SortFunc(a.balancers, func(x, y Balancer) int { return cmp.Compare(x.Name, y.Name) })
+	for i, b := range a.balancers {
+		a.hashes = append(a.hashes, hashName(b.Name))
+		a.all = append(a.all, i)
+		a.byZone[b.Zone] = append(a.byZone[b.Zone], i)
 	}
-	s.each = rule.PerHost(len(balancers), len(hosts))
-	return s
+	for _, e := range endpoints {
+		a.meanWeight += e.weight() / float64(len(endpoints))
+	}
+	return a
 }
 
-func weight(h Host) float64 {
-	if h.Weight > 0 && !math.IsInf(h.Weight, 0) {
-		return h.Weight
+func (e Host) weight() float64 {
+	if e.Weight > 0 && !math.IsInf(e.Weight, 0) {
+		return e.Weight
 	}
 	return 1
 }
 
-// Of gives the balancers that a host has, in the host's order: by its weight against the mean, and one at least.
-func (s *Sets) Of(h Host) []string {
-	if len(s.balancers) == 0 {
+// Of returns the names of an endpoint's balancers in its own order: as many as its weight over the mean asks for, and
+// one at least.
+func (a *Sets) Of(endpoint Host) []string {
+	if len(a.balancers) == 0 {
 		return nil
 	}
-	many := min(len(s.balancers), max(1, int(math.Round(float64(s.each)*weight(h)/s.mean))))
-	var from []int
-	if near := s.zones[h.Zone]; s.rule.Near && len(near) >= min(many, s.rule.Balancers) {
-		from = near
-		many = min(many, len(near))
-	} else {
-		from = make([]int, len(s.balancers))
-		for n := range from {
-			from[n] = n
-		}
-	}
-	own := hash(h.Name)
-	type ranked struct {
-		score uint64
-		n     int
+	wanted := int(math.Round(float64(a.perEndpoint) * endpoint.weight() / a.meanWeight))
+	wanted = min(len(a.balancers), max(1, wanted))
+	candidates := a.candidates(endpoint, wanted)
+	wanted = min(wanted, len(candidates))
+
+	names := make([]string, wanted)
+	for i, ranked := range a.rank(endpoint, candidates)[:wanted] {
+		names[i] = a.balancers[ranked.index].Name
 	}
-	all := make([]ranked, len(from))
-	for n, b := range from {
-		all[n] = ranked{mix(own, s.hashes[b]), b}
+	return names
+}
+
+// candidates are the balancers of the endpoint's zone, if these are preferred and as many as it needs to be safe; else
+// all. They are indices of balancers.
+func (a *Sets) candidates(endpoint Host, wanted int) []int {
+	near := a.byZone[endpoint.Zone]
+	if a.config.Near && len(near) >= min(wanted, a.config.Balancers) {
+		return near
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.n, b.n)) })
-	names := make([]string, many)
-	for n := range names {
-		names[n] = s.balancers[all[n].n].Name
+	return a.all
+}
+
+// rankedBalancer is a balancer with its score for one endpoint.
+type rankedBalancer struct {
+	score uint64
+	index int
+}
+
+// rank returns balancers in the order of an endpoint, the highest score first; equal scores go by name.
+func (a *Sets) rank(endpoint Host, balancers []int) []rankedBalancer {
+	hash := hashName(endpoint.Name)
+	ranked := make([]rankedBalancer, len(balancers))
+	for i, index := range balancers {
+		ranked[i] = rankedBalancer{rendezvous.Mix(hash*rendezvous.GoldenRatio + a.hashes[index]), index}
 	}
-	return names
+	slices.SortFunc(ranked, func(x, y rankedBalancer) int {
+		return cmp.Or(cmp.Compare(y.score, x.score), cmp.Compare(x.index, y.index))
+	})
+	return ranked
 }
 
-// Has gives the hosts of one balancer, of these.
-func (s *Sets) Has(balancer string, hosts []Host) (names []string) {
-	for _, h := range hosts {
-		if slices.Contains(s.Of(h), balancer) {
-			names = append(names, h.Name)
+// Has returns the names of a balancer's endpoints, out of and in the order of those given.
+func (a *Sets) Has(balancer string, endpoints []Host) (names []string) {
+	for _, e := range endpoints {
+		if slices.Contains(a.Of(e), balancer) {
+			names = append(names, e.Name)
 		}
 	}
 	return names
 }
 
-func hash(name string) uint64 {
-	of := fnv.New64a()
-	of.Write([]byte(name))
-	return of.Sum64()
-}
-
-// mix is a finalizer of 64 bits (Steele, Lea, Flood, Fast splittable pseudorandom number generators, 2014) over both names' hashes.
-func mix(a, b uint64) uint64 {
-	z := a*0x9e3779b97f4a7c15 + b
-	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
-	z = (z ^ z>>27) * 0x94d049bb133111eb
-	return z ^ z>>31
+func hashName(name string) uint64 {
+	sum := fnv.New64a()
+	sum.Write([]byte(name))
+	return sum.Sum64()
 }
