--- a/budgets/ledger.go
+++ b/budgets/ledger.go
@@ -31,15 +31,15 @@
 // Holder is one incarnation of a process. One that restarts is another holder: what was granted before may still be acted
 // on by nobody, but the ledger cannot know.
 type Holder struct {
-	Name string
-	Life uint64
+	Name        string
+	Incarnation uint64
 }
 
 // Told is what a process states with its request for a lease.
-type Told struct {
-	Seq  uint64  // of the request, within the incarnation
-	From uint64  // Seq of the request that the share it acts on was granted for
-	Rate float64 // requests a second that arrive at it
+type ShareRequest struct {
+	Seq         uint64  // of the request, within the incarnation
+	GrantSeq    uint64  // Seq of the request that the share it acts on was granted for
+	RequestRate float64 // requests a second that arrive at it
 }
 
 // Ledger is the leader's record of the shares it has granted. A new leader starts with an empty one.
@@ -68,7 +68,7 @@
 
 // Alone is the share of a process without a lease in a fleet of so many: half of an even share. So the half of the whole
 // is kept for those without a lease, wherever they are, and the other half is divided by traffic.
-func Alone(maxProcesses int) float64 { return 0.5 / float64(max(1, maxProcesses)) }
+func ShareWithoutLease(maxProcesses int) float64 { return 0.5 / float64(max(1, maxProcesses)) }
 
 // New returns the ledger of a process that has just become the leader of a fleet of at most maxProcesses. leaseTimeout is
 // how long after a grant its lease is over on every clock. Until then no share is raised: what an earlier leader granted
@@ -84,14 +84,14 @@
 
 // Grant returns the share that goes with a lease granted now, and records it as promised. A process beyond maxAccounts
 // gets ShareWithoutLease and is not recorded.
-func (l *Ledger) Grant(now int64, holder Holder, request Told) float64 {
+func (l *Ledger) Grant(now int64, holder Holder, request ShareRequest) float64 {
 	others := l.commitmentsBeside(now, holder)
 	own := l.account(holder)
 	if own == nil {
-		return Alone(l.maxProcesses)
+		return ShareWithoutLease(l.maxProcesses)
 	}
-	own.requestRate = believedRate(request.Rate)
-	own.dropObsolete(now, request.From)
+	own.requestRate = believedRate(request.RequestRate)
+	own.dropObsolete(now, request.GrantSeq)
 	if others.processes+1 > l.maxProcesses {
 		l.Overcommits++
 	}
@@ -149,7 +149,7 @@
 // shareBeside is the share of a process with this rate beside what is promised to others. Each process with a lease has
 // ShareWithoutLease; so much is reserved for each without one; the rest goes by traffic, as far as it is not promised.
 func (l *Ledger) shareBeside(now int64, others commitments, requestRate float64) float64 {
-	alone := Alone(l.maxProcesses)
+	alone := ShareWithoutLease(l.maxProcesses)
 	if now < l.withholdUntil {
 		// An earlier leader's promises are not known here. A share that the process says it holds does not help: what
 		// it holds may since have been promised to others as well.
--- a/budgets/ledger_test.go
+++ b/budgets/ledger_test.go
@@ -22,7 +22,7 @@
 	incarnation uint64
 	seq         uint64
 	sentAt      map[uint64]int64 // requests, by Seq
-	held        Held
+	held        HeldShare
 	leasedUntil int64
 	requestRate float64
 	isDown      bool
@@ -34,10 +34,10 @@
 
 // share is what the process acts on; leases count for so long after their end.
 func (p *process) share(now, leaseOverrun int64, maxProcesses int) float64 {
-	if now < p.leasedUntil+leaseOverrun && p.held.Part > 0 {
-		return p.held.Part
+	if now < p.leasedUntil+leaseOverrun && p.held.Share > 0 {
+		return p.held.Share
 	}
-	return Alone(maxProcesses)
+	return ShareWithoutLease(maxProcesses)
 }
 
 // delivery is a request on its way to the leader, or a grant on its way back.
@@ -46,7 +46,7 @@
 	process     int
 	incarnation uint64
 	isRequest   bool
-	request     Told
+	request     ShareRequest
 	share       float64 // of a grant
 	seq         uint64  // of the request it answers
 }
@@ -143,7 +143,7 @@
 		}
 		p.seq++
 		p.sentAt[p.seq] = f.now
-		request := Told{Seq: p.seq, From: p.held.From, Rate: p.requestRate}
+		request := ShareRequest{Seq: p.seq, GrantSeq: p.held.GrantSeq, RequestRate: p.requestRate}
 		f.inTransit = f.send(f.inTransit, delivery{process: n, incarnation: p.incarnation, isRequest: true, request: request})
 	}
 }
@@ -172,7 +172,7 @@
 			share := f.ledger.Grant(f.now, Holder{string(rune('a' + d.process)), d.incarnation}, d.request)
 			later = f.send(later, delivery{process: d.process, incarnation: d.incarnation, share: share, seq: d.request.Seq})
 		case !p.isDown && p.incarnation == d.incarnation:
-			p.held.Take(d.seq, d.share)
+			p.held.Accept(d.seq, d.share)
 			if until := p.sentAt[d.seq] + leaseDuration; until > p.leasedUntil && f.now < until {
 				p.leasedUntil = until
 			}
@@ -193,9 +193,9 @@
 		now := int64(round) * 600 * millisecond
 		for n, rate := range rates {
 			holder := Holder{string(rune('a' + n)), 1}
-			shares[n] = ledger.Grant(now, holder, Told{Seq: round + 1, From: heldFrom[n], Rate: rate})
+			shares[n] = ledger.Grant(now, holder, ShareRequest{Seq: round + 1, GrantSeq: heldFrom[n], RequestRate: rate})
 			heldFrom[n] = round + 1
-			if now < leaseTimeout && shares[n] != Alone(maxProcesses) {
+			if now < leaseTimeout && shares[n] != ShareWithoutLease(maxProcesses) {
 				t.Fatalf("%v granted at %d ms, while earlier leases may last", shares[n], now/millisecond)
 			}
 		}
@@ -212,7 +212,7 @@
 	if ledger.Overcommits != 0 {
 		t.Errorf("%d overcommits among as many as stated", ledger.Overcommits)
 	}
-	ledger.Grant(7*600*millisecond, Holder{"e", 1}, Told{Seq: 1})
+	ledger.Grant(7*600*millisecond, Holder{"e", 1}, ShareRequest{Seq: 1})
 	if ledger.Overcommits != 1 {
 		t.Errorf("%d overcommits with one more than stated", ledger.Overcommits)
 	}
--- a/zones/controller.go
+++ b/evacuation/controller.go
@@ -10,7 +10,7 @@
 //   - The last zone is never evacuated, nor one without which too little capacity remains.
 //   - A zone changes at most once in each hold, which doubles with each return that does not last.
 //   - A return is taken in steps, each key once, the same keys first in all processes.
-package zones
+package evacuation
 
 import (
 	"slices"
@@ -40,30 +40,30 @@
 
 // Remains is the share of all endpoints that must remain in use when a zone is evacuated. Less would be overloaded, and
 // the fleet would lose both.
-const Remains = 1.0 / 3
+const MinRemainingShare = 1.0 / 3
 
 // Fails precedes the name of a zone that the fleet evacuated by itself, beside the bare name of one that operators
 // evacuated. Both may stand in the replicated configuration, and each is taken back alone: the fleet must not return to a
 // zone that an operator took out.
-const Fails = "fails:"
+const AutomaticPrefix = "fails:"
 
 // View is a zone's health on the fleet's evidence.
-type View struct {
-	Zone    string
-	Hosts   int // endpoints that the zone has
-	Failing int // of these, endpoints that several balancers report as failing
+type ZoneHealth struct {
+	Zone      string
+	Endpoints int // endpoints that the zone has
+	Failing   int // of these, endpoints that several balancers report as failing
 }
 
 // Say is a change that the Controller would have the fleet agree on.
-type Say struct {
-	View          // what it is based on
-	Leaves bool   // evacuate the zone; else return to it
-	Why    string // for operators
+type Proposal struct {
+	ZoneHealth        // what it is based on
+	Evacuate   bool   // evacuate the zone; else return to it
+	Reason     string // for operators
 }
 
 // Watch is the rule by which the leader evacuates zones. The zero value is ready for use and knows of no relapses, as
 // after a change of the leader.
-type Watch struct{ zones map[string]*zoneState }
+type Controller struct{ zones map[string]*zoneState }
 
 // zoneState is what the Controller remembers of one zone.
 type zoneState struct {
@@ -77,11 +77,11 @@
 // Look returns the changes to propose now. evacuated is the list in force: bare names by operators, names after
 // AutomaticPrefix by the fleet. blocked are zones that fail and cannot be evacuated because too little would remain;
 // each is returned once while that lasts.
-func (c *Watch) Look(now int64, zones []View, evacuated []string) (proposals []Say, blocked []View) {
+func (c *Controller) Tick(now int64, zones []ZoneHealth, evacuated []string) (proposals []Proposal, blocked []ZoneHealth) {
 	remaining := remainingCapacity(zones, evacuated)
 	for _, health := range zones {
 		state := c.state(health.Zone)
-		isEvacuated := slices.Contains(evacuated, Fails+health.Zone)
+		isEvacuated := slices.Contains(evacuated, AutomaticPrefix+health.Zone)
 		if !state.isChangeDue(now, health, isEvacuated) {
 			continue
 		}
@@ -105,7 +105,7 @@
 	return proposals, blocked
 }
 
-func (c *Watch) state(zone string) *zoneState {
+func (c *Controller) state(zone string) *zoneState {
 	if c.zones == nil {
 		c.zones = map[string]*zoneState{}
 	}
@@ -115,15 +115,15 @@
 	return c.zones[zone]
 }
 
-func (v View) isFailing() bool {
-	return v.Hosts > 0 && float64(v.Failing) >= failingShare*float64(v.Hosts) && v.Failing >= min(minFailing, v.Hosts)
+func (v ZoneHealth) isFailing() bool {
+	return v.Endpoints > 0 && float64(v.Failing) >= failingShare*float64(v.Endpoints) && v.Failing >= min(minFailing, v.Endpoints)
 }
 
-func (v View) isHealthy() bool { return float64(v.Failing) <= healthyShare*float64(v.Hosts) }
+func (v ZoneHealth) isHealthy() bool { return float64(v.Failing) <= healthyShare*float64(v.Endpoints) }
 
 // isChangeDue reports whether the condition for the zone's next change (that it is healthy, if it is evacuated; else that
 // it fails) has held for long enough without a break.
-func (z *zoneState) isChangeDue(now int64, health View, isEvacuated bool) bool {
+func (z *zoneState) isChangeDue(now int64, health ZoneHealth, isEvacuated bool) bool {
 	if isEvacuated && !health.isHealthy() || !isEvacuated && !health.isFailing() {
 		z.since, z.blockedReported = 0, false
 		return false
@@ -152,19 +152,19 @@
 	return z.returnedAt != 0 && now-z.returnedAt < relapseWindow
 }
 
-func (z *zoneState) proposeReturn(now int64, health View) Say {
+func (z *zoneState) proposeReturn(now int64, health ZoneHealth) Proposal {
 	z.proposedAt, z.returnedAt, z.since = now, now, 0
-	return Say{View: health, Leaves: false, Why: "its hosts settle again"}
+	return Proposal{ZoneHealth: health, Evacuate: false, Reason: "its hosts settle again"}
 }
 
-func (z *zoneState) proposeEvacuation(now int64, health View) Say {
+func (z *zoneState) proposeEvacuation(now int64, health ZoneHealth) Proposal {
 	if z.isReturnRecent(now) {
 		z.relapses++
 	} else {
 		z.relapses = 0
 	}
 	z.proposedAt, z.since = now, 0
-	return Say{View: health, Leaves: true, Why: "its hosts fail for several"}
+	return Proposal{ZoneHealth: health, Evacuate: true, Reason: "its hosts fail for several"}
 }
 
 // capacity is what the zones in use have.
@@ -174,11 +174,11 @@
 	zones          int
 }
 
-func remainingCapacity(zones []View, evacuated []string) (remaining capacity) {
+func remainingCapacity(zones []ZoneHealth, evacuated []string) (remaining capacity) {
 	for _, health := range zones {
-		remaining.totalEndpoints += health.Hosts
-		if !slices.Contains(evacuated, health.Zone) && !slices.Contains(evacuated, Fails+health.Zone) {
-			remaining.endpoints += health.Hosts
+		remaining.totalEndpoints += health.Endpoints
+		if !slices.Contains(evacuated, health.Zone) && !slices.Contains(evacuated, AutomaticPrefix+health.Zone) {
+			remaining.endpoints += health.Endpoints
 			remaining.zones++
 		}
 	}
@@ -186,11 +186,11 @@
 }
 
 // canSpare reports whether enough remains without a zone that is in use.
-func (c *capacity) canSpare(zone View) bool {
-	return c.zones > 1 && float64(c.endpoints-zone.Hosts) >= Remains*float64(c.totalEndpoints)
+func (c *capacity) canSpare(zone ZoneHealth) bool {
+	return c.zones > 1 && float64(c.endpoints-zone.Endpoints) >= MinRemainingShare*float64(c.totalEndpoints)
 }
 
-func (c *capacity) remove(zone View) {
-	c.endpoints -= zone.Hosts
+func (c *capacity) remove(zone ZoneHealth) {
+	c.endpoints -= zone.Endpoints
 	c.zones--
 }
--- a/zones/controller_test.go
+++ b/evacuation/controller_test.go
@@ -1,4 +1,4 @@
-package zones
+package evacuation
 
 import (
 	"fmt"
@@ -12,16 +12,16 @@
 const tickInterval = 50 * millisecond
 
 // zonesOfEight returns zones z0, z1, ... of eight endpoints each, of which so many fail.
-func zonesOfEight(failing ...int) (zones []View) {
+func zonesOfEight(failing ...int) (zones []ZoneHealth) {
 	for n, f := range failing {
-		zones = append(zones, View{fmt.Sprint("z", n), 8, f})
+		zones = append(zones, ZoneHealth{fmt.Sprint("z", n), 8, f})
 	}
 	return zones
 }
 
 // controllerRun carries out each proposal at once and counts.
 type controllerRun struct {
-	controller Watch
+	controller Controller
 	now        int64
 	evacuated  []string
 
@@ -33,18 +33,18 @@
 	return &controllerRun{now: 1e12, evacuated: evacuated}
 }
 
-func (r *controllerRun) run(duration int64, zonesAt func(now int64) []View) {
+func (r *controllerRun) run(duration int64, zonesAt func(now int64) []ZoneHealth) {
 	for end := r.now + duration; r.now < end; r.now += tickInterval {
-		proposals, blocked := r.controller.Look(r.now, zonesAt(r.now), r.evacuated)
+		proposals, blocked := r.controller.Tick(r.now, zonesAt(r.now), r.evacuated)
 		r.blocked += len(blocked)
 		for _, p := range proposals {
 			r.changedAt = append(r.changedAt, r.now)
-			if p.Leaves {
+			if p.Evacuate {
 				r.evacuations++
-				r.evacuated = append(r.evacuated, Fails+p.Zone)
+				r.evacuated = append(r.evacuated, AutomaticPrefix+p.Zone)
 			} else {
 				r.returns++
-				r.evacuated = slices.DeleteFunc(r.evacuated, func(name string) bool { return name == Fails+p.Zone })
+				r.evacuated = slices.DeleteFunc(r.evacuated, func(name string) bool { return name == AutomaticPrefix+p.Zone })
 			}
 		}
 	}
@@ -69,11 +69,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newControllerRun()
-			r.run(10_000*millisecond, func(int64) []View { return zonesOfEight(c.failing...) })
+			r.run(10_000*millisecond, func(int64) []ZoneHealth { return zonesOfEight(c.failing...) })
 			if r.evacuations != c.evacuations || r.returns != c.returns || r.blocked != c.blocked {
 				t.Errorf("%d evacuations, %d returns, %d blocked", r.evacuations, r.returns, r.blocked)
 			}
-			r.run(10_000*millisecond, func(int64) []View { return zonesOfEight(make([]int, len(c.failing))...) })
+			r.run(10_000*millisecond, func(int64) []ZoneHealth { return zonesOfEight(make([]int, len(c.failing))...) })
 			if r.returns != c.evacuations || len(r.evacuated) != 0 {
 				t.Errorf("after recovery: %d returns, %v still evacuated", r.returns, r.evacuated)
 			}
@@ -84,7 +84,7 @@
 // A hiccup of a quarter of a second moves no traffic.
 func TestShortFailureIsIgnored(t *testing.T) {
 	r := newControllerRun()
-	r.run(10_000*millisecond, func(now int64) []View { return zonesOfEight(8*int(now/(250*millisecond)%2), 0, 0) })
+	r.run(10_000*millisecond, func(now int64) []ZoneHealth { return zonesOfEight(8*int(now/(250*millisecond)%2), 0, 0) })
 	if r.evacuations != 0 {
 		t.Errorf("%d evacuations for failures of 250 ms", r.evacuations)
 	}
@@ -94,7 +94,7 @@
 // gone: the last zone stays.
 func TestLastZoneBesideOperatorsStays(t *testing.T) {
 	r := newControllerRun("z1", "z2")
-	r.run(5000*millisecond, func(int64) []View { return zonesOfEight(8, 0, 0) })
+	r.run(5000*millisecond, func(int64) []ZoneHealth { return zonesOfEight(8, 0, 0) })
 	if r.evacuations != 0 || r.blocked != 1 {
 		t.Errorf("%d evacuations, %d blocked", r.evacuations, r.blocked)
 	}
@@ -105,7 +105,7 @@
 func TestFlappingZoneChangesEverMoreRarely(t *testing.T) {
 	r := newControllerRun()
 	began := r.now
-	r.run(300_000*millisecond, func(now int64) []View {
+	r.run(300_000*millisecond, func(now int64) []ZoneHealth {
 		return zonesOfEight(8*int((now-began)/(4000*millisecond)%2), 0, 0)
 	})
 	for n := 2; n < len(r.changedAt); n++ {
@@ -126,8 +126,8 @@
 		{301_000 * millisecond, returnHold},
 	} {
 		r := newControllerRun()
-		healthy := func(int64) []View { return zonesOfEight(0, 0) }
-		failing := func(int64) []View { return zonesOfEight(8, 0) }
+		healthy := func(int64) []ZoneHealth { return zonesOfEight(0, 0) }
+		failing := func(int64) []ZoneHealth { return zonesOfEight(8, 0) }
 		r.run(1000*millisecond, failing)
 		r.run(returnHold+tickInterval+c.healthyFor, healthy)
 		r.run(1000*millisecond, failing)
@@ -151,7 +151,7 @@
 	}
 	for seed := range uint64(seeds) {
 		random := rand.New(rand.NewPCG(seed, 6))
-		controller, now := &Watch{}, int64(1e12)
+		controller, now := &Controller{}, int64(1e12)
 		zone, failingOfHalf := random.IntN(3), 0
 		for step := range 400 {
 			failing := make([]int, 3)
@@ -168,7 +168,7 @@
 					failing[zone] = 8
 				}
 			}
-			if proposals, _ := controller.Look(now, zonesOfEight(failing...), nil); len(proposals) > 0 {
+			if proposals, _ := controller.Tick(now, zonesOfEight(failing...), nil); len(proposals) > 0 {
 				t.Fatalf("seed %d step %d: %+v", seed, step, proposals)
 			}
 			now += tickInterval
--- a/zones/ramp.go
+++ b/evacuation/ramp.go
@@ -1,4 +1,4 @@
-package zones
+package evacuation
 
 import "slices"
 
@@ -14,43 +14,43 @@
 
 // Path is one process's way out of a zone and back: the share of the keys that does not go there. The zero value stands
 // at the end of the way back.
-type Path struct {
+type Ramp struct {
 	share      float64 // from 0, none is kept away, to 1
 	advancedAt int64   // 0: not yet since the process started
 }
 
 // Terms are how long whole ways take, in nanoseconds.
-type Terms struct {
+type RampDurations struct {
 	// Leaves is the way out of a zone that an operator evacuated. One that fails is left at once: whatever still went
 	// there would get no answer.
-	Leaves int64
+	EvacuationNanos int64
 	// Returns is the way back: one and a half times the warm-up of an endpoint.
-	Returns int64
+	RecoveryNanos int64
 }
 
 // Begin places a process that starts where the others are: at 0 it would send all keys to endpoints that are cold. A
 // share that makes no sense counts as 1.
-func (r *Path) Begin(share float64) {
+func (r *Ramp) Start(share float64) {
 	if !(share >= 0 && share <= 1) { // Also false for NaN.
 		share = 1
 	}
-	*r = Path{share: share}
+	*r = Ramp{share: share}
 }
 
 // Stands returns the share and when it was reached, for the process that takes over from this one.
-func (r *Path) Stands() (share float64, at int64) { return r.share, r.advancedAt }
+func (r *Ramp) Position() (share float64, at int64) { return r.share, r.advancedAt }
 
 // Recall goes on from where the process before this one was at a time that may lie after now, as clocks differ.
-func (r *Path) Recall(share float64, at, now int64) {
-	r.Begin(share)
+func (r *Ramp) Resume(share float64, at, now int64) {
+	r.Start(share)
 	r.advancedAt = max(1, min(at, now))
 }
 
 // Look moves on to now and returns the share of the keys that does not go to the zone, in whole steps. evacuated is the
 // list in force. worksHere says that this is the process's own zone and does not fail for it: a zone that only its own
 // balancers reach stays in use there, except against an operator. slow says that reads miss for the whole fleet.
-func (r *Path) Look(now int64, zone string, evacuated []string, worksHere, slow bool, durations Terms) float64 {
-	byFleet := slices.Contains(evacuated, Fails+zone) && !worksHere
+func (r *Ramp) Advance(now int64, zone string, evacuated []string, worksHere, slow bool, durations RampDurations) float64 {
+	byFleet := slices.Contains(evacuated, AutomaticPrefix+zone) && !worksHere
 	byOperator := slices.Contains(evacuated, zone)
 	elapsed := float64(max(0, now-r.advancedAt))
 	if r.advancedAt == 0 { // It has just started: a zone that was evacuated before gets none of its keys.
@@ -67,15 +67,15 @@
 	case byFleet:
 		r.share = 1
 	case byOperator:
-		r.share = min(1, r.share+elapsed/float64(max(1, durations.Leaves)))
+		r.share = min(1, r.share+elapsed/float64(max(1, durations.EvacuationNanos)))
 	default:
-		r.share = max(0, r.share-elapsed/float64(max(1, durations.Returns)))
+		r.share = max(0, r.share-elapsed/float64(max(1, durations.RecoveryNanos)))
 	}
 	return r.roundedShare()
 }
 
 // roundedShare is the share rounded up to whole steps, so that processes whose clocks differ a little keep the same keys away.
-func (r *Path) roundedShare() float64 {
+func (r *Ramp) roundedShare() float64 {
 	steps := int(r.share*rampSteps + (1 - stepTolerance))
 	return float64(steps) / rampSteps
 }
--- a/zones/ramp_test.go
+++ b/evacuation/ramp_test.go
@@ -1,4 +1,4 @@
-package zones
+package evacuation
 
 import (
 	"math"
@@ -8,8 +8,8 @@
 // All keys at once overload a zone whose caches are cold. A process leaves a zone that fails at once, one that an
 // operator evacuated in steps, and returns in steps, more slowly while reads miss; a relapse on the way back is at once.
 func TestRampMovesInSteps(t *testing.T) {
-	durations := Terms{Leaves: 8000 * millisecond, Returns: 16_000 * millisecond}
-	var ramp Path
+	durations := RampDurations{EvacuationNanos: 8000 * millisecond, RecoveryNanos: 16_000 * millisecond}
+	var ramp Ramp
 	now := int64(1e12)
 	for n, step := range []struct {
 		after           int64
@@ -23,20 +23,20 @@
 		{4000 * millisecond, []string{"z"}, false, false, 1},
 		{1000 * millisecond, nil, false, false, 30.0 / 32},
 		{3000 * millisecond, nil, false, true, 0.90625},
-		{100 * millisecond, []string{"y", Fails + "z"}, false, false, 1},
+		{100 * millisecond, []string{"y", AutomaticPrefix + "z"}, false, false, 1},
 		{8000 * millisecond, nil, false, false, 0.5},
-		{100 * millisecond, []string{Fails + "z"}, false, false, 1}, // A relapse half-way.
+		{100 * millisecond, []string{AutomaticPrefix + "z"}, false, false, 1}, // A relapse half-way.
 		{60_000 * millisecond, nil, false, false, 0},
-		{100 * millisecond, []string{Fails + "z"}, true, false, 0}, // Its own zone, which works for it.
-		{8000 * millisecond, []string{"z"}, true, false, 1},        // But not against an operator.
+		{100 * millisecond, []string{AutomaticPrefix + "z"}, true, false, 0}, // Its own zone, which works for it.
+		{8000 * millisecond, []string{"z"}, true, false, 1},                  // But not against an operator.
 	} {
 		now += step.after
-		if got := ramp.Look(now, "z", step.evacuated, step.worksHere, step.slow, durations); got != step.want {
+		if got := ramp.Advance(now, "z", step.evacuated, step.worksHere, step.slow, durations); got != step.want {
 			t.Errorf("step %d: %v, want %v", n, got, step.want)
 		}
 	}
-	var started Path
-	if got := started.Look(now, "z", []string{"z"}, false, false, durations); got != 1 {
+	var started Ramp
+	if got := started.Advance(now, "z", []string{"z"}, false, false, durations); got != 1 {
 		t.Errorf("a process that starts sends %v of its keys to a zone that was evacuated before", 1-got)
 	}
 }
@@ -44,7 +44,7 @@
 // A process that started in the middle of a return sent all of its keys to cold endpoints at once. It starts where the
 // others are, and goes on from there; a share that makes no sense keeps all keys away.
 func TestRampStartsWhereOthersAre(t *testing.T) {
-	durations := Terms{Leaves: 10_000 * millisecond, Returns: 12_000 * millisecond}
+	durations := RampDurations{EvacuationNanos: 10_000 * millisecond, RecoveryNanos: 12_000 * millisecond}
 	for _, c := range []struct {
 		share        float64
 		evacuated    []string
@@ -55,15 +55,15 @@
 		{1, nil, 1, 0.75},
 		{0.5, []string{"z"}, 1, 1},
 		{0, []string{"z"}, 1, 1},
-		{0, []string{Fails + "z"}, 1, 1},
+		{0, []string{AutomaticPrefix + "z"}, 1, 1},
 		{math.NaN(), nil, 1, 0.75},
 		{7, nil, 1, 0.75},
 		{-1, nil, 1, 0.75},
 	} {
-		ramp, now := &Path{}, int64(1e12)
-		ramp.Begin(c.share)
-		first := ramp.Look(now, "z", c.evacuated, false, false, durations)
-		later := ramp.Look(now+3000*millisecond, "z", c.evacuated, false, false, durations)
+		ramp, now := &Ramp{}, int64(1e12)
+		ramp.Start(c.share)
+		first := ramp.Advance(now, "z", c.evacuated, false, false, durations)
+		later := ramp.Advance(now+3000*millisecond, "z", c.evacuated, false, false, durations)
 		if first != c.first || later != c.later {
 			t.Errorf("%v, evacuated %v: %v and %v, want %v and %v", c.share, c.evacuated, first, later, c.first, c.later)
 		}
--- a/signals/detector.go
+++ b/outlier/detector.go
@@ -12,7 +12,7 @@
 //   - Without messages from anybody, no endpoint stays ejected for longer than evidenceTimeout and a return.
 //
 // All times are nanoseconds of one monotonic clock of the caller; all spans are nanoseconds.
-package signals
+package outlier
 
 import (
 	"slices"
@@ -37,7 +37,7 @@
 }
 
 // NoZone is the zone of a member whose zone is not known. No zone has this number; earlier versions know no larger one.
-const NoZone = 255
+const UnknownZone = 255
 
 // endpointState is what this balancer observed of one endpoint, what others reported of it, and where it stands in the
 // life cycle of an ejection: in use (ejectedAt is 0), ejected, or returning (returnsAt is set).
@@ -73,7 +73,7 @@
 }
 
 // Board is one balancer's outlier detector. New makes one.
-type Board struct {
+type Detector struct {
 	self        Member
 	incarnation uint64
 
@@ -102,26 +102,26 @@
 	zonesSeen zoneSet // scratch of the functions that count zones
 
 	// Told counts messages sent, Took those accepted, Late those older than one accepted before, Odd those from no member.
-	Told, Took, Late, Odd int
+	MessagesSent, MessagesAccepted, MessagesStale, MessagesFromUnknown int
 }
 
 // New returns a detector without evidence. incarnation tells it from an earlier process with the same ID and must be
 // larger than that one's.
-func New(self Member, incarnation uint64) *Board {
-	d := &Board{
+func New(self Member, incarnation uint64) *Detector {
+	d := &Detector{
 		self:        self,
 		incarnation: incarnation,
 		endpoints:   map[uint32]*endpointState{},
 		active:      map[uint32]*endpointState{},
 		senders:     map[uint32]senderState{},
 	}
-	d.Members(nil)
+	d.SetMembers(nil)
 	return d
 }
 
 // Members replaces the members whose messages are taken; self may be among them or not. What members reported that are
 // not among these is dropped.
-func (d *Board) Members(members []Member) {
+func (d *Detector) SetMembers(members []Member) {
 	d.members = append(d.members[:0], d.self)
 	for _, m := range members {
 		if m.ID != d.self.ID && len(d.members) < MaxMembers {
@@ -137,18 +137,18 @@
 }
 
 // countZones counts the zones that members are known to be in.
-func (d *Board) countZones() {
+func (d *Detector) countZones() {
 	d.zonesSeen.clear()
 	d.zoneCount = 0
 	for _, m := range d.members {
-		if m.Zone != NoZone && d.zonesSeen.add(m.Zone) {
+		if m.Zone != UnknownZone && d.zonesSeen.add(m.Zone) {
 			d.zoneCount++
 		}
 	}
 }
 
 // dropDepartedMembers forgets the reports of those who are no longer members: they are no witnesses any more.
-func (d *Board) dropDepartedMembers() {
+func (d *Detector) dropDepartedMembers() {
 	isDeparted := func(id uint32) bool {
 		_, ok := d.memberIndex[id]
 		return !ok
@@ -164,7 +164,7 @@
 }
 
 // Hosts replaces the listed endpoints by those with these IDs (see HashName). Evidence about others is dropped.
-func (d *Board) Hosts(ids []uint32) {
+func (d *Detector) SetEndpoints(ids []uint32) {
 	d.listedCount = min(len(ids), maxEndpoints)
 	listed := make(map[uint32]bool, d.listedCount)
 	for _, id := range ids[:d.listedCount] {
@@ -183,10 +183,10 @@
 
 // Delay sets how late messages arrive here, in nanoseconds, as far as the caller knows. Ejections and returns are spread
 // over four times that, so that the fleet sees the effect of the first balancers before the last ones follow.
-func (d *Board) Delay(delay int64) { d.messageDelay = min(max(0, delay), maxMessageDelay) }
+func (d *Detector) SetMessageDelay(delay int64) { d.messageDelay = min(max(0, delay), maxMessageDelay) }
 
 // Look decides which endpoints are ejected. The caller runs it at each tick of its clock and after each message.
-func (d *Board) Look(now int64) {
+func (d *Detector) Tick(now int64) {
 	d.ejectedCount, d.storedReports = 0, 0
 	for id, endpoint := range d.active {
 		endpoint.dropExpiredReports(now)
--- a/signals/ejection.go
+++ b/outlier/ejection.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "hollylever/rendezvous"
 
@@ -30,7 +30,7 @@
 )
 
 // updateEjection moves an endpoint through its life cycle: in use, ejected, returning, and in use again.
-func (d *Board) updateEjection(now int64, id uint32, endpoint *endpointState) {
+func (d *Detector) updateEjection(now int64, id uint32, endpoint *endpointState) {
 	recent := d.collectEvidence(now, endpoint, ejectionWindow)
 	lastSuccess, _ := d.lastSuccessSeen(endpoint, recent.latestFailureInZone)
 	isFailing := lastSuccess < recent.latestFailure && d.hasConsensus(recent)
@@ -49,7 +49,7 @@
 
 // eject begins an ejection. Members stop using the endpoint one after another, in their order for it; one that has not
 // taken it into use again since the ejection before just stays away.
-func (d *Board) eject(now int64, id uint32, endpoint *endpointState) {
+func (d *Detector) eject(now int64, id uint32, endpoint *endpointState) {
 	if endpoint.ejectionEndedAt != 0 && now-endpoint.ejectionEndedAt < relapseWindow {
 		endpoint.relapses++
 	} else {
@@ -65,7 +65,7 @@
 
 // hasRecovered reports whether an ejection is over: the endpoint succeeded since for somebody who counts here, or the
 // evidence has expired. The latter guards against an ejection that never ends because nobody can report any more.
-func (d *Board) hasRecovered(now int64, endpoint *endpointState) bool {
+func (d *Detector) hasRecovered(now int64, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	lastSuccess, _ := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
 	return lastSuccess > endpoint.ejectedAt || d.collectEvidence(now, endpoint, evidenceTimeout).witnesses == 0
@@ -73,7 +73,7 @@
 
 // beginReturn sets when this balancer takes the endpoint into use again. Members return one after another, the more
 // slowly the more often a return did not last.
-func (d *Board) beginReturn(now int64, id uint32, endpoint *endpointState) {
+func (d *Detector) beginReturn(now int64, id uint32, endpoint *endpointState) {
 	spread := max(minReturnSpread, delaysPerSpread*d.messageDelay) << min(endpoint.relapses, maxReturnDoublings)
 	spread = min(maxReturnSpread, spread)
 	endpoint.ejectionEndedAt = now
@@ -84,7 +84,7 @@
 
 // Penalty returns what the fleet's evidence takes from an endpoint's chance of success here: 0 for nothing, 1 for all of
 // it, or ProbePenalty.
-func (d *Board) Penalty(now int64, id uint32) float64 {
+func (d *Detector) Penalty(now int64, id uint32) float64 {
 	endpoint := d.endpoints[id]
 	switch {
 	case endpoint == nil || !d.isAvoided(now, endpoint):
@@ -96,7 +96,7 @@
 }
 
 // isAvoided reports whether this balancer acts on an endpoint's ejection now.
-func (d *Board) isAvoided(now int64, endpoint *endpointState) bool {
+func (d *Detector) isAvoided(now int64, endpoint *endpointState) bool {
 	switch {
 	case !endpoint.isEjected():
 		return false
@@ -112,7 +112,7 @@
 
 // Sent records that an attempt goes to an endpoint, which uses up a probe lease. It returns the penalty from then on,
 // and whether the endpoint is ejected at all.
-func (d *Board) Sent(now int64, id uint32) (penalty float64, ejected bool) {
+func (d *Detector) RecordAttempt(now int64, id uint32) (penalty float64, ejected bool) {
 	endpoint := d.active[id]
 	if endpoint == nil || !endpoint.isEjected() {
 		return 0, false
@@ -122,7 +122,7 @@
 }
 
 // Heeded calls visit with each endpoint that is ejected or was until lately, and its penalty, in no particular order.
-func (d *Board) Heeded(now int64, visit func(id uint32, penalty float64)) {
+func (d *Detector) EachEjection(now int64, visit func(id uint32, penalty float64)) {
 	for id, endpoint := range d.active {
 		endedLately := endpoint.ejectionEndedAt != 0 && now-endpoint.ejectionEndedAt < evidenceTimeout+maxReturnSpread
 		if endpoint.isEjected() || endedLately {
@@ -133,7 +133,7 @@
 
 // spreadPosition is this balancer's place among the members for an endpoint, from 0 (first) to under 1. Places are ranks
 // and no random draws, so that equally many members move in each part of a spread.
-func (d *Board) spreadPosition(id uint32) float64 {
+func (d *Detector) spreadPosition(id uint32) float64 {
 	// The complement makes this order another one than that of probes.
 	ownScore, before := memberScore(^id, d.self.ID), 0
 	for _, m := range d.members {
--- a/signals/ejection_test.go
+++ b/outlier/ejection_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"os"
@@ -103,7 +103,7 @@
 	}
 	// The first three in its order are dead, and nobody knows yet.
 	inOrder := slices.Clone(s.detectors)
-	slices.SortFunc(inOrder, func(a, b *Board) int {
+	slices.SortFunc(inOrder, func(a, b *Detector) int {
 		if memberScore(s.endpoints[5], a.self.ID) > memberScore(s.endpoints[5], b.self.ID) {
 			return -1
 		}
@@ -138,7 +138,7 @@
 		s := newSimulation(t, 6, balancers, 24, 1)
 		s.messageDelay = delay
 		for _, detector := range s.detectors {
-			detector.Delay(delay * 3 / 2)
+			detector.SetMessageDelay(delay * 3 / 2)
 		}
 		s.failureRates[7] = 1
 		s.run(8000*millisecond+4*delay, 1)
@@ -233,8 +233,8 @@
 	case 7: // A new process of the same name, which knows nothing.
 		previous := s.detectors[balancer]
 		s.detectors[balancer] = New(previous.self, previous.incarnation+1)
-		s.detectors[balancer].Members(previous.members)
-		s.detectors[balancer].Hosts(s.endpoints)
+		s.detectors[balancer].SetMembers(previous.members)
+		s.detectors[balancer].SetEndpoints(s.endpoints)
 	}
 }
 
--- a/signals/evidence.go
+++ b/outlier/evidence.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "math"
 
@@ -32,7 +32,7 @@
 }
 
 // collectEvidence sums up what this balancer observed and what others reported, as far as it is younger than window.
-func (d *Board) collectEvidence(now int64, endpoint *endpointState, window int64) evidence {
+func (d *Detector) collectEvidence(now int64, endpoint *endpointState, window int64) evidence {
 	d.zonesSeen.clear()
 	var sum evidence
 	count := func(zone uint16, failures int, first, latest int64) {
@@ -68,7 +68,7 @@
 // with probability f^r, and there are at most n^w such sets. Over all endpoints that must stay below 1/chanceMargin:
 //
 //	f^r * n^w * (endpoints+1) <= 1/chanceMargin, in logarithms below
-func (d *Board) hasConsensus(e evidence) bool {
+func (d *Detector) hasConsensus(e evidence) bool {
 	if e.witnesses < minWitnesses || e.zones < min(minWitnessZones, d.zoneCount) {
 		return false
 	}
@@ -82,7 +82,7 @@
 //
 // So an endpoint that only its own zone reaches stays in use there, and one that only other zones reach is ejected here,
 // but for probes.
-func (d *Board) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, elsewhere int64) {
+func (d *Detector) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, elsewhere int64) {
 	last = endpoint.lastSuccess
 	for _, r := range endpoint.reports {
 		switch {
--- a/signals/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "testing"
 
@@ -28,14 +28,14 @@
 		for n := range c.endpoints {
 			endpoints = append(endpoints, uint32(1000+n))
 		}
-		detector.Members(members)
-		detector.Hosts(endpoints)
+		detector.SetMembers(members)
+		detector.SetEndpoints(endpoints)
 		for n := range c.attempts {
 			observation := Success
 			if c.failures > 0 && n%(c.attempts/c.failures) == 0 {
 				observation = Failure
 			}
-			detector.Saw(1e12, endpoints[1], observation)
+			detector.Observe(1e12, endpoints[1], observation)
 		}
 		got := 1
 		for ; got <= maxFailuresPerWitness; got++ {
@@ -53,12 +53,12 @@
 // begin at 0.005 and are never taken for lower than one in 1,000.
 func TestFailureRateHasFloor(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
-	detector.Hosts([]uint32{1000})
+	detector.SetEndpoints([]uint32{1000})
 	if rate := detector.failureRate(); rate != 0.005 {
 		t.Errorf("it begins at %v", rate)
 	}
 	for range 100_000 {
-		detector.Saw(1e12, 1000, Success)
+		detector.Observe(1e12, 1000, Success)
 	}
 	if rate := detector.failureRate(); rate != 0.001 {
 		t.Errorf("after 100,000 successes it is %v", rate)
--- a/signals/exchange.go
+++ b/outlier/exchange.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"cmp"
@@ -32,18 +32,18 @@
 
 // HandleMessage records what another balancer reports. Messages of nobody known, repeats, and messages older than one
 // accepted before are counted and otherwise ignored: merging must not depend on the network's order.
-func (d *Board) Hear(now int64, m *Message) {
+func (d *Detector) HandleMessage(now int64, m *Message) {
 	index := d.memberIndex[m.From] // 0 for this balancer and for those that are no members.
 	if index == 0 {
-		d.Odd++
+		d.MessagesFromUnknown++
 		return
 	}
 	previous := d.senders[m.From]
 	if m.Incarnation < previous.incarnation || m.Incarnation == previous.incarnation && m.Seq <= previous.seq {
-		d.Late++
+		d.MessagesStale++
 		return
 	}
-	d.Took++
+	d.MessagesAccepted++
 	zone := d.learnZone(index, m.Zone)
 	d.senders[m.From] = senderState{m.Incarnation, m.Seq, zone, float64(min(m.MissPercent, 100)) / 100, now}
 	for _, r := range m.Reports {
@@ -59,9 +59,9 @@
 
 // learnZone returns the zone of a member: as this balancer knows it, or else as the member says. Each process numbers
 // zones for itself, so that the former goes first.
-func (d *Board) learnZone(index int, stated uint16) uint16 {
+func (d *Detector) learnZone(index int, stated uint16) uint16 {
 	member := &d.members[index]
-	if member.Zone == NoZone && stated != NoZone {
+	if member.Zone == UnknownZone && stated != UnknownZone {
 		member.Zone = stated
 		d.countZones()
 	}
@@ -70,7 +70,7 @@
 
 // storeReport keeps a report in place of its sender's last one. If there are too many, the one that was received longest
 // ago gives way.
-func (d *Board) storeReport(endpoint *endpointState, report storedReport) {
+func (d *Detector) storeReport(endpoint *endpointState, report storedReport) {
 	index, known := endpoint.findReport(report.sender)
 	if known {
 		previous := &endpoint.reports[index]
@@ -115,7 +115,7 @@
 
 // Tell returns the message that is due, or nil: at once after a change, repeated while something fails, and none while
 // all is well. The caller sends it to all members.
-func (d *Board) Tell(now int64) *Message {
+func (d *Detector) NextMessage(now int64) *Message {
 	sinceLast := now - d.lastSentAt
 	if sinceLast < minMessageInterval || !d.urgent && sinceLast < repeatInterval {
 		return nil
@@ -134,13 +134,13 @@
 	m.Reports = d.selectReports(now, m.Reports)
 	d.lastSeq++
 	m.Seq, d.lastSentAt = d.lastSeq, now
-	d.Told++
+	d.MessagesSent++
 	return m
 }
 
 // reportsDue returns a report of each endpoint of which others should hear, in no particular order. There are none while
 // more than maxEjectedShare of the endpoints fail here: the cause is behind all of them, or this balancer's own network.
-func (d *Board) reportsDue(now int64) (reports []Report) {
+func (d *Detector) reportsDue(now int64) (reports []Report) {
 	if float64(d.countFailing(now)) > maxEjectedShare*float64(d.listedCount) {
 		return nil
 	}
@@ -160,7 +160,7 @@
 }
 
 // countFailing counts the endpoints whose latest attempts of this balancer failed.
-func (d *Board) countFailing(now int64) (failing int) {
+func (d *Detector) countFailing(now int64) (failing int) {
 	for _, endpoint := range d.active {
 		if endpoint.consecutiveFailures > 0 && now-endpoint.lastFailure < evidenceTimeout {
 			failing++
@@ -171,7 +171,7 @@
 
 // isFailureDue reports whether others should hear of an endpoint's failures here. Once it is ejected everywhere, only
 // failures since then, those of probes, are news.
-func (d *Board) isFailureDue(now int64, endpoint *endpointState) bool {
+func (d *Detector) isFailureDue(now int64, endpoint *endpointState) bool {
 	if endpoint.consecutiveFailures == 0 || now-endpoint.lastFailure >= evidenceTimeout {
 		return false
 	}
@@ -184,7 +184,7 @@
 
 // selectReports returns as many reports as a message holds: those first that were sent longest ago or never, of these
 // the most recent. If one is left out that says more than was sent of its endpoint, the next message is due at once.
-func (d *Board) selectReports(now int64, reports []Report) []Report {
+func (d *Detector) selectReports(now int64, reports []Report) []Report {
 	slices.SortFunc(reports, func(a, b Report) int { // Ties go by endpoint, so that a run can be repeated.
 		return cmp.Or(
 			cmp.Compare(d.endpoints[a.Endpoint].sentAt, d.endpoints[b.Endpoint].sentAt),
--- a/signals/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"math/rand/v2"
@@ -17,12 +17,12 @@
 			members = append(members, Member{uint32(id + 1), uint16(id % 2)})
 		}
 		detector := New(members[0], 1)
-		detector.Members(members)
-		detector.Hosts(endpoints)
+		detector.SetMembers(members)
+		detector.SetEndpoints(endpoints)
 		for _, m := range messages {
-			detector.Hear(1e12, m)
+			detector.HandleMessage(1e12, m)
 		}
-		detector.Look(1e12)
+		detector.Tick(1e12)
 		for _, id := range endpoints {
 			ejected = append(ejected, detector.endpoints[id].isEjected())
 		}
@@ -52,34 +52,34 @@
 // A late message of a process that is over spoke for the one that came after it, with failures of before its start.
 func TestStaleIncarnationIsIgnored(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
-	detector.Members([]Member{{2, 0}, {3, 0}})
-	detector.Hosts([]uint32{1000})
+	detector.SetMembers([]Member{{2, 0}, {3, 0}})
+	detector.SetEndpoints([]uint32{1000})
 	success, failure := []Report{{Endpoint: 1000}}, []Report{{Endpoint: 1000, ConsecutiveFailures: 9}}
-	detector.Hear(1e12, &Message{From: 2, Incarnation: 5, Seq: 1, Reports: success})
-	detector.Hear(1e12, &Message{From: 2, Incarnation: 4, Seq: 9, Reports: failure})
-	detector.Hear(1e12, &Message{From: 9, Incarnation: 4, Seq: 9, Reports: failure})
-	detector.Hear(1e12, &Message{From: 1, Incarnation: 4, Seq: 9, Reports: failure})
-	if detector.Took != 1 || detector.Late != 1 || detector.Odd != 2 {
-		t.Errorf("%d accepted, %d stale, %d from unknown senders", detector.Took, detector.Late, detector.Odd)
+	detector.HandleMessage(1e12, &Message{From: 2, Incarnation: 5, Seq: 1, Reports: success})
+	detector.HandleMessage(1e12, &Message{From: 2, Incarnation: 4, Seq: 9, Reports: failure})
+	detector.HandleMessage(1e12, &Message{From: 9, Incarnation: 4, Seq: 9, Reports: failure})
+	detector.HandleMessage(1e12, &Message{From: 1, Incarnation: 4, Seq: 9, Reports: failure})
+	if detector.MessagesAccepted != 1 || detector.MessagesStale != 1 || detector.MessagesFromUnknown != 2 {
+		t.Errorf("%d accepted, %d stale, %d from unknown senders", detector.MessagesAccepted, detector.MessagesStale, detector.MessagesFromUnknown)
 	}
 }
 
 const largeFleet = 1024
 
 // newLargeFleetDetector returns the detector of one of 1,024 members, each in a zone of its own, with 1,024 endpoints.
-func newLargeFleetDetector() *Board {
+func newLargeFleetDetector() *Detector {
 	detector := New(Member{1, 0}, 1)
 	var members []Member
 	var endpoints []uint32
 	for n := range uint32(largeFleet) {
 		zone := uint16(n)
-		if zone >= NoZone {
+		if zone >= UnknownZone {
 			zone++
 		}
 		members, endpoints = append(members, Member{n + 1, zone}), append(endpoints, 5000+n)
 	}
-	detector.Members(members)
-	detector.Hosts(endpoints)
+	detector.SetMembers(members)
+	detector.SetEndpoints(endpoints)
 	return detector
 }
 
@@ -91,17 +91,17 @@
 	expectAllReported := func(observation Observation, fails bool) {
 		t.Helper()
 		for n := range uint32(failing) {
-			detector.Saw(now, 5000+n, observation)
-			detector.Saw(now, 5000+n, observation)
+			detector.Observe(now, 5000+n, observation)
+			detector.Observe(now, 5000+n, observation)
 		}
 		reported := map[uint32]bool{}
 		for range (failing + maxReportsPerMessage - 1) / maxReportsPerMessage {
 			now += minMessageInterval
-			m := detector.Tell(now)
+			m := detector.NextMessage(now)
 			if m == nil {
 				break
 			}
-			if size := len(m.Pack()); size > MostBytes {
+			if size := len(m.Encode()); size > MaxMessageBytes {
 				t.Fatalf("a message has %d bytes", size)
 			}
 			for _, r := range m.Reports {
@@ -116,7 +116,7 @@
 	}
 	expectAllReported(Failure, true)
 	now += minMessageInterval
-	if detector.Tell(now); detector.urgent {
+	if detector.NextMessage(now); detector.urgent {
 		t.Error("another message is due at once, though all was reported")
 	}
 	expectAllReported(Success, false)
@@ -131,11 +131,11 @@
 		for _, id := range endpoints {
 			m.Reports = append(m.Reports, Report{Endpoint: id, ConsecutiveFailures: 2, AgeMillis: 10})
 		}
-		m, err := Unpack(m.Pack())
+		m, err := DecodeMessage(m.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
-		detector.Hear(now, m)
+		detector.HandleMessage(now, m)
 	}
 	for from := 2; from <= largeFleet; from++ {
 		report(from, 5000)
--- a/signals/message.go
+++ b/outlier/message.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 const (
 	// MostBytes bounds an encoded message, so that it fits into one datagram beside the membership exchange.
-	MostBytes = 256
+	MaxMessageBytes = 256
 	// maxReportsPerMessage is how many of the largest reports fit into MaxMessageBytes.
 	maxReportsPerMessage = 18
 )
@@ -53,7 +53,7 @@
 }()
 
 // Pack returns the form in which a message travels between processes.
-func (m *Message) Pack() []byte {
+func (m *Message) Encode() []byte {
 	encoded, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err) // Message has no field that cannot be encoded.
@@ -63,8 +63,8 @@
 
 // Unpack reads a message that a peer sent. It returns ErrMessageTooLarge, or an error of the cbor package, for anything
 // that no Encode wrote.
-func Unpack(encoded []byte) (*Message, error) {
-	if len(encoded) > MostBytes {
+func DecodeMessage(encoded []byte) (*Message, error) {
+	if len(encoded) > MaxMessageBytes {
 		return nil, ErrMessageTooLarge
 	}
 	message := &Message{}
@@ -79,7 +79,7 @@
 
 // ID returns the number that stands for the name of an endpoint or a member in messages. Two names share one in some
 // billions of pairs; their evidence is mixed up then.
-func ID(name string) uint32 {
+func HashName(name string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
 	return sum.Sum32()
--- a/signals/message_test.go
+++ b/outlier/message_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "testing"
 
@@ -8,7 +8,7 @@
 	for n := range uint32(maxReportsPerMessage) {
 		m.Reports = append(m.Reports, Report{Endpoint: 1<<32 - 1 - n, ConsecutiveFailures: maxReportedFailures, AgeMillis: 1<<16 - 1})
 	}
-	if size := len(m.Pack()); size > MostBytes {
+	if size := len(m.Encode()); size > MaxMessageBytes {
 		t.Errorf("it has %d bytes", size)
 	}
 }
@@ -16,20 +16,20 @@
 // Whatever bytes a peer sends, nothing panics.
 func FuzzDecodeMessage(f *testing.F) {
 	reports := []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}}
-	f.Add((&Message{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: reports}).Pack())
+	f.Add((&Message{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: reports}).Encode())
 	f.Add([]byte{0x85, 0xff})
 	f.Fuzz(func(_ *testing.T, encoded []byte) {
-		m, err := Unpack(encoded)
+		m, err := DecodeMessage(encoded)
 		if err != nil {
 			return
 		}
 		detector := New(Member{1, 0}, 1)
-		detector.Members([]Member{{m.From, 0}})
+		detector.SetMembers([]Member{{m.From, 0}})
 		for _, r := range m.Reports {
-			detector.Hosts([]uint32{r.Endpoint})
+			detector.SetEndpoints([]uint32{r.Endpoint})
 		}
-		detector.Hear(1e12, m)
-		detector.Look(1e12)
+		detector.HandleMessage(1e12, m)
+		detector.Tick(1e12)
 		detector.Status(1e12)
 	})
 }
--- a/signals/missrate.go
+++ b/outlier/missrate.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "math"
 
@@ -65,7 +65,7 @@
 // Misses takes this balancer's reads and misses since its start, and reports whether reads miss for the whole fleet: for
 // a third of the members, two at least, in two zones where there are more. The alarm lasts for minAlarmDuration, and
 // until fewer than these have an elevated rate.
-func (d *Board) Misses(now int64, reads, misses int) bool {
+func (d *Detector) UpdateMissRate(now int64, reads, misses int) bool {
 	wasHigh := d.misses.value >= highMissRate
 	d.misses.update(now, reads, misses)
 	if !wasHigh && d.misses.value >= highMissRate {
@@ -83,7 +83,7 @@
 }
 
 // countMissVotes counts this balancer and those that reported lately.
-func (d *Board) countMissVotes(now int64) (votes missVotes) {
+func (d *Detector) countMissVotes(now int64) (votes missVotes) {
 	d.zonesSeen.clear()
 	count := func(rate float64, zone uint16) {
 		if rate >= elevatedMissRate {
--- a/signals/missrate_test.go
+++ b/outlier/missrate_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import "testing"
 
@@ -20,17 +20,17 @@
 		for id := range uint32(12) {
 			members = append(members, Member{id + 1, uint16(id % 3)})
 		}
-		detector.Members(members)
+		detector.SetMembers(members)
 		now := int64(1e12)
 		for seq := range uint32(2) {
 			for _, from := range c.from {
-				detector.Hear(now, &Message{From: from, Incarnation: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), MissPercent: 60})
+				detector.HandleMessage(now, &Message{From: from, Incarnation: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), MissPercent: 60})
 			}
 		}
-		if got := detector.Misses(now, 100, c.own); got != c.want {
+		if got := detector.UpdateMissRate(now, 100, c.own); got != c.want {
 			t.Errorf("%v: %t", c.from, got)
 		}
-		if detector.Misses(now+minAlarmDuration+1, 300, c.own+20) {
+		if detector.UpdateMissRate(now+minAlarmDuration+1, 300, c.own+20) {
 			t.Errorf("%v: it does not end", c.from)
 		}
 	}
@@ -39,8 +39,8 @@
 // A message that only says how many reads miss is sent, and is small.
 func TestMissRateIsReportedWithoutReports(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
-	detector.Misses(1e12, 100, 50)
-	if m := detector.Tell(1e12); m == nil || m.MissPercent != 50 || len(m.Pack()) > 40 {
+	detector.UpdateMissRate(1e12, 100, 50)
+	if m := detector.NextMessage(1e12); m == nil || m.MissPercent != 50 || len(m.Encode()) > 40 {
 		t.Errorf("%+v", m)
 	}
 }
--- a/signals/observation.go
+++ b/outlier/observation.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"fmt"
@@ -22,7 +22,7 @@
 
 const (
 	// Nothing is the observation of an attempt whose end says nothing of the endpoint.
-	Nothing Observation = iota
+	Inconclusive Observation = iota
 	// Success is an answer, whatever it says.
 	Success
 	// Failure is an attempt that ended in an error, a timeout or a reset.
@@ -34,7 +34,7 @@
 // String returns the observation's name for logs.
 func (o Observation) String() string {
 	switch o {
-	case Nothing:
+	case Inconclusive:
 		return "inconclusive"
 	case Success:
 		return "success"
@@ -60,7 +60,7 @@
 // Of classifies an attempt that ended with outcome after took, where expected is the latency objective of its request
 // (any unit, the same for both). An attempt that was cancelled counts as failed if it had used half of that: hedging
 // would otherwise hide an endpoint that hangs.
-func Of(outcome policy.Outcome, took, expected int64) Observation {
+func Classify(outcome policy.Outcome, took, expected int64) Observation {
 	switch outcome {
 	case policy.OK, policy.Missing:
 		return Success
@@ -73,16 +73,16 @@
 			return Failure
 		}
 	}
-	return Nothing
+	return Inconclusive
 }
 
 // Saw records what an own attempt told of its endpoint. Endpoints that are not listed are ignored.
-func (d *Board) Saw(now int64, id uint32, observation Observation) {
+func (d *Detector) Observe(now int64, id uint32, observation Observation) {
 	endpoint := d.endpoints[id]
 	if endpoint == nil {
 		return
 	}
-	if observation != Nothing && !endpoint.isEjected() {
+	if observation != Inconclusive && !endpoint.isEjected() {
 		d.updateFailureRate(observation)
 	}
 	switch observation {
@@ -95,7 +95,7 @@
 }
 
 // recordSuccess ends a run of failures. If others may act on that run they are told at once that it is over.
-func (d *Board) recordSuccess(now int64, endpoint *endpointState) {
+func (d *Detector) recordSuccess(now int64, endpoint *endpointState) {
 	endpoint.lastSuccess = now
 	if endpoint.consecutiveFailures >= d.reportThreshold() || endpoint.isEjected() {
 		endpoint.recoveryReportsDue = recoveryRepeats
@@ -106,7 +106,7 @@
 
 // recordFailure prolongs a run of failures, and makes a message due at once while each further failure still counts for
 // others, or where the endpoint is ejected and they wait for the outcome of probes.
-func (d *Board) recordFailure(now int64, endpoint *endpointState, failures int) {
+func (d *Detector) recordFailure(now int64, endpoint *endpointState, failures int) {
 	before := endpoint.consecutiveFailures
 	endpoint.consecutiveFailures = min(maxReportedFailures, before+failures)
 	endpoint.lastFailure, endpoint.recoveryReportsDue = now, 0
@@ -116,7 +116,7 @@
 }
 
 // updateFailureRate counts an attempt at an endpoint that is not ejected.
-func (d *Board) updateFailureRate(observation Observation) {
+func (d *Detector) updateFailureRate(observation Observation) {
 	const decay = 1 - 1/failureRateAttempts
 	d.decayedFailures *= decay
 	d.decayedAttempts = d.decayedAttempts*decay + 1
@@ -126,12 +126,12 @@
 }
 
 // failureRate is the chance that an attempt fails at an endpoint that nobody holds for an outlier. It begins at 0.005.
-func (d *Board) failureRate() float64 {
+func (d *Detector) failureRate() float64 {
 	return max(minFailureRate, (d.decayedFailures+0.5)/(d.decayedAttempts+100))
 }
 
 // reportThreshold is from how many consecutive failures on an endpoint is reported.
-func (d *Board) reportThreshold() int {
+func (d *Detector) reportThreshold() int {
 	if d.failureRate() <= rareFailureRate {
 		return 1
 	}
--- a/signals/probe.go
+++ b/outlier/probe.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 const (
 	// minProbeDelay is how long after a failure an ejected endpoint is probed again at the earliest.
@@ -19,7 +19,7 @@
 // of. After the probe delay the first member in the endpoint's order may probe, a step later the second too, and so on;
 // each further failure starts the delay again for all. Two probe at once only where a report takes longer than a step.
 // Where another zone has seen the endpoint succeed, the first member of this zone need not wait for the others.
-func (d *Board) holdsProbeLease(now int64, id uint32, endpoint *endpointState) bool {
+func (d *Detector) holdsProbeLease(now int64, id uint32, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	_, successElsewhere := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
 	rank, rankInZone := d.probeRank(id, endpoint)
@@ -37,7 +37,7 @@
 // probeRank counts the members that may probe an endpoint before this one, among all and in this one's zone. Members are
 // ordered by their latest failure at it, the earliest first, and by score among equals: one whose own network is
 // broken, and whose probes fail for that, stands last and does not keep the endpoint from the others.
-func (d *Board) probeRank(id uint32, endpoint *endpointState) (rank, rankInZone int) {
+func (d *Detector) probeRank(id uint32, endpoint *endpointState) (rank, rankInZone int) {
 	latestFailure := make(map[uint32]int64, len(endpoint.reports))
 	for _, r := range endpoint.reports {
 		if r.consecutiveFailures > 0 {
--- a/signals/simulation_test.go
+++ b/outlier/simulation_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	now    int64
 	trace  hash.Hash // of all messages and attempts; nil: none is kept
 
-	detectors    []*Board
+	detectors    []*Detector
 	alive        []bool // by detector
 	disconnected []bool // by detector: all its attempts fail
 	lyingMember  int    // reports 200 failures of whatever it reports; -1: nobody does
@@ -61,8 +61,8 @@
 	}
 	for _, m := range members {
 		detector := New(m, 1)
-		detector.Members(members)
-		detector.Hosts(s.endpoints)
+		detector.SetMembers(members)
+		detector.SetEndpoints(s.endpoints)
 		s.detectors = append(s.detectors, detector)
 	}
 	return s
@@ -96,9 +96,9 @@
 		if !s.alive[n] {
 			continue
 		}
-		detector.Look(s.now)
-		if m := detector.Tell(s.now); m != nil {
-			if size := len(m.Pack()); size > MostBytes {
+		detector.Tick(s.now)
+		if m := detector.NextMessage(s.now); m != nil {
+			if size := len(m.Encode()); size > MaxMessageBytes {
 				s.tb.Fatalf("a message has %d bytes", size)
 			}
 			if s.lyingMember == n {
@@ -106,7 +106,7 @@
 					m.Reports[i].ConsecutiveFailures = 200
 				}
 			}
-			s.send(n, m.Pack())
+			s.send(n, m.Encode())
 		}
 		for remaining := attempts; remaining > 0; remaining-- {
 			if s.random.Float64() < remaining {
@@ -123,12 +123,12 @@
 			later = append(later, d)
 			continue
 		}
-		m, err := Unpack(d.payload)
+		m, err := DecodeMessage(d.payload)
 		if err != nil {
 			s.tb.Fatal(err)
 		}
 		if s.alive[d.to] {
-			s.detectors[d.to].Hear(s.now, m)
+			s.detectors[d.to].HandleMessage(s.now, m)
 		}
 	}
 	s.inTransit = later
@@ -147,16 +147,16 @@
 	if s.random.Float64() < penalty || penalty >= 0 && failedLately && s.random.Float64() < 0.9 {
 		return
 	}
-	penalty, ejected := detector.Sent(s.now, id)
+	penalty, ejected := detector.RecordAttempt(s.now, id)
 	s.record("attempt %d %d %d %v %t\n", s.now, balancer, id, penalty, ejected)
 	if s.random.Float64() >= s.failureRates[chosen] && !s.disconnected[balancer] {
-		detector.Saw(s.now, id, Success)
+		detector.Observe(s.now, id, Success)
 		return
 	}
 	if s.failureRates[chosen] > 0 {
 		s.failedAttempts++
 	}
-	detector.Saw(s.now, id, Failure)
+	detector.Observe(s.now, id, Failure)
 }
 
 func (s *simulation) run(duration int64, attempts float64) {
--- /dev/null
+++ b/outlier/status.go
@@ -0,0 +1,42 @@
+package outlier
+
+import "math"
+
+// Stands is what an operator sees of one endpoint of which there is evidence.
+type EndpointStatus struct {
+	ID                     uint32  `json:"-"`
+	Endpoint               string  `json:"host"` // filled in by the caller
+	Witnesses              int     `json:"witnesses"`
+	Zones                  int     `json:"zones"` // that the witnesses are in
+	ConsecutiveFailures    int     `json:"failures_in_a_row"`
+	OwnConsecutiveFailures int     `json:"own_failures_in_a_row"`
+	Ejected                bool    `json:"heeded"`
+	HoldsProbeLease        bool    `json:"turn"`
+	Penalty                float64 `json:"part"`   // see Detector.Penalty, to two digits
+	EjectedMillis          int64   `json:"for_ms"` // since the ejection
+}
+
+// Status returns the endpoints that are ejected or of which somebody reports failures, in no particular order.
+func (d *Detector) Status(now int64) (all []EndpointStatus) {
+	for id, endpoint := range d.active {
+		known := d.collectEvidence(now, endpoint, evidenceTimeout)
+		if known.witnesses == 0 && !endpoint.isEjected() {
+			continue
+		}
+		status := EndpointStatus{
+			ID:                     id,
+			Witnesses:              known.witnesses,
+			Zones:                  known.zones,
+			ConsecutiveFailures:    known.failures,
+			OwnConsecutiveFailures: endpoint.consecutiveFailures,
+			Ejected:                endpoint.isEjected(),
+			Penalty:                math.Round(d.Penalty(now, id)*100) / 100,
+		}
+		if endpoint.isEjected() {
+			status.HoldsProbeLease = d.holdsProbeLease(now, id, endpoint)
+			status.EjectedMillis = (now - endpoint.ejectedAt) / millisecond
+		}
+		all = append(all, status)
+	}
+	return all
+}
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -25,35 +25,35 @@
 }
 
 // Host is an endpoint. Weight is its size relative to others; one that is not positive and finite counts as 1.
-type Host struct {
+type Endpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
 // Rule says how large subsets are. More of either costs idle connections and health checks.
-type Rule struct {
-	Hosts     int  // endpoints that a balancer has in the mean, at least
-	Balancers int  // balancers that an endpoint has, at least: when some of them go, others still check it
-	Near      bool // prefer balancers of the endpoint's zone, where it has enough of them
+type Config struct {
+	MinEndpoints int  // endpoints that a balancer has in the mean, at least
+	MinBalancers int  // balancers that an endpoint has, at least: when some of them go, others still check it
+	ZoneLocal    bool // prefer balancers of the endpoint's zone, where it has enough of them
 }
 
 // Usual is for fleets of all sizes: enough endpoints that a first request seldom waits for a connection, and three
 // balancers an endpoint, so that two may go at once.
-var Usual = Rule{Hosts: 20, Balancers: 3}
+var DefaultConfig = Config{MinEndpoints: 20, MinBalancers: 3}
 
 // PerHost is how many balancers an endpoint of mean weight has, in a fleet of so many balancers and endpoints.
-func (c Rule) PerHost(balancers, endpoints int) int {
+func (c Config) BalancersPerEndpoint(balancers, endpoints int) int {
 	if balancers == 0 || endpoints == 0 {
 		return 0
 	}
-	needed := (c.Hosts*balancers + endpoints - 1) / endpoints // Rounded up.
-	return min(balancers, max(c.Balancers, needed))
+	needed := (c.MinEndpoints*balancers + endpoints - 1) / endpoints // Rounded up.
+	return min(balancers, max(c.MinBalancers, needed))
 }
 
 // Sets says which balancers have which endpoints. It does not change once it is made; any number of goroutines may use
 // it.
-type Sets struct {
-	config      Rule
+type Assignment struct {
+	config      Config
 	balancers   []Balancer       // sorted by name
 	hashes      []uint64         // of their names
 	all         []int            // indices of balancers: all,
@@ -63,12 +63,12 @@
 }
 
 // New assigns these endpoints to these balancers. The order of the lists does not matter.
-func New(balancers []Balancer, endpoints []Host, config Rule) *Sets {
-	a := &Sets{
+func New(balancers []Balancer, endpoints []Endpoint, config Config) *Assignment {
+	a := &Assignment{
 		config:      config,
 		balancers:   slices.Clone(balancers),
 		byZone:      map[string][]int{},
-		perEndpoint: config.PerHost(len(balancers), len(endpoints)),
+		perEndpoint: config.BalancersPerEndpoint(len(balancers), len(endpoints)),
 	}
 	slices.SortFunc(a.balancers, func(x, y Balancer) int { return cmp.Compare(x.Name, y.Name) })
 	for i, b := range a.balancers {
@@ -82,7 +82,7 @@
 	return a
 }
 
-func (e Host) weight() float64 {
+func (e Endpoint) weight() float64 {
 	if e.Weight > 0 && !math.IsInf(e.Weight, 0) {
 		return e.Weight
 	}
@@ -91,7 +91,7 @@
 
 // Of returns the names of an endpoint's balancers in its own order: as many as its weight over the mean asks for, and
 // one at least.
-func (a *Sets) Of(endpoint Host) []string {
+func (a *Assignment) BalancersOf(endpoint Endpoint) []string {
 	if len(a.balancers) == 0 {
 		return nil
 	}
@@ -109,9 +109,9 @@
 
 // candidates are the balancers of the endpoint's zone, if these are preferred and as many as it needs to be safe; else
 // all. They are indices of balancers.
-func (a *Sets) candidates(endpoint Host, wanted int) []int {
+func (a *Assignment) candidates(endpoint Endpoint, wanted int) []int {
 	near := a.byZone[endpoint.Zone]
-	if a.config.Near && len(near) >= min(wanted, a.config.Balancers) {
+	if a.config.ZoneLocal && len(near) >= min(wanted, a.config.MinBalancers) {
 		return near
 	}
 	return a.all
@@ -124,7 +124,7 @@
 }
 
 // rank returns balancers in the order of an endpoint, the highest score first; equal scores go by name.
-func (a *Sets) rank(endpoint Host, balancers []int) []rankedBalancer {
+func (a *Assignment) rank(endpoint Endpoint, balancers []int) []rankedBalancer {
 	hash := hashName(endpoint.Name)
 	ranked := make([]rankedBalancer, len(balancers))
 	for i, index := range balancers {
@@ -137,9 +137,9 @@
 }
 
 // Has returns the names of a balancer's endpoints, out of and in the order of those given.
-func (a *Sets) Has(balancer string, endpoints []Host) (names []string) {
+func (a *Assignment) EndpointsOf(balancer string, endpoints []Endpoint) (names []string) {
 	for _, e := range endpoints {
-		if slices.Contains(a.Of(e), balancer) {
+		if slices.Contains(a.BalancersOf(e), balancer) {
 			names = append(names, e.Name)
 		}
 	}
