--- a/consensus/document.go
+++ b/consensus/document.go
@@ -178,10 +178,11 @@
 
 // Acting is what to act on.
 type EffectiveConfig struct {
-	MinRevision, LatestRevision uint64  // the versions that it comes from
-	IsLeased                    bool    // under a lease; else alone
-	BudgetShare                 float64 // of the fleet's budgets; 0: they are not divided
-	ReplicatedConfig                    // the strictest of them
+	MinRevision      uint64  `json:"Floor"` // the versions that it comes from
+	LatestRevision   uint64  `json:"Latest"`
+	IsLeased         bool    `json:"Leased"` // under a lease; else alone
+	BudgetShare      float64 `json:"Part"`   // of the fleet's budgets; 0: they are not divided
+	ReplicatedConfig         // the strictest of them
 }
 
 // strictest puts versions together, from the floor on: what any of them forbids is forbidden. What is neither stricter nor looser is the
