--- a/budgets/ledger.go
+++ b/budgets/ledger.go
@@ -1,15 +1,15 @@
-// Package budgets divides what a fleet may do in all (capacity of endpoints that warm up, capacity of endpoints that are
-// new, tenants' quotas) among its processes, by the traffic that each reports. The consensus leader keeps a Ledger and
-// grants a share of the whole with each lease. A process acts on its HeldShare while its lease lasts, and without a lease
-// on ShareWithoutLease.
+// Package budgets divides what a fleet may do in all (capacity of endpoints that warm up, capacity of endpoints that
+// are new, tenants' quotas) among its processes, by the traffic that each reports. The consensus leader keeps a
+// Ledger and grants a share of the whole with each lease. A process acts on its HeldShare while its lease lasts, and
+// without a lease on ShareWithoutLease.
 //
 // The package is pure: the clock is handed in. Nothing locks; the callers, consensus' leader and lease holder, have one
 // goroutine each. Times are nanoseconds of the leader's clock. Shares are fractions of the whole, from 0 to 1.
 //
-// What it guarantees: while no more than the stated number of processes run, the shares that all act on never add up to
-// more than the whole, whatever is lost, repeated, late or stopped, and whoever crashes, comes back or is elected; as long
-// as clocks keep to the stated error of their rate. A share that shrinks counts as soon as its holder hears of it. One
-// grows only into what nobody can be acting on any more.
+// What it guarantees: while no more than the stated number of processes run, the shares that all act on never add up
+// to more than the whole, whatever is lost, repeated, late or stopped, and whoever crashes, comes back or is elected;
+// as long as clocks keep to the stated error of their rate. A share that shrinks counts as soon as its holder hears
+// of it. One grows only into what nobody can be acting on any more.
 package budgets
 
 import "math"
@@ -28,14 +28,14 @@
 	sharePrecision = 1e6
 )
 
-// Holder is one incarnation of a process. One that restarts is another holder: what was granted before may still be acted
-// on by nobody, but the ledger cannot know.
+// Holder is one incarnation of a process. One that restarts is another holder: what was granted before may still be
+// acted on by nobody, but the ledger cannot know.
 type Holder struct {
 	Name        string
 	Incarnation uint64
 }
 
-// Told is what a process states with its request for a lease.
+// ShareRequest is what a process states with its request for a lease.
 type ShareRequest struct {
 	Seq         uint64  // of the request, within the incarnation
 	GrantSeq    uint64  // Seq of the request that the share it acts on was granted for
@@ -66,13 +66,13 @@
 	expiresAt int64
 }
 
-// Alone is the share of a process without a lease in a fleet of so many: half of an even share. So the half of the whole
-// is kept for those without a lease, wherever they are, and the other half is divided by traffic.
+// ShareWithoutLease is the share of a process without a lease in a fleet of so many: half of an even share. So the
+// half of the whole is kept for those without a lease, wherever they are, and the other half is divided by traffic.
 func ShareWithoutLease(maxProcesses int) float64 { return 0.5 / float64(max(1, maxProcesses)) }
 
-// New returns the ledger of a process that has just become the leader of a fleet of at most maxProcesses. leaseTimeout is
-// how long after a grant its lease is over on every clock. Until then no share is raised: what an earlier leader granted
-// is not known here, and may still be acted on.
+// New returns the ledger of a process that has just become the leader of a fleet of at most maxProcesses.
+// leaseTimeout is how long after a grant its lease is over on every clock. Until then no share is raised: what an
+// earlier leader granted is not known here, and may still be acted on.
 func New(now int64, maxProcesses int, leaseTimeout int64) *Ledger {
 	return &Ledger{
 		maxProcesses:  maxProcesses,
@@ -162,13 +162,14 @@
 	return floorShare(min(alone+byTraffic, free), alone)
 }
 
-// floorShare rounds a share down, but not below the least, so that the sum of many does not exceed the whole by rounding.
+// floorShare rounds a share down, but not below the least, so that the sum of many does not exceed the whole by
+// rounding.
 func floorShare(share, least float64) float64 {
 	return max(least, math.Floor(share*sharePrecision)/sharePrecision)
 }
 
-// dropObsolete forgets promises that expired, and those granted for requests before the one whose share the process acts
-// on: it takes no share of an earlier request any more (see HeldShare.Accept).
+// dropObsolete forgets promises that expired, and those granted for requests before the one whose share the process
+// acts on: it takes no share of an earlier request any more (see HeldShare.Accept).
 func (a *account) dropObsolete(now int64, actsOn uint64) {
 	kept := a.promises[:0]
 	for _, p := range a.promises {
--- a/budgets/ledger_test.go
+++ b/budgets/ledger_test.go
@@ -1,6 +1,7 @@
 package budgets
 
 import (
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"os"
@@ -225,3 +226,15 @@
 	}
 	return sum
 }
+
+// A ledger that knows as many processes as it may keep gives any other the share of one alone, and keeps nothing of it.
+func TestFullLedgerRecordsNobodyElse(t *testing.T) {
+	ledger, now := New(0, 4, leaseTimeout), int64(1e12)
+	for n := range maxAccounts {
+		ledger.accounts[Holder{fmt.Sprint("p", n), 1}] = &account{requestRate: 1, promises: []promise{{1, 1e-6, now + 1}}}
+	}
+	share := ledger.Grant(now, Holder{"one more", 1}, ShareRequest{Seq: 1, RequestRate: 100})
+	if share != ShareWithoutLease(4) || len(ledger.accounts) != maxAccounts {
+		t.Errorf("share %v, %d processes known", share, len(ledger.accounts))
+	}
+}
--- a/evacuation/controller.go
+++ b/evacuation/controller.go
@@ -38,31 +38,37 @@
 	proposalInterval = 1000 * millisecond
 )
 
-// Remains is the share of all endpoints that must remain in use when a zone is evacuated. Less would be overloaded, and
-// the fleet would lose both.
+// MinRemainingShare is the share of all endpoints that must remain in use when a zone is evacuated. Less would be
+// overloaded, and the fleet would lose both.
 const MinRemainingShare = 1.0 / 3
 
-// Fails precedes the name of a zone that the fleet evacuated by itself, beside the bare name of one that operators
-// evacuated. Both may stand in the replicated configuration, and each is taken back alone: the fleet must not return to a
-// zone that an operator took out.
+// AutomaticPrefix precedes the name of a zone that the fleet evacuated by itself, beside the bare name of one that
+// operators evacuated. Both may stand in the replicated configuration, and each is taken back alone: the fleet must
+// not return to a zone that an operator took out.
 const AutomaticPrefix = "fails:"
 
-// View is a zone's health on the fleet's evidence.
+// Reasons of proposals. They are kept in the replicated history, which operators and older versions read.
+const (
+	reasonFailing   = "its hosts fail for several"
+	reasonRecovered = "its hosts settle again"
+)
+
+// ZoneHealth is a zone's health on the fleet's evidence.
 type ZoneHealth struct {
 	Zone      string
 	Endpoints int // endpoints that the zone has
 	Failing   int // of these, endpoints that several balancers report as failing
 }
 
-// Say is a change that the Controller would have the fleet agree on.
+// Proposal is a change that the Controller would have the fleet agree on.
 type Proposal struct {
 	ZoneHealth        // what it is based on
 	Evacuate   bool   // evacuate the zone; else return to it
 	Reason     string // for operators
 }
 
-// Watch is the rule by which the leader evacuates zones. The zero value is ready for use and knows of no relapses, as
-// after a change of the leader.
+// Controller is the rule by which the leader evacuates zones. The zero value is ready for use and knows of no
+// relapses, as after a change of the leader.
 type Controller struct{ zones map[string]*zoneState }
 
 // zoneState is what the Controller remembers of one zone.
@@ -74,7 +80,7 @@
 	blockedReported bool  // it fails and cannot be evacuated, and the caller was told
 }
 
-// Look returns the changes to propose now. evacuated is the list in force: bare names by operators, names after
+// Tick returns the changes to propose now. evacuated is the list in force: bare names by operators, names after
 // AutomaticPrefix by the fleet. blocked are zones that fail and cannot be evacuated because too little would remain;
 // each is returned once while that lasts.
 func (c *Controller) Tick(now int64, zones []ZoneHealth, evacuated []string) (proposals []Proposal, blocked []ZoneHealth) {
@@ -121,8 +127,8 @@
 
 func (v ZoneHealth) isHealthy() bool { return float64(v.Failing) <= healthyShare*float64(v.Endpoints) }
 
-// isChangeDue reports whether the condition for the zone's next change (that it is healthy, if it is evacuated; else that
-// it fails) has held for long enough without a break.
+// isChangeDue reports whether the condition for the zone's next change (that it is healthy, if it is evacuated; else
+// that it fails) has held for long enough without a break.
 func (z *zoneState) isChangeDue(now int64, health ZoneHealth, isEvacuated bool) bool {
 	if isEvacuated && !health.isHealthy() || !isEvacuated && !health.isFailing() {
 		z.since, z.blockedReported = 0, false
@@ -135,8 +141,8 @@
 }
 
 // hold is for how long the condition must hold. It guards against flapping: a zone that fails, recovers under no load
-// and fails again under load would be evacuated and returned to for ever, a cold cache each time. After a return the same
-// hold has to pass until the next evacuation.
+// and fails again under load would be evacuated and returned to for ever, a cold cache each time. After a return the
+// same hold has to pass until the next evacuation.
 func (z *zoneState) hold(now int64, isEvacuated bool) int64 {
 	afterRelapses := returnHold << min(z.relapses, maxHoldDoublings)
 	switch {
@@ -154,7 +160,7 @@
 
 func (z *zoneState) proposeReturn(now int64, health ZoneHealth) Proposal {
 	z.proposedAt, z.returnedAt, z.since = now, now, 0
-	return Proposal{ZoneHealth: health, Evacuate: false, Reason: "its hosts settle again"}
+	return Proposal{ZoneHealth: health, Evacuate: false, Reason: reasonRecovered}
 }
 
 func (z *zoneState) proposeEvacuation(now int64, health ZoneHealth) Proposal {
@@ -164,7 +170,7 @@
 		z.relapses = 0
 	}
 	z.proposedAt, z.since = now, 0
-	return Proposal{ZoneHealth: health, Evacuate: true, Reason: "its hosts fail for several"}
+	return Proposal{ZoneHealth: health, Evacuate: true, Reason: reasonFailing}
 }
 
 // capacity is what the zones in use have.
--- a/evacuation/controller_test.go
+++ b/evacuation/controller_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// A zone that failed once a week would in the end stay evacuated for minutes each time, if relapses were never forgotten.
-// A return that lasted five minutes is no longer held against it, one that lasted a little less is.
+// A zone that failed once a week would in the end stay evacuated for minutes each time, if relapses were never
+// forgotten. A return that lasted five minutes is no longer held against it, one that lasted a little less is.
 func TestRelapsesAreForgottenAfterFiveMinutes(t *testing.T) {
 	for _, c := range []struct{ healthyFor, wantHold int64 }{
 		{299_000 * millisecond, 2 * returnHold},
--- a/evacuation/golden_test.go
+++ b/evacuation/golden_test.go
@@ -34,56 +34,58 @@
 	}
 }
 
-// A leader of another build that leaves a zone sooner, later or oftener than its neighbours undoes what they agreed on. Seeded zones fail, flap and
-// come back for an hour, operators leave them meanwhile and proposals get lost; each proposal and each zone that has to stay is part of the trace.
+// A leader of another build that leaves a zone sooner, later or oftener than its neighbours undoes what they agreed
+// on. Seeded zones fail, flap and come back for an hour, operators leave them meanwhile and proposals get lost; each
+// proposal and each zone that has to stay is part of the trace.
 func TestGoldenProposals(t *testing.T) {
 	var lines []string
 	for seed := range uint64(8) {
-		chance := rand.New(rand.NewPCG(seed, 14))
-		w, sum, now, left := &Controller{}, sha256.New(), int64(1e12), []string{}
-		all := make([]ZoneHealth, 1+int(seed)%5)
-		for n := range all {
-			all[n] = ZoneHealth{Zone: fmt.Sprint("z", n), Endpoints: chance.IntN(9)}
+		random := rand.New(rand.NewPCG(seed, 14))
+		controller, sum, now, evacuated := &Controller{}, sha256.New(), int64(1e12), []string{}
+		zones := make([]ZoneHealth, 1+int(seed)%5)
+		for n := range zones {
+			zones[n] = ZoneHealth{Zone: fmt.Sprint("z", n), Endpoints: random.IntN(9)}
 		}
 		counts := [3]int{}
 		for step := range 36_000 {
-			if chance.IntN(60) == 0 {
-				n := chance.IntN(len(all))
-				switch chance.IntN(8) {
+			if random.IntN(60) == 0 {
+				n := random.IntN(len(zones))
+				switch random.IntN(8) {
 				case 0, 1:
-					all[n].Failing = all[n].Endpoints
+					zones[n].Failing = zones[n].Endpoints
 				case 2:
-					all[n].Failing = chance.IntN(all[n].Endpoints + 1)
+					zones[n].Failing = random.IntN(zones[n].Endpoints + 1)
 				case 3:
-					left = append(left, all[n].Zone) // By an operator.
+					evacuated = append(evacuated, zones[n].Zone) // By an operator.
 				case 4:
-					left = slices.DeleteFunc(left, func(name string) bool { return name == all[n].Zone })
+					evacuated = slices.DeleteFunc(evacuated, func(name string) bool { return name == zones[n].Zone })
 				case 5:
-					if chance.IntN(20) == 0 {
-						w = &Controller{} // Another leads.
+					if random.IntN(20) == 0 {
+						controller = &Controller{} // Another leads.
 					}
 				default:
-					for n := range all {
-						all[n].Failing = 0
+					for n := range zones {
+						zones[n].Failing = 0
 					}
 				}
 			}
-			say, stays := w.Tick(now, all, left)
-			for _, s := range say {
-				fmt.Fprintf(sum, "%d %s %t %q %d %d\n", now, s.Zone, s.Evacuate, s.Reason, s.Endpoints, s.Failing)
-				if chance.IntN(4) == 0 {
+			proposals, blocked := controller.Tick(now, zones, evacuated)
+			for _, proposal := range proposals {
+				fmt.Fprintf(sum, "%d %s %t %q %d %d\n", now, proposal.Zone, proposal.Evacuate, proposal.Reason,
+					proposal.Endpoints, proposal.Failing)
+				if random.IntN(4) == 0 {
 					counts[2]++
 					continue // The proposal is lost.
 				}
-				if s.Evacuate {
+				if proposal.Evacuate {
 					counts[0]++
-					left = append(left, AutomaticPrefix+s.Zone)
+					evacuated = append(evacuated, AutomaticPrefix+proposal.Zone)
 				} else {
 					counts[1]++
-					left = slices.DeleteFunc(left, func(name string) bool { return name == AutomaticPrefix+s.Zone })
+					evacuated = slices.DeleteFunc(evacuated, func(name string) bool { return name == AutomaticPrefix+proposal.Zone })
 				}
 			}
-			for _, v := range stays {
+			for _, v := range blocked {
 				fmt.Fprintf(sum, "%d stays %s %d %d\n", now, v.Zone, v.Endpoints, v.Failing)
 			}
 			if now += 100 * millisecond; step%1200 == 1199 { // A calm of eight minutes.
@@ -95,43 +97,47 @@
 	compareGolden(t, "proposals.golden", lines)
 }
 
-// Processes that stand at different places of the way send the same key to different hosts. Seeded ways out and back, by operators and by the fleet,
-// with slow steps, own zones, clocks that jump and processes that go on from another's place.
+// Processes that stand at different places of the way send the same key to different endpoints. Seeded ways out and back,
+// by operators and by the fleet, with slow steps, own zones, clocks that jump and processes that go on from another's
+// place.
 func TestGoldenRamps(t *testing.T) {
 	lines := []string{fmt.Sprint(AutomaticPrefix, " ", MinRemainingShare, " ", rampSteps)}
 	for seed := range uint64(8) {
-		chance := rand.New(rand.NewPCG(seed, 13))
-		p, sum, now := &Ramp{}, sha256.New(), int64(1e12)
-		terms := RampDurations{EvacuationNanos: int64(seed) * 2000 * millisecond, RecoveryNanos: chance.Int64N(60_000 * millisecond)}
-		var left []string
-		own, slow := false, false
+		random := rand.New(rand.NewPCG(seed, 13))
+		ramp, sum, now := &Ramp{}, sha256.New(), int64(1e12)
+		durations := RampDurations{
+			EvacuationNanos: int64(seed) * 2000 * millisecond,
+			RecoveryNanos:   random.Int64N(60_000 * millisecond),
+		}
+		var evacuated []string
+		worksHere, slow := false, false
 		for range 20_000 {
-			switch chance.IntN(160) {
+			switch random.IntN(160) {
 			case 0:
-				left = append(left, "z")
+				evacuated = append(evacuated, "z")
 			case 1, 2:
-				left = append(left, AutomaticPrefix+"z")
+				evacuated = append(evacuated, AutomaticPrefix+"z")
 			case 3, 4, 5:
-				left = []string{"y", AutomaticPrefix + "y"}
+				evacuated = []string{"y", AutomaticPrefix + "y"}
 			case 6:
-				own = !own
+				worksHere = !worksHere
 			case 7:
 				slow = !slow
 			case 8:
-				p = &Ramp{}
+				ramp = &Ramp{}
 			case 9:
-				p.Start([]float64{math.NaN(), math.Inf(1), -0.1, 0, 0.3, 1, 1.1}[chance.IntN(7)])
+				ramp.Start([]float64{math.NaN(), math.Inf(1), -0.1, 0, 0.3, 1, 1.1}[random.IntN(7)])
 			case 10:
-				part, at := p.Position()
-				p = &Ramp{}
-				p.Resume(part, at+chance.Int64N(4000*millisecond)-2000*millisecond, now)
+				share, at := ramp.Position()
+				ramp = &Ramp{}
+				ramp.Resume(share, at+random.Int64N(4000*millisecond)-2000*millisecond, now)
 			case 11:
-				now -= chance.Int64N(500 * millisecond)
+				now -= random.Int64N(500 * millisecond)
 			}
-			now += chance.Int64N(200 * millisecond)
-			share := p.Advance(now, "z", left, own, slow, terms)
-			part, at := p.Position()
-			fmt.Fprintln(sum, share, part, at, p.roundedShare())
+			now += random.Int64N(200 * millisecond)
+			share := ramp.Advance(now, "z", evacuated, worksHere, slow, durations)
+			exact, at := ramp.Position()
+			fmt.Fprintln(sum, share, exact, at, ramp.roundedShare())
 		}
 		lines = append(lines, fmt.Sprint("seed ", seed, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
--- a/evacuation/ramp_test.go
+++ b/evacuation/ramp_test.go
@@ -6,7 +6,8 @@
 )
 
 // All keys at once overload a zone whose caches are cold. A process leaves a zone that fails at once, one that an
-// operator evacuated in steps, and returns in steps, more slowly while reads miss; a relapse on the way back is at once.
+// operator evacuated in steps, and returns in steps, more slowly while reads miss; a relapse on the way back is at
+// once.
 func TestRampMovesInSteps(t *testing.T) {
 	durations := RampDurations{EvacuationNanos: 8000 * millisecond, RecoveryNanos: 16_000 * millisecond}
 	var ramp Ramp
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -36,7 +36,8 @@
 	Zone uint16
 }
 
-// NoZone is the zone of a member whose zone is not known. No zone has this number; earlier versions know no larger one.
+// UnknownZone is the zone of a member whose zone is not known. No zone has this number; earlier versions know no
+// larger one.
 const UnknownZone = 255
 
 // endpointState is what this balancer observed of one endpoint, what others reported of it, and where it stands in the
@@ -72,7 +73,7 @@
 	heardAt     int64
 }
 
-// Board is one balancer's outlier detector. New makes one.
+// Detector is one balancer's outlier detector. New makes one.
 type Detector struct {
 	self        Member
 	incarnation uint64
@@ -101,7 +102,7 @@
 
 	zonesSeen zoneSet // scratch of the functions that count zones
 
-	// Told counts messages sent, Took those accepted, Late those older than one accepted before, Odd those from no member.
+	// Counts of messages: sent, accepted, older than one accepted before, and from senders that are no members.
 	MessagesSent, MessagesAccepted, MessagesStale, MessagesFromUnknown int
 }
 
@@ -119,8 +120,8 @@
 	return d
 }
 
-// Members replaces the members whose messages are taken; self may be among them or not. What members reported that are
-// not among these is dropped.
+// SetMembers replaces the members whose messages are taken; self may be among them or not. What members reported that
+// are not among these is dropped.
 func (d *Detector) SetMembers(members []Member) {
 	d.members = append(d.members[:0], d.self)
 	for _, m := range members {
@@ -163,7 +164,7 @@
 	}
 }
 
-// Hosts replaces the listed endpoints by those with these IDs (see HashName). Evidence about others is dropped.
+// SetEndpoints replaces the listed endpoints by those with these IDs (see HashName). Evidence about others is dropped.
 func (d *Detector) SetEndpoints(ids []uint32) {
 	d.listedCount = min(len(ids), maxEndpoints)
 	listed := make(map[uint32]bool, d.listedCount)
@@ -181,11 +182,12 @@
 	}
 }
 
-// Delay sets how late messages arrive here, in nanoseconds, as far as the caller knows. Ejections and returns are spread
-// over four times that, so that the fleet sees the effect of the first balancers before the last ones follow.
+// SetMessageDelay sets how late messages arrive here, in nanoseconds, as far as the caller knows. Ejections and
+// returns are spread over four times that, so that the fleet sees the effect of the first balancers before the last
+// ones follow.
 func (d *Detector) SetMessageDelay(delay int64) { d.messageDelay = min(max(0, delay), maxMessageDelay) }
 
-// Look decides which endpoints are ejected. The caller runs it at each tick of its clock and after each message.
+// Tick decides which endpoints are ejected. The caller runs it at each tick of its clock and after each message.
 func (d *Detector) Tick(now int64) {
 	d.ejectedCount, d.storedReports = 0, 0
 	for id, endpoint := range d.active {
--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -82,8 +82,8 @@
 
 func (e *endpointState) uneject() { e.ejectedAt, e.returnsAt = 0, 0 }
 
-// Penalty returns what the fleet's evidence takes from an endpoint's chance of success here: 0 for nothing, 1 for all of
-// it, or ProbePenalty.
+// Penalty returns what the fleet's evidence takes from an endpoint's chance of success here: 0 for nothing, 1 for all
+// of it, or ProbePenalty.
 func (d *Detector) Penalty(now int64, id uint32) float64 {
 	endpoint := d.endpoints[id]
 	switch {
@@ -110,8 +110,8 @@
 	return now >= endpoint.ejectionStartsAt
 }
 
-// Sent records that an attempt goes to an endpoint, which uses up a probe lease. It returns the penalty from then on,
-// and whether the endpoint is ejected at all.
+// RecordAttempt records that an attempt goes to an endpoint, which uses up a probe lease. It returns the penalty from
+// then on, and whether the endpoint is ejected at all.
 func (d *Detector) RecordAttempt(now int64, id uint32) (penalty float64, ejected bool) {
 	endpoint := d.active[id]
 	if endpoint == nil || !endpoint.isEjected() {
@@ -121,7 +121,8 @@
 	return d.Penalty(now, id), true
 }
 
-// Heeded calls visit with each endpoint that is ejected or was until lately, and its penalty, in no particular order.
+// EachEjection calls visit with each endpoint that is ejected or was until lately, and its penalty, in no particular
+// order.
 func (d *Detector) EachEjection(now int64, visit func(id uint32, penalty float64)) {
 	for id, endpoint := range d.active {
 		endedLately := endpoint.ejectionEndedAt != 0 && now-endpoint.ejectionEndedAt < evidenceTimeout+maxReturnSpread
@@ -131,8 +132,8 @@
 	}
 }
 
-// spreadPosition is this balancer's place among the members for an endpoint, from 0 (first) to under 1. Places are ranks
-// and no random draws, so that equally many members move in each part of a spread.
+// spreadPosition is this balancer's place among the members for an endpoint, from 0 (first) to under 1. Places are
+// ranks and no random draws, so that equally many members move in each part of a spread.
 func (d *Detector) spreadPosition(id uint32) float64 {
 	// The complement makes this order another one than that of probes.
 	ownScore, before := memberScore(^id, d.self.ID), 0
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -80,8 +80,8 @@
 // lastSuccessSeen returns when a balancer whose success counts here saw the endpoint succeed last: this one, one of its
 // zone, or anybody after latestFailureInZone. elsewhere is the latest success of another zone that does not count.
 //
-// So an endpoint that only its own zone reaches stays in use there, and one that only other zones reach is ejected here,
-// but for probes.
+// So an endpoint that only its own zone reaches stays in use there, and one that only other zones reach is ejected
+// here, but for probes.
 func (d *Detector) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, elsewhere int64) {
 	last = endpoint.lastSuccess
 	for _, r := range endpoint.reports {
--- a/outlier/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// With a bound that chance reaches, a fleet that watches many endpoints would eject a healthy one every few minutes; with
-// one too strict, an endpoint that hangs is left too late. So many failures it takes, by what is rare for this balancer.
+// With a bound that chance reaches, a fleet that watches many endpoints would eject a healthy one every few minutes;
+// with one too strict, an endpoint that hangs is left too late. So many failures it takes, by what is rare for this
+// balancer.
 func TestConsensusNeedsMoreThanChance(t *testing.T) {
 	for _, c := range []struct {
 		members, endpoints, witnesses int
@@ -49,8 +50,8 @@
 	}
 }
 
-// A balancer that believed to know rates of one in 100,000 after a quiet night would eject on two single failures. Rates
-// begin at 0.005 and are never taken for lower than one in 1,000.
+// A balancer that believed to know rates of one in 100,000 after a quiet night would eject on two single failures.
+// Rates begin at 0.005 and are never taken for lower than one in 1,000.
 func TestFailureRateHasFloor(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
 	detector.SetEndpoints([]uint32{1000})
--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// minMessageInterval is the least time between two messages, so that a burst of failures goes out as a few messages.
+	// minMessageInterval is the least time between two messages, so that a burst of failures goes out as a few
+	// messages.
 	minMessageInterval = 50 * millisecond
 	// repeatInterval is how often reports are repeated while nothing new happens: a lost message costs that long.
 	repeatInterval = 500 * millisecond
@@ -68,8 +69,8 @@
 	return member.Zone
 }
 
-// storeReport keeps a report in place of its sender's last one. If there are too many, the one that was received longest
-// ago gives way.
+// storeReport keeps a report in place of its sender's last one. If there are too many, the one that was received
+// longest ago gives way.
 func (d *Detector) storeReport(endpoint *endpointState, report storedReport) {
 	index, known := endpoint.findReport(report.sender)
 	if known {
@@ -113,8 +114,8 @@
 	})
 }
 
-// Tell returns the message that is due, or nil: at once after a change, repeated while something fails, and none while
-// all is well. The caller sends it to all members.
+// NextMessage returns the message that is due, or nil: at once after a change, repeated while something fails, and
+// none while all is well. The caller sends it to all members.
 func (d *Detector) NextMessage(now int64) *Message {
 	sinceLast := now - d.lastSentAt
 	if sinceLast < minMessageInterval || !d.urgent && sinceLast < repeatInterval {
@@ -138,8 +139,9 @@
 	return m
 }
 
-// reportsDue returns a report of each endpoint of which others should hear, in no particular order. There are none while
-// more than maxEjectedShare of the endpoints fail here: the cause is behind all of them, or this balancer's own network.
+// reportsDue returns a report of each endpoint of which others should hear, in no particular order. There are none
+// while more than maxEjectedShare of the endpoints fail here: the cause is behind all of them, or this balancer's own
+// network.
 func (d *Detector) reportsDue(now int64) (reports []Report) {
 	if float64(d.countFailing(now)) > maxEjectedShare*float64(d.listedCount) {
 		return nil
--- a/outlier/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two balancers that received the same messages in another order decided otherwise. Whatever the order, and with repeats
-// and losses, the last report of each member is what counts.
+// Two balancers that received the same messages in another order decided otherwise. Whatever the order, and with
+// repeats and losses, the last report of each member is what counts.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	endpoints := []uint32{1000, 1001, 1002, 1003, 1004}
--- a/outlier/golden_test.go
+++ b/outlier/golden_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// A build that decides otherwise than its neighbours over the same evidence ejects or returns endpoints at other times than they do. Each message,
-// attempt, penalty, status and count of a seeded run is part of the trace.
+// A build that decides otherwise than its neighbours over the same evidence ejects or returns endpoints at other
+// times than they do. Each message, attempt, penalty, status and count of a seeded run is part of the trace.
 func TestGoldenTraces(t *testing.T) {
 	lines := []string{}
 	for seed := range uint64(4) {
@@ -46,82 +46,85 @@
 	compareGolden(t, "traces.golden", lines)
 }
 
-// goldenRun plays 25 s with members that come, go and lie, and a network that loses, delays and repeats; it gives the hash of all that is seen.
+// goldenRun plays 25 s with members that come, go and lie, and a network that loses, delays and repeats; it gives the
+// hash of all that is seen.
 func goldenRun(t *testing.T, seed uint64) string {
-	w := newSimulation(t, 100+seed, 6+int(seed)*3, 40, 1+int(seed)%4)
-	w.trace = sha256.New()
-	members, reads, misses := slices.Clone(w.detectors[0].members), make([]int, len(w.detectors)), make([]int, len(w.detectors))
+	s := newSimulation(t, 100+seed, 6+int(seed)*3, 40, 1+int(seed)%4)
+	s.trace = sha256.New()
+	members := slices.Clone(s.detectors[0].members)
+	reads, misses := make([]int, len(s.detectors)), make([]int, len(s.detectors))
 	missing := 0.05
 	for step := range 2500 {
 		if step%40 == 0 {
-			h, n := w.random.IntN(len(w.endpoints)), w.random.IntN(len(w.detectors))
-			switch w.random.IntN(14) {
+			endpoint, n := s.random.IntN(len(s.endpoints)), s.random.IntN(len(s.detectors))
+			switch s.random.IntN(14) {
 			case 0, 1:
-				w.failureRates[h] = 1
+				s.failureRates[endpoint] = 1
 			case 2:
-				w.failureRates[h] = w.random.Float64()
+				s.failureRates[endpoint] = s.random.Float64()
 			case 3, 4:
-				clear(w.failureRates)
+				clear(s.failureRates)
 			case 5:
-				w.disconnected[n] = !w.disconnected[n]
+				s.disconnected[n] = !s.disconnected[n]
 			case 6:
-				w.lossRate, w.repeatRate, w.messageDelay = w.random.Float64()*0.6, w.random.Float64()*0.5, 1+w.random.Int64N(2000*millisecond)
+				s.lossRate, s.repeatRate = s.random.Float64()*0.6, s.random.Float64()*0.5
+				s.messageDelay = 1 + s.random.Int64N(2000*millisecond)
 			case 7:
-				w.alive[n] = !w.alive[n]
+				s.alive[n] = !s.alive[n]
 			case 8: // A new process under the same name.
-				w.detectors[n] = New(members[n], w.detectors[n].incarnation+1)
-				w.detectors[n].SetMembers(members)
-				w.detectors[n].SetEndpoints(w.endpoints)
+				s.detectors[n] = New(members[n], s.detectors[n].incarnation+1)
+				s.detectors[n].SetMembers(members)
+				s.detectors[n].SetEndpoints(s.endpoints)
 				reads[n], misses[n] = 0, 0
 			case 9: // Members and endpoints that are gone, and come again.
-				w.detectors[n].SetMembers(members[:len(members)/2])
-				w.detectors[n].SetEndpoints(w.endpoints[:len(w.endpoints)/2])
+				s.detectors[n].SetMembers(members[:len(members)/2])
+				s.detectors[n].SetEndpoints(s.endpoints[:len(s.endpoints)/2])
 			case 10:
-				for _, b := range w.detectors {
-					b.SetMembers(members)
-					b.SetEndpoints(w.endpoints)
-					b.SetMessageDelay(w.random.Int64N(6000*millisecond) - 100*millisecond)
+				for _, detector := range s.detectors {
+					detector.SetMembers(members)
+					detector.SetEndpoints(s.endpoints)
+					detector.SetMessageDelay(s.random.Int64N(6000*millisecond) - 100*millisecond)
 				}
 			case 11:
 				missing = 0.6 - missing
 			case 12: // More fail than a message holds.
-				for at := range w.failureRates {
+				for at := range s.failureRates {
 					if at%3 != 0 {
-						w.failureRates[at] = float64(step / 40 % 2)
+						s.failureRates[at] = float64(step / 40 % 2)
 					}
 				}
 			case 13:
-				w.lyingMember = n
+				s.lyingMember = n
 			}
 		}
-		w.tick(1.5)
-		for n, b := range w.detectors {
-			for at, id := range w.endpoints {
+		s.tick(1.5)
+		for n, detector := range s.detectors {
+			for at, id := range s.endpoints {
 				if (at+step)%4 != 0 {
 					continue
 				}
-				if part := b.Penalty(w.now, id); part != 0 {
-					fmt.Fprintf(w.trace, "penalty %d %d %d %v\n", w.now, n, at, part)
+				if penalty := detector.Penalty(s.now, id); penalty != 0 {
+					fmt.Fprintf(s.trace, "penalty %d %d %d %v\n", s.now, n, at, penalty)
 				}
 			}
 			if step%5 == 0 {
-				reads[n] += w.random.IntN(30)
-				misses[n] += int(missing * float64(w.random.IntN(40)))
-				fmt.Fprintf(w.trace, "misses %d %t\n", n, b.UpdateMissRate(w.now, reads[n], misses[n]))
+				reads[n] += s.random.IntN(30)
+				misses[n] += int(missing * float64(s.random.IntN(40)))
+				fmt.Fprintf(s.trace, "misses %d %t\n", n, detector.UpdateMissRate(s.now, reads[n], misses[n]))
 			}
 			if step%20 == 0 {
-				traceStatus(t, w, n)
+				traceStatus(t, s, n)
 			}
 		}
 	}
-	return hex.EncodeToString(w.trace.Sum(nil))
+	return hex.EncodeToString(s.trace.Sum(nil))
 }
 
-func traceStatus(t *testing.T, w *simulation, n int) {
-	b := w.detectors[n]
-	b.Observe(w.now, 77, Failure) // An endpoint that is not listed.
-	b.Observe(w.now, w.endpoints[0], Inconclusive)
-	status := b.Status(w.now)
+func traceStatus(t *testing.T, s *simulation, n int) {
+	detector := s.detectors[n]
+	detector.Observe(s.now, 77, Failure) // An endpoint that is not listed.
+	detector.Observe(s.now, s.endpoints[0], Inconclusive)
+	status := detector.Status(s.now)
 	slices.SortFunc(status, func(a, b EndpointStatus) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range status {
 		status[i].Endpoint = fmt.Sprint(status[i].ID)
@@ -130,20 +133,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var held []string
-	b.EachEjection(w.now, func(id uint32, part float64) { held = append(held, fmt.Sprint(id, " ", part)) })
-	slices.Sort(held)
-	fmt.Fprintf(w.trace, "status %d %s %s %d %d %d %d\n", n, text, held, b.MessagesSent, b.MessagesAccepted, b.MessagesStale, b.MessagesFromUnknown)
+	var ejections []string
+	detector.EachEjection(s.now, func(id uint32, penalty float64) {
+		ejections = append(ejections, fmt.Sprint(id, " ", penalty))
+	})
+	slices.Sort(ejections)
+	fmt.Fprintf(s.trace, "status %d %s %s %d %d %d %d\n", n, text, ejections,
+		detector.MessagesSent, detector.MessagesAccepted, detector.MessagesStale, detector.MessagesFromUnknown)
 }
 
 // Processes of two builds exchange these bytes over an upgrade: one that wrote them otherwise would be heard by nobody.
 func TestGoldenMessages(t *testing.T) {
 	full := &Message{From: 1<<32 - 1, Incarnation: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, MissPercent: 100}
 	for n := range uint32(maxReportsPerMessage) {
-		full.Reports = append(full.Reports, Report{Endpoint: 70000 * n, ConsecutiveFailures: uint8(n * 11), AgeMillis: uint16(n * 3000)})
+		report := Report{Endpoint: 70000 * n, ConsecutiveFailures: uint8(n * 11), AgeMillis: uint16(n * 3000)}
+		full.Reports = append(full.Reports, report)
 	}
-	lines := []string{fmt.Sprint("names ", HashName(""), " ", HashName("cache-3"), " ", MaxMessageBytes, " ", UnknownZone, " ", MaxMembers)}
-	for _, m := range []*Message{{}, {From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}, {Endpoint: 10}}}, {MissPercent: 33, Reports: []Report{}}, full} {
+	reports := []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}, {Endpoint: 10}}
+	lines := []string{fmt.Sprint("names ", HashName(""), " ", HashName("cache-3"), " ",
+		MaxMessageBytes, " ", UnknownZone, " ", MaxMembers)}
+	for _, m := range []*Message{
+		{},
+		{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: reports},
+		{MissPercent: 33, Reports: []Report{}},
+		full,
+	} {
 		bytes := m.Encode()
 		lines = append(lines, hex.EncodeToString(bytes))
 		back, err := DecodeMessage(bytes)
@@ -151,52 +165,66 @@
 			t.Errorf("%x does not come back: %v", bytes, err)
 		}
 	}
-	for how := range policy.Outcome(16) {
-		lines = append(lines, fmt.Sprintf("outcome %d: %d %d %d", how, Classify(how, 0, 1000), Classify(how, 499, 1000), Classify(how, 500, 1000)))
+	for outcome := range policy.Outcome(16) {
+		lines = append(lines, fmt.Sprintf("outcome %d: %d %d %d", outcome,
+			Classify(outcome, 0, 1000), Classify(outcome, 499, 1000), Classify(outcome, 500, 1000)))
 	}
 	compareGolden(t, "messages.golden", lines)
 	many := &Message{Reports: make([]Report, maxReportsPerMessage+1)}
-	for name, bytes := range map[string][]byte{"empty": {}, "a map": {0xa0}, "short": {0x81, 0x01}, "trailing": append(full.Encode(), 0), "large": make([]byte, MaxMessageBytes+1),
-		"many": many.Encode(), "indefinite": {0x9f, 0xff}, "tagged": {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1}} {
+	for name, bytes := range map[string][]byte{
+		"empty":      {},
+		"a map":      {0xa0},
+		"short":      {0x81, 0x01},
+		"trailing":   append(full.Encode(), 0),
+		"large":      make([]byte, MaxMessageBytes+1),
+		"many":       many.Encode(),
+		"indefinite": {0x9f, 0xff},
+		"tagged":     {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1},
+	} {
 		if m, err := DecodeMessage(bytes); err == nil {
 			t.Errorf("%s: %x is taken as %+v", name, bytes, m)
 		}
 	}
 }
 
-// A table that is full and evicts another witness than its neighbours do calls another number of witnesses. Members learn each other's zones from messages.
+// A table that is full and evicts another witness than its neighbours do calls another number of witnesses. Members
+// learn each other's zones from messages.
 func TestGoldenFullTables(t *testing.T) {
-	b, now, sum := New(Member{1, UnknownZone}, 1), int64(1e15), sha256.New()
+	detector, now, sum := New(Member{1, UnknownZone}, 1), int64(1e15), sha256.New()
 	var members []Member
-	var hosts []uint32
+	var endpoints []uint32
 	for n := range uint32(500) {
-		members, hosts = append(members, Member{n + 1, UnknownZone}), append(hosts, 5000+n)
+		members, endpoints = append(members, Member{n + 1, UnknownZone}), append(endpoints, 5000+n)
 	}
-	b.SetMembers(members)
-	b.SetEndpoints(hosts)
+	detector.SetMembers(members)
+	detector.SetEndpoints(endpoints)
 	for round := range uint32(3) {
 		for from := uint32(2); from <= 500; from++ {
 			for first := uint32(0); first < 180; first += maxReportsPerMessage {
 				m := &Message{From: from, Incarnation: 1, Seq: round*1000 + first + 1, Zone: uint16(from % 7)}
 				for h := first; h < first+maxReportsPerMessage; h++ {
-					m.Reports = append(m.Reports, Report{Endpoint: 5000 + (h*31+round*97)%500, ConsecutiveFailures: uint8((from + h + round) % 5), AgeMillis: uint16(from * h % 4000)})
+					m.Reports = append(m.Reports, Report{
+						Endpoint:            5000 + (h*31+round*97)%500,
+						ConsecutiveFailures: uint8((from + h + round) % 5),
+						AgeMillis:           uint16(from * h % 4000),
+					})
 				}
-				b.HandleMessage(now, m)
+				detector.HandleMessage(now, m)
 				now += millisecond / 10
 			}
 		}
-		b.Tick(now)
-		w := &simulation{now: now, detectors: []*Detector{b}, endpoints: hosts, trace: sum}
-		traceStatus(t, w, 0)
+		detector.Tick(now)
+		s := &simulation{now: now, detectors: []*Detector{detector}, endpoints: endpoints, trace: sum}
+		traceStatus(t, s, 0)
 		now += 600 * millisecond
 	}
-	for id := uint32(10_000); len(hosts) < 9000; id++ {
-		hosts = append(hosts, id)
+	for id := uint32(10_000); len(endpoints) < 9000; id++ {
+		endpoints = append(endpoints, id)
 	}
-	b.SetEndpoints(hosts)
-	for _, id := range hosts[8190:8194] { // The first two of these are the last that are known.
-		b.Observe(now, id, ConnectFailure)
+	detector.SetEndpoints(endpoints)
+	for _, id := range endpoints[8190:8194] { // The first two of these are the last that are known.
+		detector.Observe(now, id, ConnectFailure)
 	}
-	traceStatus(t, &simulation{now: now, detectors: []*Detector{b}, endpoints: hosts, trace: sum}, 0)
+	traceStatus(t, &simulation{now: now, detectors: []*Detector{detector}, endpoints: endpoints, trace: sum}, 0)
 	compareGolden(t, "full.golden", []string{hex.EncodeToString(sum.Sum(nil))})
 }
--- a/outlier/message.go
+++ b/outlier/message.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// MostBytes bounds an encoded message, so that it fits into one datagram beside the membership exchange.
+	// MaxMessageBytes bounds an encoded message, so that it fits into one datagram beside the membership exchange.
 	MaxMessageBytes = 256
 	// maxReportsPerMessage is how many of the largest reports fit into MaxMessageBytes.
 	maxReportsPerMessage = 18
@@ -52,7 +52,7 @@
 	return mode
 }()
 
-// Pack returns the form in which a message travels between processes.
+// Encode returns the form in which a message travels between processes.
 func (m *Message) Encode() []byte {
 	encoded, err := cbor.Marshal(m)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return encoded
 }
 
-// Unpack reads a message that a peer sent. It returns ErrMessageTooLarge, or an error of the cbor package, for anything
-// that no Encode wrote.
+// DecodeMessage reads a message that a peer sent. It returns ErrMessageTooLarge, or an error of the cbor package, for
+// anything that no Encode wrote.
 func DecodeMessage(encoded []byte) (*Message, error) {
 	if len(encoded) > MaxMessageBytes {
 		return nil, ErrMessageTooLarge
@@ -77,8 +77,8 @@
 	return message, nil
 }
 
-// ID returns the number that stands for the name of an endpoint or a member in messages. Two names share one in some
-// billions of pairs; their evidence is mixed up then.
+// HashName returns the number that stands for the name of an endpoint or a member in messages. Two names share one in
+// some billions of pairs; their evidence is mixed up then.
 func HashName(name string) uint32 {
 	sum := fnv.New32a()
 	sum.Write([]byte(name))
--- a/outlier/missrate.go
+++ b/outlier/missrate.go
@@ -62,9 +62,9 @@
 	highZones int // that those with a high rate are in
 }
 
-// Misses takes this balancer's reads and misses since its start, and reports whether reads miss for the whole fleet: for
-// a third of the members, two at least, in two zones where there are more. The alarm lasts for minAlarmDuration, and
-// until fewer than these have an elevated rate.
+// UpdateMissRate takes this balancer's reads and misses since its start, and reports whether reads miss for the whole
+// fleet: for a third of the members, two at least, in two zones where there are more. The alarm lasts for
+// minAlarmDuration, and until fewer than these have an elevated rate.
 func (d *Detector) UpdateMissRate(now int64, reads, misses int) bool {
 	wasHigh := d.misses.value >= highMissRate
 	d.misses.update(now, reads, misses)
--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -7,11 +7,13 @@
 )
 
 const (
-	// failureRateAttempts is over how many attempts the failure rate is an average: some ten seconds of a busy balancer.
+	// failureRateAttempts is over how many attempts the failure rate is an average: some ten seconds of a busy
+	// balancer.
 	failureRateAttempts = 2000.0
 	// minFailureRate is the lowest rate that is believed: no balancer has seen enough attempts to know a lower one.
 	minFailureRate = 0.001
-	// rareFailureRate is up to where a single failure is news. Above it single failures are noise, two in a row are not.
+	// rareFailureRate is up to where a single failure is news. Above it single failures are noise, two in a row are
+	// not.
 	rareFailureRate = 0.01
 	// maxReportedFailures bounds the consecutive failures that are counted, so that they fit into a report.
 	maxReportedFailures = 200
@@ -21,7 +23,7 @@
 type Observation int
 
 const (
-	// Nothing is the observation of an attempt whose end says nothing of the endpoint.
+	// Inconclusive is the observation of an attempt whose end says nothing of the endpoint.
 	Inconclusive Observation = iota
 	// Success is an answer, whatever it says.
 	Success
@@ -57,9 +59,9 @@
 	return 0
 }
 
-// Of classifies an attempt that ended with outcome after took, where expected is the latency objective of its request
-// (any unit, the same for both). An attempt that was cancelled counts as failed if it had used half of that: hedging
-// would otherwise hide an endpoint that hangs.
+// Classify tells what an attempt says of its endpoint that ended with outcome after took, where expected is the
+// latency objective of its request (any unit, the same for both). An attempt that was cancelled counts as failed if
+// it had used half of that: hedging would otherwise hide an endpoint that hangs.
 func Classify(outcome policy.Outcome, took, expected int64) Observation {
 	switch outcome {
 	case policy.OK, policy.Missing:
@@ -76,7 +78,7 @@
 	return Inconclusive
 }
 
-// Saw records what an own attempt told of its endpoint. Endpoints that are not listed are ignored.
+// Observe records what an own attempt says of its endpoint. Endpoints that are not listed are ignored.
 func (d *Detector) Observe(now int64, id uint32, observation Observation) {
 	endpoint := d.endpoints[id]
 	if endpoint == nil {
--- a/outlier/probe.go
+++ b/outlier/probe.go
@@ -34,8 +34,8 @@
 	return now >= dueAt && isUnused
 }
 
-// probeRank counts the members that may probe an endpoint before this one, among all and in this one's zone. Members are
-// ordered by their latest failure at it, the earliest first, and by score among equals: one whose own network is
+// probeRank counts the members that may probe an endpoint before this one, among all and in this one's zone. Members
+// are ordered by their latest failure at it, the earliest first, and by score among equals: one whose own network is
 // broken, and whose probes fail for that, stands last and does not keep the endpoint from the others.
 func (d *Detector) probeRank(id uint32, endpoint *endpointState) (rank, rankInZone int) {
 	latestFailure := make(map[uint32]int64, len(endpoint.reports))
--- a/outlier/simulation_test.go
+++ b/outlier/simulation_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// tick lets tickInterval pass: messages arrive, each detector ticks and sends, and each balancer sends so many attempts.
+// tick lets tickInterval pass: messages arrive, each detector ticks and sends, and each balancer sends so many
+// attempts.
 func (s *simulation) tick(attempts float64) {
 	s.now += tickInterval
 	s.deliver()
--- a/outlier/status.go
+++ b/outlier/status.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Stands is what an operator sees of one endpoint of which there is evidence.
+// EndpointStatus is what an operator sees of one endpoint of which there is evidence.
 type EndpointStatus struct {
 	ID                     uint32  `json:"-"`
 	Endpoint               string  `json:"host"` // filled in by the caller
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -4,8 +4,8 @@
 //
 // Each endpoint chooses its balancers, not each balancer its endpoints: it takes the first ones in its own order, by
 // rendezvous hashing (see package rendezvous). So all endpoints of one weight have exactly as many; a balancer that
-// comes or goes moves only what it gains or leaves behind, which is the least that can move; and an endpoint that comes or
-// goes moves nothing of the others'.
+// comes or goes moves only what it gains or leaves behind, which is the least that can move; and an endpoint that
+// comes or goes moves nothing of the others'.
 //
 // The package is pure: names in, names out. Whoever holds the same lists gets the same result without a message.
 package subset
@@ -24,24 +24,26 @@
 	Name, Zone string
 }
 
-// Host is an endpoint. Weight is its size relative to others; one that is not positive and finite counts as 1.
+// Endpoint is one that balancers use. Weight is its size relative to others; one that is not positive and finite
+// counts as 1.
 type Endpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// Rule says how large subsets are. More of either costs idle connections and health checks.
+// Config says how large subsets are. More of either costs idle connections and health checks.
 type Config struct {
 	MinEndpoints int  // endpoints that a balancer has in the mean, at least
 	MinBalancers int  // balancers that an endpoint has, at least: when some of them go, others still check it
 	ZoneLocal    bool // prefer balancers of the endpoint's zone, where it has enough of them
 }
 
-// Usual is for fleets of all sizes: enough endpoints that a first request seldom waits for a connection, and three
-// balancers an endpoint, so that two may go at once.
+// DefaultConfig is for fleets of all sizes: enough endpoints that a first request seldom waits for a connection, and
+// three balancers an endpoint, so that two may go at once.
 var DefaultConfig = Config{MinEndpoints: 20, MinBalancers: 3}
 
-// PerHost is how many balancers an endpoint of mean weight has, in a fleet of so many balancers and endpoints.
+// BalancersPerEndpoint is how many balancers an endpoint of mean weight has, in a fleet of so many balancers and
+// endpoints.
 func (c Config) BalancersPerEndpoint(balancers, endpoints int) int {
 	if balancers == 0 || endpoints == 0 {
 		return 0
@@ -50,8 +52,8 @@
 	return min(balancers, max(c.MinBalancers, needed))
 }
 
-// Sets says which balancers have which endpoints. It does not change once it is made; any number of goroutines may use
-// it.
+// Assignment says which balancers have which endpoints. It does not change once it is made; any number of goroutines
+// may use it.
 type Assignment struct {
 	config      Config
 	balancers   []Balancer       // sorted by name
@@ -89,8 +91,8 @@
 	return 1
 }
 
-// Of returns the names of an endpoint's balancers in its own order: as many as its weight over the mean asks for, and
-// one at least.
+// BalancersOf returns the names of an endpoint's balancers in its own order: as many as its weight over the mean asks
+// for, and one at least.
 func (a *Assignment) BalancersOf(endpoint Endpoint) []string {
 	if len(a.balancers) == 0 {
 		return nil
@@ -136,7 +138,7 @@
 	return ranked
 }
 
-// Has returns the names of a balancer's endpoints, out of and in the order of those given.
+// EndpointsOf returns the names of a balancer's endpoints, out of and in the order of those given.
 func (a *Assignment) EndpointsOf(balancer string, endpoints []Endpoint) (names []string) {
 	for _, e := range endpoints {
 		if slices.Contains(a.BalancersOf(e), balancer) {
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -10,178 +10,194 @@
 	"testing"
 )
 
-func some(balancers, hosts, zones int) (all []Balancer, of []Endpoint) {
-	for n := range balancers {
-		all = append(all, Balancer{fmt.Sprint("b-", n), fmt.Sprint("z", n%zones)})
+// newFleet returns so many balancers and endpoints of weight 1, spread over zones.
+func newFleet(balancerCount, endpointCount, zones int) (balancers []Balancer, endpoints []Endpoint) {
+	for n := range balancerCount {
+		balancers = append(balancers, Balancer{fmt.Sprint("b-", n), fmt.Sprint("z", n%zones)})
 	}
-	for n := range hosts {
-		of = append(of, Endpoint{fmt.Sprint("h-", n), fmt.Sprint("z", n%zones), 1})
+	for n := range endpointCount {
+		endpoints = append(endpoints, Endpoint{fmt.Sprint("h-", n), fmt.Sprint("z", n%zones), 1})
 	}
-	return all, of
+	return balancers, endpoints
 }
 
-// pairs are who has whom.
-func pairs(all []Balancer, of []Endpoint, r Config) map[[2]string]bool {
-	s, p := New(all, of, r), map[[2]string]bool{}
-	for _, h := range of {
-		for _, b := range s.BalancersOf(h) {
-			p[[2]string{b, h.Name}] = true
+// connection is a balancer's use of an endpoint.
+type connection struct{ balancer, endpoint string }
+
+type connectionSet map[connection]bool
+
+func connections(balancers []Balancer, endpoints []Endpoint, config Config) connectionSet {
+	assignment, set := New(balancers, endpoints, config), connectionSet{}
+	for _, e := range endpoints {
+		for _, b := range assignment.BalancersOf(e) {
+			set[connection{b, e.Name}] = true
 		}
 	}
-	return p
+	return set
+}
+
+// countByName counts the connections of each endpoint and of each balancer.
+func (s connectionSet) countByName() (byEndpoint, byBalancer map[string]int) {
+	byEndpoint, byBalancer = map[string]int{}, map[string]int{}
+	for c := range s {
+		byEndpoint[c.endpoint]++
+		byBalancer[c.balancer]++
+	}
+	return byEndpoint, byBalancer
 }
 
-// uses counts pairs by host and by balancer.
-func uses(p map[[2]string]bool) (hosts, balancers map[string]int) {
-	hosts, balancers = map[string]int{}, map[string]int{}
-	for pair := range p {
-		balancers[pair[0]]++
-		hosts[pair[1]]++
-	}
-	return hosts, balancers
+// minus counts the connections that other does not have.
+func (s connectionSet) minus(other connectionSet) (count int) {
+	for c := range s {
+		if !other[c] {
+			count++
+		}
+	}
+	return count
 }
 
-// The most that one host is in use by is at most 1.10 of the mean by weight, at all sizes; each host has some, and each balancer.
-func TestFair(t *testing.T) {
-	for _, size := range [][2]int{{3, 3}, {3, 5000}, {5, 24}, {12, 24}, {12, 5000}, {100, 24}, {100, 500}, {300, 1000}, {1000, 24}, {1000, 5000}} {
-		if testing.Short() && size[0]*size[1] > 1e6 {
+// Where balancers choose their endpoints at random, some endpoints are checked by six times as many as others and some
+// by nobody. Here no endpoint is in use by more than 1.10 of the mean, at all sizes, and none by nobody.
+func TestConnectionsAreSpreadEvenly(t *testing.T) {
+	for _, size := range []struct{ balancers, endpoints int }{
+		{3, 3}, {3, 5000}, {5, 24}, {12, 24}, {12, 5000}, {100, 24}, {100, 500}, {300, 1000}, {1000, 24}, {1000, 5000},
+	} {
+		if testing.Short() && size.balancers*size.endpoints > 1e6 {
 			continue
 		}
-		for _, near := range []bool{false, true} {
-			rule := DefaultConfig
-			rule.ZoneLocal = near
-			all, of := some(size[0], size[1], 3)
-			hosts, balancers := uses(pairs(all, of, rule))
-			total, most, least := 0, 0, math.MaxInt
-			for _, n := range hosts {
-				total, most = total+n, max(most, n)
+		for _, zoneLocal := range []bool{false, true} {
+			config := DefaultConfig
+			config.ZoneLocal = zoneLocal
+			balancers, endpoints := newFleet(size.balancers, size.endpoints, 3)
+			byEndpoint, byBalancer := connections(balancers, endpoints, config).countByName()
+			total, most, fewest := 0, 0, math.MaxInt
+			for _, count := range byEndpoint {
+				total, most = total+count, max(most, count)
 			}
-			for _, n := range balancers {
-				least = min(least, n)
+			for _, count := range byBalancer {
+				fewest = min(fewest, count)
 			}
-			if mean := float64(total) / float64(size[1]); len(hosts) != size[1] || float64(most) > 1.10*mean {
-				t.Errorf("%v near %t: %d hosts in use, the most by %d, mean %.2f", size, near, len(hosts), most, mean)
+			if mean := float64(total) / float64(size.endpoints); len(byEndpoint) != size.endpoints || float64(most) > 1.10*mean {
+				t.Errorf("%+v, zone local %t: %d endpoints in use, the most by %d, mean %.2f", size, zoneLocal, len(byEndpoint), most, mean)
 			}
-			if len(balancers) != size[0] || least < 1 {
-				t.Errorf("%v near %t: %d balancers have hosts, the least %d", size, near, len(balancers), least)
+			if len(byBalancer) != size.balancers || fewest < 1 {
+				t.Errorf("%+v, zone local %t: %d balancers have endpoints, the fewest %d", size, zoneLocal, len(byBalancer), fewest)
 			}
 		}
 	}
 }
 
-// By weight: a host of twice the weight has twice as many.
-func TestByWeight(t *testing.T) {
-	all, of := some(200, 100, 1)
-	for n := range of {
-		of[n].Weight = []float64{0.5, 1, 2}[n%3]
-	}
-	hosts, _ := uses(pairs(all, of, DefaultConfig))
-	per := [3]map[int]bool{{}, {}, {}}
-	for n, h := range of {
-		per[n%3][hosts[h.Name]] = true
-	}
-	for n := range per {
-		if len(per[n]) != 1 {
-			t.Errorf("weight %v: uses %v", of[n].Weight, per[n])
+// An endpoint of twice the weight gets twice the requests, and needs twice the connections.
+func TestConnectionsFollowWeight(t *testing.T) {
+	balancers, endpoints := newFleet(200, 100, 1)
+	for n := range endpoints {
+		endpoints[n].Weight = []float64{0.5, 1, 2}[n%3]
+	}
+	byEndpoint, _ := connections(balancers, endpoints, DefaultConfig).countByName()
+	countsByWeight := [3]map[int]bool{{}, {}, {}}
+	for n, e := range endpoints {
+		countsByWeight[n%3][byEndpoint[e.Name]] = true
+	}
+	for n, counts := range countsByWeight {
+		if len(counts) != 1 {
+			t.Errorf("weight %v: %v connections", endpoints[n].Weight, counts)
 		}
 	}
-	if a, b := hosts["h-1"], hosts["h-2"]; math.Abs(float64(b)/float64(a)-2) > 0.1 {
-		t.Errorf("%d and %d", a, b)
+	if single, double := byEndpoint["h-1"], byEndpoint["h-2"]; math.Abs(float64(double)/float64(single)-2) > 0.1 {
+		t.Errorf("%d connections, and %d with twice the weight", single, double)
 	}
 }
 
-// Zones of unlike size: hosts keep to their zone where it has balancers enough, and are in use there alike.
-func TestZonesOfUnlikeSize(t *testing.T) {
-	var all []Balancer
-	var of []Endpoint
-	for zone, n := range map[string][2]int{"a": {40, 10}, "b": {10, 40}, "c": {1, 20}} {
-		for b := range n[0] {
-			all = append(all, Balancer{fmt.Sprint(zone, b), zone})
+// With zones of unlike size, endpoints of a small zone had fewer balancers than they need. They keep to their zone only
+// where it has enough, and all endpoints of a zone have equally many.
+func TestZoneLocalFallsBackToAllZones(t *testing.T) {
+	var balancers []Balancer
+	var endpoints []Endpoint
+	for zone, size := range map[string]struct{ balancers, endpoints int }{"a": {40, 10}, "b": {10, 40}, "c": {1, 20}} {
+		for n := range size.balancers {
+			balancers = append(balancers, Balancer{fmt.Sprint(zone, n), zone})
 		}
-		for h := range n[1] {
-			of = append(of, Endpoint{fmt.Sprint("h", zone, h), zone, 1})
+		for n := range size.endpoints {
+			endpoints = append(endpoints, Endpoint{fmt.Sprint("h", zone, n), zone, 1})
 		}
 	}
-	rule := DefaultConfig
-	rule.ZoneLocal = true
-	p := pairs(all, of, rule)
-	hosts, _ := uses(p)
-	for pair := range p {
-		if zone := pair[1][1:2]; zone != "c" && pair[0][:1] != zone {
-			t.Errorf("%v crosses", pair)
+	config := DefaultConfig
+	config.ZoneLocal = true
+	set := connections(balancers, endpoints, config)
+	byEndpoint, _ := set.countByName()
+	for c := range set {
+		if zone := c.endpoint[1:2]; zone != "c" && c.balancer[:1] != zone {
+			t.Errorf("%v crosses zones", c)
 		}
 	}
 	for _, zone := range []string{"a", "b", "c"} {
-		var n []int
-		for _, h := range of {
-			if h.Zone == zone {
-				n = append(n, hosts[h.Name])
+		var counts []int
+		for _, e := range endpoints {
+			if e.Zone == zone {
+				counts = append(counts, byEndpoint[e.Name])
 			}
 		}
-		if slices.Max(n) != slices.Min(n) || slices.Min(n) < 3 {
-			t.Errorf("zone %s: hosts are in use by %v", zone, n)
+		if slices.Max(counts) != slices.Min(counts) || slices.Min(counts) < 3 {
+			t.Errorf("zone %s: %v connections", zone, counts)
 		}
 	}
 }
 
-// Seeded joins and leaves: one balancer or host more or less moves no more than 1.2 times the least that must move, as long as the
-// number that a host has stays the same; and the order of the lists does not matter.
-func TestLittleMoves(t *testing.T) {
+// If one balancer more made all choose anew, each deployment would reopen all connections of the fleet. Over seeded joins
+// and leaves no more than 1.2 times the least moves, as long as the number for each endpoint stays the same. The order of
+// the lists does not matter.
+func TestJoinsAndLeavesMoveLittle(t *testing.T) {
 	steps := 300
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
 		steps = n
 	}
-	chance := rand.New(rand.NewPCG(8, 8))
-	all, of := some(30, 60, 3)
-	next, before := 1000, pairs(all, of, DefaultConfig)
-	each := DefaultConfig.BalancersPerEndpoint(len(all), len(of))
+	random := rand.New(rand.NewPCG(8, 8))
+	balancers, endpoints := newFleet(30, 60, 3)
+	before := connections(balancers, endpoints, DefaultConfig)
+	perEndpoint := DefaultConfig.BalancersPerEndpoint(len(balancers), len(endpoints))
 	for step := range steps {
-		joins, host := chance.IntN(2) == 0, chance.IntN(2) == 0
+		isJoin, isEndpoint := random.IntN(2) == 0, random.IntN(2) == 0
 		switch {
-		case joins && host:
-			of = append(of, Endpoint{fmt.Sprint("h-", next), "z0", 1})
-		case joins:
-			all = append(all, Balancer{fmt.Sprint("b-", next), "z0"})
-		case host && len(of) > 20:
-			at := chance.IntN(len(of))
-			of = slices.Delete(slices.Clone(of), at, at+1)
-		case len(all) > 10:
-			at := chance.IntN(len(all))
-			all = slices.Delete(slices.Clone(all), at, at+1)
+		case isJoin && isEndpoint:
+			endpoints = append(endpoints, Endpoint{fmt.Sprint("h-", 1000+step), "z0", 1})
+		case isJoin:
+			balancers = append(balancers, Balancer{fmt.Sprint("b-", 1000+step), "z0"})
+		case isEndpoint && len(endpoints) > 20:
+			at := random.IntN(len(endpoints))
+			endpoints = slices.Delete(slices.Clone(endpoints), at, at+1)
+		case len(balancers) > 10:
+			at := random.IntN(len(balancers))
+			balancers = slices.Delete(slices.Clone(balancers), at, at+1)
 		}
-		next++
-		chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		chance.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
-		now := pairs(all, of, DefaultConfig)
-		if is := DefaultConfig.BalancersPerEndpoint(len(all), len(of)); is != each {
-			before, each = now, is // All hosts have one more or less: that much has to move.
+		random.Shuffle(len(balancers), func(i, j int) { balancers[i], balancers[j] = balancers[j], balancers[i] })
+		random.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] })
+		after := connections(balancers, endpoints, DefaultConfig)
+		if now := DefaultConfig.BalancersPerEndpoint(len(balancers), len(endpoints)); now != perEndpoint {
+			before, perEndpoint = after, now // All endpoints have one more or less: that much has to move.
 			continue
 		}
-		gained, lost := lacks(now, before), lacks(before, now)
-		// The least: what the one that came has now, or the one that went had, once.
-		hostsNow, balancersNow := uses(now)
-		hostsBefore, balancersBefore := uses(before)
-		least := 0
-		for _, pair := range [][2]map[string]int{{hostsNow, hostsBefore}, {hostsBefore, hostsNow}, {balancersNow, balancersBefore}, {balancersBefore, balancersNow}} {
-			for name, n := range pair[0] {
-				if pair[1][name] == 0 {
-					least += n
-				}
-			}
-		}
-		if moved := max(gained, lost); float64(moved) > 1.2*float64(least) {
+		moved, least := max(after.minus(before), before.minus(after)), leastMoves(before, after)
+		if float64(moved) > 1.2*float64(least) {
 			t.Fatalf("step %d: %d moved, the least is %d", step, moved, least)
 		}
-		before = now
+		before = after
 	}
 }
 
-// lacks counts the pairs of one that the other does not have.
-func lacks(one, other map[[2]string]bool) (n int) {
-	for pair := range one {
-		if !other[pair] {
-			n++
+// leastMoves is what has to move: the connections of whoever came, and of whoever went.
+func leastMoves(before, after connectionSet) (least int) {
+	endpointsBefore, balancersBefore := before.countByName()
+	endpointsAfter, balancersAfter := after.countByName()
+	countOnlyIn := func(counts, others map[string]int) {
+		for name, count := range counts {
+			if others[name] == 0 {
+				least += count
+			}
 		}
 	}
-	return n
+	countOnlyIn(endpointsAfter, endpointsBefore)
+	countOnlyIn(endpointsBefore, endpointsAfter)
+	countOnlyIn(balancersAfter, balancersBefore)
+	countOnlyIn(balancersBefore, balancersAfter)
+	return least
 }
