--- a/budgets/ledger.go
+++ b/budgets/ledger.go
@@ -3,8 +3,8 @@
 // Ledger and grants a share of the whole with each lease. A process acts on its HeldShare while its lease lasts, and
 // without a lease on ShareWithoutLease.
 //
-// The package is pure: the clock is handed in. Nothing locks; the callers, consensus' leader and lease holder, have one
-// goroutine each. Times are nanoseconds of the leader's clock. Shares are fractions of the whole, from 0 to 1.
+// The package is pure: the clock is handed in. Nothing locks: the callers, leader and lease holder in consensus, make
+// one call at a time. Times are nanoseconds of the leader's clock. Shares are fractions of the whole, from 0 to 1.
 //
 // What it guarantees: while no more than the stated number of processes run, the shares that all act on never add up
 // to more than the whole, whatever is lost, repeated, late or stopped, and whoever crashes, comes back or is elected;
@@ -24,12 +24,12 @@
 	minRequestRate = 1
 	// maxRequestRate, in requests a second, is what no process can have: one that reports more is not believed.
 	maxRequestRate = 1e9
-	// sharePrecision is what granted shares are whole multiples of, in parts of the whole.
+	// sharePrecision is how many steps the whole has when a share is rounded down.
 	sharePrecision = 1e6
 )
 
-// Holder is one incarnation of a process. One that restarts is another holder: what was granted before may still be
-// acted on by nobody, but the ledger cannot know.
+// Holder is one incarnation of a process. One that restarts, and the second one over an upgrade, is another holder: the
+// earlier one may still act on its share.
 type Holder struct {
 	Name        string
 	Incarnation uint64
--- a/evacuation/controller.go
+++ b/evacuation/controller.go
@@ -3,7 +3,7 @@
 // accepts. A Ramp runs in every process, one a zone: it says which share of the keys does not go there now.
 //
 // The package is pure: the clock and what was observed are handed in, and nothing here waits or does I/O. Neither type
-// locks; the fleet's driver calls both from one goroutine. All times and spans are nanoseconds.
+// locks: the driver in fleet makes one call at a time. All times and spans are nanoseconds.
 //
 // What it guarantees:
 //   - No zone is evacuated on the evidence of one balancer, of one zone, or about one endpoint.
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -3,7 +3,7 @@
 // what was reported. While an endpoint is ejected, one balancer at a time holds the lease to probe it.
 //
 // The package is pure: the clock and the messages are handed in and out, and nothing here waits, draws or does I/O. A
-// Detector does not lock; its callers (fleet between processes, the simulator's adapter) call it from one goroutine.
+// Detector does not lock: its callers, fleet between processes and the simulator's adapter, make one call at a time.
 //
 // What it guarantees:
 //   - A report is only about what its sender observed itself; nothing received is passed on, so no rumour feeds itself.
--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -38,6 +38,7 @@
 	case isFailing && (!endpoint.isEjected() || endpoint.isReturning()):
 		d.eject(now, id, endpoint)
 	case !endpoint.isEjected():
+		// In use, and the evidence does not suffice.
 	case endpoint.isReturning():
 		if now >= endpoint.returnsAt {
 			endpoint.uneject()
--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	// failureRateAttempts is over how many attempts the failure rate is an average: some ten seconds of a busy
-	// balancer.
+	// failureRateAttempts is over how many attempts the failure rate is an average: ten seconds at 200 a second.
 	failureRateAttempts = 2000.0
 	// minFailureRate is the lowest rate that is believed: no balancer has seen enough attempts to know a lower one.
 	minFailureRate = 0.001
