--- a/budgets/ledger_test.go
+++ b/budgets/ledger_test.go
@@ -230,11 +230,29 @@
 // A ledger that knows as many processes as it may keep gives any other the share of one alone, and keeps nothing of it.
 func TestFullLedgerRecordsNobodyElse(t *testing.T) {
 	ledger, now := New(0, 4, leaseTimeout), int64(1e12)
-	for n := range maxAccounts {
+	for n := range 8192 {
 		ledger.accounts[Holder{fmt.Sprint("p", n), 1}] = &account{requestRate: 1, promises: []promise{{1, 1e-6, now + 1}}}
 	}
 	share := ledger.Grant(now, Holder{"one more", 1}, ShareRequest{Seq: 1, RequestRate: 100})
-	if share != ShareWithoutLease(4) || len(ledger.accounts) != maxAccounts {
+	if share != ShareWithoutLease(4) || len(ledger.accounts) != 8192 {
 		t.Errorf("share %v, %d processes known", share, len(ledger.accounts))
 	}
 }
+
+// A process that stated an endless rate, or none that is a number, took the whole of what is divided by traffic.
+func TestUnbelievableRatesCountAsTheLeast(t *testing.T) {
+	for _, c := range []struct{ stated, want float64 }{
+		{0, 1},
+		{0.3, 1},
+		{250, 250},
+		{1e9, 1e9},
+		{1.01e9, 1},
+		{math.Inf(1), 1},
+		{math.NaN(), 1},
+		{-5, 1},
+	} {
+		if got := believedRate(c.stated); got != c.want {
+			t.Errorf("%v counts as %v, want %v", c.stated, got, c.want)
+		}
+	}
+}
--- a/evacuation/controller_test.go
+++ b/evacuation/controller_test.go
@@ -175,3 +175,12 @@
 		}
 	}
 }
+
+// A zone that was repaired after a bad night stayed evacuated for hours when holds doubled without a bound. The longest
+// is 192 s.
+func TestHoldIsBounded(t *testing.T) {
+	state := &zoneState{relapses: 40}
+	if hold := state.hold(1e12, true); hold != 192_000*millisecond {
+		t.Errorf("after 40 relapses it is returned to after %d ms", hold/millisecond)
+	}
+}
--- a/evacuation/ramp_test.go
+++ b/evacuation/ramp_test.go
@@ -70,3 +70,20 @@
 		}
 	}
 }
+
+// Two processes whose clocks differ by nanoseconds sent the keys of one step to different zones. A share counts as the
+// next step only if it is above a whole one by more than rounding explains.
+func TestRampToleratesRounding(t *testing.T) {
+	for _, c := range []struct{ share, want float64 }{
+		{0.5, 16.0 / 32},
+		{0.5 + 0.75e-6/32, 16.0 / 32},
+		{0.5 + 1.25e-6/32, 17.0 / 32},
+		{1, 1},
+		{0, 0},
+	} {
+		ramp := Ramp{share: c.share}
+		if got := ramp.roundedShare(); got != c.want {
+			t.Errorf("%v is rounded to %v, want %v", c.share, got, c.want)
+		}
+	}
+}
--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -15,7 +15,7 @@
 	delaysPerSpread = 4
 	// relapseWindow is how soon after a recovery a new ejection counts as a relapse, which doubles the next spread.
 	relapseWindow = 20000 * millisecond
-	// maxReturnDoublings bounds the doublings.
+	// maxReturnDoublings bounds the doublings, so that the spread cannot overflow before maxReturnSpread is applied.
 	maxReturnDoublings = 6
 	// maxEjectedShare is the part of the endpoints that may be ejected. If more fail, the cause is behind all of them
 	// or on this balancer's side, and sending to the rest would only overload it.
--- a/outlier/ejection_test.go
+++ b/outlier/ejection_test.go
@@ -265,3 +265,22 @@
 			failures[0], failures[1], float64(bytes[1])/20/float64(balancers))
 	}
 }
+
+// An endpoint that fails under load alone was taken back at once each time. A new ejection within 20 s of the recovery
+// counts as a relapse, which makes the next return slower; one after that begins anew.
+func TestEjectionSoonAfterRecoveryIsRelapse(t *testing.T) {
+	for _, c := range []struct {
+		sinceRecovery int64
+		want          int
+	}{
+		{19_999 * millisecond, 4},
+		{20_000 * millisecond, 0},
+	} {
+		const now = int64(1e12)
+		endpoint := &endpointState{relapses: 3, ejectionEndedAt: now - c.sinceRecovery}
+		New(Member{1, 0}, 1).eject(now, 1000, endpoint)
+		if endpoint.relapses != c.want {
+			t.Errorf("%d ms after the recovery: %d relapses, want %d", c.sinceRecovery/millisecond, endpoint.relapses, c.want)
+		}
+	}
+}
--- a/outlier/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -164,3 +164,24 @@
 		t.Errorf("%d reports are kept, %d by the count", stored, detector.storedReports)
 	}
 }
+
+// Reports of members that fell silent filled the table for ever. A report is dropped once it is 30 s old, both by its
+// sender's word and since it was received; until then the order of probes may depend on it.
+func TestReportsExpire(t *testing.T) {
+	const now, old = int64(1e12), 30_000 * millisecond
+	for _, c := range []struct {
+		observed, received int64 // ago
+		want               int
+	}{
+		{old, old, 1},
+		{old + 1, old, 1},
+		{old, old + 1, 1},
+		{old + 1, old + 1, 0},
+	} {
+		endpoint := &endpointState{reports: []storedReport{{observedAt: now - c.observed, receivedAt: now - c.received}}}
+		endpoint.dropExpiredReports(now)
+		if len(endpoint.reports) != c.want {
+			t.Errorf("observed %d ns ago, received %d ns ago: %d reports", c.observed, c.received, len(endpoint.reports))
+		}
+	}
+}
--- a/outlier/message.go
+++ b/outlier/message.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// MaxMessageBytes bounds an encoded message: while something fails, each member sends several a second to all others.
+	// MaxMessageBytes bounds an encoded message: while something fails, each member sends several a second to all
+	// others.
 	MaxMessageBytes = 256
 	// maxReportsPerMessage is how many of the largest reports fit into MaxMessageBytes.
 	maxReportsPerMessage = 18
