--- a/benchlink/link.go
+++ b/benchlink/link.go
@@ -13,13 +13,13 @@
 	"hollylever/tables"
 )
 
-var outcomes = map[uint64]policy.Outcome{10: policy.OK, 20: policy.Errored, 30: policy.Full,
-	40: policy.TimedOut, 50: policy.Unreached, 60: policy.Reset, 70: policy.Cancelled, 80: policy.Unsent,
-	90: policy.Missing}
-var scopes = map[string]policy.Scope{"INCREMENTAL": policy.Incremental, "FULL": policy.Whole,
-	"SAVED": policy.Saved, "FAILED": policy.Failed}
+var outcomes = map[uint64]policy.Outcome{10: policy.OK, 20: policy.Errored, 30: policy.Rejected,
+	40: policy.TimedOut, 50: policy.ConnectFailed, 60: policy.Reset, 70: policy.Cancelled, 80: policy.NotSent,
+	90: policy.CacheMiss}
+var scopes = map[string]policy.UpdateKind{"INCREMENTAL": policy.IncrementalList, "FULL": policy.FullList,
+	"SAVED": policy.SavedList, "FAILED": policy.UpdateFailed}
 var healths = map[string]policy.Health{"ready": policy.Ready, "draining": policy.Draining,
-	"gone": policy.Gone}
+	"gone": policy.Removed}
 
 // slot ties a retrieval's small index to its id. It is free again once that has ended and no trip is out.
 type slot struct {
@@ -109,7 +109,7 @@
 }
 
 // Wake sets a timer.
-func (n *instance) Wake(tag int, after int64) {
+func (n *instance) SetTimer(tag int, after int64) {
 	n.reply.start("schedule", n.name)
 	n.reply.whole("tag", uint64(tag))
 	n.reply.span("offset", after)
@@ -117,7 +117,7 @@
 }
 
 // Subscribe has changes of the list told.
-func (n *instance) Subscribe() {
+func (n *instance) WatchEndpoints() {
 	n.reply.start("stream_changes", n.name)
 	n.reply.text("on", "1")
 	n.reply.end()
@@ -198,7 +198,7 @@
 		ask(in, n, now)
 	case "wake":
 		if tag, _ := in.whole("tag", true); in.bad == nil {
-			n.module.Woke(now, int(tag))
+			n.module.HandleTimer(now, int(tag))
 		}
 	case "check_result":
 		server := host(in, n)
@@ -212,7 +212,7 @@
 		leg, _ := in.whole("leg", true)
 		host(in, n)
 		if i, known := n.ids[id]; known && in.bad == nil {
-			n.module.Started(now, i, int(leg))
+			n.module.HandleResponseStarted(now, i, int(leg))
 		}
 	case "completed":
 		completed(in, n, now)
@@ -220,7 +220,7 @@
 		id, _ := in.whole("id", true)
 		if i, known := n.ids[id]; known && in.bad == nil {
 			n.slots[i].ended = true
-			n.module.Aborted(now, i)
+			n.module.HandleClientCancelled(now, i)
 			n.release(i)
 		}
 	case "neighbour_says":
@@ -290,12 +290,12 @@
 	if !known {
 		in.complain("scope", "unknown name: "+strconv.Quote(string(in.find("scope"))))
 	}
-	in.whole("rev", scope != policy.Failed)
-	lines, _ := in.whole("lines", scope != policy.Failed)
+	in.whole("rev", scope != policy.UpdateFailed)
+	lines, _ := in.whole("lines", scope != policy.UpdateFailed)
 	if in.bad != nil {
 		return
 	}
-	n.module.Listing(now, scope)
+	n.module.BeginEndpointUpdate(now, scope)
 	for range lines {
 		if in.next() != nil || in.name != "row" {
 			in.complain("lines", "fewer rows than it says")
@@ -319,9 +319,9 @@
 			n.hosts[address] = server
 			n.addresses = append(n.addresses, address)
 		}
-		n.module.Row(now, server, address, health, started, kind, zone, int(cell), in.number("heft", false))
+		n.module.UpdateEndpoint(now, server, address, health, started, kind, zone, int(cell), in.number("heft", false))
 	}
-	n.module.Listed(now)
+	n.module.CommitEndpointUpdate(now)
 	n.peers.listed(n.addresses)
 }
 
@@ -335,7 +335,7 @@
 	if in.bad == nil {
 		i := n.take(id)
 		n.talks(now)
-		n.module.Asked(now, i, patience, workload, tenant, key, keyGiven, write, predicted)
+		n.module.HandleRequest(now, i, patience, workload, tenant, key, keyGiven, write, predicted)
 		n.slots[i].workload = workload
 		n.release(i)
 	}
@@ -355,13 +355,13 @@
 	n.slots[i].out--
 	n.slots[i].ended = n.slots[i].ended || noMore
 	n.saw(now, server, n.slots[i].workload, how, took)
-	n.module.Ended(now, i, int(leg), server, int(info), how, took, noMore)
+	n.module.HandleAttemptEnded(now, i, int(leg), server, int(info), how, took, noMore)
 	n.release(i)
 }
 
 // reported hands over the load report that came along, if it can be read.
 func reported(in *reader, n *instance, server int, now int64) {
 	if tables.Report(in.find("usage"), ":", n.fields, n.load) {
-		n.module.Reported(now, server, n.load)
+		n.module.HandleLoadReport(now, server, n.load)
 	}
 }
--- a/benchlink/peers.go
+++ b/benchlink/peers.go
@@ -83,7 +83,7 @@
 func (n *instance) tries(server int) {
 	if p := n.peers; p != nil {
 		if part, heeded := p.board.Sent(p.now, p.ids[server]); heeded {
-			n.module.Heard(server, part)
+			n.module.UpdatePeerVerdict(server, part)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 	// Guards the price of messages, which all are paid for by their retrievals: in a large fleet few balancers speak, and seldom.
 	may := p.saved >= 0
 	p.board.Look(now)
-	p.board.Heeded(now, func(id uint32, part float64) { n.module.Heard(p.at[id], part) })
+	p.board.Heeded(now, func(id uint32, part float64) { n.module.UpdatePeerVerdict(p.at[id], part) })
 	if !may {
 		return
 	}
--- a/learnt/learnt_test.go
+++ b/learnt/learnt_test.go
@@ -24,8 +24,8 @@
 func sample(keys int) *Snapshot {
 	s := &Snapshot{Name: "n1", Settings: 7, At: now.UnixNano(), Discovery: "127.0.0.1:1", Index: 9, List: []byte(`{}`)}
 	s.State = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
-		Servers: []policy.ServerState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
-		Kinds:   []policy.KindState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
+		Servers: []policy.EndpointState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
+		Kinds:   []policy.MachineTypeState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
 	for n := range keys {
 		s.State.Keys, s.State.Places = append(s.State.Keys, uint64(n)+1), append(s.State.Places, uint32(n%2))
 	}
@@ -222,10 +222,10 @@
 // At 5,000 hosts and as many keys as a module keeps.
 func BenchmarkWrite(b *testing.B) {
 	s := sample(8191)
-	s.State.Servers = make([]policy.ServerState, 5000)
+	s.State.Servers = make([]policy.EndpointState, 5000)
 	for n := range s.State.Servers {
 		h := &s.State.Servers[n]
-		*h = policy.ServerState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
+		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
 		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
--- a/policy/coldfleet_test.go
+++ b/policy/coldfleet_test.go
@@ -66,7 +66,7 @@
 
 func (m *coldMember) Reject(request int, _ Reason, _ int64) { m.end(request) }
 func (m *coldMember) Fail(request int, _ Reason)            { m.end(request) }
-func (m *coldMember) Wake(tag int, after int64) {
+func (m *coldMember) SetTimer(tag int, after int64) {
 	heap.Push(&m.fleet.endings, ending{at: m.fleet.now + after, member: m.index, request: -1, number: tag})
 }
 
@@ -74,7 +74,7 @@
 	f := m.fleet
 	end := ending{f.now + f.deployment.work, m.index, request, m.attempts[request], server, OK}
 	if m.attempts[request]++; f.cutOff[server] {
-		end.at, end.how = f.now+ms, Unreached
+		end.at, end.how = f.now+ms, ConnectFailed
 	}
 	heap.Push(&f.endings, end)
 	f.sent[server] = append(f.sent[server], f.now)
@@ -84,7 +84,7 @@
 type coldFleet struct {
 	deployment coldDeployment
 	now        int64
-	chance     chance
+	chance     randomSource
 	members    []*coldMember
 	weights    []float64 // summed up: of the load, for each member
 	endings    endings
@@ -96,7 +96,7 @@
 }
 
 func newColdFleet(d coldDeployment, seed uint64, members, servers int, uneven bool) *coldFleet {
-	f := &coldFleet{deployment: d, now: unix, chance: chance{seed + 1, 7}, sent: make([][]int64, servers),
+	f := &coldFleet{deployment: d, now: unix, chance: randomSource{seed + 1, 7}, sent: make([][]int64, servers),
 		started: make([]int64, servers), health: make([]Health, servers), cutOff: make([]bool, servers)}
 	f.values = map[string]any{"workloads": 1.0, "workloads.0.group": "all", "workloads.0.expectedTime": 600.0, "workloads.0.effect": "free",
 		"allowed.mostTrips": 3.0, "allowed.cancelling": true, "balancers": float64(members), "invariants.startCapacity": d.startCapacity,
@@ -116,24 +116,24 @@
 // begin makes a member that knows nothing.
 func (f *coldFleet) begin(index int) *coldMember {
 	m := &coldMember{fleet: f, index: index, attempts: map[int]int{}}
-	m.balancer = New(f.now, f.chance.next(), f.values, m)
+	m.balancer = New(f.now, f.chance.uint64(), f.values, m)
 	return m
 }
 
 // list tells all members the present list.
 func (f *coldFleet) list() {
 	for _, m := range f.members {
-		m.balancer.Listing(f.now, Whole)
+		m.balancer.BeginEndpointUpdate(f.now, FullList)
 		for s, health := range f.health {
-			m.balancer.Row(f.now, s, fmt.Sprint("s-", s), health, f.started[s], 0, 0, 0, 1)
+			m.balancer.UpdateEndpoint(f.now, s, fmt.Sprint("s-", s), health, f.started[s], 0, 0, 0, 1)
 		}
-		m.balancer.Listed(f.now)
+		m.balancer.CommitEndpointUpdate(f.now)
 	}
 }
 
 // ask hands a request with a key of its own to a member by its weight.
 func (f *coldFleet) ask() {
-	at, i := f.chance.part()*f.weights[len(f.weights)-1], 0
+	at, i := f.chance.float64()*f.weights[len(f.weights)-1], 0
 	for f.weights[i] <= at {
 		i++
 	}
@@ -144,22 +144,22 @@
 	} else {
 		m.next++
 	}
-	m.balancer.Asked(f.now, request, 2*second, 0, -1, f.chance.next(), true, false, 0)
+	m.balancer.HandleRequest(f.now, request, 2*second, 0, -1, f.chance.uint64(), true, false, 0)
 }
 
 // run plays so long with so many requests a second.
 func (f *coldFleet) run(length int64, rate float64) {
 	for end := f.now + length; ; {
-		next := f.now + int64(-math.Log(1-f.chance.part())/rate*float64(second))
+		next := f.now + int64(-math.Log(1-f.chance.float64())/rate*float64(second))
 		for len(f.endings) > 0 && f.endings[0].at <= min(next, end) {
 			e := heap.Pop(&f.endings).(ending)
 			f.now = e.at
 			m := f.members[e.member]
 			if e.request < 0 {
-				m.balancer.Woke(f.now, e.number)
+				m.balancer.HandleTimer(f.now, e.number)
 				continue
 			}
-			m.balancer.Ended(f.now, e.request, e.number, e.server, 1, e.how, f.deployment.work, e.how == OK)
+			m.balancer.HandleAttemptEnded(f.now, e.request, e.number, e.server, 1, e.how, f.deployment.work, e.how == OK)
 			if e.how == OK {
 				m.end(e.request)
 			}
@@ -307,11 +307,11 @@
 		f.run(15*second, coldDeployments[0].perServer*coldServers)
 		f.restart(1)
 		b := f.members[0].balancer
-		b.coldRoom(f.now, 0)
-		before := b.can
+		b.slowStartBudget(f.now, 0)
+		before := b.peakThroughput
 		leave(f)
-		if b.coldRoom(f.now+ms, 0); b.can > 1.1*before {
-			t.Errorf("%s: a warm server answers %.1f a second, and %.1f once one is left", name, before, b.can)
+		if b.slowStartBudget(f.now+ms, 0); b.peakThroughput > 1.1*before {
+			t.Errorf("%s: a warm server answers %.1f a second, and %.1f once one is left", name, before, b.peakThroughput)
 		}
 	}
 }
@@ -322,20 +322,20 @@
 	const draws = 4000
 	let := 0
 	for range draws {
-		h := &w.b.servers[1]
+		h := &w.b.endpoints[1]
 		w.now += ms
-		h.started, h.room, h.roomAt = w.now, 0.3, w.now-1
-		r := &request{live: true, stop: w.now + second}
-		first := w.b.maySend(w.now, r, 1)
-		if again := w.b.maySend(w.now, r, 1); again != first || first != (h.room >= 1) || !first && h.room > 0 {
-			t.Fatalf("let in %t, then %t, with room of %g left", first, again, h.room)
+		h.startedAt, h.slowStartTokens, h.slowStartAt = w.now, 0.3, w.now-1
+		r := &request{isOpen: true, deadline: w.now + second}
+		first := w.b.canDispatch(w.now, r, 1)
+		if again := w.b.canDispatch(w.now, r, 1); again != first || first != (h.slowStartTokens >= 1) || !first && h.slowStartTokens > 0 {
+			t.Fatalf("let in %t, then %t, with room of %g left", first, again, h.slowStartTokens)
 		}
 		if first {
 			let++
 		}
 	}
-	if w.b.coldRoom(w.now+ms, 1); w.b.servers[1].room >= 1 {
-		t.Errorf("room of %g is kept for later", w.b.servers[1].room)
+	if w.b.slowStartBudget(w.now+ms, 1); w.b.endpoints[1].slowStartTokens >= 1 {
+		t.Errorf("room of %g is kept for later", w.b.endpoints[1].slowStartTokens)
 	}
 	if let < draws*25/100 || let > draws*35/100 {
 		t.Errorf("%d of %d are let in with room for 0.3", let, draws)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,7 +12,7 @@
 			sends[s]++
 			by[k+1] = s
 			w.asked[i].attempts[t].out, w.asked[i].live = false, false
-			w.b.Ended(w.now+ms, i, t, s, note, OK, 5*ms, true)
+			w.b.HandleAttemptEnded(w.now+ms, i, t, s, note, OK, 5*ms, true)
 		}
 		w.now += ms
 	}
@@ -25,16 +25,16 @@
 	if sends, _ := w.goes(300, 1); sends[2] == 0 {
 		t.Fatal("it has no keys")
 	}
-	w.b.Heard(2, 1)
+	w.b.UpdatePeerVerdict(2, 1)
 	if sends, _ := w.goes(300, 1); sends[2] != 0 {
 		t.Errorf("%d went there", sends[2])
 	}
 	for range 20 {
-		w.b.servers[2].bad.Add(w.b.seen, 1)
+		w.b.endpoints[2].failures.Add(w.b.evidence, 1)
 	}
-	w.b.Heard(2, 0)
+	w.b.UpdatePeerVerdict(2, 0)
 	doubted, _ := w.goes(30, 1)
-	w.b.Heard(2, -1)
+	w.b.UpdatePeerVerdict(2, -1)
 	if turn, _ := w.goes(30, 1); turn[2] < 10 || doubted[2] > turn[2]/2 {
 		t.Errorf("in doubt %d went there, with the turn %d", doubted[2], turn[2])
 	}
@@ -44,7 +44,7 @@
 func TestNoOneShotIsTheTry(t *testing.T) {
 	w := plain(t, 9, 6, nil)
 	w.goes(60, 1)
-	w.b.Heard(2, -1)
+	w.b.UpdatePeerVerdict(2, -1)
 	for k := range uint64(200) {
 		i := w.ask(NonIdempotent, k+1, 1500*ms)
 		if w.asked[i].attempts[0].server == 2 {
@@ -65,7 +65,7 @@
 		for seed := range 2 {
 			w := plain(t, uint64(seed+1), 9, map[string]any{"zones": 2.0, "zones.0": "a", "zones.1": "b", "zone": []string{"a", "b"}[seed]})
 			w.goes(60, 2) // Many miss.
-			w.b.Scarce(scarce)
+			w.b.SetWidespreadMisses(scarce)
 			_, at[seed] = w.goes(200, 2)
 		}
 		for key, s := range at[0] {
@@ -85,7 +85,7 @@
 	w := plain(t, 5, 8, nil)
 	zone := func(by map[uint64]int, away bool) (in, all int) {
 		for key, s := range by {
-			if partOf(key) < 0.5 == away {
+			if keyPosition(key) < 0.5 == away {
 				if all++; s%2 == 0 {
 					in++
 				}
@@ -93,7 +93,7 @@
 		}
 		return in, all
 	}
-	w.b.Leave(0, 0.5, second)
+	w.b.SetEvacuation(0, 0.5, second)
 	_, by := w.goes(400, 2)
 	if in, all := zone(by, true); in != 0 || all < 100 {
 		t.Errorf("%d of %d keys that stay away go there", in, all)
@@ -101,12 +101,12 @@
 	if in, all := zone(by, false); in < all/4 {
 		t.Errorf("%d of %d others go there", in, all)
 	}
-	w.b.Leave(0, 0, second)
+	w.b.SetEvacuation(0, 0, second)
 	_, by = w.goes(400, 2)
 	if in, all := zone(by, true); in < all/4 {
 		t.Errorf("%d of %d keys are back", in, all)
 	}
-	w.b.Leave(0, 1, second)
+	w.b.SetEvacuation(0, 1, second)
 	if sends, _ := w.goes(100, 1); sends[0]+sends[2]+sends[4]+sends[6] != 0 {
 		t.Errorf("%v", sends)
 	}
@@ -115,8 +115,8 @@
 // Where nothing else is there, a left zone is still better than nothing.
 func TestTheOnlyZoneServesThoughItIsLeft(t *testing.T) {
 	w := plain(t, 6, 4, nil)
-	w.b.Leave(0, 1, second)
-	w.b.Leave(1, 1, second)
+	w.b.SetEvacuation(0, 1, second)
+	w.b.SetEvacuation(1, 1, second)
 	sends, _ := w.goes(100, 1)
 	if n := sends[0] + sends[1] + sends[2] + sends[3]; n != 100 {
 		t.Errorf("%d of 100 were sent", n)
@@ -126,11 +126,11 @@
 // Portion goes before the number of balancers that the settings state.
 func TestPortion(t *testing.T) {
 	w := plain(t, 7, 4, nil)
-	if w.b.Portion(0.1); w.b.balancers != 10 {
-		t.Error(w.b.balancers)
+	if w.b.SetFleetShare(0.1); w.b.fleetSize != 10 {
+		t.Error(w.b.fleetSize)
 	}
-	if w.b.Portion(7); w.b.balancers != 1 {
-		t.Error(w.b.balancers)
+	if w.b.SetFleetShare(7); w.b.fleetSize != 1 {
+		t.Error(w.b.fleetSize)
 	}
 }
 
@@ -139,8 +139,8 @@
 	shares := func(left bool) (share float64) {
 		w := plain(t, 8, 6, nil)
 		if w.goes(200, 1); left {
-			w.b.Leave(0, 1, 0)
-			w.b.Leave(0, 0, 60*second)
+			w.b.SetEvacuation(0, 1, 0)
+			w.b.SetEvacuation(0, 0, 60*second)
 		}
 		sent, all := 0, 0
 		for k := range uint64(600) {
@@ -156,7 +156,7 @@
 			for end := w.now + took; w.now < end; w.now += ms { // It is in flight for so long.
 			}
 			w.asked[i].attempts[0].out, w.asked[i].live = false, false
-			w.b.Ended(w.now, i, 0, s, 1, OK, took, true)
+			w.b.HandleAttemptEnded(w.now, i, 0, s, 1, OK, took, true)
 		}
 		return float64(sent) / float64(all)
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -101,15 +101,15 @@
 		how    Outcome
 		chance float64
 		took   int64
-	}{{Errored, g.errored, 2 * ms}, {Full, g.full, ms}, {TimedOut, g.silent, max(ms, until-g.now)}, {Unreached, g.unreached, 3 * ms},
-		{Reset, g.reset, event.took}, {Missing, g.missing, event.took}, {Unsent, g.reset / 4, ms}} {
+	}{{Errored, g.errored, 2 * ms}, {Rejected, g.full, ms}, {TimedOut, g.silent, max(ms, until-g.now)}, {ConnectFailed, g.unreached, 3 * ms},
+		{Reset, g.reset, event.took}, {CacheMiss, g.missing, event.took}, {NotSent, g.reset / 4, ms}} {
 		if draw -= outcome.chance; draw < 0 {
 			event.how, event.took = outcome.how, outcome.took
 			break
 		}
 	}
-	if health == Gone {
-		event.how, event.took = Unreached, 3*ms
+	if health == Removed {
+		event.how, event.took = ConnectFailed, 3*ms
 	}
 	if event.took > until-g.now {
 		event.how, event.took = TimedOut, max(ms, until-g.now)
@@ -132,41 +132,41 @@
 	g.note(4, int64(request), int64(tried))
 	g.counts[3]++
 }
-func (g *goldenRun) Subscribe() { g.note(5) }
-func (g *goldenRun) Wake(tag int, after int64) {
+func (g *goldenRun) WatchEndpoints() { g.note(5) }
+func (g *goldenRun) SetTimer(tag int, after int64) {
 	g.note(6, int64(tag), after)
 	g.counts[4]++
 	g.later(after, goldenEvent{tag: tag, tried: -1})
 }
 
 // list tells a list in which servers change their state by chance.
-func (g *goldenRun) list(scope Scope) {
-	g.b.Listing(g.now, scope)
-	if scope == Failed {
+func (g *goldenRun) list(scope UpdateKind) {
+	g.b.BeginEndpointUpdate(g.now, scope)
+	if scope == UpdateFailed {
 		return
 	}
 	for s := range g.servers {
 		started := int64(0)
 		switch draw := g.chances.IntN(12); {
-		case scope == Saved && g.cold:
+		case scope == SavedList && g.cold:
 			started = g.now
-		case scope == Saved:
+		case scope == SavedList:
 		case draw == 0:
 			g.servers[s] = Draining
 		case draw == 1:
-			g.servers[s] = Gone
+			g.servers[s] = Removed
 		case draw < 6 && g.servers[s] != Ready:
 			g.servers[s], started = Ready, g.now-int64(g.chances.IntN(2000))*ms
-		case draw == 7 && scope == Whole:
+		case draw == 7 && scope == FullList:
 			continue // It is left out.
 		}
-		if scope == Incremental && g.servers[s] == Gone && g.inFlight[s] == 0 && g.chances.IntN(4) == 0 {
-			g.b.Forget(s)
+		if scope == IncrementalList && g.servers[s] == Removed && g.inFlight[s] == 0 && g.chances.IntN(4) == 0 {
+			g.b.RemoveEndpoint(s)
 			continue
 		}
-		g.b.Row(g.now, s, fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), g.servers[s], started, s%3, s%3, s%4, float64(1+s%2))
+		g.b.UpdateEndpoint(g.now, s, fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), g.servers[s], started, s%3, s%3, s%4, float64(1+s%2))
 	}
-	g.b.Listed(g.now)
+	g.b.CommitEndpointUpdate(g.now)
 }
 
 // ask begins a request in a free place.
@@ -181,7 +181,7 @@
 	g.requests[i] = goldenRequest{live: true, streams: g.chances.Float64() < g.starts}
 	key := uint64(1 + min(g.chances.IntN(g.keys), g.chances.IntN(g.keys)))
 	class, patience := g.chances.IntN(len(g.b.classes)), int64(20+g.chances.IntN(800))*ms
-	g.b.Asked(g.now, i, patience, class, g.chances.IntN(4)-1, key*0x9e3779b97f4a7c15, g.chances.IntN(10) > 0,
+	g.b.HandleRequest(g.now, i, patience, class, g.chances.IntN(4)-1, key*0x9e3779b97f4a7c15, g.chances.IntN(10) > 0,
 		g.chances.IntN(5) == 0, int64(g.chances.IntN(3))*10*ms)
 }
 
@@ -191,7 +191,7 @@
 	if r.streams && r.live && e.how == OK {
 		r.streams = false
 		r.live = false // Nothing else may end it, and its place stays taken until the attempt has ended.
-		g.b.Started(g.now, e.request, e.tried)
+		g.b.HandleResponseStarted(g.now, e.request, e.tried)
 		e.how = []Outcome{OK, Reset}[g.chances.IntN(2)]
 		g.later(20*ms, e)
 		return
@@ -201,13 +201,13 @@
 	}
 	r.ended++
 	g.inFlight[e.server]--
-	g.b.Ended(g.now, e.request, e.tried, e.server, 1+g.chances.IntN(3)/2, e.how, e.took, !r.live)
+	g.b.HandleAttemptEnded(g.now, e.request, e.tried, e.server, 1+g.chances.IntN(3)/2, e.how, e.took, !r.live)
 }
 
 // snapshot hashes what was learnt; the run goes on in a new Balancer that is given it, as after a restart.
 func (g *goldenRun) snapshot(t *testing.T) {
 	var state State
-	g.b.Learnt(g.now, &state)
+	g.b.SaveState(g.now, &state)
 	if err := state.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -220,8 +220,8 @@
 	clear(g.inFlight)
 	g.now += 500 * ms
 	g.b = New(g.now, 99, g.b.values, g)
-	g.list(Saved)
-	g.note(7, int64(g.b.Learn(g.now, &state, 500*ms)))
+	g.list(SavedList)
+	g.note(7, int64(g.b.RestoreState(g.now, &state, 500*ms)))
 }
 
 // chanced does what others do to a balancer: reports, verdicts, shares, zones that are left, clients that go.
@@ -229,28 +229,28 @@
 	hit := func(chance float64) bool { return chance > 0 && g.chances.Float64() < chance }
 	server := g.chances.IntN(len(g.servers))
 	if hit(g.lists) {
-		g.list([]Scope{Incremental, Whole, Saved, Failed, Incremental}[g.chances.IntN(5)])
+		g.list([]UpdateKind{IncrementalList, FullList, SavedList, UpdateFailed, IncrementalList}[g.chances.IntN(5)])
 	}
 	if hit(g.reports) {
-		g.b.Reported(g.now, server, []float64{g.chances.Float64() * 200, math.NaN(), g.chances.Float64() * 1.2, g.chances.Float64() * 4})
+		g.b.HandleLoadReport(g.now, server, []float64{g.chances.Float64() * 200, math.NaN(), g.chances.Float64() * 1.2, g.chances.Float64() * 4})
 	}
 	if hit(g.verdicts) {
-		g.b.Heard(server, []float64{0, -1, 0.5, 0.9}[g.chances.IntN(4)])
-		g.b.Scarce(g.chances.IntN(3) == 0)
-		g.b.Portion(0.2 + g.chances.Float64()/2)
-		g.b.Share(0.5 + g.chances.Float64()/2)
-		g.b.Quota(g.chances.IntN(3), float64(20+g.chances.IntN(400)))
+		g.b.UpdatePeerVerdict(server, []float64{0, -1, 0.5, 0.9}[g.chances.IntN(4)])
+		g.b.SetWidespreadMisses(g.chances.IntN(3) == 0)
+		g.b.SetFleetShare(0.2 + g.chances.Float64()/2)
+		g.b.SetProcessShare(0.5 + g.chances.Float64()/2)
+		g.b.SetQuota(g.chances.IntN(3), float64(20+g.chances.IntN(400)))
 	}
 	if hit(g.zoneSteps) {
-		g.b.Leave(g.chances.IntN(3), []float64{0, 0.25, 0.5, 1}[g.chances.IntN(4)], 300*ms)
+		g.b.SetEvacuation(g.chances.IntN(3), []float64{0, 0.25, 0.5, 1}[g.chances.IntN(4)], 300*ms)
 	}
 	if hit(g.aborts) && len(g.requests) > 0 {
 		if i := g.chances.IntN(len(g.requests)); g.requests[i].live {
 			g.requests[i].live = g.chances.IntN(2) == 0
 			if g.requests[i].live {
-				g.b.Expire(g.now, i)
+				g.b.ExpireRequest(g.now, i)
 			} else {
-				g.b.Aborted(g.now, i)
+				g.b.HandleClientCancelled(g.now, i)
 			}
 		}
 	}
@@ -258,27 +258,27 @@
 
 func (g *goldenRun) play(t *testing.T, spans int) {
 	g.servers, g.inFlight = make([]Health, g.goldenScript.servers), make([]int, g.goldenScript.servers)
-	g.list(Saved)
+	g.list(SavedList)
 	for step := range spans {
 		g.now += ms
 		for len(g.events) > 0 && g.events[0].at <= g.now {
 			if e := heap.Pop(&g.events).(goldenEvent); e.tried < 0 {
-				g.b.Woke(g.now, e.tag)
+				g.b.HandleTimer(g.now, e.tag)
 			} else {
 				g.end(e)
 			}
-			g.note(8, int64(g.b.chance.x), int64(g.b.chance.carry))
+			g.note(8, int64(g.b.random.x), int64(g.b.random.carry))
 		}
 		for n := g.arrivals; n > 0; n -= 10 {
 			if g.chances.IntN(10) < n {
 				g.ask()
-				g.note(9, int64(g.b.chance.x), int64(g.b.chance.carry))
+				g.note(9, int64(g.b.random.x), int64(g.b.random.carry))
 			}
 		}
 		g.chanced()
 		if step%500 == 499 {
 			for s := range g.servers {
-				if g.b.Avoids(s) {
+				if g.b.IsLikelyOutlier(s) {
 					g.note(10, int64(s))
 				}
 			}
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -48,7 +48,7 @@
 }
 
 func provenNever(how Outcome) bool {
-	return how == Full || how == Unreached || how == Unsent || how == Missing
+	return how == Rejected || how == ConnectFailed || how == NotSent || how == CacheMiss
 }
 
 // mayRun tells after which outcomes an attempt can still be at work.
@@ -71,7 +71,7 @@
 	if !r.live || w.now >= r.stop+2*drift {
 		w.t.Fatalf("sent after the end of request %d", i)
 	}
-	if w.healths[s] == Draining || w.healths[s] == Gone && (w.drained[s] || w.values["invariants.onlyDrainingBinds"] != true) {
+	if w.healths[s] == Draining || w.healths[s] == Removed && (w.drained[s] || w.values["invariants.onlyDrainingBinds"] != true) {
 		w.t.Fatalf("sent to server %d, which drains or is gone", s)
 	}
 	for _, t := range r.attempts {
@@ -122,8 +122,8 @@
 
 func (w *watcher) Fail(i int, _ Reason)  { w.end(i); w.givenUp++ }
 func (w *watcher) Cancel(i, attempt int) { w.offCalled++ }
-func (w *watcher) Subscribe()            { w.subscribe++ }
-func (w *watcher) Wake(tag int, a int64) {
+func (w *watcher) WatchEndpoints()       { w.subscribe++ }
+func (w *watcher) SetTimer(tag int, a int64) {
 	at := (w.now + a + ms - 1) / ms * ms
 	w.timers[at] = append(w.timers[at], tag)
 }
@@ -144,25 +144,25 @@
 		w.values[name] = value
 	}
 	w.b = New(w.now, seed, w.values, w)
-	w.list(Saved, n, func(int) (Health, int64) { return Ready, 0 })
+	w.list(SavedList, n, func(int) (Health, int64) { return Ready, 0 })
 	return w
 }
 
-func (w *watcher) list(scope Scope, n int, what func(s int) (Health, int64)) {
-	w.b.Listing(w.now, scope)
+func (w *watcher) list(scope UpdateKind, n int, what func(s int) (Health, int64)) {
+	w.b.BeginEndpointUpdate(w.now, scope)
 	for s := range n {
 		health, started := what(s)
 		w.healths[s], w.zones[s] = health, s%2
-		w.drained[s] = health == Draining || health == Gone && w.drained[s]
-		w.b.Row(w.now, s, fmt.Sprintf("10.0.0.%d:80", s), health, started, 0, s%2, s%3, 0)
+		w.drained[s] = health == Draining || health == Removed && w.drained[s]
+		w.b.UpdateEndpoint(w.now, s, fmt.Sprintf("10.0.0.%d:80", s), health, started, 0, s%2, s%3, 0)
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 }
 
 func (w *watcher) ask(effect Effect, key uint64, patience int64) int {
 	w.asked = append(w.asked, asked{effect: effect, key: key, live: true, stop: w.now + patience})
 	i := len(w.asked) - 1
-	w.b.Asked(w.now, i, patience+w.skew, int(effect), -1, key, true, effect != Safe, 0)
+	w.b.HandleRequest(w.now, i, patience+w.skew, int(effect), -1, key, true, effect != Safe, 0)
 	return i
 }
 
@@ -175,7 +175,7 @@
 	if how == OK {
 		w.asked[i].live = false
 	}
-	w.b.Ended(w.now, i, attempt, t.server, 1, how, w.now-t.at, !w.asked[i].live)
+	w.b.HandleAttemptEnded(w.now, i, attempt, t.server, 1, how, w.now-t.at, !w.asked[i].live)
 }
 
 // step moves the clock, plays due timers and times out what is past its hard stop; then nothing may be lost.
@@ -185,7 +185,7 @@
 		tags := w.timers[w.now]
 		delete(w.timers, w.now)
 		for _, tag := range tags {
-			w.b.Woke(w.now, tag)
+			w.b.HandleTimer(w.now, tag)
 		}
 		for i := range w.asked {
 			for t := range w.asked[i].attempts {
--- a/policy/host.go
+++ b/policy/host.go
@@ -6,14 +6,14 @@
 package policy
 
 // Host carries out what the module decides. An attempt's number is its place in the order of a request's Sends.
-type Host interface {
+type Executor interface {
 	Send(request, server int, until int64)
 	// Reject is a final rejection that is safe to try again, after comeBack if that is not 0.
 	Reject(request int, why Reason, comeBack int64)
 	Fail(request int, why Reason) // final: promises nothing
 	Cancel(request, attempt int)
-	Wake(tag int, after int64)
-	Subscribe()
+	SetTimer(tag int, after int64)
+	WatchEndpoints()
 }
 
 // Outcome tells how an attempt or a probe ended.
@@ -23,24 +23,24 @@
 const (
 	OK Outcome = iota
 	Errored
-	Full
+	Rejected
 	TimedOut
-	Unreached
+	ConnectFailed
 	Reset
 	Cancelled
-	Unsent
-	Missing
+	NotSent
+	CacheMiss
 )
 
 // Scope tells what a list of servers holds.
-type Scope int
+type UpdateKind int
 
 // The scopes of a list.
 const (
-	Incremental Scope = iota
-	Whole
-	Saved
-	Failed
+	IncrementalList UpdateKind = iota
+	FullList
+	SavedList
+	UpdateFailed
 )
 
 // Health is a server's state by the list.
@@ -50,7 +50,7 @@
 const (
 	Ready Health = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Effect says whether a request may run again.
--- a/policy/lines_test.go
+++ b/policy/lines_test.go
@@ -15,7 +15,7 @@
 		"rejected": {func(w *watcher, i int) {
 			for attempt := 0; w.asked[i].live; w.step(ms) {
 				for ; attempt < len(w.asked[i].attempts); attempt++ {
-					w.answer(i, attempt, Full)
+					w.answer(i, attempt, Rejected)
 				}
 			}
 		}, 0},
@@ -45,7 +45,7 @@
 
 func leave(w *watcher, i int) {
 	w.asked[i].live = false
-	w.b.Aborted(w.now, i)
+	w.b.HandleClientCancelled(w.now, i)
 }
 
 // A line has a bound, which is answered at once, and delays no other key.
@@ -54,8 +54,8 @@
 	for range 1000 {
 		w.ask(Safe, 7, 5*second)
 	}
-	if w.rejected != 1000-1-maxWaiting {
-		t.Errorf("%d of 1000 rejected, the line holds %d", w.rejected, maxWaiting)
+	if w.rejected != 1000-1-maxQueueLength {
+		t.Errorf("%d of 1000 rejected, the line holds %d", w.rejected, maxQueueLength)
 	}
 	if other := w.ask(Safe, 8, 5*second); len(w.asked[other].attempts) != 1 {
 		t.Error("another key waits for this one's line")
@@ -65,7 +65,7 @@
 			w.answer(i, 0, OK)
 		}
 	}
-	if len(w.b.lines[lineKey{7, true}].waiting) > 0 {
+	if len(w.b.keyQueues[keyQueueID{7, true}].waiting) > 0 {
 		t.Error("some never had their turn")
 	}
 }
@@ -97,7 +97,7 @@
 		if len(w.asked[i].attempts) == 0 {
 			t.Fatalf("told %d: no attempt", told)
 		}
-		w.answer(i, 0, Unreached)
+		w.answer(i, 0, ConnectFailed)
 		if w.step(40 * ms); len(w.asked[i].attempts) != 2 {
 			t.Fatalf("told %d: no further attempt", told)
 		}
@@ -111,17 +111,17 @@
 		w := plain(t, 1, 3, map[string]any{"invariants.bootStampError": 9000.0})
 		w.now += 60 * second
 		told := w.now
-		w.list(Whole, 3, func(s int) (Health, int64) {
+		w.list(FullList, 3, func(s int) (Health, int64) {
 			if s == 0 {
 				return Ready, told + off
 			}
 			return Ready, 0
 		})
 		w.now += 8*second - ms
-		if !w.b.cold(w.now, 0) {
+		if !w.b.isWarmingUp(w.now, 0) {
 			t.Errorf("stamped off by %d s: taken for warm too soon", off/second)
 		}
-		if w.now += 2 * ms; w.b.cold(w.now, 0) {
+		if w.now += 2 * ms; w.b.isWarmingUp(w.now, 0) {
 			t.Errorf("stamped off by %d s: still cold after its warm-up", off/second)
 		}
 	}
@@ -131,12 +131,12 @@
 func TestGoneMayBeUsed(t *testing.T) {
 	for _, binds := range []bool{true, false} {
 		w := plain(t, 1, 2, map[string]any{"invariants.onlyDrainingBinds": binds})
-		show := func(zero Health) { w.list(Whole, 1, func(int) (Health, int64) { return zero, 0 }) }
+		show := func(zero Health) { w.list(FullList, 1, func(int) (Health, int64) { return zero, 0 }) }
 		uses := func() bool { // Server 1 is left out of the list, and does not answer.
 			for range 300 {
-				i := w.ask(Safe, w.b.chance.next(), second)
+				i := w.ask(Safe, w.b.random.uint64(), second)
 				for t := range w.asked[i].attempts {
-					w.answer(i, t, []Outcome{OK, Unreached}[w.asked[i].attempts[t].server])
+					w.answer(i, t, []Outcome{OK, ConnectFailed}[w.asked[i].attempts[t].server])
 				}
 				w.step(10 * ms)
 			}
@@ -144,12 +144,12 @@
 			clear(w.sends)
 			return used
 		}
-		w.healths[1] = Gone
-		if show(Gone); uses() != binds {
+		w.healths[1] = Removed
+		if show(Removed); uses() != binds {
 			t.Errorf("only draining binds %v: a server listed as gone", binds)
 		}
 		show(Draining)
-		if show(Gone); uses() { // The watcher would say so, too.
+		if show(Removed); uses() { // The watcher would say so, too.
 			t.Errorf("only draining binds %v: a server that drained and is gone is used", binds)
 		}
 		if show(Ready); !uses() {
@@ -193,7 +193,7 @@
 	if n := out(8); n < 8 {
 		t.Errorf("%d attempts at once for another key", n)
 	}
-	if bad := w.b.bad.Read(w.b.seen); bad > 4 {
+	if bad := w.b.failures.Read(w.b.evidence); bad > 4 {
 		t.Errorf("servers are blamed %.1f times for what holds up a key", bad)
 	}
 	all(8, OK)
@@ -213,25 +213,25 @@
 	w := plain(t, 1, 1, map[string]any{"allowed.mostTrips": 1.0})
 	ends := func(how Outcome) { w.answer(w.ask(Safe, 1, second), 0, how) }
 	w.step(5 * second)
-	if ends(Reset); w.b.cold(w.now, 0) || w.b.bears < 1 {
+	if ends(Reset); w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance < 1 {
 		t.Error("a broken attempt is taken for a restart")
 	}
-	if ends(OK); w.b.servers[0].broke > 0 {
+	if ends(OK); w.b.endpoints[0].breaks > 0 {
 		t.Error("it answered, and is still taken for broken")
 	}
-	if ends(Unreached); w.b.cold(w.now, 0) {
+	if ends(ConnectFailed); w.b.isWarmingUp(w.now, 0) {
 		t.Error("a failed connect is taken for a restart")
 	}
 	ends(OK)
 	ends(Reset)
-	if ends(Unreached); w.b.cold(w.now, 0) || w.b.bears < 1 {
+	if ends(ConnectFailed); w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance < 1 {
 		t.Error("a broken attempt and one that is cut short on its way are taken for a restart")
 	}
-	if ends(Unreached); !w.b.cold(w.now, 0) || w.b.bears > 0.9 {
+	if ends(ConnectFailed); !w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance > 0.9 {
 		t.Error("a restart is not seen")
 	}
 	w.step(60 * second)
-	if w.b.passes(w.now); w.b.bears < 1 {
+	if w.b.advanceClocks(w.now); w.b.overloadTolerance < 1 {
 		t.Error("what all bear does not come back")
 	}
 }
--- a/policy/plain.go
+++ b/policy/plain.go
@@ -9,50 +9,50 @@
 // What the module stands on: records without a method that decides, sums that fade, chance. No decision is made here.
 
 // ran is whether an attempt ran.
-type ran int8
+type executionState int8
 
 // kind is what the servers of one kind answered, and the largest size that a list gave one of them.
-type kind struct {
-	answered, took, busy sum
-	size                 float64
+type machineType struct {
+	answers, answerTime, rejections sum
+	weight                          float64
 }
 
-type class struct {
-	effect              Effect
-	inOrder             bool
-	group               string
-	remembers, expected int64 // stamped: how long repeats are dropped
-	stretch, tardy      float64
+type requestClass struct {
+	effect                      Effect
+	inOrder                     bool
+	dedupGroup                  string
+	dedupWindow, objective      int64 // stamped: how long repeats are dropped
+	objectiveStretch, lateValue float64
 }
 
 // read is where a key was read last, and how much speaks for its attempts failing wherever they go.
-type read struct {
-	key            uint64
-	server, failed int
-	strain         float64
+type keyRecord struct {
+	key                uint64
+	endpoint, failedAt int
+	suspicion          float64
 }
 
-type ranked struct {
-	score  float64
-	server int
+type candidate struct {
+	score    float64
+	endpoint int
 }
 
 // A sum fades with the clock of evidence, and so does held, an average of what is in flight.
 type (
-	sum  = decay.Sum
-	held = decay.Level
+	sum     = decay.Sum
+	average = decay.Level
 )
 
-func (b *Balancer) tally(counts ...*sum) {
+func (b *Balancer) count(counts ...*sum) {
 	for _, c := range counts {
-		c.Add(b.seen, 1)
+		c.Add(b.evidence, 1)
 	}
 }
 
 // chance is a multiply-with-carry generator.
-type chance struct{ x, carry uint64 }
+type randomSource struct{ x, carry uint64 }
 
-func (c *chance) next() uint64 {
+func (c *randomSource) uint64() uint64 {
 	x := c.x
 	hi, lo := bits.Mul64(x, 0xffebb71d94fcdaf9)
 	lo, over := bits.Add64(lo, c.carry, 0)
@@ -60,6 +60,6 @@
 	return x
 }
 
-func (c *chance) part() float64 { return float64(c.next()>>11) / (1 << 53) }
+func (c *randomSource) float64() float64 { return float64(c.uint64()>>11) / (1 << 53) }
 
-func (c *chance) below(n int) int { hi, _ := bits.Mul64(c.next(), uint64(n)); return int(hi) }
+func (c *randomSource) intN(n int) int { hi, _ := bits.Mul64(c.uint64(), uint64(n)); return int(hi) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -12,52 +12,52 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		c := chance{seed + 1, 7}
-		group := []string{"all", "zone", "cell"}[c.below(3)]
-		w := plain(t, seed, 2+c.below(30), map[string]any{"allowed.secondCopies": c.below(2) == 0,
-			"allowed.cancelling": c.below(2) == 0, "workloads.1.group": group,
-			"allowed.mostTrips": float64(1 + c.below(6)), "weights": []string{"live", "nominal"}[c.below(2)],
+		c := randomSource{seed + 1, 7}
+		group := []string{"all", "zone", "cell"}[c.intN(3)]
+		w := plain(t, seed, 2+c.intN(30), map[string]any{"allowed.secondCopies": c.intN(2) == 0,
+			"allowed.cancelling": c.intN(2) == 0, "workloads.1.group": group,
+			"allowed.mostTrips": float64(1 + c.intN(6)), "weights": []string{"live", "nominal"}[c.intN(2)],
 			"zones": 2.0, "zones.0": "a", "zones.1": "b", "zone": "b", "report.fields": 3.0,
 			"report.fields.0": "served_ps", "report.fields.1": "pending", "report.fields.2": "cpu_share",
-			"workloads.0.keepOrder": c.below(2) == 0, "invariants.orderSettle": 40.0,
-			"invariants.deadlineDrift": float64(c.below(2) * 500), "invariants.onlyDrainingBinds": c.below(2) == 0})
-		w.skew = int64(c.below(3)-1) * w.span("invariants.deadlineDrift")
+			"workloads.0.keepOrder": c.intN(2) == 0, "invariants.orderSettle": 40.0,
+			"invariants.deadlineDrift": float64(c.intN(2) * 500), "invariants.onlyDrainingBinds": c.intN(2) == 0})
+		w.skew = int64(c.intN(3)-1) * w.span("invariants.deadlineDrift")
 		n := len(w.healths)
 		health := make([]Health, n)
 		started := make([]int64, n)
 		for range 600 {
-			switch c.below(20) {
+			switch c.intN(20) {
 			case 0:
-				s := c.below(n)
-				health[s] = Health(c.below(3))
+				s := c.intN(n)
+				health[s] = Health(c.intN(3))
 				if health[s] == Ready {
 					started[s] = w.now
 				}
-				w.list(Whole, n, func(s int) (Health, int64) { return health[s], started[s] })
+				w.list(FullList, n, func(s int) (Health, int64) { return health[s], started[s] })
 			case 1:
-				w.b.Listing(w.now, Failed)
-				w.b.Listed(w.now)
+				w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+				w.b.CommitEndpointUpdate(w.now)
 			case 2, 3, 4, 5, 6, 7, 8:
-				w.ask(Effect(c.below(3)), uint64(c.below(9)), int64(20+c.below(1500))*ms)
+				w.ask(Effect(c.intN(3)), uint64(c.intN(9)), int64(20+c.intN(1500))*ms)
 			case 9:
-				if i := c.below(len(w.asked) + 1); i < len(w.asked) && w.asked[i].live {
+				if i := c.intN(len(w.asked) + 1); i < len(w.asked) && w.asked[i].live {
 					w.asked[i].live = false
-					w.b.Aborted(w.now, i)
+					w.b.HandleClientCancelled(w.now, i)
 				}
 			case 10:
-				odd := []float64{math.NaN(), 0, 1, 1e9, c.part()}
-				w.b.Reported(w.now, c.below(n), []float64{odd[c.below(5)], odd[c.below(5)], odd[c.below(5)]})
+				odd := []float64{math.NaN(), 0, 1, 1e9, c.float64()}
+				w.b.HandleLoadReport(w.now, c.intN(n), []float64{odd[c.intN(5)], odd[c.intN(5)], odd[c.intN(5)]})
 			default:
 				for i := max(0, len(w.asked)-20); i < len(w.asked); i++ {
 					for attempt := range w.asked[i].attempts {
-						if c.below(3) == 0 {
-							w.answer(i, attempt, []Outcome{OK, OK, OK, OK, OK, OK, Errored, Full, Full, TimedOut, Unreached, Reset,
-								Cancelled, Unsent}[c.below(14)])
+						if c.intN(3) == 0 {
+							w.answer(i, attempt, []Outcome{OK, OK, OK, OK, OK, OK, Errored, Rejected, Rejected, TimedOut, ConnectFailed, Reset,
+								Cancelled, NotSent}[c.intN(14)])
 						}
 					}
 				}
 			}
-			w.step(int64(c.below(15)) * ms)
+			w.step(int64(c.intN(15)) * ms)
 		}
 		w.step(2 * second)
 	})
@@ -84,7 +84,7 @@
 		}
 		run := func(steps int, check bool) {
 			for range steps {
-				i := w.ask(Safe, w.b.chance.next(), second)
+				i := w.ask(Safe, w.b.random.uint64(), second)
 				w.step(4 * ms)
 				for attempt := range w.asked[i].attempts {
 					w.answer(i, attempt, OK)
@@ -98,7 +98,7 @@
 		}
 		run(750, false)
 		started = w.now
-		w.list(Whole, n, func(s int) (Health, int64) {
+		w.list(FullList, n, func(s int) (Health, int64) {
 			if s == 0 {
 				return Ready, started
 			}
@@ -116,28 +116,28 @@
 
 func gates(t *testing.T, group string) {
 	w := plain(t, 1, 6, map[string]any{"workloads.1.group": group})
-	can := func(effect Effect, how ran, age int64, to int) bool {
-		r := &request{class: int(effect), live: true, stop: w.now + second}
-		r.attempts = []attempt{{server: 2, sent: w.now - age, ran: how}}
-		return w.b.maySend(w.now, r, to)
+	can := func(effect Effect, how executionState, age int64, to int) bool {
+		r := &request{class: int(effect), isOpen: true, deadline: w.now + second}
+		r.attempts = []attempt{{endpoint: 2, sentAt: w.now - age, state: how}}
+		return w.b.canDispatch(w.now, r, to)
 	}
-	w.b.servers[5].health, w.b.servers[1].started = Draining, w.now
+	w.b.endpoints[5].health, w.b.endpoints[1].startedAt = Draining, w.now
 	for name, bad := range map[string]bool{
-		"one-shot that may have run": can(NonIdempotent, perhaps, ms, 3), "second copy": can(Safe, running, ms, 3),
-		"stamped to another group": can(Idempotent, perhaps, ms, 3),
-		"stamped too late":         can(Idempotent, perhaps, 900*ms, 2),
-		"to one that drains":       can(Safe, never, ms, 5),
-		"to a cold one at once":    can(Safe, never, ms, 1),
+		"one-shot that may have run": can(NonIdempotent, mayHaveRun, ms, 3), "second copy": can(Safe, inFlight, ms, 3),
+		"stamped to another group": can(Idempotent, mayHaveRun, ms, 3),
+		"stamped too late":         can(Idempotent, mayHaveRun, 900*ms, 2),
+		"to one that drains":       can(Safe, neverRan, ms, 5),
+		"to a cold one at once":    can(Safe, neverRan, ms, 1),
 	} {
 		if bad {
 			t.Error("may send: " + name)
 		}
 	}
-	if !can(NonIdempotent, never, ms, 3) || !can(Safe, perhaps, ms, 3) || !can(Idempotent, perhaps, ms, 2) {
+	if !can(NonIdempotent, neverRan, ms, 3) || !can(Safe, mayHaveRun, ms, 3) || !can(Idempotent, mayHaveRun, ms, 2) {
 		t.Error("may not send what may run again")
 	}
 	for effect, may := range []bool{true, false, false} {
-		if w.b.mayReject(&request{class: effect, attempts: []attempt{{server: 2, ran: perhaps}}}) != may {
+		if w.b.canReject(&request{class: effect, attempts: []attempt{{endpoint: 2, state: mayHaveRun}}}) != may {
 			t.Errorf("dismissal of effect %d", effect)
 		}
 	}
@@ -148,27 +148,27 @@
 	w := plain(t, 1, 3, nil)
 	i := w.ask(Safe, 77, second)
 	for _, kind := range []int{7, -1} {
-		w.b.Listing(w.now, Whole)
+		w.b.BeginEndpointUpdate(w.now, FullList)
 		for s := range 3 {
-			w.b.Row(w.now, s, "", Draining, 0, kind, 0, 0, 0)
+			w.b.UpdateEndpoint(w.now, s, "", Draining, 0, kind, 0, 0, 0)
 		}
-		w.b.Listed(w.now)
-		w.b.Ended(w.now, i, 0, w.asked[i].attempts[0].server, 1, Errored, ms, true)
+		w.b.CommitEndpointUpdate(w.now)
+		w.b.HandleAttemptEnded(w.now, i, 0, w.asked[i].attempts[0].server, 1, Errored, ms, true)
 	}
 }
 
 // sized lists n ready servers of two kinds, sizes 4 and 1 over what they hold; server 0, a small one, started then.
 func sized(w *watcher, n int, started int64, held func(s int) float64) {
-	w.b.Listing(w.now, Whole)
+	w.b.BeginEndpointUpdate(w.now, FullList)
 	for s := range n {
 		w.healths[s] = Ready
 		at := int64(0)
 		if s == 0 {
 			at = started
 		}
-		w.b.Row(w.now, s, string(rune('a'+s)), Ready, at, s%2, 0, 0, []float64{1, 4}[s%2]/(1+held(s)))
+		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, at, s%2, 0, 0, []float64{1, 4}[s%2]/(1+held(s)))
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 }
 
 // Guards keys against weights that move with load: each list sent them to other servers.
@@ -176,7 +176,7 @@
 	w := plain(t, 1, 0, map[string]any{"weights": "live"})
 	sized(w, 20, 0, func(int) float64 { return 0 })
 	for range 90 {
-		sized(w, 20, 0, func(int) float64 { return 5 * w.b.chance.part() })
+		sized(w, 20, 0, func(int) float64 { return 5 * w.b.random.float64() })
 		w.answer(w.ask(Safe, 77, second), 0, OK)
 		w.step(20 * ms)
 	}
@@ -190,11 +190,11 @@
 	w := plain(t, 1, 0, map[string]any{"weights": "live"})
 	sized(w, 20, 0, func(int) float64 { return 0 })
 	room := func(s int) float64 {
-		w.b.servers[s].started, w.b.servers[s].room, w.b.servers[s].roomAt = w.now-second, 0, w.now-second/8
-		return w.b.coldRoom(w.now, s)
+		w.b.endpoints[s].startedAt, w.b.endpoints[s].slowStartTokens, w.b.endpoints[s].slowStartAt = w.now-second, 0, w.now-second/8
+		return w.b.slowStartBudget(w.now, s)
 	}
 	for range 400 {
-		i := w.ask(Safe, w.b.chance.next(), second)
+		i := w.ask(Safe, w.b.random.uint64(), second)
 		w.step(5 * ms)
 		w.answer(i, 0, OK)
 	}
@@ -206,11 +206,11 @@
 // The own zone's candidates go first, and the others when connects fail: a lost zone takes half of them with it.
 func TestOwnZoneFirst(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"zones": 2.0, "zones.0": "a", "zones.1": "b", "zone": "b"})
-	w.list(Whole, 12, func(int) (Health, int64) { return Ready, 0 })
+	w.list(FullList, 12, func(int) (Health, int64) { return Ready, 0 })
 	cross := func(how Outcome) (n int) {
 		for range 200 {
-			w.b.credit = maxCredit
-			i := w.ask(Safe, w.b.chance.next(), second)
+			w.b.retryTokens = maxRetryTokens
+			i := w.ask(Safe, w.b.random.uint64(), second)
 			w.step(10 * ms)
 			for attempt := 0; attempt < len(w.asked[i].attempts); attempt++ {
 				if w.asked[i].attempts[attempt].server%2 == 0 {
@@ -226,11 +226,11 @@
 	if n := cross(OK); n > 50 { // An eighth of the keys has all three elsewhere.
 		t.Fatalf("%d of 200 attempts crossed", n)
 	}
-	if cross(Unreached); len(w.asked[len(w.asked)-1].attempts) == 0 {
+	if cross(ConnectFailed); len(w.asked[len(w.asked)-1].attempts) == 0 {
 		t.Fatal("nothing is sent")
 	}
 	w.sends = map[int]int{}
-	if n := cross(Unreached); n < 180 {
+	if n := cross(ConnectFailed); n < 180 {
 		t.Fatalf("%d of 200 were settled elsewhere while the own zone is lost: %v", n, w.sends)
 	}
 }
@@ -243,17 +243,17 @@
 	}{{20, false}, {400, true}, {math.NaN(), true}} {
 		w := plain(t, 1, 10, map[string]any{"tenants": 2.0, "tenants.0.quotaRps": 300.0, "tenants.1.quotaRps": 300.0,
 			"balancers": 100.0, "report.fields": 1.0, "report.fields.0": "served_ps"})
-		w.b.shares.Restore(0, nil)
+		w.b.quotas.Restore(0, nil)
 		for n := range 1500 {
 			w.asked = append(w.asked, asked{live: true, stop: w.now + second})
 			i := len(w.asked) - 1
-			w.b.Asked(w.now, i, second, 0, min(1, n%8), w.b.chance.next(), true, false, 0)
+			w.b.HandleRequest(w.now, i, second, 0, min(1, n%8), w.b.random.uint64(), true, false, 0)
 			w.step(10 * ms)
 			for attempt := range w.asked[i].attempts {
-				w.b.Reported(w.now, w.asked[i].attempts[attempt].server, []float64{c.rate})
+				w.b.HandleLoadReport(w.now, w.asked[i].attempts[attempt].server, []float64{c.rate})
 				w.answer(i, attempt, OK)
 			}
-			w.b.shares.Restore(0, nil) // As while attempts fail.
+			w.b.quotas.Restore(0, nil) // As while attempts fail.
 		}
 		if w.rejected > 150 != c.rejected {
 			t.Errorf("%d of 1500 rejected where hosts report %g a second", w.rejected, c.rate)
@@ -266,11 +266,11 @@
 	w := plain(t, 1, 8, nil)
 	tried := 0
 	for n := range 1200 {
-		i := w.ask(Safe, w.b.chance.next(), second)
+		i := w.ask(Safe, w.b.random.uint64(), second)
 		w.step(5 * ms)
 		for attempt := 0; attempt < len(w.asked[i].attempts); attempt++ {
 			if w.asked[i].attempts[attempt].server == 3 && n > 600 {
-				w.answer(i, attempt, Unreached)
+				w.answer(i, attempt, ConnectFailed)
 				tried++
 			}
 			w.answer(i, attempt, OK)
@@ -287,18 +287,18 @@
 		attempts float64
 		credit   float64
 		first    int // the attempt that goes to the origin
-	}{{3, maxCredit, 2}, {2, maxCredit, 1}, {5, 0, 1}} {
+	}{{3, maxRetryTokens, 2}, {2, maxRetryTokens, 1}, {5, 0, 1}} {
 		w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "allowed.mostTrips": c.attempts})
-		w.b.Listing(w.now, Whole)
+		w.b.BeginEndpointUpdate(w.now, FullList)
 		for s := range 9 {
 			w.healths[s] = Ready
-			w.b.Row(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+			w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
 		}
-		w.b.Listed(w.now)
-		w.b.credit = c.credit
+		w.b.CommitEndpointUpdate(w.now)
+		w.b.retryTokens = c.credit
 		i := w.ask(Safe, 9, second)
 		for attempt := range c.first {
-			w.answer(i, attempt, Unreached)
+			w.answer(i, attempt, ConnectFailed)
 		}
 		if attempts := w.asked[i].attempts; len(attempts) != c.first+1 || attempts[c.first].server != 8 {
 			t.Errorf("%+v: %+v", c, attempts)
@@ -314,9 +314,9 @@
 	}{{0.2, false}, {1, true}, {math.NaN(), false}} {
 		w := plain(t, 1, 8, map[string]any{"report.fields": 1.0, "report.fields.0": "cpu_share"})
 		for n := range 400 {
-			w.b.Reported(w.now, n%8, []float64{0.2})
-			w.b.Reported(w.now, n%8, []float64{c.report})
-			w.ask(Safe, w.b.chance.next(), 3*second)
+			w.b.HandleLoadReport(w.now, n%8, []float64{0.2})
+			w.b.HandleLoadReport(w.now, n%8, []float64{c.report})
+			w.ask(Safe, w.b.random.uint64(), 3*second)
 			w.step(ms)
 		}
 		if w.rejected > 300 != c.rejected {
@@ -329,14 +329,14 @@
 func TestColdRoomOutlastsWarmServers(t *testing.T) {
 	w := plain(t, 1, 8, map[string]any{"invariants.warmUp": 30000.0, "invariants.startCapacity": 0.5})
 	for range 1000 {
-		w.answer(w.ask(Safe, w.b.chance.next(), second), 0, OK)
+		w.answer(w.ask(Safe, w.b.random.uint64(), second), 0, OK)
 		w.step(5 * ms)
 	}
 	started := w.now
-	w.list(Whole, 8, func(s int) (Health, int64) { return []Health{Gone, Ready}[s/4], started })
+	w.list(FullList, 8, func(s int) (Health, int64) { return []Health{Removed, Ready}[s/4], started })
 	late := 0
 	for n := range 1500 { // 100 a second for four, where warm servers answered 25 each
-		i := w.ask(Safe, w.b.chance.next(), second)
+		i := w.ask(Safe, w.b.random.uint64(), second)
 		if w.step(10 * ms); len(w.asked[i].attempts) > 0 {
 			w.answer(i, 0, OK)
 		} else if n > 500 {
@@ -351,12 +351,12 @@
 // Guards the case of incident i762552: hosts that slow down while they answer misses as quickly as ever.
 func TestMissesMakeNoRoom(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "balancers": 20.0})
-	w.b.Listing(w.now, Whole)
+	w.b.BeginEndpointUpdate(w.now, FullList)
 	for s := range 9 {
 		w.healths[s] = Ready
-		w.b.Row(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 	for n := range 1500 {
 		i := w.ask(Safe, uint64(n%500), 3*second)
 		w.step(2 * ms)
@@ -364,12 +364,12 @@
 			if at := w.asked[i].attempts[attempt].server; at == 8 || n < 600 && n%4 == 0 {
 				w.answer(i, attempt, OK)
 			} else if n%4 > 0 {
-				w.answer(i, attempt, Missing)
+				w.answer(i, attempt, CacheMiss)
 			}
 		}
 	}
-	if w.b.out > 40 {
-		t.Fatalf("%d attempts in flight that nothing settles", w.b.out)
+	if w.b.inFlight > 40 {
+		t.Fatalf("%d attempts in flight that nothing settles", w.b.inFlight)
 	}
 }
 
@@ -388,16 +388,16 @@
 // Guards reads at caches that are crowded: while the origin has room, it is asked before they are rejected.
 func TestCrowdedReadsAskTheOrigin(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0})
-	w.b.Listing(w.now, Whole)
+	w.b.BeginEndpointUpdate(w.now, FullList)
 	for s := range 9 {
 		w.healths[s] = Ready
-		w.b.Row(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 	most := 0
 	for range 600 { // The caches answer nothing, the origin all.
-		i := w.ask(Safe, w.b.chance.next(), 3*second)
-		most = max(most, w.b.servers[8].out)
+		i := w.ask(Safe, w.b.random.uint64(), 3*second)
+		most = max(most, w.b.endpoints[8].inFlight)
 		w.step(2 * ms)
 		if attempts := w.asked[i].attempts; len(attempts) > 0 && attempts[0].server == 8 {
 			w.answer(i, 0, OK)
@@ -407,11 +407,11 @@
 		t.Fatalf("%d of 600 sent to the origin, %d at once, %d rejected", w.sends[8], most, w.rejected)
 	}
 	for range 50 { // Writes go by the caches, and to an origin with its table full as to one that is busy.
-		i := w.ask(Idempotent, w.b.chance.next(), 3*second)
+		i := w.ask(Idempotent, w.b.random.uint64(), 3*second)
 		if len(w.asked[i].attempts) != 1 || w.asked[i].attempts[0].server != 8 {
 			t.Fatalf("a write while caches are crowded: %+v", w.asked[i])
 		}
-		w.answer(i, 0, Unreached)
+		w.answer(i, 0, ConnectFailed)
 		if w.step(40 * ms); len(w.asked[i].attempts) != 2 || w.asked[i].attempts[1].server != 8 {
 			t.Fatalf("a write that found no connection: %+v", w.asked[i])
 		}
@@ -437,14 +437,14 @@
 
 func TestBusyWidensThenHoldsDouble(t *testing.T) {
 	w := plain(t, 1, 12, nil)
-	w.b.credit = maxCredit
+	w.b.retryTokens = maxRetryTokens
 	i := w.ask(Safe, 5, second)
-	w.answer(i, 0, Full)
+	w.answer(i, 0, Rejected)
 	if len(w.asked[i].attempts) != 2 {
 		t.Fatal("a busy answer must widen at once")
 	}
 	for _, hold := range []int64{33, 66} {
-		w.answer(i, len(w.asked[i].attempts)-1, Full)
+		w.answer(i, len(w.asked[i].attempts)-1, Rejected)
 		n := len(w.asked[i].attempts)
 		w.step((hold - 2) * ms)
 		if len(w.asked[i].attempts) != n {
@@ -474,7 +474,7 @@
 	w := plain(t, 1, 8, nil)
 	hung, late := 3, 0
 	for n := range 600 {
-		i := w.ask([]Effect{Safe, NonIdempotent}[n%2], w.b.chance.next(), 3*second)
+		i := w.ask([]Effect{Safe, NonIdempotent}[n%2], w.b.random.uint64(), 3*second)
 		w.step(10 * ms)
 		for attempt := range w.asked[i].attempts {
 			if w.asked[i].attempts[attempt].server != hung {
@@ -501,7 +501,7 @@
 	}{{Safe, true, 2}, {Idempotent, true, 2}, {NonIdempotent, true, 1}, {Safe, false, 1}} {
 		w := plain(t, 1, 8, map[string]any{"allowed.secondCopies": c.copies})
 		for range 50 {
-			i := w.ask(Safe, w.b.chance.next(), second)
+			i := w.ask(Safe, w.b.random.uint64(), second)
 			w.step(20 * ms)
 			w.answer(i, 0, OK)
 		}
@@ -523,15 +523,15 @@
 	w := plain(t, 1, 2, nil)
 	for range 50 {
 		w.step(20 * ms)
-		w.answer(w.ask(Safe, w.b.chance.next(), second), 0, Errored)
-	}
-	hash := w.b.servers[1].hash
-	w.list(Whole, 2, func(s int) (Health, int64) { return []Health{Ready, Gone}[s], 0 })
-	w.b.Forget(1)
-	w.b.Listing(w.now, Incremental)
-	w.b.Row(w.now, 1, "10.0.9.9:80", Ready, w.now, 0, 0, 0, 0)
-	w.b.Listed(w.now)
-	if h := w.b.servers[1]; h.hash == hash || h.bad.Value != 0 || h.sent.Value != 0 || h.credit != 1 || len(w.b.ready) != 2 {
+		w.answer(w.ask(Safe, w.b.random.uint64(), second), 0, Errored)
+	}
+	hash := w.b.endpoints[1].hash
+	w.list(FullList, 2, func(s int) (Health, int64) { return []Health{Ready, Removed}[s], 0 })
+	w.b.RemoveEndpoint(1)
+	w.b.BeginEndpointUpdate(w.now, IncrementalList)
+	w.b.UpdateEndpoint(w.now, 1, "10.0.9.9:80", Ready, w.now, 0, 0, 0, 0)
+	w.b.CommitEndpointUpdate(w.now)
+	if h := w.b.endpoints[1]; h.hash == hash || h.failures.Value != 0 || h.attempts.Value != 0 || h.retryTokens != 1 || len(w.b.ready) != 2 {
 		t.Fatalf("%+v", h)
 	}
 }
@@ -539,7 +539,7 @@
 func TestQuickErrorsRaiseDoubt(t *testing.T) {
 	w := plain(t, 1, 8, nil)
 	for range 300 {
-		i := w.ask(NonIdempotent, w.b.chance.next(), second)
+		i := w.ask(NonIdempotent, w.b.random.uint64(), second)
 		w.step(5 * ms)
 		if how := OK; len(w.asked[i].attempts) > 0 {
 			if w.asked[i].attempts[0].server == 3 {
@@ -559,28 +559,28 @@
 	w := plain(t, 1, 0, nil)
 	sized(w, 20, 0, func(int) float64 { return 0 })
 	for range 400 {
-		i := w.ask(Safe, w.b.chance.next(), second)
+		i := w.ask(Safe, w.b.random.uint64(), second)
 		w.step(5 * ms)
 		w.answer(i, 0, OK)
 	}
 	room := func(good, busy float64) float64 {
-		h := &w.b.servers[0]
-		h.started, h.room, h.roomAt = w.now-second, 0, w.now-second/8
-		h.good, h.bad, h.busy = sum{Value: good, At: w.b.seen}, sum{Value: 0, At: w.b.seen}, sum{Value: busy, At: w.b.seen}
-		return w.b.coldRoom(w.now, 0)
+		h := &w.b.endpoints[0]
+		h.startedAt, h.slowStartTokens, h.slowStartAt = w.now-second, 0, w.now-second/8
+		h.successes, h.failures, h.rejections = sum{Value: good, At: w.b.evidence}, sum{Value: 0, At: w.b.evidence}, sum{Value: busy, At: w.b.evidence}
+		return w.b.slowStartBudget(w.now, 0)
 	}
 	if fresh, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*fresh || proven > 3*fresh || full > 1.3*fresh {
 		t.Errorf("room of %g for a new one, %g for one that settles all, %g for one that is full", fresh, proven, full)
 	}
-	r := &request{write: true}
-	for w.b.out = 0; !w.b.crowded(w.now, r); w.b.out++ {
+	r := &request{isWrite: true}
+	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
 	}
-	before := w.b.out
-	w.b.all.busy.Add(w.b.seen, w.b.all.answered.Read(w.b.seen))
-	for w.b.out = 0; !w.b.crowded(w.now, r); w.b.out++ {
+	before := w.b.inFlight
+	w.b.fleetwide.rejections.Add(w.b.evidence, w.b.fleetwide.answers.Read(w.b.evidence))
+	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
 	}
-	if w.b.out > before*2/3 {
-		t.Errorf("room for %d while half is turned away, for %d before", w.b.out, before)
+	if w.b.inFlight > before*2/3 {
+		t.Errorf("room for %d while half is turned away, for %d before", w.b.inFlight, before)
 	}
 }
 
@@ -590,23 +590,23 @@
 	i := w.ask(Safe, 1, 3*second)
 	s := w.asked[i].attempts[0].server
 	w.b.send(w.now, i, 1-s) // A copy.
-	w.b.Started(w.now, i, 0)
-	if w.b.out != 1 || w.b.servers[s].out != 0 {
-		t.Fatalf("%d in flight, %d at the server", w.b.out, w.b.servers[s].out)
+	w.b.HandleResponseStarted(w.now, i, 0)
+	if w.b.inFlight != 1 || w.b.endpoints[s].inFlight != 0 {
+		t.Fatalf("%d in flight, %d at the server", w.b.inFlight, w.b.endpoints[s].inFlight)
 	}
 	w.asked[i].stop = w.now + 20*second
 	w.step(10 * second) // No copy comes due.
 	w.answer(i, 1, Reset)
 	w.answer(i, 0, OK)
-	if len(w.asked[i].attempts) != 2 || w.b.out != 0 || w.b.servers[0].out+w.b.servers[1].out != 0 || w.offCalled != 0 || len(w.b.live) != 0 {
-		t.Fatalf("%d in flight, %d cancelled", w.b.out, w.offCalled)
+	if len(w.asked[i].attempts) != 2 || w.b.inFlight != 0 || w.b.endpoints[0].inFlight+w.b.endpoints[1].inFlight != 0 || w.offCalled != 0 || len(w.b.openRequests) != 0 {
+		t.Fatalf("%d in flight, %d cancelled", w.b.inFlight, w.offCalled)
 	}
 }
 
 func TestCrowdedFleetDismissesAtOnce(t *testing.T) {
 	w := plain(t, 1, 8, nil)
 	for range 400 {
-		w.ask(Safe, w.b.chance.next(), 3*second)
+		w.ask(Safe, w.b.random.uint64(), 3*second)
 		w.step(ms)
 	}
 	if w.rejected < 300 {
@@ -633,8 +633,8 @@
 func TestFailedListsSpreadGrowingWaits(t *testing.T) {
 	w := plain(t, 1, 3, nil)
 	for n := range 4 {
-		w.b.Listing(w.now, Failed)
-		w.b.Listed(w.now)
+		w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+		w.b.CommitEndpointUpdate(w.now)
 		w.step(8 * second)
 		if w.subscribe != n+2 {
 			t.Fatalf("asked %d times after %d failures", w.subscribe, n+1)
@@ -647,8 +647,8 @@
 	for seed := range uint64(20) {
 		w := plain(t, seed, 3, map[string]any{"invariants.askEvery": 10000.0})
 		for n := range 12 {
-			w.b.Listing(w.now, Failed)
-			w.b.Listed(w.now)
+			w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+			w.b.CommitEndpointUpdate(w.now)
 			w.step(3 * second)
 			if w.subscribe != n+2 {
 				t.Fatalf("seed %d: asked %d times after %d failures", seed, w.subscribe, n+1)
@@ -663,8 +663,8 @@
 	const grace = 2500
 	w := plain(t, 1, 3, map[string]any{"registryMode": "automatic", "invariants.askEvery": 10000.0, "invariants.drainGrace": float64(grace)})
 	for n := range 12 {
-		w.b.Listing(w.now, Failed)
-		w.b.Listed(w.now)
+		w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+		w.b.CommitEndpointUpdate(w.now)
 		w.step(grace / 5 * ms)
 		if w.subscribe != n+1 {
 			t.Fatalf("asked %d times after %d failures", w.subscribe, n+1)
@@ -690,15 +690,15 @@
 // Aside: one fetch a key; the read that waited goes to the cache that now holds it; writes go to the origin.
 func TestAsideFetchesOnce(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0})
-	w.b.Listing(w.now, Whole)
+	w.b.BeginEndpointUpdate(w.now, FullList)
 	for s := range 5 {
 		w.healths[s] = Ready
-		w.b.Row(w.now, s, string(rune('a'+s)), Ready, 0, s/4, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/4, 0, 0, 0)
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 	a, b := w.ask(Safe, 9, second), w.ask(Safe, 9, second)
-	w.answer(a, 0, Missing)
-	w.answer(b, 0, Missing)
+	w.answer(a, 0, CacheMiss)
+	w.answer(b, 0, CacheMiss)
 	if w.sends[4] != 1 || len(w.asked[b].attempts) != 1 {
 		t.Fatal("two reads of one key must fetch once")
 	}
@@ -707,8 +707,8 @@
 	if got := w.asked[b].attempts; len(got) != 2 || got[1].server != first {
 		t.Fatal("the waiting read must go to the cache that holds the key now")
 	}
-	w.answer(w.ask(Safe, 8, second), 0, Missing)
-	w.answer(w.ask(Safe, 8, second/5), 0, Missing)
+	w.answer(w.ask(Safe, 8, second), 0, CacheMiss)
+	w.answer(w.ask(Safe, 8, second/5), 0, CacheMiss)
 	w.step(second) // The fetch hangs: the read that waits must have its answer in time all the same.
 	if c := w.ask(Idempotent, 9, second); w.asked[c].attempts[0].server != 4 {
 		t.Fatal("a write goes to the origin")
@@ -726,14 +726,14 @@
 // slowTrips is how many of 300 attempts go to the caches of odd number, all of one kind, which take longer by so much; the 91st, if there is
 // one, is the origin.
 func slowTrips(w *watcher, servers int, each, longer int64) (slow int) {
-	w.b.Listing(w.now, Whole)
+	w.b.BeginEndpointUpdate(w.now, FullList)
 	for s := range servers {
 		w.healths[s] = Ready
-		w.b.Row(w.now, s, string(rune('a'+s)), Ready, 0, s%2+s/90*2, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s%2+s/90*2, 0, 0, 0)
 	}
-	w.b.Listed(w.now)
+	w.b.CommitEndpointUpdate(w.now)
 	for range 300 {
-		i := w.ask(Safe, w.b.chance.next(), second)
+		i := w.ask(Safe, w.b.random.uint64(), second)
 		if s := w.asked[i].attempts[0].server; s%2 == 1 {
 			slow++
 			w.step(longer)
@@ -761,25 +761,25 @@
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
 		const fleet, caches, perStep = 40, 20, 4 // 200 requests a second
-		c := chance{seed + 1, 7}
+		c := randomSource{seed + 1, 7}
 		started := int64(1 << 62)
 		begin := func(i int, now int64) *watcher {
 			w := plain(t, seed*fleet+uint64(i), 0, map[string]any{"balancers": float64(fleet),
 				"extra.mode": "aside", "extra.originKind": 1.0, "workloads.0.expectedTime": 500.0})
-			w.now, w.b = now, New(now, c.next(), w.values, w)
+			w.now, w.b = now, New(now, c.uint64(), w.values, w)
 			return w
 		}
 		list := func(w *watcher) {
-			w.b.Listing(w.now, Whole)
+			w.b.BeginEndpointUpdate(w.now, FullList)
 			for s := range caches + 1 {
 				w.healths[s] = Ready
 				at := int64(0)
 				if s == 0 && w.now >= started {
 					at = started
 				}
-				w.b.Row(w.now, s, string(rune('a'+s)), Ready, at, s/caches, 0, 0, 0)
+				w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, at, s/caches, 0, 0, 0)
 			}
-			w.b.Listed(w.now)
+			w.b.CommitEndpointUpdate(w.now)
 		}
 		var ws [fleet]*watcher
 		for i := range ws {
@@ -803,8 +803,8 @@
 				}
 			}
 			for range perStep {
-				w := ws[c.below(fleet)]
-				w.ask(Safe, c.next(), second)
+				w := ws[c.intN(fleet)]
+				w.ask(Safe, c.uint64(), second)
 			}
 			out := 0
 			for _, w := range ws {
@@ -821,7 +821,7 @@
 							if x.server == 0 && started <= x.at {
 								cold = append(cold, x.at)
 							}
-							w.answer(i, attempt, Missing)
+							w.answer(i, attempt, CacheMiss)
 						}
 					}
 				}
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -5,12 +5,12 @@
 
 // The reasons. All but AttemptFailed and DeadlineNear end requests before they cost a server anything more.
 const (
-	OverShare     Reason = iota // its tenant sends more than its share
+	OverQuota     Reason = iota // its tenant sends more than its share
 	Overloaded                  // more is in flight than servers answer in time
 	QueueFull                   // its turn in its key's queue would come too late
-	NoServer                    // no server may be sent an attempt
-	NoCredit                    // no server has credit for a retry, and none would have any in time
-	ServersBusy                 // all servers answer busy, or the origin has no room, for longer than an answer has value
+	NoEndpoint                  // no server may be sent an attempt
+	NoRetryTokens               // no server has credit for a retry, and none would have any in time
+	EndpointsBusy               // all servers answer busy, or the origin has no room, for longer than an answer has value
 	AttemptsSpent               // it has had all the attempts that the settings allow
 	DeadlineNear                // no further attempt could be answered in time
 	AttemptFailed               // its last attempt failed in a way that a retry does not mend
--- a/policy/restart_test.go
+++ b/policy/restart_test.go
@@ -42,7 +42,7 @@
 				if c.cold {
 					started = w.now
 				}
-				w.list(Saved, 12, func(int) (Health, int64) { return Ready, started })
+				w.list(SavedList, 12, func(int) (Health, int64) { return Ready, started })
 				if longest := longestRefusal(w, c.effect, 5*second, c.answers); longest >= 4*second {
 					t.Errorf("seed %d: no attempt for %d ms", seed, longest/ms)
 				}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,43 +8,43 @@
 
 // readSettings takes what the module decides by from the settings, a plain map of dotted names to values.
 func (b *Balancer) readSettings() {
-	b.aside, b.moving = b.text("extra.mode") == "aside", b.text("weights") == "live"
+	b.cacheAside, b.weightsFollowLoad = b.text("extra.mode") == "aside", b.text("weights") == "live"
 	for i := range int(b.number("zones")) {
 		if b.text("zones."+strconv.Itoa(i)) == b.text("zone") {
 			b.zone = i
 		}
 	}
 	b.maxAttempts = max(1, int(b.number("allowed.mostTrips")))
-	b.copies, b.mayCancel = b.yes("allowed.secondCopies"), b.yes("allowed.cancelling")
-	b.startPart, b.warmUp = b.number("invariants.startCapacity"), b.span("invariants.warmUp")
-	b.multiple, b.tipAfter = b.number("invariants.fallMultiple"), b.span("invariants.tipAfter")
-	b.drift, b.stampError = b.span("invariants.deadlineDrift"), b.span("invariants.bootStampError")
-	b.buffers = b.number("allowed.outBuffers") > 0
-	b.gone, b.settles = b.yes("invariants.onlyDrainingBinds"), b.span("invariants.orderSettle")
-	b.balancers = max(1, b.number("balancers"))
+	b.mayHedge, b.mayCancel = b.yes("allowed.secondCopies"), b.yes("allowed.cancelling")
+	b.startCapacity, b.warmUp = b.number("invariants.startCapacity"), b.span("invariants.warmUp")
+	b.overloadMultiple, b.tipAfter = b.number("invariants.fallMultiple"), b.span("invariants.tipAfter")
+	b.deadlineDrift, b.bootStampError = b.span("invariants.deadlineDrift"), b.span("invariants.bootStampError")
+	b.hasFewBuffers = b.number("allowed.outBuffers") > 0
+	b.onlyDrainingBinds, b.orderSettle = b.yes("invariants.onlyDrainingBinds"), b.span("invariants.orderSettle")
+	b.fleetSize = max(1, b.number("balancers"))
 	for i := range int(b.number("report.fields")) {
 		name := b.text("report.fields." + strconv.Itoa(i))
-		b.figures, b.tells = append(b.figures, name), b.tells || name == "cpu_share" || name == "pending"
+		b.reportFields, b.reportsStrain = append(b.reportFields, name), b.reportsStrain || name == "cpu_share" || name == "pending"
 	}
-	b.room = 2 + firstRoom/b.balancers
+	b.originLimit = 2 + initialOriginLimit/b.fleetSize
 	if b.yes("allowed.retryAfter") {
-		b.comeBackMost = b.span("allowed.maxRetryAfter")
+		b.maxRetryAfter = b.span("allowed.maxRetryAfter")
 	}
 	for i := range int(b.number("workloads")) {
-		b.classes = append(b.classes, b.requestClass("workloads."+strconv.Itoa(i)+"."))
+		b.classes = append(b.classes, b.readRequestClass("workloads."+strconv.Itoa(i)+"."))
 	}
 	quotas := make([]float64, int(b.number("tenants")))
 	for i := range quotas {
 		quotas[i] = b.number("tenants." + strconv.Itoa(i) + ".quotaRps")
 	}
-	b.shares = shares.New(quotas)
+	b.quotas = shares.New(quotas)
 }
 
 // requestClass reads one request class.
-func (b *Balancer) requestClass(at string) class {
-	class := class{group: b.text(at + "group"), remembers: b.span(at + "dedupWindow"),
-		expected: b.span(at + "expectedTime"), stretch: b.number(at + "aimStretch"),
-		tardy: b.number(at + "tardyValue"), inOrder: b.yes(at + "keepOrder")}
+func (b *Balancer) readRequestClass(at string) requestClass {
+	class := requestClass{dedupGroup: b.text(at + "group"), dedupWindow: b.span(at + "dedupWindow"),
+		objective: b.span(at + "expectedTime"), objectiveStretch: b.number(at + "aimStretch"),
+		lateValue: b.number(at + "tardyValue"), inOrder: b.yes(at + "keepOrder")}
 	switch b.text(at + "effect") {
 	case "guarded":
 		class.effect = Idempotent
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -13,8 +13,8 @@
 func (q *quiet) Reject(int, Reason, int64)  {}
 func (q *quiet) Fail(int, Reason)           {}
 func (q *quiet) Cancel(int, int)            {}
-func (q *quiet) Wake(int, int64)            {}
-func (q *quiet) Subscribe()                 {}
+func (q *quiet) SetTimer(int, int64)        {}
+func (q *quiet) WatchEndpoints()            {}
 
 func bareValues() map[string]any {
 	return map[string]any{"workloads": 1.0, "workloads.0.group": "all", "workloads.0.expectedTime": 600.0, "workloads.0.effect": "free",
@@ -26,11 +26,11 @@
 func young(now int64, started ...int64) (*Balancer, *quiet) {
 	q := &quiet{}
 	b := New(now, 7, bareValues(), q)
-	b.Listing(now, Whole)
+	b.BeginEndpointUpdate(now, FullList)
 	for s, at := range started {
-		b.Row(now, s, fmt.Sprint("s-", s), Ready, at, 0, 0, 0, 1)
+		b.UpdateEndpoint(now, s, fmt.Sprint("s-", s), Ready, at, 0, 0, 0, 1)
 	}
-	b.Listed(now)
+	b.CommitEndpointUpdate(now)
 	return b, q
 }
 
@@ -40,13 +40,13 @@
 	for k := range n {
 		now += 5 * ms
 		q.sent = q.sent[:0]
-		b.Asked(now, 0, 1500*ms, 0, 0, uint64(k%200+1), true, false, 0)
+		b.HandleRequest(now, 0, 1500*ms, 0, 0, uint64(k%200+1), true, false, 0)
 		for attempt := 0; attempt < len(q.sent); attempt++ {
 			s, how := q.sent[attempt], OK
 			if s == 0 {
 				how = Errored
 			}
-			b.Ended(now+ms, 0, attempt, s, 1, how, 20*ms, how == OK)
+			b.HandleAttemptEnded(now+ms, 0, attempt, s, 1, how, 20*ms, how == OK)
 		}
 	}
 	return now + ms
@@ -60,7 +60,7 @@
 	old, q := young(unix, started...)
 	now := works(old, q, unix, 2000)
 	var s State
-	old.Learnt(now, &s)
+	old.SaveState(now, &s)
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -68,25 +68,25 @@
 	for what, step := range map[string]int64{"the clock as it was": 0, "an hour ahead": 3600 * second, "an hour back": -3600 * second} {
 		then := now + gap
 		b, _ := young(then+step, started...)
-		if known := b.Learn(then+step, &s, gap); known != len(started) {
+		if known := b.RestoreState(then+step, &s, gap); known != len(started) {
 			t.Fatalf("%s: %d servers are known", what, known)
 		}
-		old.passes(then)
-		for n, own := range b.scalars() {
-			if want := old.scalars()[n].Read(old.seen); math.Abs(own.Read(b.seen)-want) > 1e-3*want+1e-6 {
+		old.advanceClocks(then)
+		for n, own := range b.sums() {
+			if want := old.sums()[n].Read(old.evidence); math.Abs(own.Read(b.evidence)-want) > 1e-3*want+1e-6 {
 				t.Errorf("%s: sum %d is %v, not %v", what, n, own.Value, want)
 			}
 		}
-		for i := range b.servers {
-			x, y := &b.servers[i], &old.servers[i]
-			if math.Abs(x.good.Read(b.seen)-y.good.Read(old.seen)) > 1e-2 || math.Abs(x.bad.Read(b.seen)-y.bad.Read(old.seen)) > 1e-2 {
-				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.good, y.good)
+		for i := range b.endpoints {
+			x, y := &b.endpoints[i], &old.endpoints[i]
+			if math.Abs(x.successes.Read(b.evidence)-y.successes.Read(old.evidence)) > 1e-2 || math.Abs(x.failures.Read(b.evidence)-y.failures.Read(old.evidence)) > 1e-2 {
+				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.successes, y.successes)
 			}
 		}
-		if !b.Avoids(0) || b.Avoids(1) {
+		if !b.IsLikelyOutlier(0) || b.IsLikelyOutlier(1) {
 			t.Errorf("%s: the server that fails is not doubted", what)
 		}
-		if b.known != old.known || b.began != old.began+step || b.now != then+step {
+		if b.recentKeys != old.recentKeys || b.startedAt != old.startedAt+step || b.now != then+step {
 			t.Errorf("%s: keys are not known, or times are not those of this clock", what)
 		}
 	}
@@ -97,25 +97,25 @@
 	old, q := young(unix, 0, 0, 0, 0, 0)
 	now := works(old, q, unix, 2000)
 	again := now - second
-	old.Listing(now, Incremental)
-	old.Row(now, 2, "s-2", Ready, again, 0, 0, 0, 1) // The snapshot knows that 2 has.
-	old.Listed(now)
+	old.BeginEndpointUpdate(now, IncrementalList)
+	old.UpdateEndpoint(now, 2, "s-2", Ready, again, 0, 0, 0, 1) // The snapshot knows that 2 has.
+	old.CommitEndpointUpdate(now)
 	var s State
-	old.Learnt(now, &s)
+	old.SaveState(now, &s)
 	b, _ := young(now, 0, again, 0, 0, 0) // The list knows that 1 has.
-	b.Learn(now, &s, 0)
-	if !b.cold(now, 1) || !b.cold(now, 2) || b.cold(now, 3) {
-		t.Errorf("cold: %t, %t, and one that never restarted %t", b.cold(now, 1), b.cold(now, 2), b.cold(now, 3))
+	b.RestoreState(now, &s, 0)
+	if !b.isWarmingUp(now, 1) || !b.isWarmingUp(now, 2) || b.isWarmingUp(now, 3) {
+		t.Errorf("cold: %t, %t, and one that never restarted %t", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
 	}
-	if h := &b.servers[1]; h.good.Value > 0 || h.sent.Value > 0 || h.credit != 1 {
+	if h := &b.endpoints[1]; h.successes.Value > 0 || h.attempts.Value > 0 || h.retryTokens != 1 {
 		t.Errorf("what was learnt of it before it restarted counts: %+v", h)
 	}
-	for _, r := range b.known {
-		if r.key != 0 && r.server == 1 {
+	for _, r := range b.recentKeys {
+		if r.key != 0 && r.endpoint == 1 {
 			t.Fatalf("key %d is known at a server that is empty", r.key)
 		}
 	}
-	if warm := b.servers[3].good.Value; warm == 0 {
+	if warm := b.endpoints[3].successes.Value; warm == 0 {
 		t.Error("nothing was learnt of the others")
 	}
 }
@@ -124,13 +124,13 @@
 func TestColdRoomIsShared(t *testing.T) {
 	room := func(part float64) float64 {
 		b, q := young(unix, 0, 0, 0, 0, 0)
-		b.Share(part)
+		b.SetProcessShare(part)
 		now := works(b, q, unix, 2000)
-		b.Listing(now, Incremental)
-		b.Row(now, 1, "s-1", Ready, now-second, 0, 0, 0, 1)
-		b.Listed(now)
-		b.servers[1].room, b.servers[1].roomAt = 0, now
-		return b.coldRoom(now+300*ms, 1)
+		b.BeginEndpointUpdate(now, IncrementalList)
+		b.UpdateEndpoint(now, 1, "s-1", Ready, now-second, 0, 0, 0, 1)
+		b.CommitEndpointUpdate(now)
+		b.endpoints[1].slowStartTokens, b.endpoints[1].slowStartAt = 0, now
+		return b.slowStartBudget(now+300*ms, 1)
 	}
 	if whole, half := room(1), room(0.5); whole <= 0 || math.Abs(half/whole-0.5) > 1e-6 {
 		t.Errorf("the whole is %v, the half %v", whole, half)
@@ -144,14 +144,14 @@
 	for k := range 100_000 {
 		now += ms / 10
 		q.sent = q.sent[:0]
-		old.Asked(now, 0, 1500*ms, 0, 0, uint64(k+1), true, false, 0)
+		old.HandleRequest(now, 0, 1500*ms, 0, 0, uint64(k+1), true, false, 0)
 		for attempt, s := range q.sent {
-			old.Ended(now, 0, attempt, s, 1, OK, 20*ms, true)
+			old.HandleAttemptEnded(now, 0, attempt, s, 1, OK, 20*ms, true)
 		}
 	}
 	var s State
 	b.ResetTimer()
 	for range b.N {
-		old.Learnt(now, &s)
+		old.SaveState(now, &s)
 	}
 }
--- a/policy/zoneloss_test.go
+++ b/policy/zoneloss_test.go
@@ -18,12 +18,12 @@
 	}
 	f := &thinFleet{watcher: plain(t, seed, 0, values)}
 	for tenant, quota := range []float64{23, 20, 19, 18, 14, 6}[:int(values["tenants"].(float64))] {
-		f.b.Quota(tenant, quota*16*279/100*1.1)
+		f.b.SetQuota(tenant, quota*16*279/100*1.1)
 		for range int(quota) {
 			f.tenants = append(f.tenants, tenant)
 		}
 	}
-	f.list(Whole, 168, func(int) (Health, int64) { return Ready, 0 })
+	f.list(FullList, 168, func(int) (Health, int64) { return Ready, 0 })
 	f.next = f.now
 	return f
 }
@@ -35,9 +35,9 @@
 	inTime := map[int]bool{}
 	for end := f.now + span; f.now < end; f.step(ms) {
 		if f.now >= f.next {
-			f.next += 20*ms + int64(f.b.chance.below(int(85*ms)))
+			f.next += 20*ms + int64(f.b.random.intN(int(85*ms)))
 			f.asked = append(f.asked, asked{live: true, stop: f.now + 600*ms})
-			f.b.Asked(f.now, len(f.asked)-1, 600*ms, 0, f.tenant(), f.b.chance.next(), true, false, 0)
+			f.b.HandleRequest(f.now, len(f.asked)-1, 600*ms, 0, f.tenant(), f.b.random.uint64(), true, false, 0)
 		}
 		for i := max(0, len(f.asked)-64); i < len(f.asked); i++ {
 			for t := range f.asked[i].attempts {
@@ -68,7 +68,7 @@
 	case server%2 == 1:
 		return well(server, sentAt)
 	case server%4 == 0:
-		return Unreached, sentAt + 150*ms
+		return ConnectFailed, sentAt + 150*ms
 	}
 	return TimedOut, sentAt + 600*ms
 }
@@ -111,5 +111,5 @@
 	if len(f.tenants) == 0 {
 		return -1
 	}
-	return f.tenants[f.b.chance.below(len(f.tenants))]
+	return f.tenants[f.b.random.intN(len(f.tenants))]
 }
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -49,7 +49,7 @@
 	x.index, told = b.take()
 	b.slots[x.index].ends = b.now() + patience - min(answerReserveTime, patience/64) + b.drift
 	b.deciding()
-	b.module.Asked(b.now(), x.index, patience, w, owner, protocol.Key(x.words[1]), true, x.write, predicted)
+	b.module.HandleRequest(b.now(), x.index, patience, w, owner, protocol.Key(x.words[1]), true, x.write, predicted)
 	b.mu.Unlock()
 	return told, true
 }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -28,22 +28,22 @@
 var outcomes = map[transport.End]policy.Outcome{
 	transport.Settled:    policy.OK,
 	transport.Errored:    policy.Errored,
-	transport.TurnedAway: policy.Full,
-	transport.Refused:    policy.Unreached,
-	transport.NeverUp:    policy.Unreached,
-	transport.NoRoom:     policy.Unsent,
-	transport.CutShort:   policy.Unreached,
-	transport.Stuck:      policy.Unreached,
-	transport.Withdrawn:  policy.Unsent,
+	transport.TurnedAway: policy.Rejected,
+	transport.Refused:    policy.ConnectFailed,
+	transport.NeverUp:    policy.ConnectFailed,
+	transport.NoRoom:     policy.NotSent,
+	transport.CutShort:   policy.ConnectFailed,
+	transport.Stuck:      policy.ConnectFailed,
+	transport.Withdrawn:  policy.NotSent,
 	transport.Broken:     policy.Reset,
 	transport.Silent:     policy.TimedOut,
 	transport.CalledOff:  policy.Cancelled,
 	transport.Garbled:    policy.Reset,
 }
 
-var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Gone}
+var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
 
-var names = map[policy.Health]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Gone: "Gone"}
+var names = map[policy.Health]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}
 
 // goneFor is how long a server that the list calls gone is kept where only draining binds.
 const goneFor = int64(time.Minute)
@@ -183,7 +183,7 @@
 	b.keepsGone, _ = settings["invariants.onlyDrainingBinds"].(bool)
 	b.module = policy.New(b.now(), seed, settings, b)
 	if settings["registryMode"] != "subscribe" {
-		b.Subscribe() // Where changes are to come unasked: here they come by a watch all the same.
+		b.WatchEndpoints() // Where changes are to come unasked: here they come by a watch all the same.
 	}
 	b.bans.file = bansIn
 	b.lookAtBans()
@@ -241,7 +241,7 @@
 	b.counts[count{"trips", none}]++
 	if b.fellows != nil {
 		if part, heeded := b.fellows.Sent(b.servers[s].name); heeded {
-			b.module.Heard(s, part)
+			b.module.UpdatePeerVerdict(s, part)
 		}
 	}
 }
@@ -264,16 +264,16 @@
 func (b *Balancer) Cancel(i, trip int) { b.slots[i].told <- news{what: callOff, trip: trip} }
 
 // Wake sets a timer.
-func (b *Balancer) Wake(tag int, after int64) {
+func (b *Balancer) SetTimer(tag int, after int64) {
 	time.AfterFunc(time.Duration(after), func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		b.module.Woke(b.now(), tag)
+		b.module.HandleTimer(b.now(), tag)
 	})
 }
 
 // Subscribe asks for the list to be followed.
-func (b *Balancer) Subscribe() {
+func (b *Balancer) WatchEndpoints() {
 	select {
 	case b.follow <- struct{}{}:
 	default: // It is asked for already.
@@ -319,18 +319,18 @@
 			}
 		}
 		h.health, h.goneAt = health, now
-		h.spent = health == policy.Draining || health == policy.Gone && h.spent
+		h.spent = health == policy.Draining || health == policy.Removed && h.spent
 		b.row(now, s)
 	}
 	b.index, changes.index = index, index
 	b.lists++
 	switch {
 	case saved:
-		b.module.Listing(now, policy.Saved)
+		b.module.BeginEndpointUpdate(now, policy.SavedList)
 	case whole:
-		b.module.Listing(now, policy.Whole)
+		b.module.BeginEndpointUpdate(now, policy.FullList)
 	default:
-		b.module.Listing(now, policy.Incremental)
+		b.module.BeginEndpointUpdate(now, policy.IncrementalList)
 	}
 	for s := range b.servers {
 		b.servers[s].listed = false
@@ -338,7 +338,7 @@
 	for _, r := range rows {
 		b.listedOnce(r.name)
 		s, known := b.byName[r.name]
-		if !known && healths[r.status] == policy.Gone {
+		if !known && healths[r.status] == policy.Removed {
 			continue
 		}
 		from := ""
@@ -370,11 +370,11 @@
 	holders := map[string]int{}
 	for s := range b.servers {
 		h := &b.servers[s]
-		if h.name == "" || h.health == policy.Gone {
+		if h.name == "" || h.health == policy.Removed {
 			continue
 		}
 		if all && !h.listed {
-			is(s, names[h.health], policy.Gone)
+			is(s, names[h.health], policy.Removed)
 			continue
 		}
 		// Guards a new server against trips that are meant for the one that had its address: the list is late, and
@@ -383,14 +383,14 @@
 			holders[h.address] = s
 		} else if b.servers[other].startedAt < h.startedAt {
 			b.servers[other].spent = true
-			is(other, names[b.servers[other].health], policy.Gone)
+			is(other, names[b.servers[other].health], policy.Removed)
 			holders[h.address] = s
 		} else if b.servers[other].startedAt > h.startedAt {
 			h.spent = true
-			is(s, names[h.health], policy.Gone)
+			is(s, names[h.health], policy.Removed)
 		}
 	}
-	b.module.Listed(now)
+	b.module.CommitEndpointUpdate(now)
 	kept := 0
 	for s := range b.servers {
 		kept += b.forgets(now, s, kept)
@@ -402,7 +402,7 @@
 func (b *Balancer) forgets(now int64, s, kept int) int {
 	h := &b.servers[s]
 	switch {
-	case h.name == "" || h.health != policy.Gone:
+	case h.name == "" || h.health != policy.Removed:
 	case b.keepsGone && !h.spent && now < h.goneAt+goneFor && kept < maxServers:
 		return 1
 	case h.trips == 0:
@@ -417,7 +417,7 @@
 	h := &b.servers[s]
 	b.pool.Drop(transport.Peer{Server: s, Address: h.address})
 	delete(b.byName, h.name)
-	b.servers[s] = server{health: policy.Gone}
-	b.module.Forget(s)
+	b.servers[s] = server{health: policy.Removed}
+	b.module.RemoveEndpoint(s)
 	b.places.Give(s)
 }
--- a/routing/bans.go
+++ b/routing/bans.go
@@ -117,14 +117,14 @@
 		}
 	}
 	now := b.now()
-	b.module.Listing(now, policy.Incremental)
+	b.module.BeginEndpointUpdate(now, policy.IncrementalList)
 	for s := range b.servers {
 		if name := b.servers[s].name; name != "" && before[name] != b.banned[name] {
 			b.row(now, s)
 			changed = append(changed, name)
 		}
 	}
-	b.module.Listed(now)
+	b.module.CommitEndpointUpdate(now)
 	b.mu.Unlock()
 	for _, name := range changed {
 		switch kind {
@@ -141,7 +141,7 @@
 // row tells the module what stands of a server: by the list, and by hand.
 func (b *Balancer) row(now int64, s int) {
 	h := &b.servers[s]
-	b.module.Row(now, s, h.name, b.stands(h), h.startedAt, h.kind, h.zone, h.cell, h.weight)
+	b.module.UpdateEndpoint(now, s, h.name, b.stands(h), h.startedAt, h.kind, h.zone, h.cell, h.weight)
 }
 
 // stands is a server's health by the list, and by hand.
@@ -149,7 +149,7 @@
 	switch {
 	case h.health == policy.Ready && b.banned[h.name]:
 		return policy.Draining
-	case b.keepsGone && h.health == policy.Gone && (b.banned[h.name] || h.spent):
+	case b.keepsGone && h.health == policy.Removed && (b.banned[h.name] || h.spent):
 		return policy.Draining // Else the module might use it.
 	}
 	return h.health
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -92,7 +92,7 @@
 		if x.over == len(x.lines) {
 			b.counts[count{"left_waiting", none}]++
 		}
-		b.module.Aborted(b.now(), x.index)
+		b.module.HandleClientCancelled(b.now(), x.index)
 	}
 	b.slots[x.index].left = b.now()
 	b.mu.Unlock()
@@ -160,7 +160,7 @@
 		b.slots[x.index].final = true
 		b.heap += 2 * pieceOf
 		x.size += 2 * pieceOf
-		b.module.Started(b.now(), x.index, n.trip)
+		b.module.HandleResponseStarted(b.now(), x.index, n.trip)
 	}
 	b.mu.Unlock()
 	if n.begun.take <- takes; !takes {
@@ -194,7 +194,7 @@
 		b.counts[count{"trip_" + n.end.String(), none}]++
 	}
 	if n.load != nil {
-		b.module.Reported(now, n.server, n.load)
+		b.module.HandleLoadReport(now, n.server, n.load)
 	}
 	if outcome == policy.OK && !x.write {
 		if b.reads++; n.note > 1 {
@@ -205,7 +205,7 @@
 		b.fellows.Saw(b.servers[n.server].name, outcome, took, b.expected[x.class])
 	}
 	b.deciding()
-	b.module.Ended(now, x.index, n.trip, n.server, n.note, outcome, took, b.slots[x.index].final)
+	b.module.HandleAttemptEnded(now, x.index, n.trip, n.server, n.note, outcome, took, b.slots[x.index].final)
 	b.mu.Unlock()
 	if isFinal {
 		x.finish(n.answer, "settled")
--- a/routing/figures.go
+++ b/routing/figures.go
@@ -57,7 +57,7 @@
 			b.counts[count{"given_up", w}] + b.counts[count{"sent_back_wrong", w}]}
 	}
 	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && h.health != policy.Gone {
+		if h := &b.servers[s]; h.name != "" && h.health != policy.Removed {
 			f.Servers++
 			if b.avoids(s) {
 				f.Avoided++
@@ -79,7 +79,7 @@
 // avoids tells whether a server gets nothing now, by hand or by choice; under the lock.
 func (b *Balancer) avoids(s int) bool {
 	h := &b.servers[s]
-	return b.banned[h.name] || h.health == policy.Ready && b.module.Avoids(s)
+	return b.banned[h.name] || h.health == policy.Ready && b.module.IsLikelyOutlier(s)
 }
 
 // HostStands is how a cache host stands with this balancer.
@@ -100,7 +100,7 @@
 	b.mu.Lock()
 	all := make([]HostStands, 0, len(b.byName))
 	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && (h.health != policy.Gone || b.banned[h.name]) {
+		if h := &b.servers[s]; h.name != "" && (h.health != policy.Removed || b.banned[h.name]) {
 			all = append(all, HostStands{h.name, h.address, named(b.kindNames, h.kind), named(b.zoneNames, h.zone), names[h.health], b.banned[h.name],
 				b.avoids(s), h.trips, sinceMS(h.started)})
 		}
@@ -135,7 +135,7 @@
 	for i := range b.slots {
 		if slot := &b.slots[i]; slot.told != nil && !slot.final {
 			b.counts[count{countExpired, none}]++
-			b.module.Expire(b.now(), i)
+			b.module.ExpireRequest(b.now(), i)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.mostHeap = heap
-	b.module.Share(part)
+	b.module.SetProcessShare(part)
 }
 
 // Handed tells how many trips were handed over since the start.
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -29,7 +29,7 @@
 		part = 1 / max(1, number(b.settings, "balancers"))
 	}
 	b.mu.Lock()
-	b.module.Portion(part)
+	b.module.SetFleetShare(part)
 	b.mu.Unlock()
 }
 
@@ -43,7 +43,7 @@
 // Scarce takes that reads miss for all balancers.
 func (b *Balancer) Scarce(is bool) {
 	b.mu.Lock()
-	b.module.Scarce(is)
+	b.module.SetWidespreadMisses(is)
 	b.mu.Unlock()
 }
 
@@ -53,7 +53,7 @@
 	b.mu.Lock()
 	for zone, part := range parts {
 		if z, stated := b.zones[zone]; stated {
-			b.module.Leave(z, part, int64(fills))
+			b.module.SetEvacuation(z, part, int64(fills))
 		}
 	}
 	b.mu.Unlock()
@@ -82,7 +82,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && h.health != policy.Gone {
+		if h := &b.servers[s]; h.name != "" && h.health != policy.Removed {
 			all = append(all, Listed{Name: h.name, Zone: named(b.zoneNames, h.zone), Weight: h.weight})
 		}
 	}
@@ -107,7 +107,7 @@
 	b.mu.Lock()
 	for name, part := range parts {
 		if s, known := b.byName[name]; known {
-			b.module.Heard(s, part)
+			b.module.UpdatePeerVerdict(s, part)
 		}
 	}
 	b.mu.Unlock()
@@ -144,7 +144,7 @@
 		if most, stated := limits["quota."+name]; stated && (quota <= 0 || float64(most) < quota) {
 			quota = max(float64(most), 1e-9) // None at all would mean no limit.
 		}
-		b.module.Quota(t, quota)
+		b.module.SetQuota(t, quota)
 	}
 	b.mu.Unlock()
 	b.layOver(&b.byFleet, out)
@@ -158,7 +158,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && h.health != policy.Gone {
+		if h := &b.servers[s]; h.name != "" && h.health != policy.Removed {
 			of := fnv.New64a()
 			of.Write([]byte(h.name))
 			of.Write([]byte{byte(h.health)})
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -178,8 +178,8 @@
 		b.counts[count{"lists_failed", none}]++
 	}
 	if i >= 0 && len(b.watches) == 0 {
-		b.module.Listing(b.now(), policy.Failed)
-		b.module.Listed(b.now())
+		b.module.BeginEndpointUpdate(b.now(), policy.UpdateFailed)
+		b.module.CommitEndpointUpdate(b.now())
 	}
 	b.mu.Unlock()
 	if isLost {
@@ -226,8 +226,8 @@
 
 // resetBackoff tells the module that nothing changed, so that its growing waits begin anew. It is called under the lock.
 func (b *Balancer) resetBackoff() {
-	b.module.Listing(b.now(), policy.Incremental)
-	b.module.Listed(b.now())
+	b.module.BeginEndpointUpdate(b.now(), policy.IncrementalList)
+	b.module.CommitEndpointUpdate(b.now())
 }
 
 // Move follows the list at another address from now on. The old watches are let go at once: they may stay open for a
@@ -241,7 +241,7 @@
 	}
 	b.watches, b.listHeardAt = nil, time.Time{}
 	b.resetBackoff() // Failures at the old address must not delay the new one.
-	b.Subscribe()
+	b.WatchEndpoints()
 }
 
 var dialDiscovery = (&net.Dialer{KeepAlive: -1}).DialContext
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -147,7 +147,7 @@
 	t.Cleanup(func() { end(); <-ended })
 	until(t, "the beginning of a watch", func() bool { return len(b.follow) == 0 })
 	b.discovery = d.Address // What Move does, between the two lines of Follow.
-	b.Subscribe()
+	b.WatchEndpoints()
 	b.mu.Unlock()
 	next(t, d.Calls, "a watch at the new address")
 	if len(b.follow) > 0 {
--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -65,7 +65,7 @@
 	}
 	k.came, s.At = came, time.Now().UnixNano()
 	s.Boot, s.BootAt = bootclock.ID(), bootclock.Now()
-	b.module.Learnt(b.now(), &s.State)
+	b.module.SaveState(b.now(), &s.State)
 	whole := struct {
 		Index     uint64  `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
@@ -74,7 +74,7 @@
 	changed := k.told != b.lists
 	k.told = b.lists
 	for i := 0; changed && i < len(b.servers); i++ {
-		if h := &b.servers[i]; h.name != "" && h.health != policy.Gone {
+		if h := &b.servers[i]; h.name != "" && h.health != policy.Removed {
 			whole.Endpoints = append(whole.Endpoints, entry{h.name, h.address, named(b.zoneNames, h.zone), named(b.kindNames, h.kind), h.cell,
 				names[h.health], h.weight, sinceMS(h.started)})
 		}
@@ -142,5 +142,5 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.module.Learn(b.now(), &s.State, int64(s.Ago)), nil
+	return b.module.RestoreState(b.now(), &s.State, int64(s.Ago)), nil
 }
--- a/routing/listchanges.go
+++ b/routing/listchanges.go
@@ -30,11 +30,11 @@
 // kept of a log.
 func (c *listChanges) log(log zerolog.Logger) {
 	for part := range slices.Chunk(c.changes, changesPerLine) {
-		var names [policy.Gone + 1][]string
+		var names [policy.Removed + 1][]string
 		for _, change := range part {
 			names[change.to] = append(names[change.to], change.name)
 		}
 		log.Info().Uint64("index", c.index).Int("changed", len(c.changes)).Strs("ready", names[policy.Ready]).
-			Strs("draining", names[policy.Draining]).Strs("gone", names[policy.Gone]).Msg("servers changed")
+			Strs("draining", names[policy.Draining]).Strs("gone", names[policy.Removed]).Msg("servers changed")
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -96,7 +96,7 @@
 
 // What could not have run must be told so, or one-shots are given up for nothing; what may have run must never be.
 func TestOutcomesTellWhatCannotHaveRun(t *testing.T) {
-	never := map[policy.Outcome]bool{policy.Full: true, policy.Unreached: true, policy.Unsent: true, policy.Missing: true}
+	never := map[policy.Outcome]bool{policy.Rejected: true, policy.ConnectFailed: true, policy.NotSent: true, policy.CacheMiss: true}
 	for end := transport.Settled; end <= transport.Garbled; end++ {
 		unrun := end >= transport.TurnedAway && end <= transport.Withdrawn
 		if how, known := outcomes[end]; !known || never[how] != unrun {
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -66,11 +66,11 @@
 // Of reads the end of a trip: one that was called off tells of its host only if it had taken long.
 func Of(how policy.Outcome, took, expected int64) Sign {
 	switch how {
-	case policy.OK, policy.Missing:
+	case policy.OK, policy.CacheMiss:
 		return Settles
 	case policy.Errored, policy.TimedOut, policy.Reset:
 		return Fails
-	case policy.Unreached:
+	case policy.ConnectFailed:
 		return Refuses
 	case policy.Cancelled:
 		if took >= expected/2 {
