--- a/budgets/golden_test.go
+++ b/budgets/golden_test.go
@@ -42,7 +42,7 @@
 		const outlasts = 1837 * ms
 		now := int64(1e12)
 		l := New(now, most, outlasts)
-		lives, seqs, held := [3]uint64{1, 1, 1}, [3]uint64{}, [3]Held{}
+		lives, seqs, held := [3]uint64{1, 1, 1}, [3]uint64{}, [3]HeldShare{}
 		crashed := now
 		over, deaf := 0, false
 		processes := 2 + most%2 // With three nobody crashes: a new life is one process more.
@@ -51,7 +51,7 @@
 			switch n := chance.IntN(processes); chance.IntN(300) {
 			case 0:
 				if processes == 2 && now > crashed+outlasts {
-					crashed, lives[n], seqs[n], held[n] = now, lives[n]+1, 0, Held{}
+					crashed, lives[n], seqs[n], held[n] = now, lives[n]+1, 0, HeldShare{}
 				}
 			case 1:
 				over += l.Over
@@ -63,20 +63,20 @@
 			}
 			n := chance.IntN(processes)
 			seqs[n]++
-			told := Told{Seq: seqs[n], From: held[n].From, Rate: float64(chance.IntN(500))}
+			told := ShareRequest{Seq: seqs[n], GrantSeq: held[n].GrantSeq, RequestRate: float64(chance.IntN(500))}
 			switch chance.IntN(40) {
 			case 0:
-				told.Rate = []float64{math.NaN(), math.Inf(1), -5, 1e300, 0.3}[chance.IntN(5)]
+				told.RequestRate = []float64{math.NaN(), math.Inf(1), -5, 1e300, 0.3}[chance.IntN(5)]
 			case 1:
-				told.From = chance.Uint64() // It lies about what it holds.
+				told.GrantSeq = chance.Uint64() // It lies about what it holds.
 			}
 			share := l.Grant(now, Holder{fmt.Sprint("p", n), lives[n]}, told)
 			if !deaf && chance.IntN(3) != 0 { // Else the answer is lost.
-				held[n].Take(told.Seq-uint64(chance.IntN(2)), share)
+				held[n].Accept(told.Seq-uint64(chance.IntN(2)), share)
 			}
-			fmt.Fprintln(sum, n, share, held[n].Part, held[n].From, l.Over, l.Promised(now) > 0)
+			fmt.Fprintln(sum, n, share, held[n].Share, held[n].GrantSeq, l.Over, l.Promised(now) > 0)
 		}
-		lines = append(lines, fmt.Sprint("most ", most, " alone ", Alone(most), " over ", over+l.Over, " ", hex.EncodeToString(sum.Sum(nil))))
+		lines = append(lines, fmt.Sprint("most ", most, " alone ", ShareWithoutLease(most), " over ", over+l.Over, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
 	compareGolden(t, "grants.golden", lines)
 }
@@ -87,16 +87,16 @@
 	for n := range maxAccounts {
 		l.holders[Holder{fmt.Sprint("p", n), 1}] = &account{rate: 1, promises: []promise{{1, 1e-6, now + 1}}}
 	}
-	if share := l.Grant(now, Holder{"one more", 1}, Told{Seq: 1, Rate: 100}); share != Alone(4) || len(l.holders) != maxAccounts {
+	if share := l.Grant(now, Holder{"one more", 1}, ShareRequest{Seq: 1, RequestRate: 100}); share != ShareWithoutLease(4) || len(l.holders) != maxAccounts {
 		t.Errorf("share %v, %d processes known", share, len(l.holders))
 	}
-	var h Held
+	var h HeldShare
 	for _, c := range []struct {
 		seq   uint64
 		share float64
-		want  Held
-	}{{1, 0.5, Held{0.5, 1}}, {1, 0.6, Held{0.5, 1}}, {2, 0, Held{0.5, 1}}, {2, 1.01, Held{0.5, 1}}, {2, math.NaN(), Held{0.5, 1}}, {3, 1, Held{1, 3}}, {2, 0.2, Held{1, 3}}} {
-		if h.Take(c.seq, c.share); h != c.want {
+		want  HeldShare
+	}{{1, 0.5, HeldShare{0.5, 1}}, {1, 0.6, HeldShare{0.5, 1}}, {2, 0, HeldShare{0.5, 1}}, {2, 1.01, HeldShare{0.5, 1}}, {2, math.NaN(), HeldShare{0.5, 1}}, {3, 1, HeldShare{1, 3}}, {2, 0.2, HeldShare{1, 3}}} {
+		if h.Accept(c.seq, c.share); h != c.want {
 			t.Errorf("after %d, %v: %+v, not %+v", c.seq, c.share, h, c.want)
 		}
 	}
--- a/decay/golden_test.go
+++ b/decay/golden_test.go
@@ -25,19 +25,19 @@
 		}
 	}
 	var sum Sum
-	var level Level
+	var level Average
 	now := int64(0)
 	for range 20_000 {
 		now += random.Int64N(20e6) - 1e6
 		switch random.IntN(5) {
 		case 0:
-			record(sum.Read(now))
+			record(sum.ValueAt(now))
 		case 1, 2:
 			sum.Add(now, random.Float64()*3)
 		default:
-			record(level.Read(now, random.IntN(40)))
+			record(level.Update(now, random.IntN(40)))
 		}
-		record(sum.Value, float64(sum.At), level.Value, float64(level.At))
+		record(sum.Value, float64(sum.UpdatedAt), level.Value, float64(level.UpdatedAt))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
 	if *update {
--- a/outage/golden_test.go
+++ b/outage/golden_test.go
@@ -26,12 +26,12 @@
 			zone, server := random.IntN(5)-1, random.IntN(120)
 			isLost := n/300%2 == 1 && zone == n/600%4 || n/500%3 == 2 && zone == 3
 			if isLost || random.Float64() < rate {
-				d.Failed(zone, server, now)
+				d.RecordFailure(zone, server, now)
 			} else {
-				d.Answered(zone, now)
+				d.RecordResponse(zone, now)
 			}
 			asked, draw := random.IntN(5)-1, random.Float64()
-			suspects, avoids := d.Suspects(asked), d.Avoids(asked, now+random.Int64N(second), draw)
+			suspects, avoids := d.IsSuspected(asked), d.ShouldAvoid(asked, now+random.Int64N(second), draw)
 			fmt.Fprintln(trace, suspects, avoids)
 			if suspects {
 				suspected++
--- a/signals/golden_test.go
+++ b/outlier/golden_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"cmp"
@@ -70,17 +70,17 @@
 				w.alive[n] = !w.alive[n]
 			case 8: // A new process under the same name.
 				w.boards[n] = New(members[n], w.boards[n].life+1)
-				w.boards[n].Members(members)
-				w.boards[n].Hosts(w.hosts)
+				w.boards[n].SetMembers(members)
+				w.boards[n].SetEndpoints(w.hosts)
 				reads[n], misses[n] = 0, 0
 			case 9: // Members and endpoints that are gone, and come again.
-				w.boards[n].Members(members[:len(members)/2])
-				w.boards[n].Hosts(w.hosts[:len(w.hosts)/2])
+				w.boards[n].SetMembers(members[:len(members)/2])
+				w.boards[n].SetEndpoints(w.hosts[:len(w.hosts)/2])
 			case 10:
 				for _, b := range w.boards {
-					b.Members(members)
-					b.Hosts(w.hosts)
-					b.Delay(w.chance.Int64N(6000*ms) - 100*ms)
+					b.SetMembers(members)
+					b.SetEndpoints(w.hosts)
+					b.SetMessageDelay(w.chance.Int64N(6000*ms) - 100*ms)
 				}
 			case 11:
 				missing = 0.6 - missing
@@ -107,7 +107,7 @@
 			if step%5 == 0 {
 				reads[n] += w.chance.IntN(30)
 				misses[n] += int(missing * float64(w.chance.IntN(40)))
-				fmt.Fprintf(w.trace, "misses %d %t\n", n, b.Misses(w.now, reads[n], misses[n]))
+				fmt.Fprintf(w.trace, "misses %d %t\n", n, b.UpdateMissRate(w.now, reads[n], misses[n]))
 			}
 			if step%20 == 0 {
 				traceStatus(t, w, n)
@@ -119,21 +119,21 @@
 
 func traceStatus(t *testing.T, w *town, n int) {
 	b := w.boards[n]
-	b.Saw(w.now, 77, Fails) // An endpoint that is not listed.
-	b.Saw(w.now, w.hosts[0], Nothing)
+	b.Observe(w.now, 77, Fails) // An endpoint that is not listed.
+	b.Observe(w.now, w.hosts[0], Inconclusive)
 	status := b.Status(w.now)
-	slices.SortFunc(status, func(a, b Stands) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(status, func(a, b EndpointStatus) int { return cmp.Compare(a.ID, b.ID) })
 	for i := range status {
-		status[i].Name = fmt.Sprint(status[i].Host)
+		status[i].Endpoint = fmt.Sprint(status[i].ID)
 	}
 	text, err := json.Marshal(status)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var held []string
-	b.Heeded(w.now, func(id uint32, part float64) { held = append(held, fmt.Sprint(id, " ", part)) })
+	b.EachEjection(w.now, func(id uint32, part float64) { held = append(held, fmt.Sprint(id, " ", part)) })
 	slices.Sort(held)
-	fmt.Fprintf(w.trace, "status %d %s %s %d %d %d %d\n", n, text, held, b.Told, b.Took, b.Late, b.Odd)
+	fmt.Fprintf(w.trace, "status %d %s %s %d %d %d %d\n", n, text, held, b.MessagesSent, b.MessagesAccepted, b.MessagesStale, b.MessagesFromUnknown)
 }
 
 // Processes of two builds exchange these bytes over an upgrade: one that wrote them otherwise would be heard by nobody.
@@ -142,23 +142,23 @@
 	for n := range uint32(mostWords) {
 		full.Words = append(full.Words, Word{Host: 70000 * n, Run: uint8(n * 11), Age: uint16(n * 3000)})
 	}
-	lines := []string{fmt.Sprint("names ", ID(""), " ", ID("cache-3"), " ", MostBytes, " ", NoZone, " ", MaxMembers)}
+	lines := []string{fmt.Sprint("names ", HashName(""), " ", HashName("cache-3"), " ", MaxMessageBytes, " ", UnknownZone, " ", MaxMembers)}
 	for _, m := range []*Message{{}, {From: 7, Life: 1 << 40, Seq: 3, Zone: 2, Words: []Word{{Host: 9, Run: 2, Age: 40}, {Host: 10}}}, {Miss: 33, Words: []Word{}}, full} {
-		bytes := m.Pack()
+		bytes := m.Encode()
 		lines = append(lines, hex.EncodeToString(bytes))
-		back, err := Unpack(bytes)
-		if err != nil || hex.EncodeToString(back.Pack()) != hex.EncodeToString(bytes) {
+		back, err := DecodeMessage(bytes)
+		if err != nil || hex.EncodeToString(back.Encode()) != hex.EncodeToString(bytes) {
 			t.Errorf("%x does not come back: %v", bytes, err)
 		}
 	}
 	for how := range policy.Outcome(16) {
-		lines = append(lines, fmt.Sprintf("outcome %d: %d %d %d", how, Of(how, 0, 1000), Of(how, 499, 1000), Of(how, 500, 1000)))
+		lines = append(lines, fmt.Sprintf("outcome %d: %d %d %d", how, Classify(how, 0, 1000), Classify(how, 499, 1000), Classify(how, 500, 1000)))
 	}
 	compareGolden(t, "messages.golden", lines)
 	many := &Message{Words: make([]Word, mostWords+1)}
-	for name, bytes := range map[string][]byte{"empty": {}, "a map": {0xa0}, "short": {0x81, 0x01}, "trailing": append(full.Pack(), 0), "large": make([]byte, MostBytes+1),
-		"many": many.Pack(), "indefinite": {0x9f, 0xff}, "tagged": {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1}} {
-		if m, err := Unpack(bytes); err == nil {
+	for name, bytes := range map[string][]byte{"empty": {}, "a map": {0xa0}, "short": {0x81, 0x01}, "trailing": append(full.Encode(), 0), "large": make([]byte, MaxMessageBytes+1),
+		"many": many.Encode(), "indefinite": {0x9f, 0xff}, "tagged": {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1}} {
+		if m, err := DecodeMessage(bytes); err == nil {
 			t.Errorf("%s: %x is taken as %+v", name, bytes, m)
 		}
 	}
@@ -166,14 +166,14 @@
 
 // A table that is full and evicts another witness than its neighbours do calls another number of witnesses. Members learn each other's zones from messages.
 func TestGoldenFullTables(t *testing.T) {
-	b, now, sum := New(Member{1, NoZone}, 1), int64(1e15), sha256.New()
+	b, now, sum := New(Member{1, UnknownZone}, 1), int64(1e15), sha256.New()
 	var members []Member
 	var hosts []uint32
 	for n := range uint32(500) {
-		members, hosts = append(members, Member{n + 1, NoZone}), append(hosts, 5000+n)
+		members, hosts = append(members, Member{n + 1, UnknownZone}), append(hosts, 5000+n)
 	}
-	b.Members(members)
-	b.Hosts(hosts)
+	b.SetMembers(members)
+	b.SetEndpoints(hosts)
 	for round := range uint32(3) {
 		for from := uint32(2); from <= 500; from++ {
 			for first := uint32(0); first < 180; first += mostWords {
@@ -181,22 +181,22 @@
 				for h := first; h < first+mostWords; h++ {
 					m.Words = append(m.Words, Word{Host: 5000 + (h*31+round*97)%500, Run: uint8((from + h + round) % 5), Age: uint16(from * h % 4000)})
 				}
-				b.Hear(now, m)
+				b.HandleMessage(now, m)
 				now += ms / 10
 			}
 		}
-		b.Look(now)
-		w := &town{now: now, boards: []*Board{b}, hosts: hosts, trace: sum}
+		b.Tick(now)
+		w := &town{now: now, boards: []*Detector{b}, hosts: hosts, trace: sum}
 		traceStatus(t, w, 0)
 		now += 600 * ms
 	}
 	for id := uint32(10_000); len(hosts) < 9000; id++ {
 		hosts = append(hosts, id)
 	}
-	b.Hosts(hosts)
+	b.SetEndpoints(hosts)
 	for _, id := range hosts[8190:8194] { // The first two of these are the last that are known.
-		b.Saw(now, id, Refuses)
+		b.Observe(now, id, Refuses)
 	}
-	traceStatus(t, &town{now: now, boards: []*Board{b}, hosts: hosts, trace: sum}, 0)
+	traceStatus(t, &town{now: now, boards: []*Detector{b}, hosts: hosts, trace: sum}, 0)
 	compareGolden(t, "full.golden", []string{hex.EncodeToString(sum.Sum(nil))})
 }
--- a/policy/lines.go
+++ b/policy/lines.go
@@ -95,8 +95,8 @@
 
 // suspects gathers what speaks for a key held up behind all servers: its attempts fail at one after the other.
 func (b *Balancer) recordKeyFailure(now int64, r *request, s int, how Outcome) {
-	k, poor := &b.recentKeys[r.key%maxRecentKeys], b.late.Read(b.evidence)
-	poor = (poor + 0.1) / (poor + b.timely.Read(b.evidence) + 1)
+	k, poor := &b.recentKeys[r.key%maxRecentKeys], b.late.ValueAt(b.evidence)
+	poor = (poor + 0.1) / (poor + b.timely.ValueAt(b.evidence) + 1)
 	switch {
 	case how == OK && k.key == r.key:
 		k.suspicion = max(0, k.suspicion+math.Log((1-throttledFailureRatio)/(1-poor)))
--- a/policy/lines_test.go
+++ b/policy/lines_test.go
@@ -193,7 +193,7 @@
 	if n := out(8); n < 8 {
 		t.Errorf("%d attempts at once for another key", n)
 	}
-	if bad := w.b.failures.Read(w.b.evidence); bad > 4 {
+	if bad := w.b.failures.ValueAt(w.b.evidence); bad > 4 {
 		t.Errorf("servers are blamed %.1f times for what holds up a key", bad)
 	}
 	all(8, OK)
--- a/policy/plain.go
+++ b/policy/plain.go
@@ -40,7 +40,7 @@
 // A sum fades with the clock of evidence, and so does held, an average of what is in flight.
 type (
 	sum     = decay.Sum
-	average = decay.Level
+	average = decay.Average
 )
 
 func (b *Balancer) count(counts ...*sum) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,15 +11,15 @@
 
 	"hollylever/decay"
 	"hollylever/outage"
-	"hollylever/shares"
+	"hollylever/quota"
 )
 
 const (
 	second                 = int64(1e9)
-	timeConstant           = decay.Memory     // how long what was seen counts
-	maxStall               = 150 * int64(1e6) // the process may be held up for so long between a decision and what comes of it
-	answerMargin           = 25 * int64(1e6)  // before the hard stop an answer must be out
-	fullPaceRequests       = 60.0             // requests: with fewer in it, memory stretches
+	timeConstant           = decay.TimeConstant // how long what was seen counts
+	maxStall               = 150 * int64(1e6)   // the process may be held up for so long between a decision and what comes of it
+	answerMargin           = 25 * int64(1e6)    // before the hard stop an answer must be out
+	fullPaceRequests       = 60.0               // requests: with fewer in it, memory stretches
 	minPace                = 0.1
 	initialCandidates      = 3               // candidates of a key
 	expansionFactor        = 7               // a busy answer widens so many times
@@ -118,7 +118,7 @@
 	openRequests                                       []int
 	keyQueues                                          map[keyQueueID]*keyQueue
 	classes                                            []requestClass
-	quotas                                             *shares.Gate     // of tenants
+	quotas                                             *quota.Limiter   // of tenants
 	outages                                            *outage.Detector // of zones
 	listFailures, inFlight                             int              // of the list, in a row; attempts in flight at ready caches
 	inFlightAverage                                    average
@@ -170,7 +170,7 @@
 func (b *Balancer) advanceClocks(now int64) {
 	b.evidence += int64(float64(now-b.now) * b.pace)
 	b.overloadTolerance = min(1, b.overloadTolerance+float64(now-b.now)/float64(40*second))
-	b.now, b.pace = now, min(1, max(minPace, b.arrivals.Read(b.evidence)/fullPaceRequests))
+	b.now, b.pace = now, min(1, max(minPace, b.arrivals.ValueAt(b.evidence)/fullPaceRequests))
 }
 
 // Listing begins a list; a Row for each entry and Listed follow.
@@ -236,7 +236,7 @@
 // Listed ends the list.
 func (b *Balancer) CommitEndpointUpdate(now int64) {
 	b.advanceClocks(now)
-	b.inFlightAverage.Read(b.evidence, b.inFlight)
+	b.inFlightAverage.Update(b.evidence, b.inFlight)
 	b.ready, b.inFlight, b.origin, b.totalWeight, b.warmWeight = b.ready[:0], 0, -1, 0, 0
 	b.reportedRate, b.reportedStrain, b.reporting = 0, 0, 0
 	for s := range b.endpoints {
@@ -288,7 +288,7 @@
 	b.openRequests = append(b.openRequests, i)
 	b.count(&b.arrivals)
 	switch {
-	case b.quotas.Rejects(tenant, b.trafficView(), b.random.float64):
+	case b.quotas.ShouldReject(tenant, b.trafficView(), b.random.float64):
 		b.finish(now, i, OverQuota)
 	case !(b.cacheAside && write) && b.areEndpointsBusy() && b.isOverloaded(now, r): // Aside, writes go by the caches.
 		b.count(&b.shed)
@@ -365,8 +365,8 @@
 // count keeps the numbers in flight.
 func (b *Balancer) addInFlight(r *request, s, by int) {
 	h := &b.endpoints[s]
-	h.inFlightAverage.Read(b.evidence, h.inFlight)
-	b.inFlightAverage.Read(b.evidence, b.inFlight)
+	h.inFlightAverage.Update(b.evidence, h.inFlight)
+	b.inFlightAverage.Update(b.evidence, b.inFlight)
 	r.inFlight += by
 	h.inFlight += by
 	if b.isListed(h) && s != b.origin {
@@ -378,17 +378,17 @@
 // answers are others' attempts. While few tell of it, its kind tells more, by answers, as silence is its own.
 func (b *Balancer) loadAndLatency(s int) (load, each float64) {
 	h := &b.endpoints[s]
-	k, n := &b.machineTypes[h.machineType], h.attempts.Read(b.evidence)
-	own := h.inFlightAverage.Read(b.evidence, h.inFlight) + rejectionWeight*h.rejections.Read(b.evidence)
+	k, n := &b.machineTypes[h.machineType], h.attempts.ValueAt(b.evidence)
+	own := h.inFlightAverage.Update(b.evidence, h.inFlight) + rejectionWeight*h.rejections.ValueAt(b.evidence)
 	each = (own*float64(timeConstant)/b.pace + priorAttempts*k.meanLatency(b.evidence, b.fleetwide.meanLatency(b.evidence, 0))) / (n + priorAttempts)
 	return own / h.weight, b.latencyWhileFilling(h, each)
 }
 
 // each is how long an attempt takes in the mean; before that is known, as long as others do.
 func (k *machineType) meanLatency(seen int64, others float64) float64 {
-	busy := k.rejections.Read(seen)
-	n := k.answers.Read(seen) + busy + priorAttempts
-	return (k.answerTime.Read(seen) + busy*float64(timeConstant) + priorAttempts*others) / n
+	busy := k.rejections.ValueAt(seen)
+	n := k.answers.ValueAt(seen) + busy + priorAttempts
+	return (k.answerTime.ValueAt(seen) + busy*float64(timeConstant) + priorAttempts*others) / n
 }
 
 // rank puts the first width caches of a key's ranking into b.best, in its order (all: in the list's).
@@ -421,13 +421,13 @@
 
 // pick takes a candidate at random and passes over one well above the mean; all over: the least loaded.
 func (b *Balancer) selectEndpoint(now int64, r *request) int {
-	ordered := b.readMisses.Read(b.evidence) > missThreshold*(b.reads.Read(b.evidence)+1)
+	ordered := b.readMisses.ValueAt(b.evidence) > missThreshold*(b.reads.ValueAt(b.evidence)+1)
 	n := b.rankCandidates(r.key, r.candidateCount, ordered)
-	mean := float64(b.inFlight)/float64(max(1, len(b.ready))) + b.inFlightAverage.Read(b.evidence, b.inFlight)/max(1, b.totalWeight)
+	mean := float64(b.inFlight)/float64(max(1, len(b.ready))) + b.inFlightAverage.Update(b.evidence, b.inFlight)/max(1, b.totalWeight)
 	limit := overloadRatio*mean + overloadSlack
 	// Guards a short origin: while many reads miss, a key keeps to the cache that answered it last, then to the
 	// ranking's order, to be fetched once. While the origin fails: the first of the ranking, whatever its load.
-	strict := ordered && (b.widespreadMisses || b.readFailures.Read(b.evidence) > missThreshold*(b.reads.Read(b.evidence)+1))
+	strict := ordered && (b.widespreadMisses || b.readFailures.ValueAt(b.evidence) > missThreshold*(b.reads.ValueAt(b.evidence)+1))
 	if last := b.recentKeys[r.key%maxRecentKeys]; ordered && !strict && last.key == r.key {
 		for j := range n {
 			if b.candidates[j].endpoint == last.endpoint {
@@ -437,8 +437,8 @@
 	}
 	// Those in this balancer's zone go first: crossing costs. Not while the origin fails, as keys need one order
 	// for all then, nor while connects fail: a lost zone is found out server by server.
-	near, unreached := 0, b.connectFailures.Read(b.evidence)
-	for j := 0; j < n && !strict && unreached < maxConnectFailureRatio*(b.successes.Read(b.evidence)+1); j++ {
+	near, unreached := 0, b.connectFailures.ValueAt(b.evidence)
+	for j := 0; j < n && !strict && unreached < maxConnectFailureRatio*(b.successes.ValueAt(b.evidence)+1); j++ {
 		if c := b.candidates[j]; b.endpoints[c.endpoint].zone == b.zone || b.endpoints[c.endpoint].peerVerdict < 0 {
 			copy(b.candidates[near+1:j+1], b.candidates[near:j])
 			b.candidates[near] = c
@@ -495,17 +495,17 @@
 // doubted draws from the posterior of a server's chance of success, as a part of what all have: all may fail.
 func (b *Balancer) isOutlier(s int, part func() float64) bool {
 	h := &b.endpoints[s]
-	good, bad := h.successes.Read(b.evidence)+priorSuccesses, h.failures.Read(b.evidence)+priorFailures
+	good, bad := h.successes.ValueAt(b.evidence)+priorSuccesses, h.failures.ValueAt(b.evidence)+priorFailures
 	// Guards against dead servers that the list still shows: one failed connect tells more than one error.
 	ago := float64(b.now-h.connectFailedAt) / float64(timeConstant)
-	if h.connectFailedAt > 0 && part() < math.Exp(-ago) || h.peerVerdict > 0 && part() < h.peerVerdict || h.peerVerdict >= 0 && b.outages.Avoids(h.zone, b.now, part()) {
+	if h.connectFailedAt > 0 && part() < math.Exp(-ago) || h.peerVerdict > 0 && part() < h.peerVerdict || h.peerVerdict >= 0 && b.outages.ShouldAvoid(h.zone, b.now, part()) {
 		return true
 	}
 	if bad < 0.6 || h.peerVerdict < 0 {
 		return false
 	}
-	n, all, normal := good+bad, b.successes.Read(b.evidence)+priorSuccesses, part()+part()+part()+part()-2 // of variance 1/3
-	return good/n+normal*math.Sqrt(3*good*bad/(n+1))/n < successRatioFloor*all/(all+b.failures.Read(b.evidence)+priorFailures)
+	n, all, normal := good+bad, b.successes.ValueAt(b.evidence)+priorSuccesses, part()+part()+part()+part()-2 // of variance 1/3
+	return good/n+normal*math.Sqrt(3*good*bad/(n+1))/n < successRatioFloor*all/(all+b.failures.ValueAt(b.evidence)+priorFailures)
 }
 
 // Avoids tells whether a server would sooner be passed by than not, as it is doubted; it draws nothing.
@@ -520,10 +520,10 @@
 func (b *Balancer) slowStartBudget(now int64, s int) float64 {
 	h, toRate := &b.endpoints[s], b.pace*float64(second)/float64(timeConstant)
 	part := b.startCapacity + (1-b.startCapacity)*max(0, float64(now-h.startedAt)/float64(b.warmUp))
-	b.peakThroughput, b.peakAt = max(b.warmThroughput.Read(b.evidence)*toRate, b.peakThroughput*math.Exp(-float64(now-b.peakAt)/float64(10*timeConstant))), now
-	top, good := slowStartMargin*b.overloadMultiple, h.successes.Read(b.evidence)*b.pace // What it settles proves that it can do more.
-	part *= min(1, top) + max(0, top-1)*good/(good+provenHalfAt*(1+h.rejections.Read(b.evidence)+h.failures.Read(b.evidence)))
-	share, comes := max(b.peakThroughput*h.weight, 0.5/b.fleetSize), b.arrivals.Read(b.evidence)*toRate*h.weight/max(1, b.totalWeight)
+	b.peakThroughput, b.peakAt = max(b.warmThroughput.ValueAt(b.evidence)*toRate, b.peakThroughput*math.Exp(-float64(now-b.peakAt)/float64(10*timeConstant))), now
+	top, good := slowStartMargin*b.overloadMultiple, h.successes.ValueAt(b.evidence)*b.pace // What it settles proves that it can do more.
+	part *= min(1, top) + max(0, top-1)*good/(good+provenHalfAt*(1+h.rejections.ValueAt(b.evidence)+h.failures.ValueAt(b.evidence)))
+	share, comes := max(b.peakThroughput*h.weight, 0.5/b.fleetSize), b.arrivals.ValueAt(b.evidence)*toRate*h.weight/max(1, b.totalWeight)
 	if b.peakThroughput == 0 { // No warm server has answered yet: there may be none.
 		share = max(share, comes)
 	}
@@ -693,7 +693,7 @@
 	case r.inFlight > 0 || r.usefulUntil == math.MaxInt64: // Another attempt may still answer, or does.
 	case how == TimedOut || how == NotSent && b.deadlineDrift > 0, // The client has gone, whatever was told.
 		now >= r.deadline || s == b.origin && how != Rejected && how != ConnectFailed,
-		how == Errored && (r.isKeyThrottled() || b.readFailures.Read(b.evidence) > missThreshold*b.reads.Read(b.evidence)): // As the next.
+		how == Errored && (r.isKeyThrottled() || b.readFailures.ValueAt(b.evidence) > missThreshold*b.reads.ValueAt(b.evidence)): // As the next.
 		b.finish(now, i, AttemptFailed)
 	case how == CacheMiss:
 		b.coalesceOriginFetch(now, i)
@@ -719,9 +719,9 @@
 	b.recordKeyFailure(now, r, s, how)
 	silent := how == ConnectFailed || how == TimedOut // That tells of the server or its zone, not of load.
 	if silent {
-		b.outages.Failed(h.zone, s, now)
+		b.outages.RecordFailure(h.zone, s, now)
 	} else if how != Cancelled && how != NotSent && how != Reset && s != b.origin {
-		b.outages.Answered(h.zone, now)
+		b.outages.RecordResponse(h.zone, now)
 	}
 	if well {
 		h.connectFailedAt, h.breaks, h.retryTokens = 0, 0, min(maxRetryTokens, h.retryTokens+retryTokensPerSuccess)
@@ -735,7 +735,7 @@
 	} else if !poor {
 		b.count(&b.timely)
 	}
-	b.quotas.Ended(b.timely.Read(b.evidence), b.late.Read(b.evidence))
+	b.quotas.RecordOutcomes(b.timely.ValueAt(b.evidence), b.late.ValueAt(b.evidence))
 	switch {
 	// Guards writes against reads that crowd a short origin: the reads' room gives way and comes back.
 	case s == b.origin && !r.isWrite && how == OK && took < w.objective/2:
@@ -761,7 +761,7 @@
 		b.count(&b.answered)
 		b.answerTime.Add(b.evidence, float64(took))
 		// The least mean of late: what attempts take while nothing is crowded.
-		b.baseLatency = min(b.answerTime.Read(b.evidence)/b.answered.Read(b.evidence), b.baseLatency*baseLatencyGrowth)
+		b.baseLatency = min(b.answerTime.ValueAt(b.evidence)/b.answered.ValueAt(b.evidence), b.baseLatency*baseLatencyGrowth)
 		k := &b.recentKeys[r.key%maxRecentKeys]
 		if k.key != r.key {
 			*k = keyRecord{key: r.key}
@@ -799,13 +799,13 @@
 	hanging, silent := b.unresponsive()
 	free := 1 + float64(len(b.ready)-silent)*(1+startupAttempts*young)/b.fleetSize
 	seen := 1 - math.Exp(-float64(b.evidence+second/4)/float64(timeConstant))
-	rate := (b.fleetwide.answers.Read(b.evidence) - b.cacheMisses.Read(b.evidence)) / seen / float64(timeConstant) * b.pace
+	rate := (b.fleetwide.answers.ValueAt(b.evidence) - b.cacheMisses.ValueAt(b.evidence)) / seen / float64(timeConstant) * b.pace
 	part := queueingShare
 	if !r.isWrite && b.recentKeys[r.key%maxRecentKeys].key != r.key {
 		// It would most likely miss: it goes first, but keys must stay known, or all would be turned away for good.
-		part *= max(minUnknownKeyShare, 1-b.shed.Read(b.evidence)/(b.arrivals.Read(b.evidence)+1))
+		part *= max(minUnknownKeyShare, 1-b.shed.ValueAt(b.evidence)/(b.arrivals.ValueAt(b.evidence)+1))
 	}
-	full := b.fleetwide.rejections.Read(b.evidence) / (b.fleetwide.answers.Value + b.fleetwide.rejections.Value + 1)
+	full := b.fleetwide.rejections.ValueAt(b.evidence) / (b.fleetwide.answers.Value + b.fleetwide.rejections.Value + 1)
 	room := (1 - full) * b.overloadTolerance * (free + (1-full)*rate*(b.baseLatency+part*max(0, float64(w.objective)-b.baseLatency)))
 	// The root is slack for chance: small counts vary most. Where nothing was sent for long, one tells how things are.
 	return float64(b.inFlight-hanging) > room+math.Sqrt(room) && now < b.lastDispatchAt+w.objective
@@ -817,7 +817,7 @@
 	unreachedOut, unreached := 0, 0
 	for _, s := range b.ready {
 		switch h := &b.endpoints[s]; {
-		case b.outages.Suspects(h.zone):
+		case b.outages.IsSuspected(h.zone):
 			out, servers = out+h.inFlight, servers+1
 		case h.connectFailedAt > 0:
 			unreachedOut, unreached = unreachedOut+h.inFlight, unreached+1
@@ -830,10 +830,10 @@
 }
 
 // view is what is known of this balancer's part of all traffic; load reports tell more than it could see itself.
-func (b *Balancer) trafficView() shares.View {
-	view := shares.View{Now: b.evidence, Span: float64(timeConstant) / b.pace / float64(second), EvenPart: 1 / b.fleetSize}
+func (b *Balancer) trafficView() quota.Traffic {
+	view := quota.Traffic{Now: b.evidence, WindowSeconds: float64(timeConstant) / b.pace / float64(second), EvenShare: 1 / b.fleetSize}
 	if all := b.reportedRate / b.reporting * float64(len(b.ready)); all > 0 {
-		view.Part = (b.successes.Read(b.evidence) + math.Sqrt(b.successes.Value+1)) / (all * view.Span)
+		view.TrafficShare = (b.successes.ValueAt(b.evidence) + math.Sqrt(b.successes.Value+1)) / (all * view.WindowSeconds)
 	}
 	return view
 }
@@ -880,16 +880,16 @@
 // hedge sends a second copy, paid from credit, for an attempt that is far overdue: few where the origin or the
 // fleet may be slow, any from a zone that seems lost.
 func (b *Balancer) hedge(now int64, i int) {
-	r, asked := &b.requests[i], b.arrivals.Read(b.evidence)
+	r, asked := &b.requests[i], b.arrivals.ValueAt(b.evidence)
 	silent := r.attempts[len(r.attempts)-1].endpoint
 	overdue := &b.endpoints[silent]
-	b.outages.Failed(overdue.zone, silent, now)
+	b.outages.RecordFailure(overdue.zone, silent, now)
 	overdue.connectFailedAt = now
-	lost := b.outages.Suspects(overdue.zone)
+	lost := b.outages.IsSuspected(overdue.zone)
 	if !lost {
 		b.count(&b.overdue)
 	}
-	few := b.overdue.Value < maxOverdueRatio*asked && b.shed.Read(b.evidence) < maxOverdueRatio/4*asked
+	few := b.overdue.Value < maxOverdueRatio*asked && b.shed.ValueAt(b.evidence) < maxOverdueRatio/4*asked
 	if !b.mayHedge || b.classes[r.class].effect == NonIdempotent || r.isKeyThrottled() || !few && !lost {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -566,7 +566,7 @@
 	room := func(good, busy float64) float64 {
 		h := &w.b.endpoints[0]
 		h.startedAt, h.slowStartTokens, h.slowStartAt = w.now-second, 0, w.now-second/8
-		h.successes, h.failures, h.rejections = sum{Value: good, At: w.b.evidence}, sum{Value: 0, At: w.b.evidence}, sum{Value: busy, At: w.b.evidence}
+		h.successes, h.failures, h.rejections = sum{Value: good, UpdatedAt: w.b.evidence}, sum{Value: 0, UpdatedAt: w.b.evidence}, sum{Value: busy, UpdatedAt: w.b.evidence}
 		return w.b.slowStartBudget(w.now, 0)
 	}
 	if fresh, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*fresh || proven > 3*fresh || full > 1.3*fresh {
@@ -576,7 +576,7 @@
 	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
 	}
 	before := w.b.inFlight
-	w.b.fleetwide.rejections.Add(w.b.evidence, w.b.fleetwide.answers.Read(w.b.evidence))
+	w.b.fleetwide.rejections.Add(w.b.evidence, w.b.fleetwide.answers.ValueAt(w.b.evidence))
 	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
 	}
 	if w.b.inFlight > before*2/3 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -72,10 +72,12 @@
 }
 
 func (b *Balancer) encodeSum(s sum) Sum {
-	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.evidence-s.At)}
+	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.evidence-s.UpdatedAt)}
 }
 
-func (b *Balancer) decodeSum(s Sum) sum { return sum{Value: float64(s.Value), At: b.evidence - s.Age} }
+func (b *Balancer) decodeSum(s Sum) sum {
+	return sum{Value: float64(s.Value), UpdatedAt: b.evidence - s.Age}
+}
 
 func (b *Balancer) encodeMachineType(k *machineType) MachineTypeState {
 	return MachineTypeState{Answered: b.encodeSum(k.answers), Took: b.encodeSum(k.answerTime), Busy: b.encodeSum(k.rejections), Size: k.weight}
@@ -90,14 +92,14 @@
 	b.advanceClocks(now)
 	servers, keys, places, kinds, tenants := s.Servers[:0], s.Keys[:0], s.Places[:0], s.Kinds[:0], s.Tenants[:0]
 	*s = State{Now: now, Began: b.startedAt, Seen: b.evidence, Pace: b.pace, Held: b.encodeSum(sum(b.inFlightAverage)), Credit: b.retryTokens, Usual: b.baseLatency,
-		Admit: b.quotas.Admitted(), OriginRoom: b.originLimit, Can: b.peakThroughput, CanAt: b.peakAt, All: b.encodeMachineType(&b.fleetwide)}
+		Admit: b.quotas.AdmittedFraction(), OriginRoom: b.originLimit, Can: b.peakThroughput, CanAt: b.peakAt, All: b.encodeMachineType(&b.fleetwide)}
 	for n, own := range b.sums() {
 		*s.sums()[n] = b.encodeSum(*own)
 	}
 	for k := range b.machineTypes {
 		kinds = append(kinds, b.encodeMachineType(&b.machineTypes[k]))
 	}
-	for _, asked := range b.quotas.Asked() {
+	for _, asked := range b.quotas.RequestCounts() {
 		tenants = append(tenants, b.encodeSum(asked))
 	}
 	placed := make([]uint32, 0, len(b.endpoints))
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -73,13 +73,13 @@
 		}
 		old.advanceClocks(then)
 		for n, own := range b.sums() {
-			if want := old.sums()[n].Read(old.evidence); math.Abs(own.Read(b.evidence)-want) > 1e-3*want+1e-6 {
+			if want := old.sums()[n].ValueAt(old.evidence); math.Abs(own.ValueAt(b.evidence)-want) > 1e-3*want+1e-6 {
 				t.Errorf("%s: sum %d is %v, not %v", what, n, own.Value, want)
 			}
 		}
 		for i := range b.endpoints {
 			x, y := &b.endpoints[i], &old.endpoints[i]
-			if math.Abs(x.successes.Read(b.evidence)-y.successes.Read(old.evidence)) > 1e-2 || math.Abs(x.failures.Read(b.evidence)-y.failures.Read(old.evidence)) > 1e-2 {
+			if math.Abs(x.successes.ValueAt(b.evidence)-y.successes.ValueAt(old.evidence)) > 1e-2 || math.Abs(x.failures.ValueAt(b.evidence)-y.failures.ValueAt(old.evidence)) > 1e-2 {
 				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.successes, y.successes)
 			}
 		}
--- a/shares/golden_test.go
+++ b/quota/golden_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"crypto/sha256"
@@ -31,11 +31,11 @@
 		for n := range 4000 {
 			now += random.Int64N(4e6)
 			tenant := []int{-1, 0, 0, 0, 1, 2, 3, 3, 4, 5}[random.IntN(10)]
-			view := View{Now: now, Span: span, EvenPart: 0.1 * float64(seed%3)}
+			view := Traffic{Now: now, WindowSeconds: span, EvenShare: 0.1 * float64(seed%3)}
 			if n/700%3 == 1 {
-				view.Part = random.Float64()
+				view.TrafficShare = random.Float64()
 			}
-			isRejected := g.Rejects(tenant, view, draw)
+			isRejected := g.ShouldReject(tenant, view, draw)
 			if isRejected {
 				rejected++
 			}
@@ -43,8 +43,8 @@
 			if n/500%2 == 1 && random.IntN(3) == 0 {
 				poor++
 			}
-			g.Ended(fine, poor)
-			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(g.Admitted()))
+			g.RecordOutcomes(fine, poor)
+			fmt.Fprintln(trace, isRejected, draws, math.Float64bits(g.AdmittedFraction()))
 			switch n {
 			case 1500:
 				g.SetQuota(3, 0)
@@ -52,13 +52,13 @@
 				g.SetQuota(1, 45)
 			case 3000:
 				successor := New([]float64{300, 45, 150, 0, 600, 90, 10})
-				successor.Restore(g.Admitted(), g.Asked())
+				successor.Restore(g.AdmittedFraction(), g.RequestCounts())
 				g = successor
 				g.SetQuota(4, 500)
 			}
 		}
-		for _, asked := range g.Asked() {
-			fmt.Fprintln(trace, math.Float64bits(asked.Value), asked.At)
+		for _, asked := range g.RequestCounts() {
+			fmt.Fprintln(trace, math.Float64bits(asked.Value), asked.UpdatedAt)
 		}
 	}
 	if rejected < 2000 {
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -22,15 +22,15 @@
 func TestGoldenDivision(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
 	row := func() Row {
-		amount := func(most Amount) (a Amount) {
+		amount := func(most Resources) (a Resources) {
 			for n, x := range a.parts() {
 				*x = random.Int64N(*most.parts()[n] + 1)
 			}
 			return a
 		}
-		r := Row{Pid: 1, Since: random.Int64N(4), Phase: []Phase{Starting, Serving, Leaving, ""}[min(random.IntN(7), 3)], Claim: amount(all)}
+		r := Row{Pid: 1, Since: random.Int64N(4), Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(all)}
 		if random.IntN(4) == 0 {
-			r.Claim = Amount{}
+			r.Claim = Resources{}
 		}
 		r.Use = amount(r.Claim)
 		r.Trips = []float64{0, random.Float64() * 100, 1e300 * 1e8, math.NaN()}[min(random.IntN(20), 3)]
@@ -49,15 +49,15 @@
 		}
 		for _, raise := range []bool{false, true} {
 			aim, claim, allowed := Aim(all, own, others), Divide(all, own, others, raise), Allowed(all, own, others)
-			for _, a := range []Amount{aim, claim, allowed} {
-				fmt.Fprintln(trace, a.Clients, a.Hosts, a.Memory)
+			for _, a := range []Resources{aim, claim, allowed} {
+				fmt.Fprintln(trace, a.ClientConnections, a.EndpointConnections, a.MemoryBytes)
 			}
 		}
 		part := Part(own, others)
 		if math.IsNaN(part) {
 			part = -1 // One NaN has many forms.
 		}
-		fmt.Fprintln(trace, math.Float64bits(part), Writes(own, others), own.sound(Amount{Clients: 100, Hosts: 100, Memory: 50 << 20}))
+		fmt.Fprintln(trace, math.Float64bits(part), Writes(own, others), own.sound(Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 50 << 20}))
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "division.golden")
 	if *update {
@@ -75,10 +75,10 @@
 // version 860147b wrote; each is written the same to the byte and read by the process beside it with the same content.
 func TestStoredRowsStayReadable(t *testing.T) {
 	for name, row := range map[string]Row{
-		"starting": {Pid: 4711, Since: sinceBase + 12, Phase: Starting, Claim: Amount{Clients: 20, Hosts: 21, Memory: 16 << 20}},
-		"serving": {Pid: 1, Since: sinceBase, Phase: Serving, Claim: Amount{Clients: 140, Hosts: 139, Memory: 48 << 20},
-			Use: Amount{Clients: 9, Hosts: 8, Memory: 7 << 20}, Trips: 12.625},
-		"leaving": {Pid: 2, Since: 1_700_000_000_000_000_000, Phase: Leaving, Claim: Amount{Clients: 1}, Use: Amount{Clients: 1}, Trips: 0.1},
+		"starting": {Pid: 4711, Since: sinceBase + 12, Phase: Starting, Claim: Resources{ClientConnections: 20, EndpointConnections: 21, MemoryBytes: 16 << 20}},
+		"serving": {Pid: 1, Since: sinceBase, Phase: Serving, Claim: Resources{ClientConnections: 140, EndpointConnections: 139, MemoryBytes: 48 << 20},
+			Use: Resources{ClientConnections: 9, EndpointConnections: 8, MemoryBytes: 7 << 20}, Trips: 12.625},
+		"leaving": {Pid: 2, Since: 1_700_000_000_000_000_000, Phase: Draining, Claim: Resources{ClientConnections: 1}, Use: Resources{ClientConnections: 1}, Trips: 0.1},
 	} {
 		place, path := t.TempDir(), filepath.Join("testdata", "row-"+name+".json")
 		old := joined(t, place)
--- a/learnt/golden_test.go
+++ b/snapshot/golden_test.go
@@ -1,4 +1,4 @@
-package learnt
+package snapshot
 
 import (
 	"bytes"
@@ -28,9 +28,9 @@
 		return policy.EndpointState{Hash: hash, Started: int64(hash) + 1, Held: sum(), Sent: sum(), Good: sum(), Bad: sum(), Busy: sum(),
 			Credit: value / 64, CutAt: int64(hash) + 2, Rate: value + 0.25, Strain: value + 0.5}
 	}
-	return &Snapshot{Name: "n1", Settings: 0x1122334455667788, At: now.UnixNano(), Boot: "another start", BootAt: 77,
-		Discovery: "127.0.0.1:7000", Index: 99, List: []byte(`{"index":99}`),
-		State: policy.State{Now: 5_000_000_000, Began: 1_000_000_001, Seen: 3_000_000_002, Pace: 0.75, Held: sum(), Good: sum(), Bad: sum(),
+	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(), BootID: "another start", SinceBoot: 77,
+		DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
+		BalancerState: policy.State{Now: 5_000_000_000, Began: 1_000_000_001, Seen: 3_000_000_002, Pace: 0.75, Held: sum(), Good: sum(), Bad: sum(),
 			Warmed: sum(), Reads: sum(), Misses: sum(), Fails: sum(), Fine: sum(), Poor: sum(), Asked: sum(), Turned: sum(), Lacked: sum(),
 			Settled: sum(), Took: sum(), Unreached: sum(), Overdue: sum(), Credit: 3.5, Usual: 2e8, Admit: 0.625, OriginRoom: 12.5, Can: 33.25,
 			CanAt: 4_000_000_003, All: kind(1.5), Kinds: []policy.MachineTypeState{kind(2.5), kind(3.5)}, Tenants: []policy.Sum{sum(), sum()},
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	want := fixture()
-	want.Ago = 2 * time.Second
+	want.Age = 2 * time.Second
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v, want %+v", got, want)
 	}
--- a/watch/golden_test.go
+++ b/stallwatch/golden_test.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"crypto/sha256"
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	records := fixtureRecords()
-	if err := errors.Join(l.Swap(records[:2]), l.Add(records[2:4]), l.Add(records[4:])); err != nil {
+	if err := errors.Join(l.Replace(records[:2]), l.Append(records[2:4]), l.Append(records[4:])); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -46,7 +46,7 @@
 		{"torn-tail.log", whole[:len(whole)-2], records[:4], nil},
 		{"zero-tail.log", append(bytes.Clone(whole[:len(whole)-12]), make([]byte, 40)...), records[:4], nil},
 		{"torn-header.log", whole[:5], nil, nil},
-		{"damaged.log", flipped, nil, ErrDamaged},
+		{"damaged.log", flipped, nil, ErrCorrupt},
 	} {
 		t.Run(c.fixture, func(t *testing.T) {
 			path := filepath.Join("testdata", c.fixture)
@@ -78,7 +78,7 @@
 	if !errors.Is(err, wantErr) || fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Fatalf("%d records and %v, want %d and %v", len(got), err, len(want), wantErr)
 	}
-	if err := l.Add([][]byte{[]byte("after")}); err != nil {
+	if err := l.Append([][]byte{[]byte("after")}); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
--- a/subset/golden_test.go
+++ b/subset/golden_test.go
@@ -18,7 +18,7 @@
 func TestGoldenSubsets(t *testing.T) {
 	var lines []string
 	for _, size := range [][3]int{{0, 3, 1}, {3, 0, 1}, {1, 1, 1}, {3, 3, 3}, {3, 200, 2}, {12, 24, 3}, {30, 7, 4}, {100, 60, 3}} {
-		for _, rule := range []Rule{Usual, {Hosts: 20, Balancers: 3, Near: true}, {Hosts: 1, Balancers: 1, Near: true}, {}} {
+		for _, rule := range []Config{DefaultConfig, {MinEndpoints: 20, MinBalancers: 3, ZoneLocal: true}, {MinEndpoints: 1, MinBalancers: 1, ZoneLocal: true}, {}} {
 			sum := sha256.New()
 			all, of := some(size[0], size[1], size[2])
 			for n := range of {
@@ -29,13 +29,13 @@
 			}
 			s := New(all, of, rule)
 			for _, h := range of {
-				fmt.Fprintf(sum, "%q\n", s.Of(h))
+				fmt.Fprintf(sum, "%q\n", s.BalancersOf(h))
 			}
 			for _, b := range all {
-				fmt.Fprintf(sum, "%q\n", s.Has(b.Name, of))
+				fmt.Fprintf(sum, "%q\n", s.EndpointsOf(b.Name, of))
 			}
-			fmt.Fprintf(sum, "%q\n", s.Has("nobody", of))
-			lines = append(lines, fmt.Sprint(size, " ", rule.PerHost(size[0], size[1]), " ", hex.EncodeToString(sum.Sum(nil))))
+			fmt.Fprintf(sum, "%q\n", s.EndpointsOf("nobody", of))
+			lines = append(lines, fmt.Sprint(size, " ", rule.BalancersPerEndpoint(size[0], size[1]), " ", hex.EncodeToString(sum.Sum(nil))))
 		}
 	}
 	path, got := "testdata/subsets.golden", strings.Join(lines, "\n")+"\n"
