--- a/benchlink/link.go
+++ b/benchlink/link.go
@@ -205,14 +205,14 @@
 		outcome(in)
 		in.span("took", true)
 		if in.bad == nil {
-			reported(in, n, server, now) // Nothing is probed: how one ended and how long it took tell nothing more.
+			reported(in, n, server) // Nothing is probed: how one ended and how long it took tell nothing more.
 		}
 	case "first_byte":
 		id, _ := in.whole("id", true)
 		leg, _ := in.whole("leg", true)
 		host(in, n)
 		if i, known := n.ids[id]; known && in.bad == nil {
-			n.module.HandleResponseStarted(now, i, int(leg))
+			n.module.HandleResponseStarted(i, int(leg))
 		}
 	case "completed":
 		completed(in, n, now)
@@ -295,7 +295,7 @@
 	if in.bad != nil {
 		return
 	}
-	n.module.BeginEndpointUpdate(now, scope)
+	n.module.BeginEndpointUpdate(scope)
 	for range lines {
 		if in.next() != nil || in.name != "row" {
 			in.complain("lines", "fewer rows than it says")
@@ -319,7 +319,7 @@
 			n.hosts[address] = server
 			n.addresses = append(n.addresses, address)
 		}
-		n.module.UpdateEndpoint(now, server, address, health, started, kind, zone, int(cell), in.number("heft", false))
+		n.module.UpdateEndpoint(now, server, policy.EndpointInfo{Address: address, Health: health, StartedAt: started, MachineType: kind, Zone: zone, ReplicaGroup: int(cell), Weight: in.number("heft", false)})
 	}
 	n.module.CommitEndpointUpdate(now)
 	n.peers.listed(n.addresses)
@@ -335,7 +335,7 @@
 	if in.bad == nil {
 		i := n.take(id)
 		n.talks(now)
-		n.module.HandleRequest(now, i, patience, workload, tenant, key, keyGiven, write, predicted)
+		n.module.HandleRequest(now, i, policy.RequestInfo{Remaining: patience, Class: workload, Tenant: tenant, Key: key, HasKey: keyGiven, IsWrite: write, PredictedWork: predicted})
 		n.slots[i].workload = workload
 		n.release(i)
 	}
@@ -351,17 +351,17 @@
 	if in.bad != nil || !known {
 		return
 	}
-	reported(in, n, server, now)
+	reported(in, n, server)
 	n.slots[i].out--
 	n.slots[i].ended = n.slots[i].ended || noMore
 	n.saw(now, server, n.slots[i].workload, how, took)
-	n.module.HandleAttemptEnded(now, i, int(leg), server, int(info), how, took, noMore)
+	n.module.HandleAttemptEnded(now, i, policy.AttemptResult{Attempt: int(leg), Endpoint: server, CacheResult: int(info), Outcome: how, Latency: took, IsAnswered: noMore})
 	n.release(i)
 }
 
 // reported hands over the load report that came along, if it can be read.
-func reported(in *reader, n *instance, server int, now int64) {
+func reported(in *reader, n *instance, server int) {
 	if tables.Report(in.find("usage"), ":", n.fields, n.load) {
-		n.module.HandleLoadReport(now, server, n.load)
+		n.module.HandleLoadReport(server, n.load)
 	}
 }
--- a/policy/coldfleet_test.go
+++ b/policy/coldfleet_test.go
@@ -123,9 +123,9 @@
 // list tells all members the present list.
 func (f *coldFleet) list() {
 	for _, m := range f.members {
-		m.balancer.BeginEndpointUpdate(f.now, FullList)
+		m.balancer.BeginEndpointUpdate(FullList)
 		for s, health := range f.health {
-			m.balancer.UpdateEndpoint(f.now, s, fmt.Sprint("s-", s), health, f.started[s], 0, 0, 0, 1)
+			m.balancer.UpdateEndpoint(f.now, s, EndpointInfo{Address: fmt.Sprint("s-", s), Health: health, StartedAt: f.started[s], Weight: 1})
 		}
 		m.balancer.CommitEndpointUpdate(f.now)
 	}
@@ -144,7 +144,7 @@
 	} else {
 		m.next++
 	}
-	m.balancer.HandleRequest(f.now, request, 2*second, 0, -1, f.chance.uint64(), true, false, 0)
+	m.balancer.HandleRequest(f.now, request, RequestInfo{Remaining: 2 * second, Tenant: -1, Key: f.chance.uint64(), HasKey: true})
 }
 
 // run plays so long with so many requests a second.
@@ -159,7 +159,7 @@
 				m.balancer.HandleTimer(f.now, e.number)
 				continue
 			}
-			m.balancer.HandleAttemptEnded(f.now, e.request, e.number, e.server, 1, e.how, f.deployment.work, e.how == OK)
+			m.balancer.HandleAttemptEnded(f.now, e.request, AttemptResult{Attempt: e.number, Endpoint: e.server, CacheResult: 1, Outcome: e.how, Latency: f.deployment.work, IsAnswered: e.how == OK})
 			if e.how == OK {
 				m.end(e.request)
 			}
@@ -307,11 +307,11 @@
 		f.run(15*second, coldDeployments[0].perServer*coldServers)
 		f.restart(1)
 		b := f.members[0].balancer
-		b.slowStartBudget(f.now, 0)
-		before := b.peakThroughput
+		b.refillSlowStart(f.now, 0)
+		before := b.warmThroughput.peak
 		leave(f)
-		if b.slowStartBudget(f.now+ms, 0); b.peakThroughput > 1.1*before {
-			t.Errorf("%s: a warm server answers %.1f a second, and %.1f once one is left", name, before, b.peakThroughput)
+		if b.refillSlowStart(f.now+ms, 0); b.warmThroughput.peak > 1.1*before {
+			t.Errorf("%s: a warm server answers %.1f a second, and %.1f once one is left", name, before, b.warmThroughput.peak)
 		}
 	}
 }
@@ -324,18 +324,18 @@
 	for range draws {
 		h := &w.b.endpoints[1]
 		w.now += ms
-		h.startedAt, h.slowStartTokens, h.slowStartAt = w.now, 0.3, w.now-1
-		r := &request{isOpen: true, deadline: w.now + second}
+		h.slowStart.startedAt, h.slowStart.tokens, h.slowStart.updatedAt = w.now, 0.3, w.now-1
+		r := &requestState{isOpen: true, deadline: w.now + second}
 		first := w.b.canDispatch(w.now, r, 1)
-		if again := w.b.canDispatch(w.now, r, 1); again != first || first != (h.slowStartTokens >= 1) || !first && h.slowStartTokens > 0 {
-			t.Fatalf("let in %t, then %t, with room of %g left", first, again, h.slowStartTokens)
+		if again := w.b.canDispatch(w.now, r, 1); again != first || first != (h.slowStart.tokens >= 1) || !first && h.slowStart.tokens > 0 {
+			t.Fatalf("let in %t, then %t, with room of %g left", first, again, h.slowStart.tokens)
 		}
 		if first {
 			let++
 		}
 	}
-	if w.b.slowStartBudget(w.now+ms, 1); w.b.endpoints[1].slowStartTokens >= 1 {
-		t.Errorf("room of %g is kept for later", w.b.endpoints[1].slowStartTokens)
+	if w.b.refillSlowStart(w.now+ms, 1); w.b.endpoints[1].slowStart.tokens >= 1 {
+		t.Errorf("room of %g is kept for later", w.b.endpoints[1].slowStart.tokens)
 	}
 	if let < draws*25/100 || let > draws*35/100 {
 		t.Errorf("%d of %d are let in with room for 0.3", let, draws)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,7 +12,7 @@
 			sends[s]++
 			by[k+1] = s
 			w.asked[i].attempts[t].out, w.asked[i].live = false, false
-			w.b.HandleAttemptEnded(w.now+ms, i, t, s, note, OK, 5*ms, true)
+			w.b.HandleAttemptEnded(w.now+ms, i, AttemptResult{Attempt: t, Endpoint: s, CacheResult: note, Outcome: OK, Latency: 5 * ms, IsAnswered: true})
 		}
 		w.now += ms
 	}
@@ -30,7 +30,7 @@
 		t.Errorf("%d went there", sends[2])
 	}
 	for range 20 {
-		w.b.endpoints[2].failures.Add(w.b.evidence, 1)
+		w.b.endpoints[2].outlier.outcomes.failures.Add(w.b.clock.evidence, 1)
 	}
 	w.b.UpdatePeerVerdict(2, 0)
 	doubted, _ := w.goes(30, 1)
@@ -156,7 +156,7 @@
 			for end := w.now + took; w.now < end; w.now += ms { // It is in flight for so long.
 			}
 			w.asked[i].attempts[0].out, w.asked[i].live = false, false
-			w.b.HandleAttemptEnded(w.now, i, 0, s, 1, OK, took, true)
+			w.b.HandleAttemptEnded(w.now, i, AttemptResult{Endpoint: s, CacheResult: 1, Outcome: OK, Latency: took, IsAnswered: true})
 		}
 		return float64(sent) / float64(all)
 	}
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -62,6 +62,7 @@
 type goldenRun struct {
 	*goldenScript
 	b                     *Balancer
+	values                map[string]any
 	chances               *rand.Rand
 	sum                   hash.Hash
 	now                   int64
@@ -141,7 +142,7 @@
 
 // list tells a list in which servers change their state by chance.
 func (g *goldenRun) list(scope UpdateKind) {
-	g.b.BeginEndpointUpdate(g.now, scope)
+	g.b.BeginEndpointUpdate(scope)
 	if scope == UpdateFailed {
 		return
 	}
@@ -164,7 +165,7 @@
 			g.b.RemoveEndpoint(s)
 			continue
 		}
-		g.b.UpdateEndpoint(g.now, s, fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), g.servers[s], started, s%3, s%3, s%4, float64(1+s%2))
+		g.b.UpdateEndpoint(g.now, s, EndpointInfo{Address: fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), Health: g.servers[s], StartedAt: started, MachineType: s % 3, Zone: s % 3, ReplicaGroup: s % 4, Weight: float64(1 + s%2)})
 	}
 	g.b.CommitEndpointUpdate(g.now)
 }
@@ -180,9 +181,8 @@
 	}
 	g.requests[i] = goldenRequest{live: true, streams: g.chances.Float64() < g.starts}
 	key := uint64(1 + min(g.chances.IntN(g.keys), g.chances.IntN(g.keys)))
-	class, patience := g.chances.IntN(len(g.b.classes)), int64(20+g.chances.IntN(800))*ms
-	g.b.HandleRequest(g.now, i, patience, class, g.chances.IntN(4)-1, key*0x9e3779b97f4a7c15, g.chances.IntN(10) > 0,
-		g.chances.IntN(5) == 0, int64(g.chances.IntN(3))*10*ms)
+	class, patience := g.chances.IntN(len(g.b.settings.classes)), int64(20+g.chances.IntN(800))*ms
+	g.b.HandleRequest(g.now, i, RequestInfo{Remaining: patience, Class: class, Tenant: g.chances.IntN(4) - 1, Key: key * 0x9e3779b97f4a7c15, HasKey: g.chances.IntN(10) > 0, IsWrite: g.chances.IntN(5) == 0, PredictedWork: int64(g.chances.IntN(3)) * 10 * ms})
 }
 
 // end tells how an attempt ended. A streamed answer begins first and ends some time after.
@@ -191,7 +191,7 @@
 	if r.streams && r.live && e.how == OK {
 		r.streams = false
 		r.live = false // Nothing else may end it, and its place stays taken until the attempt has ended.
-		g.b.HandleResponseStarted(g.now, e.request, e.tried)
+		g.b.HandleResponseStarted(e.request, e.tried)
 		e.how = []Outcome{OK, Reset}[g.chances.IntN(2)]
 		g.later(20*ms, e)
 		return
@@ -201,7 +201,7 @@
 	}
 	r.ended++
 	g.inFlight[e.server]--
-	g.b.HandleAttemptEnded(g.now, e.request, e.tried, e.server, 1+g.chances.IntN(3)/2, e.how, e.took, !r.live)
+	g.b.HandleAttemptEnded(g.now, e.request, AttemptResult{Attempt: e.tried, Endpoint: e.server, CacheResult: 1 + g.chances.IntN(3)/2, Outcome: e.how, Latency: e.took, IsAnswered: !r.live})
 }
 
 // snapshot hashes what was learnt; the run goes on in a new Balancer that is given it, as after a restart.
@@ -219,7 +219,7 @@
 	g.events, g.requests, g.moved = nil, nil, 1
 	clear(g.inFlight)
 	g.now += 500 * ms
-	g.b = New(g.now, 99, g.b.values, g)
+	g.b = New(g.now, 99, g.values, g)
 	g.list(SavedList)
 	g.note(7, int64(g.b.RestoreState(g.now, &state, 500*ms)))
 }
@@ -232,7 +232,7 @@
 		g.list([]UpdateKind{IncrementalList, FullList, SavedList, UpdateFailed, IncrementalList}[g.chances.IntN(5)])
 	}
 	if hit(g.reports) {
-		g.b.HandleLoadReport(g.now, server, []float64{g.chances.Float64() * 200, math.NaN(), g.chances.Float64() * 1.2, g.chances.Float64() * 4})
+		g.b.HandleLoadReport(server, []float64{g.chances.Float64() * 200, math.NaN(), g.chances.Float64() * 1.2, g.chances.Float64() * 4})
 	}
 	if hit(g.verdicts) {
 		g.b.UpdatePeerVerdict(server, []float64{0, -1, 0.5, 0.9}[g.chances.IntN(4)])
@@ -331,6 +331,7 @@
 			"report.fields.0": "served_ps", "report.fields.1": "other", "report.fields.2": "cpu_share", "report.fields.3": "pending",
 			"workloads.2.tardyValue": 0.0, "workloads.2.aimStretch": 2.0}).values
 		maps.Copy(values, g.settings)
+		g.values = values
 		g.b = New(g.now, uint64(n)+5, values, g)
 		g.play(t, 12_000)
 		fmt.Fprintf(&lines, "%s: %x, %d records; sent, rejected, failed, cancelled, timers %v\n", g.name, g.sum.Sum(nil), g.actions, g.counts)
--- a/policy/helper_test.go
+++ b/policy/helper_test.go
@@ -149,12 +149,12 @@
 }
 
 func (w *watcher) list(scope UpdateKind, n int, what func(s int) (Health, int64)) {
-	w.b.BeginEndpointUpdate(w.now, scope)
+	w.b.BeginEndpointUpdate(scope)
 	for s := range n {
 		health, started := what(s)
 		w.healths[s], w.zones[s] = health, s%2
 		w.drained[s] = health == Draining || health == Removed && w.drained[s]
-		w.b.UpdateEndpoint(w.now, s, fmt.Sprintf("10.0.0.%d:80", s), health, started, 0, s%2, s%3, 0)
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: fmt.Sprintf("10.0.0.%d:80", s), Health: health, StartedAt: started, Zone: s % 2, ReplicaGroup: s % 3})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 }
@@ -162,7 +162,7 @@
 func (w *watcher) ask(effect Effect, key uint64, patience int64) int {
 	w.asked = append(w.asked, asked{effect: effect, key: key, live: true, stop: w.now + patience})
 	i := len(w.asked) - 1
-	w.b.HandleRequest(w.now, i, patience+w.skew, int(effect), -1, key, true, effect != Safe, 0)
+	w.b.HandleRequest(w.now, i, RequestInfo{Remaining: patience + w.skew, Class: int(effect), Tenant: -1, Key: key, HasKey: true, IsWrite: effect != Safe})
 	return i
 }
 
@@ -175,7 +175,7 @@
 	if how == OK {
 		w.asked[i].live = false
 	}
-	w.b.HandleAttemptEnded(w.now, i, attempt, t.server, 1, how, w.now-t.at, !w.asked[i].live)
+	w.b.HandleAttemptEnded(w.now, i, AttemptResult{Attempt: attempt, Endpoint: t.server, CacheResult: 1, Outcome: how, Latency: w.now - t.at, IsAnswered: !w.asked[i].live})
 }
 
 // step moves the clock, plays due timers and times out what is past its hard stop; then nothing may be lost.
--- a/policy/lines_test.go
+++ b/policy/keyqueue_test.go
@@ -193,7 +193,7 @@
 	if n := out(8); n < 8 {
 		t.Errorf("%d attempts at once for another key", n)
 	}
-	if bad := w.b.failures.ValueAt(w.b.evidence); bad > 4 {
+	if bad := w.b.outcomes.failures.ValueAt(w.b.clock.evidence); bad > 4 {
 		t.Errorf("servers are blamed %.1f times for what holds up a key", bad)
 	}
 	all(8, OK)
@@ -213,10 +213,10 @@
 	w := plain(t, 1, 1, map[string]any{"allowed.mostTrips": 1.0})
 	ends := func(how Outcome) { w.answer(w.ask(Safe, 1, second), 0, how) }
 	w.step(5 * second)
-	if ends(Reset); w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance < 1 {
+	if ends(Reset); w.b.isWarmingUp(w.now, 0) || w.b.admission.tolerance < 1 {
 		t.Error("a broken attempt is taken for a restart")
 	}
-	if ends(OK); w.b.endpoints[0].breaks > 0 {
+	if ends(OK); w.b.endpoints[0].restart.failures > 0 {
 		t.Error("it answered, and is still taken for broken")
 	}
 	if ends(ConnectFailed); w.b.isWarmingUp(w.now, 0) {
@@ -224,14 +224,14 @@
 	}
 	ends(OK)
 	ends(Reset)
-	if ends(ConnectFailed); w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance < 1 {
+	if ends(ConnectFailed); w.b.isWarmingUp(w.now, 0) || w.b.admission.tolerance < 1 {
 		t.Error("a broken attempt and one that is cut short on its way are taken for a restart")
 	}
-	if ends(ConnectFailed); !w.b.isWarmingUp(w.now, 0) || w.b.overloadTolerance > 0.9 {
+	if ends(ConnectFailed); !w.b.isWarmingUp(w.now, 0) || w.b.admission.tolerance > 0.9 {
 		t.Error("a restart is not seen")
 	}
 	w.step(60 * second)
-	if w.b.advanceClocks(w.now); w.b.overloadTolerance < 1 {
+	if w.b.advanceClock(w.now); w.b.admission.tolerance < 1 {
 		t.Error("what all bear does not come back")
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -35,7 +35,7 @@
 				}
 				w.list(FullList, n, func(s int) (Health, int64) { return health[s], started[s] })
 			case 1:
-				w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+				w.b.BeginEndpointUpdate(UpdateFailed)
 				w.b.CommitEndpointUpdate(w.now)
 			case 2, 3, 4, 5, 6, 7, 8:
 				w.ask(Effect(c.intN(3)), uint64(c.intN(9)), int64(20+c.intN(1500))*ms)
@@ -46,7 +46,7 @@
 				}
 			case 10:
 				odd := []float64{math.NaN(), 0, 1, 1e9, c.float64()}
-				w.b.HandleLoadReport(w.now, c.intN(n), []float64{odd[c.intN(5)], odd[c.intN(5)], odd[c.intN(5)]})
+				w.b.HandleLoadReport(c.intN(n), []float64{odd[c.intN(5)], odd[c.intN(5)], odd[c.intN(5)]})
 			default:
 				for i := max(0, len(w.asked)-20); i < len(w.asked); i++ {
 					for attempt := range w.asked[i].attempts {
@@ -117,11 +117,11 @@
 func gates(t *testing.T, group string) {
 	w := plain(t, 1, 6, map[string]any{"workloads.1.group": group})
 	can := func(effect Effect, how executionState, age int64, to int) bool {
-		r := &request{class: int(effect), isOpen: true, deadline: w.now + second}
+		r := &requestState{class: int(effect), isOpen: true, deadline: w.now + second}
 		r.attempts = []attempt{{endpoint: 2, sentAt: w.now - age, state: how}}
 		return w.b.canDispatch(w.now, r, to)
 	}
-	w.b.endpoints[5].health, w.b.endpoints[1].startedAt = Draining, w.now
+	w.b.endpoints[5].health, w.b.endpoints[1].slowStart.startedAt = Draining, w.now
 	for name, bad := range map[string]bool{
 		"one-shot that may have run": can(NonIdempotent, mayHaveRun, ms, 3), "second copy": can(Safe, inFlight, ms, 3),
 		"stamped to another group": can(Idempotent, mayHaveRun, ms, 3),
@@ -137,7 +137,7 @@
 		t.Error("may not send what may run again")
 	}
 	for effect, may := range []bool{true, false, false} {
-		if w.b.canReject(&request{class: effect, attempts: []attempt{{endpoint: 2, state: mayHaveRun}}}) != may {
+		if w.b.canReject(&requestState{class: effect, attempts: []attempt{{endpoint: 2, state: mayHaveRun}}}) != may {
 			t.Errorf("dismissal of effect %d", effect)
 		}
 	}
@@ -148,25 +148,25 @@
 	w := plain(t, 1, 3, nil)
 	i := w.ask(Safe, 77, second)
 	for _, kind := range []int{7, -1} {
-		w.b.BeginEndpointUpdate(w.now, FullList)
+		w.b.BeginEndpointUpdate(FullList)
 		for s := range 3 {
-			w.b.UpdateEndpoint(w.now, s, "", Draining, 0, kind, 0, 0, 0)
+			w.b.UpdateEndpoint(w.now, s, EndpointInfo{Health: Draining, MachineType: kind})
 		}
 		w.b.CommitEndpointUpdate(w.now)
-		w.b.HandleAttemptEnded(w.now, i, 0, w.asked[i].attempts[0].server, 1, Errored, ms, true)
+		w.b.HandleAttemptEnded(w.now, i, AttemptResult{Endpoint: w.asked[i].attempts[0].server, CacheResult: 1, Outcome: Errored, Latency: ms, IsAnswered: true})
 	}
 }
 
 // sized lists n ready servers of two kinds, sizes 4 and 1 over what they hold; server 0, a small one, started then.
 func sized(w *watcher, n int, started int64, held func(s int) float64) {
-	w.b.BeginEndpointUpdate(w.now, FullList)
+	w.b.BeginEndpointUpdate(FullList)
 	for s := range n {
 		w.healths[s] = Ready
 		at := int64(0)
 		if s == 0 {
 			at = started
 		}
-		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, at, s%2, 0, 0, []float64{1, 4}[s%2]/(1+held(s)))
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, StartedAt: at, MachineType: s % 2, Weight: []float64{1, 4}[s%2] / (1 + held(s))})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 }
@@ -190,8 +190,8 @@
 	w := plain(t, 1, 0, map[string]any{"weights": "live"})
 	sized(w, 20, 0, func(int) float64 { return 0 })
 	room := func(s int) float64 {
-		w.b.endpoints[s].startedAt, w.b.endpoints[s].slowStartTokens, w.b.endpoints[s].slowStartAt = w.now-second, 0, w.now-second/8
-		return w.b.slowStartBudget(w.now, s)
+		w.b.endpoints[s].slowStart.startedAt, w.b.endpoints[s].slowStart.tokens, w.b.endpoints[s].slowStart.updatedAt = w.now-second, 0, w.now-second/8
+		return w.b.refillSlowStart(w.now, s)
 	}
 	for range 400 {
 		i := w.ask(Safe, w.b.random.uint64(), second)
@@ -209,7 +209,7 @@
 	w.list(FullList, 12, func(int) (Health, int64) { return Ready, 0 })
 	cross := func(how Outcome) (n int) {
 		for range 200 {
-			w.b.retryTokens = maxRetryTokens
+			w.b.retries.tokens = maxRetryTokens
 			i := w.ask(Safe, w.b.random.uint64(), second)
 			w.step(10 * ms)
 			for attempt := 0; attempt < len(w.asked[i].attempts); attempt++ {
@@ -247,10 +247,10 @@
 		for n := range 1500 {
 			w.asked = append(w.asked, asked{live: true, stop: w.now + second})
 			i := len(w.asked) - 1
-			w.b.HandleRequest(w.now, i, second, 0, min(1, n%8), w.b.random.uint64(), true, false, 0)
+			w.b.HandleRequest(w.now, i, RequestInfo{Remaining: second, Tenant: min(1, n%8), Key: w.b.random.uint64(), HasKey: true})
 			w.step(10 * ms)
 			for attempt := range w.asked[i].attempts {
-				w.b.HandleLoadReport(w.now, w.asked[i].attempts[attempt].server, []float64{c.rate})
+				w.b.HandleLoadReport(w.asked[i].attempts[attempt].server, []float64{c.rate})
 				w.answer(i, attempt, OK)
 			}
 			w.b.quotas.Restore(0, nil) // As while attempts fail.
@@ -289,13 +289,13 @@
 		first    int // the attempt that goes to the origin
 	}{{3, maxRetryTokens, 2}, {2, maxRetryTokens, 1}, {5, 0, 1}} {
 		w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "allowed.mostTrips": c.attempts})
-		w.b.BeginEndpointUpdate(w.now, FullList)
+		w.b.BeginEndpointUpdate(FullList)
 		for s := range 9 {
 			w.healths[s] = Ready
-			w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+			w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, MachineType: s / 8})
 		}
 		w.b.CommitEndpointUpdate(w.now)
-		w.b.retryTokens = c.credit
+		w.b.retries.tokens = c.credit
 		i := w.ask(Safe, 9, second)
 		for attempt := range c.first {
 			w.answer(i, attempt, ConnectFailed)
@@ -314,8 +314,8 @@
 	}{{0.2, false}, {1, true}, {math.NaN(), false}} {
 		w := plain(t, 1, 8, map[string]any{"report.fields": 1.0, "report.fields.0": "cpu_share"})
 		for n := range 400 {
-			w.b.HandleLoadReport(w.now, n%8, []float64{0.2})
-			w.b.HandleLoadReport(w.now, n%8, []float64{c.report})
+			w.b.HandleLoadReport(n%8, []float64{0.2})
+			w.b.HandleLoadReport(n%8, []float64{c.report})
 			w.ask(Safe, w.b.random.uint64(), 3*second)
 			w.step(ms)
 		}
@@ -351,10 +351,10 @@
 // Guards the case of incident i762552: hosts that slow down while they answer misses as quickly as ever.
 func TestMissesMakeNoRoom(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "balancers": 20.0})
-	w.b.BeginEndpointUpdate(w.now, FullList)
+	w.b.BeginEndpointUpdate(FullList)
 	for s := range 9 {
 		w.healths[s] = Ready
-		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, MachineType: s / 8})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 	for n := range 1500 {
@@ -368,8 +368,8 @@
 			}
 		}
 	}
-	if w.b.inFlight > 40 {
-		t.Fatalf("%d attempts in flight that nothing settles", w.b.inFlight)
+	if w.b.load.inFlight > 40 {
+		t.Fatalf("%d attempts in flight that nothing settles", w.b.load.inFlight)
 	}
 }
 
@@ -388,16 +388,16 @@
 // Guards reads at caches that are crowded: while the origin has room, it is asked before they are rejected.
 func TestCrowdedReadsAskTheOrigin(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0})
-	w.b.BeginEndpointUpdate(w.now, FullList)
+	w.b.BeginEndpointUpdate(FullList)
 	for s := range 9 {
 		w.healths[s] = Ready
-		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/8, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, MachineType: s / 8})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 	most := 0
 	for range 600 { // The caches answer nothing, the origin all.
 		i := w.ask(Safe, w.b.random.uint64(), 3*second)
-		most = max(most, w.b.endpoints[8].inFlight)
+		most = max(most, w.b.endpoints[8].load.inFlight)
 		w.step(2 * ms)
 		if attempts := w.asked[i].attempts; len(attempts) > 0 && attempts[0].server == 8 {
 			w.answer(i, 0, OK)
@@ -437,7 +437,7 @@
 
 func TestBusyWidensThenHoldsDouble(t *testing.T) {
 	w := plain(t, 1, 12, nil)
-	w.b.retryTokens = maxRetryTokens
+	w.b.retries.tokens = maxRetryTokens
 	i := w.ask(Safe, 5, second)
 	w.answer(i, 0, Rejected)
 	if len(w.asked[i].attempts) != 2 {
@@ -528,10 +528,10 @@
 	hash := w.b.endpoints[1].hash
 	w.list(FullList, 2, func(s int) (Health, int64) { return []Health{Ready, Removed}[s], 0 })
 	w.b.RemoveEndpoint(1)
-	w.b.BeginEndpointUpdate(w.now, IncrementalList)
-	w.b.UpdateEndpoint(w.now, 1, "10.0.9.9:80", Ready, w.now, 0, 0, 0, 0)
+	w.b.BeginEndpointUpdate(IncrementalList)
+	w.b.UpdateEndpoint(w.now, 1, EndpointInfo{Address: "10.0.9.9:80", Health: Ready, StartedAt: w.now})
 	w.b.CommitEndpointUpdate(w.now)
-	if h := w.b.endpoints[1]; h.hash == hash || h.failures.Value != 0 || h.attempts.Value != 0 || h.retryTokens != 1 || len(w.b.ready) != 2 {
+	if h := w.b.endpoints[1]; h.hash == hash || h.outlier.outcomes.failures.Value != 0 || h.attempts.Value != 0 || h.retries.tokens != 1 || len(w.b.ready) != 2 {
 		t.Fatalf("%+v", h)
 	}
 }
@@ -565,22 +565,22 @@
 	}
 	room := func(good, busy float64) float64 {
 		h := &w.b.endpoints[0]
-		h.startedAt, h.slowStartTokens, h.slowStartAt = w.now-second, 0, w.now-second/8
-		h.successes, h.failures, h.rejections = sum{Value: good, UpdatedAt: w.b.evidence}, sum{Value: 0, UpdatedAt: w.b.evidence}, sum{Value: busy, UpdatedAt: w.b.evidence}
-		return w.b.slowStartBudget(w.now, 0)
+		h.slowStart.startedAt, h.slowStart.tokens, h.slowStart.updatedAt = w.now-second, 0, w.now-second/8
+		h.outlier.outcomes.successes, h.outlier.outcomes.failures, h.rejected = sum{Value: good, UpdatedAt: w.b.clock.evidence}, sum{Value: 0, UpdatedAt: w.b.clock.evidence}, sum{Value: busy, UpdatedAt: w.b.clock.evidence}
+		return w.b.refillSlowStart(w.now, 0)
 	}
 	if fresh, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*fresh || proven > 3*fresh || full > 1.3*fresh {
 		t.Errorf("room of %g for a new one, %g for one that settles all, %g for one that is full", fresh, proven, full)
 	}
-	r := &request{isWrite: true}
-	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
+	r := &requestState{isWrite: true}
+	for w.b.load.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.load.inFlight++ {
 	}
-	before := w.b.inFlight
-	w.b.fleetwide.rejections.Add(w.b.evidence, w.b.fleetwide.answers.ValueAt(w.b.evidence))
-	for w.b.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.inFlight++ {
+	before := w.b.load.inFlight
+	w.b.fleetwide.latency.rejected.Add(w.b.clock.evidence, w.b.fleetwide.latency.answers.ValueAt(w.b.clock.evidence))
+	for w.b.load.inFlight = 0; !w.b.isOverloaded(w.now, r); w.b.load.inFlight++ {
 	}
-	if w.b.inFlight > before*2/3 {
-		t.Errorf("room for %d while half is turned away, for %d before", w.b.inFlight, before)
+	if w.b.load.inFlight > before*2/3 {
+		t.Errorf("room for %d while half is turned away, for %d before", w.b.load.inFlight, before)
 	}
 }
 
@@ -590,16 +590,16 @@
 	i := w.ask(Safe, 1, 3*second)
 	s := w.asked[i].attempts[0].server
 	w.b.send(w.now, i, 1-s) // A copy.
-	w.b.HandleResponseStarted(w.now, i, 0)
-	if w.b.inFlight != 1 || w.b.endpoints[s].inFlight != 0 {
-		t.Fatalf("%d in flight, %d at the server", w.b.inFlight, w.b.endpoints[s].inFlight)
+	w.b.HandleResponseStarted(i, 0)
+	if w.b.load.inFlight != 1 || w.b.endpoints[s].load.inFlight != 0 {
+		t.Fatalf("%d in flight, %d at the server", w.b.load.inFlight, w.b.endpoints[s].load.inFlight)
 	}
 	w.asked[i].stop = w.now + 20*second
 	w.step(10 * second) // No copy comes due.
 	w.answer(i, 1, Reset)
 	w.answer(i, 0, OK)
-	if len(w.asked[i].attempts) != 2 || w.b.inFlight != 0 || w.b.endpoints[0].inFlight+w.b.endpoints[1].inFlight != 0 || w.offCalled != 0 || len(w.b.openRequests) != 0 {
-		t.Fatalf("%d in flight, %d cancelled", w.b.inFlight, w.offCalled)
+	if len(w.asked[i].attempts) != 2 || w.b.load.inFlight != 0 || w.b.endpoints[0].load.inFlight+w.b.endpoints[1].load.inFlight != 0 || w.offCalled != 0 || len(w.b.openRequests) != 0 {
+		t.Fatalf("%d in flight, %d cancelled", w.b.load.inFlight, w.offCalled)
 	}
 }
 
@@ -633,7 +633,7 @@
 func TestFailedListsSpreadGrowingWaits(t *testing.T) {
 	w := plain(t, 1, 3, nil)
 	for n := range 4 {
-		w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+		w.b.BeginEndpointUpdate(UpdateFailed)
 		w.b.CommitEndpointUpdate(w.now)
 		w.step(8 * second)
 		if w.subscribe != n+2 {
@@ -647,7 +647,7 @@
 	for seed := range uint64(20) {
 		w := plain(t, seed, 3, map[string]any{"invariants.askEvery": 10000.0})
 		for n := range 12 {
-			w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+			w.b.BeginEndpointUpdate(UpdateFailed)
 			w.b.CommitEndpointUpdate(w.now)
 			w.step(3 * second)
 			if w.subscribe != n+2 {
@@ -663,7 +663,7 @@
 	const grace = 2500
 	w := plain(t, 1, 3, map[string]any{"registryMode": "automatic", "invariants.askEvery": 10000.0, "invariants.drainGrace": float64(grace)})
 	for n := range 12 {
-		w.b.BeginEndpointUpdate(w.now, UpdateFailed)
+		w.b.BeginEndpointUpdate(UpdateFailed)
 		w.b.CommitEndpointUpdate(w.now)
 		w.step(grace / 5 * ms)
 		if w.subscribe != n+1 {
@@ -690,10 +690,10 @@
 // Aside: one fetch a key; the read that waited goes to the cache that now holds it; writes go to the origin.
 func TestAsideFetchesOnce(t *testing.T) {
 	w := plain(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0})
-	w.b.BeginEndpointUpdate(w.now, FullList)
+	w.b.BeginEndpointUpdate(FullList)
 	for s := range 5 {
 		w.healths[s] = Ready
-		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s/4, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, MachineType: s / 4})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 	a, b := w.ask(Safe, 9, second), w.ask(Safe, 9, second)
@@ -726,10 +726,10 @@
 // slowTrips is how many of 300 attempts go to the caches of odd number, all of one kind, which take longer by so much; the 91st, if there is
 // one, is the origin.
 func slowTrips(w *watcher, servers int, each, longer int64) (slow int) {
-	w.b.BeginEndpointUpdate(w.now, FullList)
+	w.b.BeginEndpointUpdate(FullList)
 	for s := range servers {
 		w.healths[s] = Ready
-		w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, 0, s%2+s/90*2, 0, 0, 0)
+		w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, MachineType: s%2 + s/90*2})
 	}
 	w.b.CommitEndpointUpdate(w.now)
 	for range 300 {
@@ -770,14 +770,14 @@
 			return w
 		}
 		list := func(w *watcher) {
-			w.b.BeginEndpointUpdate(w.now, FullList)
+			w.b.BeginEndpointUpdate(FullList)
 			for s := range caches + 1 {
 				w.healths[s] = Ready
 				at := int64(0)
 				if s == 0 && w.now >= started {
 					at = started
 				}
-				w.b.UpdateEndpoint(w.now, s, string(rune('a'+s)), Ready, at, s/caches, 0, 0, 0)
+				w.b.UpdateEndpoint(w.now, s, EndpointInfo{Address: string(rune('a' + s)), Health: Ready, StartedAt: at, MachineType: s / caches})
 			}
 			w.b.CommitEndpointUpdate(w.now)
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,51 +1,135 @@
 package policy
 
-import (
-	"strconv"
-
-	"hollylever/quota"
-)
-
-// readSettings takes what the module decides by from the settings, a plain map of dotted names to values.
-func (b *Balancer) readSettings() {
-	b.cacheAside, b.weightsFollowLoad = b.text("extra.mode") == "aside", b.text("weights") == "live"
-	for i := range int(b.number("zones")) {
-		if b.text("zones."+strconv.Itoa(i)) == b.text("zone") {
-			b.zone = i
+import "strconv"
+
+// settings are the operators' settings that the module decides by, read once. Durations are nanoseconds.
+type settings struct {
+	classes []requestClass
+	quotas  []float64 // requests a second by tenant, for all balancers together; 0: none
+	zone    int       // this balancer's own, by its place in zones; -1: not stated
+
+	fleetSize     float64 // balancers, at least 1
+	maxAttempts   int     // of a request, at least 1
+	mayHedge      bool    // two attempts of a request may be in flight together
+	mayCancel     bool    // attempts may be cancelled
+	maxRetryAfter int64   // the longest wait that a rejected client honours; 0: none may be stated
+	dialTimeout   int64   // a connection that is not up by then has failed
+	hasFewBuffers bool    // an attempt's end frees a buffer that a slow reader's answer keeps
+
+	startCapacity    float64 // of its usual, that an endpoint has at its start
+	warmUp           int64   // in which it climbs to the whole
+	overloadMultiple float64 // of its present capacity, above which a warming endpoint falls over,
+	overloadAfter    int64   // when that lasts for so long
+
+	deadlineDrift  int64 // by so much longer than stated a client may wait, as clocks differ
+	bootStampError int64 // by which a stated start may be off
+	orderSettle    int64 // how long a key in order rests after an attempt that may still run
+
+	cacheAside        bool // misses come back to the balancer, which asks the origin
+	originMachineType int  // of the endpoint that is the origin; -1: none
+	weightsFollowLoad bool // stated weights fall as load rises
+
+	onlyDrainingBinds bool  // an endpoint that is gone without having drained may be sent to
+	mustSubscribe     bool  // changes of the list are told only to who watches
+	isListPushed      bool  // changes come unasked
+	pollInterval      int64 // after so long without a call or watch the list counts as told
+	drainGrace        int64 // after a drain is told, attempts may begin for so long
+
+	reportFields  []string // of a load report, in its order
+	reportsStrain bool     // one of them tells how busy an endpoint is
+}
+
+// requestClass is what the operators state of one class of requests.
+type requestClass struct {
+	effect           Effect
+	inOrder          bool    // requests of one key go one at a time, in the order in which they came
+	dedupGroup       string  // Idempotent: "all", "zone" or "cell": which endpoints drop a repeat
+	dedupWindow      int64   // and for how long from the first attempt that may have run
+	objective        int64   // an answer by then has its whole value
+	objectiveStretch float64 // it grows by so many times the predicted work
+	lateValue        float64 // part of the value of an answer after that; 0: none
+}
+
+// settingValues are the settings as a plain map of dotted names to values. One that is not there is 0, "" or false.
+type settingValues map[string]any
+
+func (v settingValues) number(name string) float64 { x, _ := v[name].(float64); return x }
+func (v settingValues) text(name string) string    { s, _ := v[name].(string); return s }
+func (v settingValues) yes(name string) bool       { y, _ := v[name].(bool); return y }
+
+// duration is a number of milliseconds.
+func (v settingValues) duration(name string) int64 {
+	return int64(v.number(name) * float64(millisecond))
+}
+
+// list gives the names of a list's entries, "NAME.0" and on.
+func (v settingValues) list(name string) []string {
+	names := make([]string, int(v.number(name)))
+	for i := range names {
+		names[i] = name + "." + strconv.Itoa(i)
+	}
+	return names
+}
+
+// readSettings translates the operators' names, once.
+func readSettings(values map[string]any) settings {
+	v := settingValues(values)
+	s := settings{
+		zone:              -1,
+		fleetSize:         max(1, v.number("balancers")),
+		maxAttempts:       max(1, int(v.number("allowed.mostTrips"))),
+		mayHedge:          v.yes("allowed.secondCopies"),
+		mayCancel:         v.yes("allowed.cancelling"),
+		dialTimeout:       v.duration("allowed.dialTimeout"),
+		hasFewBuffers:     v.number("allowed.outBuffers") > 0,
+		startCapacity:     v.number("invariants.startCapacity"),
+		warmUp:            v.duration("invariants.warmUp"),
+		overloadMultiple:  v.number("invariants.fallMultiple"),
+		overloadAfter:     v.duration("invariants.tipAfter"),
+		deadlineDrift:     v.duration("invariants.deadlineDrift"),
+		bootStampError:    v.duration("invariants.bootStampError"),
+		orderSettle:       v.duration("invariants.orderSettle"),
+		cacheAside:        v.text("extra.mode") == "aside",
+		originMachineType: int(v.number("extra.originKind")),
+		weightsFollowLoad: v.text("weights") == "live",
+		onlyDrainingBinds: v.yes("invariants.onlyDrainingBinds"),
+		mustSubscribe:     v.text("registryMode") == "subscribe",
+		isListPushed:      v.text("registryMode") == "automatic",
+		pollInterval:      v.duration("invariants.askEvery"),
+		drainGrace:        v.duration("invariants.drainGrace"),
+	}
+	if v.yes("allowed.retryAfter") {
+		s.maxRetryAfter = v.duration("allowed.maxRetryAfter")
+	}
+	for place, name := range v.list("zones") {
+		if v.text(name) == v.text("zone") {
+			s.zone = place
 		}
 	}
-	b.maxAttempts = max(1, int(b.number("allowed.mostTrips")))
-	b.mayHedge, b.mayCancel = b.yes("allowed.secondCopies"), b.yes("allowed.cancelling")
-	b.startCapacity, b.warmUp = b.number("invariants.startCapacity"), b.span("invariants.warmUp")
-	b.overloadMultiple, b.tipAfter = b.number("invariants.fallMultiple"), b.span("invariants.tipAfter")
-	b.deadlineDrift, b.bootStampError = b.span("invariants.deadlineDrift"), b.span("invariants.bootStampError")
-	b.hasFewBuffers = b.number("allowed.outBuffers") > 0
-	b.onlyDrainingBinds, b.orderSettle = b.yes("invariants.onlyDrainingBinds"), b.span("invariants.orderSettle")
-	b.fleetSize = max(1, b.number("balancers"))
-	for i := range int(b.number("report.fields")) {
-		name := b.text("report.fields." + strconv.Itoa(i))
-		b.reportFields, b.reportsStrain = append(b.reportFields, name), b.reportsStrain || name == "cpu_share" || name == "pending"
-	}
-	b.originLimit = 2 + initialOriginLimit/b.fleetSize
-	if b.yes("allowed.retryAfter") {
-		b.maxRetryAfter = b.span("allowed.maxRetryAfter")
-	}
-	for i := range int(b.number("workloads")) {
-		b.classes = append(b.classes, b.readRequestClass("workloads."+strconv.Itoa(i)+"."))
-	}
-	quotas := make([]float64, int(b.number("tenants")))
-	for i := range quotas {
-		quotas[i] = b.number("tenants." + strconv.Itoa(i) + ".quotaRps")
-	}
-	b.quotas = quota.New(quotas)
+	for _, name := range v.list("report.fields") {
+		field := v.text(name)
+		s.reportFields = append(s.reportFields, field)
+		s.reportsStrain = s.reportsStrain || field == reportCPUShare || field == reportPending
+	}
+	for _, name := range v.list("workloads") {
+		s.classes = append(s.classes, v.requestClass(name))
+	}
+	for _, name := range v.list("tenants") {
+		s.quotas = append(s.quotas, v.number(name+".quotaRps"))
+	}
+	return s
 }
 
-// requestClass reads one request class.
-func (b *Balancer) readRequestClass(at string) requestClass {
-	class := requestClass{dedupGroup: b.text(at + "group"), dedupWindow: b.span(at + "dedupWindow"),
-		objective: b.span(at + "expectedTime"), objectiveStretch: b.number(at + "aimStretch"),
-		lateValue: b.number(at + "tardyValue"), inOrder: b.yes(at + "keepOrder")}
-	switch b.text(at + "effect") {
+func (v settingValues) requestClass(name string) requestClass {
+	class := requestClass{
+		inOrder:          v.yes(name + ".keepOrder"),
+		dedupGroup:       v.text(name + ".group"),
+		dedupWindow:      v.duration(name + ".dedupWindow"),
+		objective:        v.duration(name + ".expectedTime"),
+		objectiveStretch: v.number(name + ".aimStretch"),
+		lateValue:        v.number(name + ".tardyValue"),
+	}
+	switch v.text(name + ".effect") {
 	case "guarded":
 		class.effect = Idempotent
 	case "single_shot":
@@ -53,10 +137,3 @@
 	}
 	return class
 }
-
-// A setting that is not there is 0, "" or false.
-
-func (b *Balancer) number(name string) float64 { x, _ := b.values[name].(float64); return x }
-func (b *Balancer) text(name string) string    { s, _ := b.values[name].(string); return s }
-func (b *Balancer) yes(name string) bool       { y, _ := b.values[name].(bool); return y }
-func (b *Balancer) span(name string) int64     { return int64(b.number(name) * 1e6) }
--- a/policy/state_test.go
+++ b/policy/snapshot_test.go
@@ -26,9 +26,9 @@
 func young(now int64, started ...int64) (*Balancer, *quiet) {
 	q := &quiet{}
 	b := New(now, 7, bareValues(), q)
-	b.BeginEndpointUpdate(now, FullList)
+	b.BeginEndpointUpdate(FullList)
 	for s, at := range started {
-		b.UpdateEndpoint(now, s, fmt.Sprint("s-", s), Ready, at, 0, 0, 0, 1)
+		b.UpdateEndpoint(now, s, EndpointInfo{Address: fmt.Sprint("s-", s), Health: Ready, StartedAt: at, Weight: 1})
 	}
 	b.CommitEndpointUpdate(now)
 	return b, q
@@ -40,13 +40,13 @@
 	for k := range n {
 		now += 5 * ms
 		q.sent = q.sent[:0]
-		b.HandleRequest(now, 0, 1500*ms, 0, 0, uint64(k%200+1), true, false, 0)
+		b.HandleRequest(now, 0, RequestInfo{Remaining: 1500 * ms, Key: uint64(k%200 + 1), HasKey: true})
 		for attempt := 0; attempt < len(q.sent); attempt++ {
 			s, how := q.sent[attempt], OK
 			if s == 0 {
 				how = Errored
 			}
-			b.HandleAttemptEnded(now+ms, 0, attempt, s, 1, how, 20*ms, how == OK)
+			b.HandleAttemptEnded(now+ms, 0, AttemptResult{Attempt: attempt, Endpoint: s, CacheResult: 1, Outcome: how, Latency: 20 * ms, IsAnswered: how == OK})
 		}
 	}
 	return now + ms
@@ -71,22 +71,22 @@
 		if known := b.RestoreState(then+step, &s, gap); known != len(started) {
 			t.Fatalf("%s: %d servers are known", what, known)
 		}
-		old.advanceClocks(then)
+		old.advanceClock(then)
 		for n, own := range b.sums() {
-			if want := old.sums()[n].ValueAt(old.evidence); math.Abs(own.ValueAt(b.evidence)-want) > 1e-3*want+1e-6 {
+			if want := old.sums()[n].ValueAt(old.clock.evidence); math.Abs(own.ValueAt(b.clock.evidence)-want) > 1e-3*want+1e-6 {
 				t.Errorf("%s: sum %d is %v, not %v", what, n, own.Value, want)
 			}
 		}
 		for i := range b.endpoints {
 			x, y := &b.endpoints[i], &old.endpoints[i]
-			if math.Abs(x.successes.ValueAt(b.evidence)-y.successes.ValueAt(old.evidence)) > 1e-2 || math.Abs(x.failures.ValueAt(b.evidence)-y.failures.ValueAt(old.evidence)) > 1e-2 {
-				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.successes, y.successes)
+			if math.Abs(x.outlier.outcomes.successes.ValueAt(b.clock.evidence)-y.outlier.outcomes.successes.ValueAt(old.clock.evidence)) > 1e-2 || math.Abs(x.outlier.outcomes.failures.ValueAt(b.clock.evidence)-y.outlier.outcomes.failures.ValueAt(old.clock.evidence)) > 1e-2 {
+				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.outlier.outcomes.successes, y.outlier.outcomes.successes)
 			}
 		}
 		if !b.IsLikelyOutlier(0) || b.IsLikelyOutlier(1) {
 			t.Errorf("%s: the server that fails is not doubted", what)
 		}
-		if b.recentKeys != old.recentKeys || b.startedAt != old.startedAt+step || b.now != then+step {
+		if b.recentKeys != old.recentKeys || b.clock.startedAt != old.clock.startedAt+step || b.clock.now != then+step {
 			t.Errorf("%s: keys are not known, or times are not those of this clock", what)
 		}
 	}
@@ -97,8 +97,8 @@
 	old, q := young(unix, 0, 0, 0, 0, 0)
 	now := works(old, q, unix, 2000)
 	again := now - second
-	old.BeginEndpointUpdate(now, IncrementalList)
-	old.UpdateEndpoint(now, 2, "s-2", Ready, again, 0, 0, 0, 1) // The snapshot knows that 2 has.
+	old.BeginEndpointUpdate(IncrementalList)
+	old.UpdateEndpoint(now, 2, EndpointInfo{Address: "s-2", Health: Ready, StartedAt: again, Weight: 1}) // The snapshot knows that 2 has.
 	old.CommitEndpointUpdate(now)
 	var s State
 	old.SaveState(now, &s)
@@ -107,7 +107,7 @@
 	if !b.isWarmingUp(now, 1) || !b.isWarmingUp(now, 2) || b.isWarmingUp(now, 3) {
 		t.Errorf("cold: %t, %t, and one that never restarted %t", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
 	}
-	if h := &b.endpoints[1]; h.successes.Value > 0 || h.attempts.Value > 0 || h.retryTokens != 1 {
+	if h := &b.endpoints[1]; h.outlier.outcomes.successes.Value > 0 || h.attempts.Value > 0 || h.retries.tokens != 1 {
 		t.Errorf("what was learnt of it before it restarted counts: %+v", h)
 	}
 	for _, r := range b.recentKeys {
@@ -115,7 +115,7 @@
 			t.Fatalf("key %d is known at a server that is empty", r.key)
 		}
 	}
-	if warm := b.endpoints[3].successes.Value; warm == 0 {
+	if warm := b.endpoints[3].outlier.outcomes.successes.Value; warm == 0 {
 		t.Error("nothing was learnt of the others")
 	}
 }
@@ -126,11 +126,11 @@
 		b, q := young(unix, 0, 0, 0, 0, 0)
 		b.SetProcessShare(part)
 		now := works(b, q, unix, 2000)
-		b.BeginEndpointUpdate(now, IncrementalList)
-		b.UpdateEndpoint(now, 1, "s-1", Ready, now-second, 0, 0, 0, 1)
+		b.BeginEndpointUpdate(IncrementalList)
+		b.UpdateEndpoint(now, 1, EndpointInfo{Address: "s-1", Health: Ready, StartedAt: now - second, Weight: 1})
 		b.CommitEndpointUpdate(now)
-		b.endpoints[1].slowStartTokens, b.endpoints[1].slowStartAt = 0, now
-		return b.slowStartBudget(now+300*ms, 1)
+		b.endpoints[1].slowStart.tokens, b.endpoints[1].slowStart.updatedAt = 0, now
+		return b.refillSlowStart(now+300*ms, 1)
 	}
 	if whole, half := room(1), room(0.5); whole <= 0 || math.Abs(half/whole-0.5) > 1e-6 {
 		t.Errorf("the whole is %v, the half %v", whole, half)
@@ -144,9 +144,9 @@
 	for k := range 100_000 {
 		now += ms / 10
 		q.sent = q.sent[:0]
-		old.HandleRequest(now, 0, 1500*ms, 0, 0, uint64(k+1), true, false, 0)
+		old.HandleRequest(now, 0, RequestInfo{Remaining: 1500 * ms, Key: uint64(k + 1), HasKey: true})
 		for attempt, s := range q.sent {
-			old.HandleAttemptEnded(now, 0, attempt, s, 1, OK, 20*ms, true)
+			old.HandleAttemptEnded(now, 0, AttemptResult{Attempt: attempt, Endpoint: s, CacheResult: 1, Outcome: OK, Latency: 20 * ms, IsAnswered: true})
 		}
 	}
 	var s State
--- a/policy/zoneloss_test.go
+++ b/policy/zoneloss_test.go
@@ -37,7 +37,7 @@
 		if f.now >= f.next {
 			f.next += 20*ms + int64(f.b.random.intN(int(85*ms)))
 			f.asked = append(f.asked, asked{live: true, stop: f.now + 600*ms})
-			f.b.HandleRequest(f.now, len(f.asked)-1, 600*ms, 0, f.tenant(), f.b.random.uint64(), true, false, 0)
+			f.b.HandleRequest(f.now, len(f.asked)-1, RequestInfo{Remaining: 600 * ms, Tenant: f.tenant(), Key: f.b.random.uint64(), HasKey: true})
 		}
 		for i := max(0, len(f.asked)-64); i < len(f.asked); i++ {
 			for t := range f.asked[i].attempts {
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"hollylever/policy"
 	"hollylever/protocol"
 )
 
@@ -49,7 +50,7 @@
 	x.index, told = b.take()
 	b.slots[x.index].ends = b.now() + patience - min(answerReserveTime, patience/64) + b.drift
 	b.deciding()
-	b.module.HandleRequest(b.now(), x.index, patience, w, owner, protocol.Key(x.words[1]), true, x.write, predicted)
+	b.module.HandleRequest(b.now(), x.index, policy.RequestInfo{Remaining: patience, Class: w, Tenant: owner, Key: protocol.Key(x.words[1]), HasKey: true, IsWrite: x.write, PredictedWork: predicted})
 	b.mu.Unlock()
 	return told, true
 }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -326,11 +326,11 @@
 	b.lists++
 	switch {
 	case saved:
-		b.module.BeginEndpointUpdate(now, policy.SavedList)
+		b.module.BeginEndpointUpdate(policy.SavedList)
 	case whole:
-		b.module.BeginEndpointUpdate(now, policy.FullList)
+		b.module.BeginEndpointUpdate(policy.FullList)
 	default:
-		b.module.BeginEndpointUpdate(now, policy.IncrementalList)
+		b.module.BeginEndpointUpdate(policy.IncrementalList)
 	}
 	for s := range b.servers {
 		b.servers[s].listed = false
--- a/routing/bans.go
+++ b/routing/bans.go
@@ -117,7 +117,7 @@
 		}
 	}
 	now := b.now()
-	b.module.BeginEndpointUpdate(now, policy.IncrementalList)
+	b.module.BeginEndpointUpdate(policy.IncrementalList)
 	for s := range b.servers {
 		if name := b.servers[s].name; name != "" && before[name] != b.banned[name] {
 			b.row(now, s)
@@ -141,7 +141,7 @@
 // row tells the module what stands of a server: by the list, and by hand.
 func (b *Balancer) row(now int64, s int) {
 	h := &b.servers[s]
-	b.module.UpdateEndpoint(now, s, h.name, b.stands(h), h.startedAt, h.kind, h.zone, h.cell, h.weight)
+	b.module.UpdateEndpoint(now, s, policy.EndpointInfo{Address: h.name, Health: b.stands(h), StartedAt: h.startedAt, MachineType: h.kind, Zone: h.zone, ReplicaGroup: h.cell, Weight: h.weight})
 }
 
 // stands is a server's health by the list, and by hand.
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -160,7 +160,7 @@
 		b.slots[x.index].final = true
 		b.heap += 2 * pieceOf
 		x.size += 2 * pieceOf
-		b.module.HandleResponseStarted(b.now(), x.index, n.trip)
+		b.module.HandleResponseStarted(x.index, n.trip)
 	}
 	b.mu.Unlock()
 	if n.begun.take <- takes; !takes {
@@ -194,7 +194,7 @@
 		b.counts[count{"trip_" + n.end.String(), none}]++
 	}
 	if n.load != nil {
-		b.module.HandleLoadReport(now, n.server, n.load)
+		b.module.HandleLoadReport(n.server, n.load)
 	}
 	if outcome == policy.OK && !x.write {
 		if b.reads++; n.note > 1 {
@@ -205,7 +205,7 @@
 		b.fellows.HandleAttemptEnded(b.servers[n.server].name, outcome, took, b.expected[x.class])
 	}
 	b.deciding()
-	b.module.HandleAttemptEnded(now, x.index, n.trip, n.server, n.note, outcome, took, b.slots[x.index].final)
+	b.module.HandleAttemptEnded(now, x.index, policy.AttemptResult{Attempt: n.trip, Endpoint: n.server, CacheResult: n.note, Outcome: outcome, Latency: took, IsAnswered: b.slots[x.index].final})
 	b.mu.Unlock()
 	if isFinal {
 		x.finish(n.answer, "settled")
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -178,7 +178,7 @@
 		b.counts[count{"lists_failed", none}]++
 	}
 	if i >= 0 && len(b.watches) == 0 {
-		b.module.BeginEndpointUpdate(b.now(), policy.UpdateFailed)
+		b.module.BeginEndpointUpdate(policy.UpdateFailed)
 		b.module.CommitEndpointUpdate(b.now())
 	}
 	b.mu.Unlock()
@@ -226,7 +226,7 @@
 
 // resetBackoff tells the module that nothing changed, so that its growing waits begin anew. It is called under the lock.
 func (b *Balancer) resetBackoff() {
-	b.module.BeginEndpointUpdate(b.now(), policy.IncrementalList)
+	b.module.BeginEndpointUpdate(policy.IncrementalList)
 	b.module.CommitEndpointUpdate(b.now())
 }
 
--- a/routing/following_golden_test.go
+++ b/routing/following_golden_test.go
@@ -69,7 +69,7 @@
 	fmt.Fprintln(&lines, n, err)
 	changes := listChanges{index: 7}
 	for n := range 2*changesPerLine + 3 {
-		changes.add(fmt.Sprint("h", n), []policy.Health{policy.Ready, policy.Draining, policy.Gone}[n%3])
+		changes.add(fmt.Sprint("h", n), []policy.Health{policy.Ready, policy.Draining, policy.Removed}[n%3])
 	}
 	changes.log(zerolog.New(&lines))
 	(&listChanges{}).log(zerolog.New(&lines))
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -22,19 +22,19 @@
 		return policy.Sum{Value: value / 8, Age: int64(value) * 1e6}
 	}
 	kind := func(size float64) policy.MachineTypeState {
-		return policy.MachineTypeState{Answered: sum(), Took: sum(), Busy: sum(), Size: size}
+		return policy.MachineTypeState{Answers: sum(), AnswerTime: sum(), Rejected: sum(), Weight: size}
 	}
 	server := func(hash uint64) policy.EndpointState {
-		return policy.EndpointState{Hash: hash, Started: int64(hash) + 1, Held: sum(), Sent: sum(), Good: sum(), Bad: sum(), Busy: sum(),
-			Credit: value / 64, CutAt: int64(hash) + 2, Rate: value + 0.25, Strain: value + 0.5}
+		return policy.EndpointState{Hash: hash, StartedAt: int64(hash) + 1, InFlight: sum(), Attempts: sum(), Successes: sum(), Failures: sum(), Rejected: sum(),
+			RetryTokens: value / 64, ConnectFailedAt: int64(hash) + 2, ServedRate: value + 0.25, Strain: value + 0.5}
 	}
 	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(), BootID: "another start", SinceBoot: 77,
 		DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
-		BalancerState: policy.State{Now: 5_000_000_000, Began: 1_000_000_001, Seen: 3_000_000_002, Pace: 0.75, Held: sum(), Good: sum(), Bad: sum(),
-			Warmed: sum(), Reads: sum(), Misses: sum(), Fails: sum(), Fine: sum(), Poor: sum(), Asked: sum(), Turned: sum(), Lacked: sum(),
-			Settled: sum(), Took: sum(), Unreached: sum(), Overdue: sum(), Credit: 3.5, Usual: 2e8, Admit: 0.625, OriginRoom: 12.5, Can: 33.25,
-			CanAt: 4_000_000_003, All: kind(1.5), Kinds: []policy.MachineTypeState{kind(2.5), kind(3.5)}, Tenants: []policy.Sum{sum(), sum()},
-			Servers: []policy.EndpointState{server(1000), server(2000)}, Keys: []uint64{11, 12, 13}, Places: []uint32{1, 0, 1}}}
+		BalancerState: policy.State{Now: 5_000_000_000, StartedAt: 1_000_000_001, Evidence: 3_000_000_002, Pace: 0.75, InFlight: sum(), Successes: sum(), Failures: sum(),
+			WarmAnswers: sum(), Reads: sum(), ReadsMissed: sum(), ReadsFailed: sum(), Timely: sum(), Late: sum(), Arrivals: sum(), Shed: sum(), CacheMisses: sum(),
+			Answers: sum(), AnswerTime: sum(), ConnectFailures: sum(), Overdue: sum(), RetryTokens: 3.5, BaseLatency: 2e8, Admitted: 0.625, OriginLimit: 12.5, PeakThroughput: 33.25,
+			PeakAt: 4_000_000_003, Fleetwide: kind(1.5), MachineTypes: []policy.MachineTypeState{kind(2.5), kind(3.5)}, Tenants: []policy.Sum{sum(), sum()},
+			Endpoints: []policy.EndpointState{server(1000), server(2000)}, Keys: []uint64{11, 12, 13}, Places: []uint32{1, 0, 1}}}
 }
 
 // A process is upgraded and reads the snapshot of the one before with fields lost or in each other's place, since the file's form
--- a/snapshot/learnt_test.go
+++ b/snapshot/learnt_test.go
@@ -23,9 +23,9 @@
 
 func sample(keys int) *Snapshot {
 	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(), DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
-	s.BalancerState = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
-		Servers: []policy.EndpointState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
-		Kinds:   []policy.MachineTypeState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
+	s.BalancerState = policy.State{Now: now.UnixNano(), StartedAt: now.UnixNano() - 5, Evidence: 100, Pace: 1, BaseLatency: 1e9, Admitted: 1,
+		Endpoints: []policy.EndpointState{{Hash: 1, Successes: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, ServedRate: -1}},
+		MachineTypes:   []policy.MachineTypeState{{Weight: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
 	for n := range keys {
 		s.BalancerState.Keys, s.BalancerState.Places = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.Places, uint32(n%2))
 	}
@@ -225,7 +225,7 @@
 	s.BalancerState.Servers = make([]policy.EndpointState, 5000)
 	for n := range s.BalancerState.Servers {
 		h := &s.BalancerState.Servers[n]
-		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
+		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, StartedAt: now.UnixNano(), RetryTokens: 2.2, ServedRate: -1}
 		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
