--- a/snapshot/learnt_test.go
+++ b/snapshot/learnt_test.go
@@ -81,11 +81,11 @@
 	for what, spoil := range map[string]func(s *Snapshot){
 		"a place beyond the hosts": func(s *Snapshot) { s.BalancerState.Places[3] = 2 },
 		"fewer places than keys":   func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] },
-		"a sum below zero":         func(s *Snapshot) { s.BalancerState.Servers[1].Busy.Value = -1 },
+		"a sum below zero":         func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 },
 		"an age below zero":        func(s *Snapshot) { s.BalancerState.Reads.Age = -1 },
 		"a pace of nothing":        func(s *Snapshot) { s.BalancerState.Pace = 0 },
-		"a start after the end":    func(s *Snapshot) { s.BalancerState.Began = s.BalancerState.Now + 1 },
-		"credit beyond all":        func(s *Snapshot) { s.BalancerState.Credit = 1e9 },
+		"a start after the end":    func(s *Snapshot) { s.BalancerState.StartedAt = s.BalancerState.Now + 1 },
+		"credit beyond all":        func(s *Snapshot) { s.BalancerState.RetryTokens = 1e9 },
 		"of another balancer":      func(s *Snapshot) { s.BalancerName = "n2" },
 		"of other settings":        func(s *Snapshot) { s.SettingsFingerprint = 8 },
 		"older than it lasts":      func(s *Snapshot) { s.WrittenAt -= int64(lasts) + 1 },
@@ -222,9 +222,9 @@
 // At 5,000 hosts and as many keys as a module keeps.
 func BenchmarkWrite(b *testing.B) {
 	s := sample(8191)
-	s.BalancerState.Servers = make([]policy.EndpointState, 5000)
-	for n := range s.BalancerState.Servers {
-		h := &s.BalancerState.Servers[n]
+	s.BalancerState.Endpoints = make([]policy.EndpointState, 5000)
+	for n := range s.BalancerState.Endpoints {
+		h := &s.BalancerState.Endpoints[n]
 		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, StartedAt: now.UnixNano(), RetryTokens: 2.2, ServedRate: -1}
 		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
