--- a/snapshot/learnt_test.go
+++ b/snapshot/learnt_test.go
@@ -226,7 +226,7 @@
 	for n := range s.BalancerState.Endpoints {
 		h := &s.BalancerState.Endpoints[n]
 		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, StartedAt: now.UnixNano(), RetryTokens: 2.2, ServedRate: -1}
-		for _, sum := range []*policy.Sum{&h.InFlight, &h.Sent, &h.Good, &h.Bad, &h.Rejected} {
+		for _, sum := range []*policy.Sum{&h.InFlight, &h.Attempts, &h.Successes, &h.Failures, &h.Rejected} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
 	}
