--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -28,8 +28,8 @@
 		return policy.EndpointState{Hash: hash, StartedAt: int64(hash) + 1, InFlight: sum(), Attempts: sum(), Successes: sum(), Failures: sum(), Rejected: sum(),
 			RetryTokens: value / 64, ConnectFailedAt: int64(hash) + 2, ServedRate: value + 0.25, Strain: value + 0.5}
 	}
-	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(), BootID: "another start", SinceBoot: 77,
-		DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
+	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(),
+		BootID: "another start", SinceBoot: 77, DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
 		BalancerState: policy.State{Now: 5_000_000_000, StartedAt: 1_000_000_001, Evidence: 3_000_000_002, Pace: 0.75, InFlight: sum(), Successes: sum(), Failures: sum(),
 			WarmAnswers: sum(), Reads: sum(), ReadsMissed: sum(), ReadsFailed: sum(), Timely: sum(), Late: sum(), Arrivals: sum(), Shed: sum(), CacheMisses: sum(),
 			Answers: sum(), AnswerTime: sum(), ConnectFailures: sum(), Overdue: sum(), RetryTokens: 3.5, BaseLatency: 2e8, Admitted: 0.625, OriginLimit: 12.5, PeakThroughput: 33.25,
@@ -51,14 +51,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, text := written(t, fixture()); !bytes.Equal(text, stored) {
-		t.Errorf("the same snapshot is written otherwise: %x, stored %x", text, stored)
+	if _, content := writeSnapshot(t, fixture()); !bytes.Equal(content, stored) {
+		t.Errorf("the same snapshot is written otherwise: %x, stored %x", content, stored)
 	}
-	copied := &File{Path: filepath.Join(t.TempDir(), "learnt")}
-	if err := os.WriteFile(copied.Path, stored, 0o600); err != nil {
+	opened := &File{Path: filepath.Join(t.TempDir(), "snapshot")}
+	if err := os.WriteFile(opened.Path, stored, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := copied.Read("n1", 0x1122334455667788, now.Add(2*time.Second), lasts)
+	got, err := opened.Read("n1", 0x1122334455667788, now.Add(2*time.Second), maxAge)
 	if err != nil {
 		t.Fatal(err)
 	}
