--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -21,11 +21,11 @@
 
 // goldenEvent is a timer or the end of an attempt that comes due.
 type goldenEvent struct {
-	at                         int64
-	order, tag, request, tried int // tried is under 0 for a timer
-	server                     int
-	how                        Outcome
-	took                       int64
+	at                           int64
+	order, tag, request, attempt int // tried is under 0 for a timer
+	endpoint                     int
+	outcome                      Outcome
+	latency                      int64
 }
 
 type goldenQueue []goldenEvent
@@ -44,18 +44,18 @@
 
 // goldenScript is the load and the faults of one run, as chances per millisecond, request or attempt.
 type goldenScript struct {
-	name                                                string
-	servers, arrivals                                   int // arrivals a millisecond, in tenths
-	errored, full, silent, unreached, reset, missing    float64
-	lists, reports, verdicts, zoneSteps, aborts, starts float64
-	slow, keys                                          int  // slow: times that server 0 is slower; keys in use
-	cold                                                bool // all have just started when the run begins
-	settings                                            map[string]any
+	name                                                            string
+	endpoints, arrivals                                             int // arrivals a millisecond, in tenths
+	errored, rejected, timedOut, connectFailed, reset, missing      float64
+	lists, reports, verdicts, evacuations, cancellations, streaming float64
+	slowFactor, keys                                                int  // slow: times that server 0 is slower; keys in use
+	allWarmingUp                                                    bool // all have just started when the run begins
+	settings                                                        map[string]any
 }
 
 type goldenRequest struct {
-	live, streams bool
-	sent, ended   int
+	isOpen, isStreaming bool
+	sent, ended         int
 }
 
 // goldenRun drives a Balancer and hashes each action and answer of it, and its random source after each event.
@@ -63,12 +63,12 @@
 	*goldenScript
 	b                     *Balancer
 	values                map[string]any
-	chances               *rand.Rand
-	sum                   hash.Hash
+	random                *rand.Rand
+	digest                hash.Hash
 	now                   int64
 	events                goldenQueue
 	requests              []goldenRequest
-	servers               []Health
+	health                []Health
 	inFlight              []int
 	order, actions, moved int // moved: 1 once server 1 has another address
 	counts                [5]int
@@ -77,11 +77,11 @@
 func (g *goldenRun) note(numbers ...int64) {
 	g.actions++
 	for _, number := range numbers {
-		g.sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(number)))
+		g.digest.Write(binary.LittleEndian.AppendUint64(nil, uint64(number)))
 	}
 }
 
-func (g *goldenRun) later(after int64, event goldenEvent) {
+func (g *goldenRun) schedule(after int64, event goldenEvent) {
 	g.order++
 	event.at, event.order = g.now+after, g.order
 	heap.Push(&g.events, event)
@@ -92,33 +92,33 @@
 	g.counts[0]++
 	g.inFlight[server]++
 	r := &g.requests[request]
-	event := goldenEvent{request: request, tried: r.sent, server: server, how: OK, took: ms + int64(g.chances.ExpFloat64()*30e6)}
+	event := goldenEvent{request: request, attempt: r.sent, endpoint: server, outcome: OK, latency: ms + int64(g.random.ExpFloat64()*30e6)}
 	r.sent++
-	if server == 0 && g.slow > 0 {
-		event.took *= int64(g.slow)
+	if server == 0 && g.slowFactor > 0 {
+		event.latency *= int64(g.slowFactor)
 	}
-	draw, health := g.chances.Float64(), g.servers[server]
+	draw, health := g.random.Float64(), g.health[server]
 	for _, outcome := range []struct {
 		how    Outcome
 		chance float64
 		took   int64
-	}{{Errored, g.errored, 2 * ms}, {Rejected, g.full, ms}, {TimedOut, g.silent, max(ms, until-g.now)}, {ConnectFailed, g.unreached, 3 * ms},
-		{Reset, g.reset, event.took}, {CacheMiss, g.missing, event.took}, {NotSent, g.reset / 4, ms}} {
+	}{{Errored, g.errored, 2 * ms}, {Rejected, g.rejected, ms}, {TimedOut, g.timedOut, max(ms, until-g.now)}, {ConnectFailed, g.connectFailed, 3 * ms},
+		{Reset, g.reset, event.latency}, {CacheMiss, g.missing, event.latency}, {NotSent, g.reset / 4, ms}} {
 		if draw -= outcome.chance; draw < 0 {
-			event.how, event.took = outcome.how, outcome.took
+			event.outcome, event.latency = outcome.how, outcome.took
 			break
 		}
 	}
 	if health == Removed {
-		event.how, event.took = ConnectFailed, 3*ms
+		event.outcome, event.latency = ConnectFailed, 3*ms
 	}
-	if event.took > until-g.now {
-		event.how, event.took = TimedOut, max(ms, until-g.now)
+	if event.latency > until-g.now {
+		event.outcome, event.latency = TimedOut, max(ms, until-g.now)
 	}
-	g.later(event.took, event)
+	g.schedule(event.latency, event)
 }
 
-func (g *goldenRun) finish(request int) { g.requests[request].live = false }
+func (g *goldenRun) finish(request int) { g.requests[request].isOpen = false }
 func (g *goldenRun) Reject(request int, why Reason, comeBack int64) {
 	g.note(2, int64(request), int64(why), comeBack)
 	g.counts[1]++
@@ -137,71 +137,71 @@
 func (g *goldenRun) SetTimer(tag int, after int64) {
 	g.note(6, int64(tag), after)
 	g.counts[4]++
-	g.later(after, goldenEvent{tag: tag, tried: -1})
+	g.schedule(after, goldenEvent{tag: tag, attempt: -1})
 }
 
 // list tells a list in which servers change their state by chance.
-func (g *goldenRun) list(scope UpdateKind) {
+func (g *goldenRun) updateList(scope UpdateKind) {
 	g.b.BeginEndpointUpdate(scope)
 	if scope == UpdateFailed {
 		return
 	}
-	for s := range g.servers {
+	for s := range g.health {
 		started := int64(0)
-		switch draw := g.chances.IntN(12); {
-		case scope == SavedList && g.cold:
+		switch draw := g.random.IntN(12); {
+		case scope == SavedList && g.allWarmingUp:
 			started = g.now
 		case scope == SavedList:
 		case draw == 0:
-			g.servers[s] = Draining
+			g.health[s] = Draining
 		case draw == 1:
-			g.servers[s] = Removed
-		case draw < 6 && g.servers[s] != Ready:
-			g.servers[s], started = Ready, g.now-int64(g.chances.IntN(2000))*ms
+			g.health[s] = Removed
+		case draw < 6 && g.health[s] != Ready:
+			g.health[s], started = Ready, g.now-int64(g.random.IntN(2000))*ms
 		case draw == 7 && scope == FullList:
 			continue // It is left out.
 		}
-		if scope == IncrementalList && g.servers[s] == Removed && g.inFlight[s] == 0 && g.chances.IntN(4) == 0 {
+		if scope == IncrementalList && g.health[s] == Removed && g.inFlight[s] == 0 && g.random.IntN(4) == 0 {
 			g.b.RemoveEndpoint(s)
 			continue
 		}
-		g.b.UpdateEndpoint(g.now, s, EndpointInfo{Address: fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), Health: g.servers[s], StartedAt: started, MachineType: s % 3, Zone: s % 3, ReplicaGroup: s % 4, Weight: float64(1 + s%2)})
+		g.b.UpdateEndpoint(g.now, s, EndpointInfo{Address: fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), Health: g.health[s], StartedAt: started, MachineType: s % 3, Zone: s % 3, ReplicaGroup: s % 4, Weight: float64(1 + s%2)})
 	}
 	g.b.CommitEndpointUpdate(g.now)
 }
 
 // ask begins a request in a free place.
-func (g *goldenRun) ask() {
+func (g *goldenRun) request() {
 	i := 0
-	for i < len(g.requests) && (g.requests[i].live || g.requests[i].ended < g.requests[i].sent) {
+	for i < len(g.requests) && (g.requests[i].isOpen || g.requests[i].ended < g.requests[i].sent) {
 		i++
 	}
 	if i == len(g.requests) {
 		g.requests = append(g.requests, goldenRequest{})
 	}
-	g.requests[i] = goldenRequest{live: true, streams: g.chances.Float64() < g.starts}
-	key := uint64(1 + min(g.chances.IntN(g.keys), g.chances.IntN(g.keys)))
-	class, patience := g.chances.IntN(len(g.b.settings.classes)), int64(20+g.chances.IntN(800))*ms
-	g.b.HandleRequest(g.now, i, RequestInfo{Remaining: patience, Class: class, Tenant: g.chances.IntN(4) - 1, Key: key * 0x9e3779b97f4a7c15, HasKey: g.chances.IntN(10) > 0, IsWrite: g.chances.IntN(5) == 0, PredictedWork: int64(g.chances.IntN(3)) * 10 * ms})
+	g.requests[i] = goldenRequest{isOpen: true, isStreaming: g.random.Float64() < g.streaming}
+	key := uint64(1 + min(g.random.IntN(g.keys), g.random.IntN(g.keys)))
+	class, patience := g.random.IntN(len(g.b.settings.classes)), int64(20+g.random.IntN(800))*ms
+	g.b.HandleRequest(g.now, i, RequestInfo{Remaining: patience, Class: class, Tenant: g.random.IntN(4) - 1, Key: key * 0x9e3779b97f4a7c15, HasKey: g.random.IntN(10) > 0, IsWrite: g.random.IntN(5) == 0, PredictedWork: int64(g.random.IntN(3)) * 10 * ms})
 }
 
 // end tells how an attempt ended. A streamed answer begins first and ends some time after.
-func (g *goldenRun) end(e goldenEvent) {
+func (g *goldenRun) endAttempt(e goldenEvent) {
 	r := &g.requests[e.request]
-	if r.streams && r.live && e.how == OK {
-		r.streams = false
-		r.live = false // Nothing else may end it, and its place stays taken until the attempt has ended.
-		g.b.HandleResponseStarted(e.request, e.tried)
-		e.how = []Outcome{OK, Reset}[g.chances.IntN(2)]
-		g.later(20*ms, e)
+	if r.isStreaming && r.isOpen && e.outcome == OK {
+		r.isStreaming = false
+		r.isOpen = false // Nothing else may end it, and its place stays taken until the attempt has ended.
+		g.b.HandleResponseStarted(e.request, e.attempt)
+		e.outcome = []Outcome{OK, Reset}[g.random.IntN(2)]
+		g.schedule(20*ms, e)
 		return
 	}
-	if e.how == OK {
-		r.live = false
+	if e.outcome == OK {
+		r.isOpen = false
 	}
 	r.ended++
-	g.inFlight[e.server]--
-	g.b.HandleAttemptEnded(g.now, e.request, AttemptResult{Attempt: e.tried, Endpoint: e.server, CacheResult: 1 + g.chances.IntN(3)/2, Outcome: e.how, Latency: e.took, IsAnswered: !r.live})
+	g.inFlight[e.endpoint]--
+	g.b.HandleAttemptEnded(g.now, e.request, AttemptResult{Attempt: e.attempt, Endpoint: e.endpoint, CacheResult: 1 + g.random.IntN(3)/2, Outcome: e.outcome, Latency: e.latency, IsAnswered: !r.isOpen})
 }
 
 // snapshot hashes what was learnt; the run goes on in a new Balancer that is given it, as after a restart.
@@ -215,39 +215,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.sum.Write(stored)
+	g.digest.Write(stored)
 	g.events, g.requests, g.moved = nil, nil, 1
 	clear(g.inFlight)
 	g.now += 500 * ms
 	g.b = New(g.now, 99, g.values, g)
-	g.list(SavedList)
+	g.updateList(SavedList)
 	g.note(7, int64(g.b.RestoreState(g.now, &state, 500*ms)))
 }
 
 // chanced does what others do to a balancer: reports, verdicts, shares, zones that are left, clients that go.
-func (g *goldenRun) chanced() {
-	hit := func(chance float64) bool { return chance > 0 && g.chances.Float64() < chance }
-	server := g.chances.IntN(len(g.servers))
+func (g *goldenRun) injectFaults() {
+	hit := func(chance float64) bool { return chance > 0 && g.random.Float64() < chance }
+	server := g.random.IntN(len(g.health))
 	if hit(g.lists) {
-		g.list([]UpdateKind{IncrementalList, FullList, SavedList, UpdateFailed, IncrementalList}[g.chances.IntN(5)])
+		g.updateList([]UpdateKind{IncrementalList, FullList, SavedList, UpdateFailed, IncrementalList}[g.random.IntN(5)])
 	}
 	if hit(g.reports) {
-		g.b.HandleLoadReport(server, []float64{g.chances.Float64() * 200, math.NaN(), g.chances.Float64() * 1.2, g.chances.Float64() * 4})
+		g.b.HandleLoadReport(server, []float64{g.random.Float64() * 200, math.NaN(), g.random.Float64() * 1.2, g.random.Float64() * 4})
 	}
 	if hit(g.verdicts) {
-		g.b.UpdatePeerVerdict(server, []float64{0, -1, 0.5, 0.9}[g.chances.IntN(4)])
-		g.b.SetWidespreadMisses(g.chances.IntN(3) == 0)
-		g.b.SetFleetShare(0.2 + g.chances.Float64()/2)
-		g.b.SetProcessShare(0.5 + g.chances.Float64()/2)
-		g.b.SetQuota(g.chances.IntN(3), float64(20+g.chances.IntN(400)))
+		g.b.UpdatePeerVerdict(server, []float64{0, -1, 0.5, 0.9}[g.random.IntN(4)])
+		g.b.SetWidespreadMisses(g.random.IntN(3) == 0)
+		g.b.SetFleetShare(0.2 + g.random.Float64()/2)
+		g.b.SetProcessShare(0.5 + g.random.Float64()/2)
+		g.b.SetQuota(g.random.IntN(3), float64(20+g.random.IntN(400)))
 	}
-	if hit(g.zoneSteps) {
-		g.b.SetEvacuation(g.chances.IntN(3), []float64{0, 0.25, 0.5, 1}[g.chances.IntN(4)], 300*ms)
+	if hit(g.evacuations) {
+		g.b.SetEvacuation(g.random.IntN(3), []float64{0, 0.25, 0.5, 1}[g.random.IntN(4)], 300*ms)
 	}
-	if hit(g.aborts) && len(g.requests) > 0 {
-		if i := g.chances.IntN(len(g.requests)); g.requests[i].live {
-			g.requests[i].live = g.chances.IntN(2) == 0
-			if g.requests[i].live {
+	if hit(g.cancellations) && len(g.requests) > 0 {
+		if i := g.random.IntN(len(g.requests)); g.requests[i].isOpen {
+			g.requests[i].isOpen = g.random.IntN(2) == 0
+			if g.requests[i].isOpen {
 				g.b.ExpireRequest(g.now, i)
 			} else {
 				g.b.HandleClientCancelled(g.now, i)
@@ -257,27 +257,27 @@
 }
 
 func (g *goldenRun) play(t *testing.T, spans int) {
-	g.servers, g.inFlight = make([]Health, g.goldenScript.servers), make([]int, g.goldenScript.servers)
-	g.list(SavedList)
+	g.health, g.inFlight = make([]Health, g.goldenScript.endpoints), make([]int, g.goldenScript.endpoints)
+	g.updateList(SavedList)
 	for step := range spans {
 		g.now += ms
 		for len(g.events) > 0 && g.events[0].at <= g.now {
-			if e := heap.Pop(&g.events).(goldenEvent); e.tried < 0 {
+			if e := heap.Pop(&g.events).(goldenEvent); e.attempt < 0 {
 				g.b.HandleTimer(g.now, e.tag)
 			} else {
-				g.end(e)
+				g.endAttempt(e)
 			}
 			g.note(8, int64(g.b.random.x), int64(g.b.random.carry))
 		}
 		for n := g.arrivals; n > 0; n -= 10 {
-			if g.chances.IntN(10) < n {
-				g.ask()
+			if g.random.IntN(10) < n {
+				g.request()
 				g.note(9, int64(g.b.random.x), int64(g.b.random.carry))
 			}
 		}
-		g.chanced()
+		g.injectFaults()
 		if step%500 == 499 {
-			for s := range g.servers {
+			for s := range g.health {
 				if g.b.IsLikelyOutlier(s) {
 					g.note(10, int64(s))
 				}
@@ -290,32 +290,32 @@
 }
 
 var goldenScripts = []goldenScript{
-	{name: "ordinary", servers: 12, arrivals: 8, errored: 0.02, full: 0.05, unreached: 0.01, reset: 0.01, lists: 0.003, keys: 900, starts: 0.1},
-	{name: "no retries proven", servers: 5, arrivals: 10, errored: 0.3, silent: 0.05, reset: 0.1, unreached: 0.1, lists: 0.01, keys: 60, aborts: 0.02,
+	{name: "ordinary", endpoints: 12, arrivals: 8, errored: 0.02, rejected: 0.05, connectFailed: 0.01, reset: 0.01, lists: 0.003, keys: 900, streaming: 0.1},
+	{name: "no retries proven", endpoints: 5, arrivals: 10, errored: 0.3, timedOut: 0.05, reset: 0.1, connectFailed: 0.1, lists: 0.01, keys: 60, cancellations: 0.02,
 		settings: map[string]any{"allowed.mostTrips": 2.0, "allowed.cancelling": false, "workloads.1.group": "zone", "workloads.1.dedupWindow": 400.0}},
-	{name: "hedging", servers: 9, arrivals: 6, silent: 0.08, slow: 30, lists: 0.002, keys: 500, verdicts: 0.02,
+	{name: "hedging", endpoints: 9, arrivals: 6, timedOut: 0.08, slowFactor: 30, lists: 0.002, keys: 500, verdicts: 0.02,
 		settings: map[string]any{"allowed.secondCopies": true, "workloads.1.group": "cell", "allowed.dialTimeout": 20.0}},
-	{name: "overload and tenants", servers: 3, arrivals: 40, full: 0.3, errored: 0.05, reports: 0.2, lists: 0.002, keys: 3000, verdicts: 0.005,
+	{name: "overload and tenants", endpoints: 3, arrivals: 40, rejected: 0.3, errored: 0.05, reports: 0.2, lists: 0.002, keys: 3000, verdicts: 0.005,
 		settings: map[string]any{"allowed.retryAfter": true, "balancers": 3.0, "allowed.outBuffers": 2.0}},
-	{name: "cache-aside", servers: 8, arrivals: 25, missing: 0.4, errored: 0.02, full: 0.05, slow: 6, lists: 0.002, keys: 120, reports: 0.05, aborts: 0.01,
+	{name: "cache-aside", endpoints: 8, arrivals: 25, missing: 0.4, errored: 0.02, rejected: 0.05, slowFactor: 6, lists: 0.002, keys: 120, reports: 0.05, cancellations: 0.01,
 		settings: map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "balancers": 20.0}},
-	{name: "an origin that fails", servers: 10, arrivals: 10, errored: 0.4, full: 0.1, reset: 0.1, lists: 0.002, keys: 300, verdicts: 0.01,
+	{name: "an origin that fails", endpoints: 10, arrivals: 10, errored: 0.4, rejected: 0.1, reset: 0.1, lists: 0.002, keys: 300, verdicts: 0.01,
 		settings: map[string]any{"workloads.0.tardyValue": 0.0, "workloads.0.expectedTime": 25.0}},
-	{name: "key order", servers: 6, arrivals: 20, errored: 0.05, silent: 0.03, reset: 0.05, lists: 0.003, keys: 30, aborts: 0.02,
+	{name: "key order", endpoints: 6, arrivals: 20, errored: 0.05, timedOut: 0.03, reset: 0.05, lists: 0.003, keys: 30, cancellations: 0.02,
 		settings: map[string]any{"workloads.0.keepOrder": true, "invariants.orderSettle": 60.0, "invariants.deadlineDrift": 15.0}},
-	{name: "keys held up", servers: 6, arrivals: 10, errored: 0.45, slow: 3, keys: 12},
-	{name: "zones lost and left", servers: 12, arrivals: 8, unreached: 0.25, silent: 0.02, lists: 0.002, zoneSteps: 0.01, verdicts: 0.02, keys: 700,
+	{name: "keys held up", endpoints: 6, arrivals: 10, errored: 0.45, slowFactor: 3, keys: 12},
+	{name: "zones lost and left", endpoints: 12, arrivals: 8, connectFailed: 0.25, timedOut: 0.02, lists: 0.002, evacuations: 0.01, verdicts: 0.02, keys: 700,
 		settings: map[string]any{"invariants.onlyDrainingBinds": true, "registryMode": "automatic", "invariants.drainGrace": 8000.0, "weights": "live"}},
-	{name: "cold fleet", servers: 10, arrivals: 8, full: 0.05, lists: 0.02, reset: 0.05, unreached: 0.05, keys: 400, cold: true,
+	{name: "cold fleet", endpoints: 10, arrivals: 8, rejected: 0.05, lists: 0.02, reset: 0.05, connectFailed: 0.05, keys: 400, allWarmingUp: true,
 		settings: map[string]any{"invariants.bootStampError": 500.0, "invariants.askEvery": 900.0, "invariants.fallMultiple": 1.0}},
-	{name: "wide fleet", servers: 70, arrivals: 4, full: 0.4, lists: 0.01, keys: 100, aborts: 0.01},
-	{name: "little traffic", servers: 20, arrivals: 1, slow: 4, lists: 0.01, keys: 100, starts: 0.3,
+	{name: "wide fleet", endpoints: 70, arrivals: 4, rejected: 0.4, lists: 0.01, keys: 100, cancellations: 0.01},
+	{name: "little traffic", endpoints: 20, arrivals: 1, slowFactor: 4, lists: 0.01, keys: 100, streaming: 0.3,
 		settings: map[string]any{"allowed.secondCopies": true, "balancers": 30.0, "invariants.warmUp": 4000.0}},
-	{name: "servers that break", servers: 9, arrivals: 40, slow: 9, reset: 0.25, unreached: 0.4, keys: 500,
+	{name: "servers that break", endpoints: 9, arrivals: 40, slowFactor: 9, reset: 0.25, connectFailed: 0.4, keys: 500,
 		settings: map[string]any{"workloads.0.group": "cell", "invariants.startCapacity": 0.05}},
-	{name: "short origin", servers: 7, arrivals: 10, missing: 0.7, errored: 0.4, slow: 2, keys: 5000,
+	{name: "short origin", endpoints: 7, arrivals: 10, missing: 0.7, errored: 0.4, slowFactor: 2, keys: 5000,
 		settings: map[string]any{"extra.mode": "aside", "extra.originKind": 2.0, "allowed.secondCopies": true}},
-	{name: "all full", servers: 4, arrivals: 10, full: 0.9, lists: 0.001, keys: 200, settings: map[string]any{"allowed.retryAfter": true}},
+	{name: "all full", endpoints: 4, arrivals: 10, rejected: 0.9, lists: 0.001, keys: 200, settings: map[string]any{"allowed.retryAfter": true}},
 }
 
 // A rename or a move of code may change a decision, or move a draw of the random source, and no test of a single rule
@@ -325,16 +325,16 @@
 	const file = "testdata/decisions.golden"
 	var lines bytes.Buffer
 	for n := range goldenScripts {
-		g := &goldenRun{goldenScript: &goldenScripts[n], chances: rand.New(rand.NewPCG(7, uint64(n))), sum: sha256.New(), now: second}
-		values := plain(t, 1, 1, map[string]any{"zones": 3.0, "zones.0": "a", "zones.1": "b", "zones.2": "c", "zone": "b", "tenants": 3.0,
+		g := &goldenRun{goldenScript: &goldenScripts[n], random: rand.New(rand.NewPCG(7, uint64(n))), digest: sha256.New(), now: second}
+		values := newHarness(t, 1, 1, map[string]any{"zones": 3.0, "zones.0": "a", "zones.1": "b", "zones.2": "c", "zone": "b", "tenants": 3.0,
 			"tenants.0.quotaRps": 100.0, "tenants.1.quotaRps": 300.0, "tenants.2.quotaRps": 0.0, "report.fields": 4.0,
 			"report.fields.0": "served_ps", "report.fields.1": "other", "report.fields.2": "cpu_share", "report.fields.3": "pending",
-			"workloads.2.tardyValue": 0.0, "workloads.2.aimStretch": 2.0}).values
+			"workloads.2.tardyValue": 0.0, "workloads.2.aimStretch": 2.0}).settings
 		maps.Copy(values, g.settings)
 		g.values = values
 		g.b = New(g.now, uint64(n)+5, values, g)
 		g.play(t, 12_000)
-		fmt.Fprintf(&lines, "%s: %x, %d records; sent, rejected, failed, cancelled, timers %v\n", g.name, g.sum.Sum(nil), g.actions, g.counts)
+		fmt.Fprintf(&lines, "%s: %x, %d records; sent, rejected, failed, cancelled, timers %v\n", g.name, g.digest.Sum(nil), g.actions, g.counts)
 	}
 	if *update {
 		if err := os.WriteFile(file, lines.Bytes(), 0o600); err != nil {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -6,26 +6,20 @@
 	"testing"
 )
 
-// quiet is a Host that does nothing.
-type quiet struct{ sent []int }
+// unixStart is the time at which these tests begin, as nanoseconds since 1970.
+const unixStart = int64(1_800_000_000_000_000_000)
 
-func (q *quiet) Send(i, s int, until int64) { q.sent = append(q.sent, s) }
-func (q *quiet) Reject(int, Reason, int64)  {}
-func (q *quiet) Fail(int, Reason)           {}
-func (q *quiet) Cancel(int, int)            {}
-func (q *quiet) SetTimer(int, int64)        {}
-func (q *quiet) WatchEndpoints()            {}
-
-func bareValues() map[string]any {
+// snapshotSettings are settings with one class, which is safe, and one tenant.
+func snapshotSettings() map[string]any {
 	return map[string]any{"workloads": 1.0, "workloads.0.group": "all", "workloads.0.expectedTime": 600.0, "workloads.0.effect": "free",
 		"allowed.mostTrips": 3.0, "allowed.cancelling": true, "balancers": 1.0, "hostTypes": 1.0, "tenants": 1.0, "tenants.0.quotaRps": 50.0,
 		"invariants.startCapacity": 0.2, "invariants.warmUp": 20000.0, "invariants.fallMultiple": 2.5, "invariants.tipAfter": 3000.0}
 }
 
-// young is a module with servers that started when it says.
-func young(now int64, started ...int64) (*Balancer, *quiet) {
-	q := &quiet{}
-	b := New(now, 7, bareValues(), q)
+// newSnapshotBalancer returns a Balancer before one endpoint for each start given; 0: long ago.
+func newSnapshotBalancer(now int64, started ...int64) (*Balancer, *discardExecutor) {
+	q := &discardExecutor{}
+	b := New(now, 7, snapshotSettings(), q)
 	b.BeginEndpointUpdate(FullList)
 	for s, at := range started {
 		b.UpdateEndpoint(now, s, EndpointInfo{Address: fmt.Sprint("s-", s), Health: Ready, StartedAt: at, Weight: 1})
@@ -34,15 +28,15 @@
 	return b, q
 }
 
-// works has a module see some traffic: server 0 always fails.
-func works(b *Balancer, q *quiet, from int64, n int) (now int64) {
+// driveTraffic sends n requests, 5 ms apart, and returns the time after the last. Endpoint 0 always fails.
+func driveTraffic(b *Balancer, q *discardExecutor, from int64, n int) (now int64) {
 	now = from
 	for k := range n {
 		now += 5 * ms
-		q.sent = q.sent[:0]
+		q.sentTo = q.sentTo[:0]
 		b.HandleRequest(now, 0, RequestInfo{Remaining: 1500 * ms, Key: uint64(k%200 + 1), HasKey: true})
-		for attempt := 0; attempt < len(q.sent); attempt++ {
-			s, how := q.sent[attempt], OK
+		for attempt := 0; attempt < len(q.sentTo); attempt++ {
+			s, how := q.sentTo[attempt], OK
 			if s == 0 {
 				how = Errored
 			}
@@ -52,13 +46,12 @@
 	return now + ms
 }
 
-const unix = int64(1_800_000_000_000_000_000)
-
-// What was learnt acts as if it had stayed where it was, over the gap too.
-func TestWhatWasLearntGoesOn(t *testing.T) {
+// A process restarts, and its clock may have been set in between. What it restores counts as much as it would have had the process gone on, over the gap too: an endpoint
+// that failed is still an outlier, and keys are known where they were read last.
+func TestRestoredStateDecidesAsBefore(t *testing.T) {
 	started := []int64{0, 0, 0, 0, 0}
-	old, q := young(unix, started...)
-	now := works(old, q, unix, 2000)
+	old, q := newSnapshotBalancer(unixStart, started...)
+	now := driveTraffic(old, q, unixStart, 2000)
 	var s State
 	old.SaveState(now, &s)
 	if err := s.Check(); err != nil {
@@ -67,7 +60,7 @@
 	const gap = 700 * ms
 	for what, step := range map[string]int64{"the clock as it was": 0, "an hour ahead": 3600 * second, "an hour back": -3600 * second} {
 		then := now + gap
-		b, _ := young(then+step, started...)
+		b, _ := newSnapshotBalancer(then+step, started...)
 		if known := b.RestoreState(then+step, &s, gap); known != len(started) {
 			t.Fatalf("%s: %d servers are known", what, known)
 		}
@@ -92,17 +85,18 @@
 	}
 }
 
-// Guards cold hosts: one that restarted between the snapshot and the start, by either's news, is not taken for warm.
-func TestWhoRestartedIsCold(t *testing.T) {
-	old, q := young(unix, 0, 0, 0, 0, 0)
-	now := works(old, q, unix, 2000)
+// An endpoint restarts around the time at which a process does, and either the snapshot or the list knows of it. It is not taken for warm, nothing that was learnt of it
+// before counts, and no key is known to be there.
+func TestRestoreKeepsRestartedEndpointsCold(t *testing.T) {
+	old, q := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
+	now := driveTraffic(old, q, unixStart, 2000)
 	again := now - second
 	old.BeginEndpointUpdate(IncrementalList)
 	old.UpdateEndpoint(now, 2, EndpointInfo{Address: "s-2", Health: Ready, StartedAt: again, Weight: 1}) // The snapshot knows that 2 has.
 	old.CommitEndpointUpdate(now)
 	var s State
 	old.SaveState(now, &s)
-	b, _ := young(now, 0, again, 0, 0, 0) // The list knows that 1 has.
+	b, _ := newSnapshotBalancer(now, 0, again, 0, 0, 0) // The list knows that 1 has.
 	b.RestoreState(now, &s, 0)
 	if !b.isWarmingUp(now, 1) || !b.isWarmingUp(now, 2) || b.isWarmingUp(now, 3) {
 		t.Errorf("cold: %t, %t, and one that never restarted %t", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
@@ -120,32 +114,16 @@
 	}
 }
 
-// A process that sends a part of the attempts has that part of the room for cold servers.
-func TestColdRoomIsShared(t *testing.T) {
-	room := func(part float64) float64 {
-		b, q := young(unix, 0, 0, 0, 0, 0)
-		b.SetProcessShare(part)
-		now := works(b, q, unix, 2000)
-		b.BeginEndpointUpdate(IncrementalList)
-		b.UpdateEndpoint(now, 1, EndpointInfo{Address: "s-1", Health: Ready, StartedAt: now - second, Weight: 1})
-		b.CommitEndpointUpdate(now)
-		b.endpoints[1].slowStart.tokens, b.endpoints[1].slowStart.updatedAt = 0, now
-		return b.refillSlowStart(now+300*ms, 1)
-	}
-	if whole, half := room(1), room(0.5); whole <= 0 || math.Abs(half/whole-0.5) > 1e-6 {
-		t.Errorf("the whole is %v, the half %v", whole, half)
-	}
-}
-
-func BenchmarkLearnt(b *testing.B) {
+// BenchmarkSaveState saves the state of 5,000 endpoints after 100,000 requests.
+func BenchmarkSaveState(b *testing.B) {
 	started := make([]int64, 5000)
-	old, q := young(unix, started...)
-	now := unix
+	old, q := newSnapshotBalancer(unixStart, started...)
+	now := unixStart
 	for k := range 100_000 {
 		now += ms / 10
-		q.sent = q.sent[:0]
+		q.sentTo = q.sentTo[:0]
 		old.HandleRequest(now, 0, RequestInfo{Remaining: 1500 * ms, Key: uint64(k + 1), HasKey: true})
-		for attempt, s := range q.sent {
+		for attempt, s := range q.sentTo {
 			old.HandleAttemptEnded(now, 0, AttemptResult{Attempt: attempt, Endpoint: s, CacheResult: 1, Outcome: OK, Latency: 20 * ms, IsAnswered: true})
 		}
 	}
