--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -65,7 +65,7 @@
 	}
 	k.came, s.WrittenAt = came, time.Now().UnixNano()
 	s.BootID, s.SinceBoot = monotime.BootID(), monotime.Now()
-	b.module.Learnt(b.now(), &s.BalancerState)
+	b.module.SaveState(b.now(), &s.BalancerState)
 	whole := struct {
 		Index     uint64  `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
@@ -74,7 +74,7 @@
 	changed := k.told != b.lists
 	k.told = b.lists
 	for i := 0; changed && i < len(b.servers); i++ {
-		if h := &b.servers[i]; h.name != "" && h.health != policy.Gone {
+		if h := &b.servers[i]; h.name != "" && h.health != policy.Removed {
 			whole.Endpoints = append(whole.Endpoints, entry{h.name, h.address, named(b.zoneNames, h.zone), named(b.kindNames, h.kind), h.cell,
 				names[h.health], h.weight, sinceMS(h.started)})
 		}
@@ -142,5 +142,5 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.module.Learn(b.now(), &s.BalancerState, int64(s.Age)), nil
+	return b.module.RestoreState(b.now(), &s.BalancerState, int64(s.Age)), nil
 }
--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -25,9 +25,9 @@
 func sample(keys int) *Snapshot {
 	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(),
 		DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
-	s.BalancerState = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
-		Servers: []policy.ServerState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
-		Kinds:   []policy.KindState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
+	s.BalancerState = policy.State{Now: now.UnixNano(), StartedAt: now.UnixNano() - 5, Evidence: 100, Pace: 1, BaseLatency: 1e9, Admitted: 1,
+		Endpoints:    []policy.EndpointState{{Hash: 1, Successes: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, ServedRate: -1}},
+		MachineTypes: []policy.MachineTypeState{{Weight: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
 	for n := range keys {
 		s.BalancerState.Keys, s.BalancerState.Places = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.Places, uint32(n%2))
 	}
@@ -90,11 +90,11 @@
 	}{
 		"a place beyond the hosts":      {func(s *Snapshot) { s.BalancerState.Places[3] = 2 }, ErrInvalid},
 		"fewer places than keys":        {func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] }, ErrInvalid},
-		"a sum below zero":              {func(s *Snapshot) { s.BalancerState.Servers[1].Busy.Value = -1 }, ErrInvalid},
+		"a sum below zero":              {func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 }, ErrInvalid},
 		"an age below zero":             {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
 		"a pace of zero":                {func(s *Snapshot) { s.BalancerState.Pace = 0 }, ErrInvalid},
-		"a start after the end":         {func(s *Snapshot) { s.BalancerState.Began = s.BalancerState.Now + 1 }, ErrInvalid},
-		"more credit than there can be": {func(s *Snapshot) { s.BalancerState.Credit = 1e9 }, ErrInvalid},
+		"a start after the end":         {func(s *Snapshot) { s.BalancerState.StartedAt = s.BalancerState.Now + 1 }, ErrInvalid},
+		"more credit than there can be": {func(s *Snapshot) { s.BalancerState.RetryTokens = 1e9 }, ErrInvalid},
 		"of another balancer":           {func(s *Snapshot) { s.BalancerName = "n2" }, ErrNotApplicable},
 		"of other settings":             {func(s *Snapshot) { s.SettingsFingerprint = 8 }, ErrNotApplicable},
 		"too old":                       {func(s *Snapshot) { s.WrittenAt -= int64(maxAge) + 1 }, ErrNotApplicable},
@@ -241,11 +241,11 @@
 // 5,000 cache hosts, and as many keys as the decision module remembers.
 func BenchmarkWrite(b *testing.B) {
 	s := sample(8191)
-	s.BalancerState.Servers = make([]policy.ServerState, 5000)
-	for n := range s.BalancerState.Servers {
-		h := &s.BalancerState.Servers[n]
-		*h = policy.ServerState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
-		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
+	s.BalancerState.Endpoints = make([]policy.EndpointState, 5000)
+	for n := range s.BalancerState.Endpoints {
+		h := &s.BalancerState.Endpoints[n]
+		*h = policy.EndpointState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, StartedAt: now.UnixNano(), RetryTokens: 2.2, ServedRate: -1}
+		for _, sum := range []*policy.Sum{&h.InFlight, &h.Attempts, &h.Successes, &h.Failures, &h.Rejected} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
 	}
