--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -63,11 +63,11 @@
 // it had used half of that: hedging would otherwise hide an endpoint that hangs.
 func Classify(outcome policy.Outcome, took, expected int64) Observation {
 	switch outcome {
-	case policy.OK, policy.Missing:
+	case policy.OK, policy.CacheMiss:
 		return Success
 	case policy.Errored, policy.TimedOut, policy.Reset:
 		return Failure
-	case policy.Unreached:
+	case policy.ConnectFailed:
 		return ConnectFailure
 	case policy.Cancelled:
 		if took >= expected/2 {
