--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -16,7 +16,7 @@
 	recoveryRepeats = 4
 	// minReportsPerEndpoint is how many members' reports are kept of each endpoint in any case.
 	minReportsPerEndpoint = 64
-	// maxStoredReports bounds the reports of all endpoints together (some 2 MB); beyond it an endpoint keeps
+	// maxStoredReports bounds the reports of all endpoints together (2.6 MB); beyond it an endpoint keeps
 	// minReportsPerEndpoint. As long as no endpoint has more than that, as many are kept as there are members.
 	maxStoredReports = 1024 * minReportsPerEndpoint
 )
