--- a/agreed/document.go
+++ b/agreed/document.go
@@ -178,10 +178,11 @@
 
 // Acting is what to act on.
 type Acting struct {
-	Floor, Latest uint64  // the versions that it comes from
-	Leased        bool    // under a lease; else alone
-	Part          float64 // of the fleet's budgets; 0: they are not divided
-	Document              // the strictest of them
+	Floor  uint64  `json:"Floor"`  // the versions that it comes from
+	Latest uint64  `json:"Latest"` //
+	Leased bool    `json:"Leased"` // under a lease; else alone
+	Part   float64 `json:"Part"`   // of the fleet's budgets; 0: they are not divided
+	Document
 }
 
 // strictest puts versions together, from the floor on: what any of them forbids is forbidden. What is neither stricter nor looser is the
