--- a/agreed/document_test.go
+++ b/agreed/config_test.go
@@ -40,7 +40,7 @@
 }
 
 func TestChangesAreChecked(t *testing.T) {
-	long := strings.Repeat("n", maxText+1)
+	long := strings.Repeat("n", maxNameBytes+1)
 	for want, c := range map[string]Change{
 		"id: ":      {},
 		"out: ":     {ID: "i", Out: []string{""}},
@@ -89,7 +89,7 @@
 		if m.Grant != nil {
 			p.holder.Heard(p.clock(), m.Grant)
 			p.holder.Acting(p.clock())
-			if len(p.holder.versions) > maxBetween+1 {
+			if len(p.holder.known.active) > maxActiveRevisions+1 {
 				t.Fatal("a holder keeps more than can count")
 			}
 		} else {
@@ -106,18 +106,18 @@
 func TestAnotherHistory(t *testing.T) {
 	h := NewHolder(0, "p", 1, Terms{Lease: time.Second}, []string{"k"}, nowhere{}, func(int) int { return 0 })
 	grant := func(seq, history uint64, versions ...Version) {
-		h.Look(h.askAt)
-		h.Heard(h.sent[h.seq%8].at+1, &Grant{Seq: h.seq, Leader: "k", Floor: versions[0].Number, Versions: versions, History: history})
+		h.Look(h.requests.nextAt)
+		h.Heard(h.requests.sent[h.requests.seq%8].at+1, &Grant{Seq: h.requests.seq, Leader: "k", Floor: versions[0].Number, Versions: versions, History: history})
 	}
 	one := Version{Number: 1}
-	if grant(1, 7, one); h.until == 0 || h.Contrary != 0 {
+	if grant(1, 7, one); h.expiresAt == 0 || h.Contrary != 0 {
 		t.Fatal("no lease")
 	}
-	was := h.until
-	if grant(2, 8, one, Version{Number: 2, ID: "x"}); h.until != was || h.Contrary != 1 || len(h.versions) != 1 {
-		t.Errorf("another history is taken: %d versions, contrary %d", len(h.versions), h.Contrary)
+	was := h.expiresAt
+	if grant(2, 8, one, Version{Number: 2, ID: "x"}); h.expiresAt != was || h.Contrary != 1 || len(h.known.active) != 1 {
+		t.Errorf("another history is taken: %d versions, contrary %d", len(h.known.active), h.Contrary)
 	}
-	if grant(3, 7, one, Version{Number: 2, ID: "y"}); h.until <= was || len(h.versions) != 2 {
+	if grant(3, 7, one, Version{Number: 2, ID: "y"}); h.expiresAt <= was || len(h.known.active) != 2 {
 		t.Error("its own is not taken any more")
 	}
 }
@@ -165,17 +165,17 @@
 // Without a ticket nothing is written: what the network repeats late cannot come into force after its proposer was told no for sure.
 func TestTickets(t *testing.T) {
 	w := newTown(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.until != 0 }); n++ {
+	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.expiresAt != 0 }); n++ {
 		w.one()
 	}
 	p := w.procs[slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() })]
 	k := p.keeper
 	written := func(id string, t *Ticket) bool {
 		k.Heard(p.clock(), &Message{From: p.name, Propose: &Change{ID: id, Out: []string{id}}, Ticket: t})
-		return slices.ContainsFunc(k.open, func(o open) bool { return o.change.ID == id })
+		return slices.ContainsFunc(k.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
 	}
 	fresh := &Ticket{k.term, p.clock()}
-	for why, ticket := range map[string]*Ticket{"none": nil, "of another term": {k.term - 1, p.clock()}, "old": {k.term, p.clock() - int64(answerIn) - 1},
+	for why, ticket := range map[string]*Ticket{"none": nil, "of another term": {k.term - 1, p.clock()}, "old": {k.term, p.clock() - int64(proposalTimeout) - 1},
 		"of the future": {k.term, p.clock() + int64(time.Second)}} {
 		if written(why, ticket) {
 			t.Errorf("written with a ticket: %s", why)
@@ -184,7 +184,7 @@
 	if !written("good", fresh) {
 		t.Error("not written with a good ticket")
 	}
-	k.answer(&open{change: Change{ID: "no"}, from: p.name, until: p.clock() + int64(answerIn)}, &Outcome{ID: "no", Wrong: "no", Sure: true})
+	k.answerProposal(pendingProposal{proposal: Change{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &Outcome{ID: "no", Wrong: "no", Sure: true})
 	if written("no", fresh) {
 		t.Error("written after a sure no")
 	}
--- a/agreed/fleet_test.go
+++ b/agreed/fleet_test.go
@@ -113,7 +113,7 @@
 	d.trace.add(1, records)
 	for _, r := range records {
 		var as record
-		if d.forget && strict.Unmarshal(r, &as) == nil && as.Hard != nil {
+		if d.forget && strictDecoding.Unmarshal(r, &as) == nil && as.HardState != nil {
 			continue
 		}
 		d.records = append(d.records, slices.Clone(r))
@@ -296,14 +296,14 @@
 		a := p.holder.Acting(p.clock())
 		w.trace.add(4, p.n, a.Floor, a.Latest, a.Leased, a.Document, p.holder.Until(), p.holder.Leader(), p.holder.Contrary, p.holder.Wait(p.clock()))
 		if k := p.keeper; k != nil {
-			w.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.Floor, k.applied, k.Wait(p.clock()))
+			w.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.Floor, k.log.applied, k.Wait(p.clock()))
 		}
 		if !p.stopped && len(w.procs) <= terms.Most {
 			parts += a.Part
 		}
 		looked := p.looked
 		p.looked = [3]uint64{p.life, a.Floor, a.Latest}
-		for _, v := range p.holder.versions {
+		for _, v := range p.holder.known.active {
 			if looked == p.looked {
 				break
 			}
@@ -325,7 +325,7 @@
 		for v := int(a.Floor); v > 0 && w.heard[v].floor == 0; v-- {
 			w.heard[v].floor = w.now
 		}
-		if !a.Leased && !(w.blind && p.holder.until != 0) || p.stopped {
+		if !a.Leased && !(w.blind && p.holder.expiresAt != 0) || p.stopped {
 			continue // Alone it says so; and while it is stopped it decides nothing.
 		}
 		if next := int(a.Latest) + 1; next < len(w.heard) {
@@ -541,8 +541,8 @@
 	}{
 		"the wait for leases under older versions": {func(w *town) {
 			w.unsafe = func(k *Keeper) {
-				if clear(k.holders); k.ledAt != 0 {
-					k.ledAt = 1
+				if clear(k.leader.leases.granted); k.leader.since != 0 {
+					k.leader.since = 1
 				}
 			}
 		}, "is loose already"},
@@ -558,8 +558,8 @@
 		}, "two histories|answered no|is loose already"},
 		"a majority's word before a grant": {func(w *town) {
 			w.unsafe = func(k *Keeper) {
-				if k.Leads() && k.reading != 0 {
-					k.confirmed(k.readAt, k.asked, 0)
+				if k.Leads() && k.leader.leases.confirming != 0 {
+					k.grantConfirmedLeases(k.leader.leases.confirmingAt, k.leader.leases.requestCount, 0)
 				}
 			}
 		}, "over T|is loose already|of the whole"},
@@ -588,7 +588,7 @@
 		if p.down {
 			alive := 0
 			for _, q := range w.procs[:keepers] {
-				if !q.down && q.keeper.Founded() && q.keeper.state.Voters[q.name] == q.keeper.life {
+				if !q.down && q.keeper.Founded() && q.keeper.state.Voters[q.name] == q.keeper.incarnation {
 					alive++
 				}
 			}
--- a/agreed/golden_answers_test.go
+++ b/agreed/golden_answers_test.go
@@ -29,13 +29,13 @@
 // exact text.
 func TestGoldenAnswers(t *testing.T) {
 	w := newTown(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.until != 0 }); n++ {
+	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.expiresAt != 0 }); n++ {
 		w.one()
 	}
 	at := slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() })
 	p, out := w.procs[at], &outbox{}
 	k, now := p.keeper, p.clock()
-	k.net = out
+	k.sender = out
 	propose := func(what string, c Change) {
 		out.note("%s", what)
 		k.Heard(now, &Message{From: "op", Propose: &c, Ticket: &Ticket{k.term, now}})
@@ -49,32 +49,32 @@
 	propose("too large", Change{ID: "large", Out: append(thousandNames("c"), "x")})
 	k.state.History[len(k.state.History)-1].Document.Bans = nil
 	propose("already a version", Change{ID: k.state.latest().ID, Out: []string{"h"}})
-	for n := range maxOpen {
+	for n := range maxPendingProposals {
 		propose("written", Change{ID: fmt.Sprint("w", n), Out: []string{fmt.Sprint("h", n)}})
 	}
 	propose("one more than may wait", Change{ID: "more", Out: []string{"h"}})
 	propose("waits already", Change{ID: "w1", Out: []string{"h1"}})
-	k.open[0].accepted = true
-	now += int64(answerIn)
+	k.leader.proposals.pending[0].isAccepted = true
+	now += int64(proposalTimeout)
 	out.note("no majority in time")
 	k.Look(now)
 	propose("refused before", Change{ID: "w1", Out: []string{"h1"}})
 	propose("waits when another leads", Change{ID: "late", Out: []string{"h2"}})
 	other := w.procs[(at+1)%3].keeper
 	step := func(m *pb.Message) {
-		k.Heard(now, &Message{From: other.Name, Raft: mustProto(m)})
+		k.Heard(now, &Message{From: other.Name, Raft: marshalProto(m)})
 	}
 	out.note("another leads")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.life), From: new(other.life), Term: new(k.term + 1)})
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1)})
 	k.Heard(now, &Message{From: "op", Propose: &Change{ID: "other", Out: []string{"h"}}})
 	k.Heard(now, &Message{From: "op", Ask: &Ask{Seq: 1, Life: 1}})
 	out.note("leads %t, broken %t", k.Leads(), k.Broken() != nil)
-	k.campaignAt, now = 0, now+int64(10*time.Second)
+	k.election.campaignAt, now = 0, now+int64(10*time.Second)
 	out.note("nobody leads")
 	k.Look(now)
 	k.Heard(now, &Message{From: "op", Propose: &Change{ID: "nobody", Out: []string{"h"}}})
 	out.note("a message that cannot be: silent from then on")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.life), From: new(other.life), Term: new(k.term + 1), Commit: new(uint64(1 << 40))})
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1), Commit: new(uint64(1 << 40))})
 	k.Look(now + ms)
 	k.Heard(now, &Message{From: "op", Propose: &Change{ID: "broken", Out: []string{"h"}}})
 	out.note("broken %t", k.Broken() != nil)
@@ -100,9 +100,9 @@
 		w.one()
 	}
 	k, other, sent := w.procs[0].keeper, w.procs[1].keeper, 0
-	k.net, k.lasting = countingSender{&sent}, failing{}
-	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(k.life), From: new(other.life), Term: new(k.term + 9), Index: new(uint64(99)), LogTerm: new(k.term + 8)}
-	k.Heard(w.procs[0].clock(), &Message{From: other.Name, Raft: mustProto(vote)})
+	k.sender, k.log.storage = countingSender{&sent}, failing{}
+	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 9), Index: new(uint64(99)), LogTerm: new(k.term + 8)}
+	k.Heard(w.procs[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
 	if k.Broken() == nil || sent > 0 {
 		t.Errorf("with a full disk: broken %v, %d messages sent", k.Broken(), sent)
 	}
@@ -115,7 +115,7 @@
 // What a change may be is said to its proposer, and a message out of bounds is dropped: the texts and the bounds stay.
 func TestGoldenBounds(t *testing.T) {
 	out := &outbox{}
-	long, both := strings.Repeat("n", maxText+1), []string{"h"}
+	long, both := strings.Repeat("n", maxNameBytes+1), []string{"h"}
 	many := make([]string, maxNames+1)
 	for n := range many {
 		many[n] = fmt.Sprint(n)
@@ -129,12 +129,12 @@
 	}
 	ask := &Ask{Seq: 1}
 	for _, m := range []Message{{}, {From: "a"}, {Ask: ask}, {From: "a", Ask: ask, Outcome: &Outcome{}}, {From: long, Ask: ask}, {From: "a", Ask: ask},
-		{From: "a", Raft: make([]byte, maxMessage)}} {
+		{From: "a", Raft: make([]byte, maxMessageBytes)}} {
 		_, err := Unpack(m.Pack())
 		out.note("taken %t", err == nil)
 	}
-	for _, bytes := range [][]byte{nil, {0xff}, pack(chain{}), pack(chain{First: Version{Number: 1}, Steps: make([]Change, maxHistory+maxBetween+1)}),
-		pack(chain{First: Version{Number: 1}, Steps: slices.Repeat([]Change{big}, 400)})} {
+	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}), encode(revisionChain{First: Version{Number: 1}, Deltas: make([]Change, maxShownRevisions+maxActiveRevisions+1)}),
+		encode(revisionChain{First: Version{Number: 1}, Deltas: slices.Repeat([]Change{big}, 400)})} {
 		versions, err := UnpackChain(bytes)
 		out.note("%d versions, refused %t", len(versions), err != nil)
 	}
@@ -151,7 +151,7 @@
 		for n := range 60 {
 			c := Change{ID: fmt.Sprint(h*n, "v", n), Out: []string{fmt.Sprint("h", draw.IntN(9))}, Back: []string{fmt.Sprint("i", draw.IntN(9))},
 				Limits: map[string]int64{"held": draw.Int64N(50) - 1}}
-			histories[h] = append(histories[h], c.after(histories[h][n]))
+			histories[h] = append(histories[h], c.next(histories[h][n]))
 		}
 	}
 	for range 40 {
@@ -164,10 +164,10 @@
 			reached = min(60, reached+draw.IntN(3))
 			of := histories[max(0, draw.IntN(12)-10)]
 			from := max(0, reached-draw.IntN(6)-1)
-			g := &Grant{Seq: h.seq - min(h.seq, draw.Uint64N(3)), Leader: []string{"k", "l", ""}[draw.IntN(3)], Floor: of[draw.IntN(reached)].Number,
+			g := &Grant{Seq: h.requests.seq - min(h.requests.seq, draw.Uint64N(3)), Leader: []string{"k", "l", ""}[draw.IntN(3)], Floor: of[draw.IntN(reached)].Number,
 				History: uint64(draw.IntN(30)/29 + 7), Part: draw.Float64()}
 			if g.Versions = of[from:reached]; draw.IntN(2) == 0 && from > 0 {
-				g.Versions, g.Base, g.Steps = nil, of[from-1].Number, stepsOf(of[from-1], of[from:reached])
+				g.Versions, g.Base, g.Steps = nil, of[from-1].Number, deltasOf(of[from-1], of[from:reached])
 			}
 			h.Heard(now, g)
 			a := h.Acting(now)
--- a/agreed/golden_test.go
+++ b/agreed/golden_test.go
@@ -45,7 +45,7 @@
 
 func (tr *trace) add(values ...any) {
 	if tr != nil {
-		tr.Write(pack(values))
+		tr.Write(encode(values))
 	}
 }
 
@@ -86,19 +86,19 @@
 	change := Change{ID: "p1", By: "op", Why: "a reason", Base: 3, Out: []string{"a", "b"}, Back: []string{"c"},
 		Limits: map[string]int64{"held": 5, "quota.t": -1}, Digest: &digest, Source: &source, From: &from, Leave: []string{"z"}, Return: []string{"y"}}
 	one := Version{Number: 3, Document: Document{Bans: []string{"c"}, Limits: map[string]int64{"quota.t": 1}, Left: []string{"y"}}}
-	two := change.after(one)
+	two := change.next(one)
 	later := Change{ID: "p2", Out: []string{"c"}, Limits: map[string]int64{}}
 	members := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
-	st := state{History: []Version{one, two}, Floor: 3, Voters: members, Candidates: []candidate{{change, 4}}, ID: 7}
-	long := founding(7, members)
+	st := replicatedState{History: []Version{one, two}, Floor: 3, Voters: members, Candidates: []candidate{{change, 4}}, ID: 7}
+	long := initialState(7, members)
 	for n := range 20 { // So large that it is written as a chain.
 		c := Change{ID: fmt.Sprint("l", n), Out: slices.Repeat([]string{""}, 200)}
 		for i := range c.Out {
 			c.Out[i] = fmt.Sprintf("%03d-%s", n*200+i, strings.Repeat("h", 20))
 		}
-		long.History = append(long.History, c.after(long.latest()))
+		long.History = append(long.History, c.next(long.latest()))
 	}
-	sum := sha256.Sum256(long.packed())
+	sum := sha256.Sum256(long.marshal())
 	packed = map[string][]byte{
 		"raft":            (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Pack(),
 		"lease request":   (&Message{From: "b0", Ask: &Ask{Seq: 5, Life: 2, Known: 4, Floor: 3, From: 1, Rate: 2.5, Steps: true}}).Pack(),
@@ -108,13 +108,13 @@
 		"announcement":    (&Message{From: "b0", Hello: &Hello{Life: 2, Voters: members, Founds: true}}).Pack(),
 		"proposal":        (&Message{From: "b0", Propose: &change, Ticket: &Ticket{Term: 3, At: 1e12}}).Pack(),
 		"result":          (&Message{From: "b0", Outcome: &Outcome{ID: "p1", Number: 4, Wrong: "no", Sure: true, Ticket: &Ticket{Term: 3, At: 1}}}).Pack(),
-		"record":          pack(record{Life: 2, Hard: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
-		"entry":           pack(entry{Propose: &change, Accept: "p1", Withdraw: "p2", Floor: 4}),
-		"state":           st.packed(),
+		"record":          encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
+		"entry":           encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", Floor: 4}),
+		"state":           st.marshal(),
 		"state, chain":    sum[:],
-		"chain":           PackChain([]Version{one, two, later.after(two)}),
+		"chain":           PackChain([]Version{one, two, later.next(two)}),
 		"digest":          []byte(two.Digest()),
-		"strictest":       pack(strictest([]Version{one, two, later.after(two)})),
+		"strictest":       encode(strictest([]Version{one, two, later.next(two)})),
 	}
 	for name := range packed {
 		names = append(names, name)
@@ -206,20 +206,20 @@
 // fleet that is upgraded one process at a time goes on agreeing.
 func TestAgreesWithARecordedBuild(t *testing.T) {
 	said, _ := session(t, []int{0, 1, 2}, nil)
-	checkGolden(t, "session.cbor", pack(said))
+	checkGolden(t, "session.cbor", encode(said))
 	file, err := os.ReadFile("testdata/session.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var recorded []flightRecord
-	if err := strict.Unmarshal(file, &recorded); err != nil {
+	if err := strictDecoding.Unmarshal(file, &recorded); err != nil {
 		t.Fatal(err)
 	}
 	leaders := 0
 	for n := range 3 {
 		again, members := session(t, []int{n}, recorded)
 		own := slices.DeleteFunc(slices.Clone(recorded), func(f flightRecord) bool { return f.From != n })
-		if !bytes.Equal(pack(again), pack(own)) {
+		if !bytes.Equal(encode(again), encode(own)) {
 			t.Errorf("b%d among recorded members says something else than then", n)
 		}
 		a := members[n].holder.Acting(2500 * ms)
@@ -259,18 +259,18 @@
 		t.Fatal(err)
 	}
 	versions, floor := k.History()
-	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.life, k.Founded(), floor,
-		k.applied, mustProto(k.hard), pack(k.state.Voters), pack(k.state.Candidates), pack(versions))
+	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.incarnation, k.Founded(), floor,
+		k.log.applied, marshalProto(k.log.hard), encode(k.state.Voters), encode(k.state.Candidates), encode(versions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
-		return strict.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
+		return strictDecoding.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
 	})
 	if !hasSnapshot || len(records) < 4 {
 		t.Error("the recorded log has no snapshot with records after it")
 	}
 	k.Look(ms)
 	versions, floor = k.History()
-	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", floor, k.applied, pack(versions))
+	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", floor, k.log.applied, encode(versions))
 	checkGolden(t, "replica.golden", []byte(shown))
 }
 
--- /dev/null
+++ b/agreed/leaseholder.go
@@ -0,0 +1,162 @@
+package agreed
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"hollylever/budgets"
+)
+
+const (
+	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost without the lease running out.
+	requestsPerLease = 3
+	// retriesPerLease is how often an unanswered holder asks at most, each time after as much again by chance: soon enough to find another
+	// leader before the lease runs out, and not all at once when a leader dies.
+	retriesPerLease = 16
+	// rememberedRequests is how many requests can be answered late; with more under way than that the network is slower than a lease lasts.
+	rememberedRequests = 8
+)
+
+// LeaseHolder keeps what one process acts on: it asks the leader of the replicas for leases. It does not lock: one goroutine calls all methods.
+// All times are nanoseconds of the process's own clock, which goes on while the process or its machine stands still.
+type Holder struct {
+	Name string
+	// Rate is how many requests a second come to this process. The driver sets it before Tick; the next lease request has it.
+	Rate float64
+	// Contrary counts responses of another history, or of other revisions under the same numbers. They are not taken.
+	Contrary int
+
+	incarnation uint64
+	timing      Terms
+	replicas    []string
+	sender      Sender
+	random      func(n int) int // draws below n
+
+	known     knownRevisions
+	requests  requestLog
+	leader    string // who was heard to lead last; "" before anyone was
+	expiresAt int64  // the end of the lease; 0: there was none
+	share     budgets.Held
+}
+
+// requestLog is the lease requests that may still be answered.
+type requestLog struct {
+	seq        uint64 // of the last request
+	sent       [rememberedRequests]sentRequest
+	unanswered int   // requests since the last lease
+	nextAt     int64 // when the next request is due
+}
+
+type sentRequest struct {
+	seq uint64
+	at  int64
+}
+
+// NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name; random draws below n.
+func NewHolder(now int64, name string, incarnation uint64, timing Terms, replicas []string, sender Sender, random func(n int) int) *Holder {
+	return &Holder{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random,
+		requests: requestLog{nextAt: now}}
+}
+
+// EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that stood still finds its
+// lease expired before it acts.
+func (h *Holder) Acting(now int64) Acting {
+	a := Acting{Floor: h.known.minimum, Latest: h.known.latest(), Leased: now < h.expiresAt, Document: h.known.config}
+	if h.timing.Most > 0 {
+		a.Part = budgets.Alone(h.timing.Most)
+		if a.Leased && h.share.Part > 0 {
+			a.Part = h.share.Part
+		}
+	}
+	return a
+}
+
+// LeaseExpiry is when the lease ends, also where that is past; 0 where there was none.
+func (h *Holder) Until() int64 { return h.expiresAt }
+
+// Leader is the replica that was heard to lead last; empty before any was.
+func (h *Holder) Leader() string { return h.leader }
+
+// Revisions are those that are active, from the min revision on. The caller does not change them.
+func (h *Holder) Versions() []Version { return h.known.active }
+
+// TimeUntilTick is how long Tick has nothing to do.
+func (h *Holder) Wait(now int64) time.Duration {
+	return time.Duration(max(0, h.requests.nextAt-now))
+}
+
+// Tick sends a lease request if one is due: to the leader, or, after two without an answer, to any replica, as the leader may be gone.
+func (h *Holder) Look(now int64) {
+	if now < h.requests.nextAt {
+		return
+	}
+	interval := int64(h.timing.Lease) / requestsPerLease
+	if h.requests.unanswered > 0 {
+		shortest := int64(h.timing.Lease) / retriesPerLease
+		interval = shortest + int64(h.random(int(shortest)+1))
+	}
+	to := h.leader
+	if to == "" || h.requests.unanswered > 1 {
+		to = h.replicas[h.random(len(h.replicas))]
+	}
+	seq := h.requests.record(now)
+	h.requests.nextAt = now + interval
+	h.sender.Send(to, &Message{From: h.Name, Ask: &Ask{Seq: seq, Life: h.incarnation, Known: h.known.latest(), Floor: h.known.minimum,
+		From: h.share.From, Rate: h.Rate, Steps: true}})
+}
+
+// record notes a request that is sent now, and gives its number.
+func (l *requestLog) record(now int64) (seq uint64) {
+	l.seq++
+	l.sent[l.seq%rememberedRequests] = sentRequest{l.seq, now}
+	l.unanswered++
+	return l.seq
+}
+
+// sentAt is when a request was sent; ok is false where it is not remembered.
+func (l *requestLog) sentAt(seq uint64) (at int64, ok bool) {
+	request := l.sent[seq%rememberedRequests]
+	return request.at, seq != 0 && request.seq == seq
+}
+
+// HandleLeaseResponse takes a lease, or news. A lease counts only where all revisions that it speaks of are known.
+func (h *Holder) Heard(now int64, response *Grant) {
+	isComplete := h.learn(response)
+	if response.Leader != "" && response.Leader != h.leader {
+		h.leader = response.Leader
+		if response.Seq == 0 {
+			h.requests.nextAt = min(h.requests.nextAt, now) // Another leads: it is asked at once.
+		}
+	}
+	sentAt, isRemembered := h.requests.sentAt(response.Seq)
+	if !isRemembered || !isComplete {
+		return
+	}
+	h.share.Take(response.Seq, response.Part)
+	// The lease runs from the request, not from the response: the leader was confirmed at some time between the two, and a response that
+	// was long on its way must not prolong it.
+	if expiry := sentAt + int64(h.timing.Lease); expiry > h.expiresAt && now < expiry {
+		h.expiresAt = expiry
+	}
+	h.requests.unanswered = 0
+	h.requests.nextAt = max(h.requests.nextAt, sentAt+int64(h.timing.Lease)/requestsPerLease)
+}
+
+// learn takes up the revisions of a response, and tells whether all that it speaks of is known now.
+func (h *Holder) learn(response *Grant) bool {
+	err := h.known.take(response)
+	if errors.Is(err, errConflictingHistory) {
+		h.Contrary++
+	}
+	return err == nil
+}
+
+// Restore gives a holder that knows nothing yet what an earlier process knew: it acts on that, without a lease, until it has one. Where the
+// holder knows revisions, or these are too many, it does nothing.
+func (h *Holder) Recall(minRevision uint64, revisions []Version) {
+	if len(h.known.active) > 0 || len(revisions) == 0 || len(revisions) > maxActiveRevisions+1 {
+		return
+	}
+	h.known.active, h.known.minimum, h.known.config = slices.Clone(revisions), minRevision, strictest(revisions)
+}
--- a/agreed/messages.go
+++ b/agreed/messages.go
@@ -3,108 +3,106 @@
 import (
 	"errors"
 	"fmt"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
-// Message is what processes tell each other. One of the parts is there.
+// maxMessageBytes bounds a message: all active revisions and what is pending fit.
+const maxMessageBytes = 2 << 20
+
+// errNotMessage refuses bytes that no process of a fleet sends.
+var errNotMessage = errors.New("not a message of the fleet")
+
+// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its own process.
+type Sender interface{ Send(to string, m *Message) }
+
+// Message is what processes tell each other. One of the fields is there, besides From and Ticket.
 type Message struct {
-	From    string   `cbor:"1,keyasint"`
-	Raft    []byte   `cbor:"2,keyasint,omitempty"` // between keepers
-	Ask     *Ask     `cbor:"3,keyasint,omitempty"` // a holder to a keeper
+	From    string   `cbor:"1,keyasint"`           // the name of the process that sent it
+	Raft    []byte   `cbor:"2,keyasint,omitempty"` // between replicas
+	Ask     *Ask     `cbor:"3,keyasint,omitempty"` // a lease holder to a replica
 	Grant   *Grant   `cbor:"4,keyasint,omitempty"` // and back
-	Hello   *Hello   `cbor:"5,keyasint,omitempty"` // a keeper to the others
-	Propose *Change  `cbor:"6,keyasint,omitempty"` // to a keeper
+	Hello   *Hello   `cbor:"5,keyasint,omitempty"` // a replica to the others
+	Propose *Change  `cbor:"6,keyasint,omitempty"` // a proposer to a replica
 	Outcome *Outcome `cbor:"7,keyasint,omitempty"` // and back
 	Ticket  *Ticket  `cbor:"8,keyasint,omitempty"` // of a proposal
 }
 
-// Ticket lets a proposal be written: by who leads in this term, for as long as an answer to it is owed. Without tickets a message that the
-// network repeats late could be written after its proposer was told no for sure.
+// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer to it is owed.
 type Ticket struct {
 	Term uint64 `cbor:"1,keyasint"`
-	At   int64  `cbor:"2,keyasint"` // on the leader's clock
+	At   int64  `cbor:"2,keyasint"` // nanoseconds of the leader's clock
 }
 
-// Ask is for a lease.
+// LeaseRequest asks for a lease.
 type Ask struct {
-	Seq   uint64 `cbor:"1,keyasint"` // of the holder's asks since it began
-	Life  uint64 `cbor:"2,keyasint"` // which of its lives: it may have come back under the same name
-	Known uint64 `cbor:"3,keyasint"` // the latest version it knows
-	Floor uint64 `cbor:"4,keyasint"`
+	Seq   uint64 `cbor:"1,keyasint"` // counts this holder's requests
+	Life  uint64 `cbor:"2,keyasint"` // of the process: it may have come back under the same name
+	Known uint64 `cbor:"3,keyasint"` // the latest revision that it knows; 0: none
+	Floor uint64 `cbor:"4,keyasint"` // the min revision that it knows; 0: none
 
-	From uint64  `cbor:"5,keyasint,omitempty"` // the ask for which the part that it acts on was granted
-	Rate float64 `cbor:"6,keyasint,omitempty"` // retrievals a second that come to it
+	From uint64  `cbor:"5,keyasint,omitempty"` // the request for which the budget share that it acts on was granted
+	Rate float64 `cbor:"6,keyasint,omitempty"` // requests a second that come to it
 
-	Steps bool `cbor:"7,keyasint,omitempty"` // it takes steps in place of versions; processes of a version before do not
+	Steps bool `cbor:"7,keyasint,omitempty"` // it takes deltas in place of whole revisions; builds before deltas do not
 }
 
-// Grant is a lease if Seq is not 0; else news of versions, or only of who leads.
+// LeaseResponse is a lease if Seq is not 0; else it only has news of revisions, or of who leads.
 type Grant struct {
-	Seq      uint64    `cbor:"1,keyasint,omitempty"`
+	Seq      uint64    `cbor:"1,keyasint,omitempty"` // of the request
 	Leader   string    `cbor:"2,keyasint,omitempty"`
-	Floor    uint64    `cbor:"3,keyasint,omitempty"`
-	Versions []Version `cbor:"4,keyasint,omitempty"` // from the floor on, those that the holder lacks
+	Floor    uint64    `cbor:"3,keyasint,omitempty"` // no lease under an older revision is left
+	Versions []Version `cbor:"4,keyasint,omitempty"` // from the min revision on, those that the holder lacks
 	History  uint64    `cbor:"5,keyasint,omitempty"` // which history: a fleet that lost one begins another
-	Part     float64   `cbor:"6,keyasint,omitempty"` // of the fleet's budgets, with the lease
-	Steps    []Change  `cbor:"7,keyasint,omitempty"` // what later versions changed, one after the other
-	Base     uint64    `cbor:"8,keyasint,omitempty"` // the version that the first of these changed, where none is whole here
+	Part     float64   `cbor:"6,keyasint,omitempty"` // of the fleet's budgets, 0 to 1, for as long as the lease
+	Steps    []Change  `cbor:"7,keyasint,omitempty"` // what later revisions changed, one after the other
+	Base     uint64    `cbor:"8,keyasint,omitempty"` // the revision that the first delta changed, where none is whole here
 }
 
-// Hello tells what a keeper has: which life of its state, and what founding it knows of.
+// Announcement tells what a replica has: the incarnation of its state, and the voters that it knows of.
 type Hello struct {
 	Life   uint64            `cbor:"1,keyasint"`
-	Voters map[string]uint64 `cbor:"2,keyasint,omitempty"` // of the founding or what became of it; none: it knows nothing
-	Founds bool              `cbor:"3,keyasint,omitempty"` // take this as the founding
+	Voters map[string]uint64 `cbor:"2,keyasint,omitempty"` // incarnations by name; none: it knows no history
+	Founds bool              `cbor:"3,keyasint,omitempty"` // no build sets it; the key stays taken
 }
 
-// Outcome is what became of a proposal.
+// ProposalResult is what became of a proposal.
 type Outcome struct {
 	ID     string  `cbor:"1,keyasint"`
-	Number uint64  `cbor:"2,keyasint,omitempty"` // its version, if it was accepted
+	Number uint64  `cbor:"2,keyasint,omitempty"` // its revision, if it was accepted
 	Wrong  string  `cbor:"3,keyasint,omitempty"` // why not
-	Sure   bool    `cbor:"4,keyasint,omitempty"` // false: unknown, look at the history
+	Sure   bool    `cbor:"4,keyasint,omitempty"` // false: it may still be in force, the history tells
 	Ticket *Ticket `cbor:"5,keyasint,omitempty"` // no answer yet: send it again, with this
 }
 
-const maxMessage = 2 << 20
-
-var errMessage = errors.New("not a message of the fleet")
-
-var strict = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: 2 * maxNames, MaxMapPairs: 2 * maxLimits, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
-	if err != nil {
-		panic(err) // The options are constants.
-	}
-	return mode
-}()
-
-// Pack and Unpack are the form of messages between processes.
-func (m *Message) Pack() []byte { return pack(m) }
+// Marshal encodes a message for UnmarshalMessage.
+func (m *Message) Pack() []byte { return encode(m) }
 
-// Unpack takes no message that is not whole and within bounds.
+// UnmarshalMessage takes no message that is not complete and within bounds.
 func Unpack(bytes []byte) (*Message, error) {
 	m := &Message{}
-	if len(bytes) > maxMessage {
-		return nil, errMessage
-	}
-	if err := strict.Unmarshal(bytes, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errMessage, err)
+	if len(bytes) > maxMessageBytes {
+		return nil, errNotMessage
 	}
-	parts := 0
-	for _, there := range []bool{len(m.Raft) > 0, m.Ask != nil, m.Grant != nil, m.Hello != nil, m.Propose != nil, m.Outcome != nil} {
-		if there {
-			parts++
-		}
+	if err := strictDecoding.Unmarshal(bytes, m); err != nil {
+		return nil, fmt.Errorf("%w: %w", errNotMessage, err)
 	}
-	if parts != 1 || m.From == "" || len(m.From) > maxText {
-		return nil, errMessage
+	if m.contents() != 1 || m.From == "" || len(m.From) > maxNameBytes {
+		return nil, errNotMessage
 	}
 	if m.Propose != nil {
 		if err := m.Propose.Check(); err != nil {
-			return nil, fmt.Errorf("%w: %w", errMessage, err)
+			return nil, fmt.Errorf("%w: %w", errNotMessage, err)
 		}
 	}
 	return m, nil
 }
+
+// contents is how many of the fields that a message has one of are there.
+func (m *Message) contents() (n int) {
+	isPresent := []bool{len(m.Raft) > 0, m.Ask != nil, m.Grant != nil, m.Hello != nil, m.Propose != nil, m.Outcome != nil}
+	for _, is := range isPresent {
+		if is {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/agreed/proposal.go
@@ -0,0 +1,140 @@
+package agreed
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// maxProposalBytes bounds one proposal, so that some fit into one message of raft with what is pending.
+const maxProposalBytes = 320 << 10
+
+// Why a proposal cannot become the next revision. Proposers read the texts.
+var (
+	// ErrBase is returned where another revision came in between.
+	ErrBase = errors.New("made for another version")
+	// ErrEmpty is returned where the latest revision has all of it already.
+	ErrEmpty  = errors.New("changes nothing")
+	errNoID   = errors.New("id: missing")
+	errNoName = errors.New("an empty name")
+)
+
+// Proposal is what is to differ from the revision before. It is also the delta between two revisions.
+type Change struct {
+	// ID is chosen by the proposer: a proposal that is sent twice is in force once.
+	ID  string `cbor:"1,keyasint"`
+	By  string `cbor:"2,keyasint,omitempty"`
+	Why string `cbor:"3,keyasint,omitempty"`
+	// Base is the revision that it was made for; 0: any.
+	Base uint64 `cbor:"4,keyasint,omitempty"`
+	// Out and Back are the hosts to eject and to take back.
+	Out  []string `cbor:"5,keyasint,omitempty"`
+	Back []string `cbor:"6,keyasint,omitempty"`
+	// Limits are limits to state; one under 0 is taken back.
+	Limits map[string]int64 `cbor:"7,keyasint,omitempty"`
+	// Digest, Source and From are new values of the fields of the same name; nil: as before.
+	Digest *string `cbor:"8,keyasint,omitempty"`
+	Source *string `cbor:"9,keyasint,omitempty"`
+	From   *uint64 `cbor:"10,keyasint,omitempty"`
+	// Leave and Return are the zones to evacuate and to return to.
+	Leave  []string `cbor:"11,keyasint,omitempty"`
+	Return []string `cbor:"12,keyasint,omitempty"`
+}
+
+// Validate tells whether this can be a proposal, whatever configuration it meets. The error names the field by the name that operators write.
+func (c *Change) Check() error {
+	if c.ID == "" {
+		return errNoID
+	}
+	if err := c.validateTexts(); err != nil {
+		return err
+	}
+	if err := validateDisjoint("back", c.Out, c.Back); err != nil {
+		return err
+	}
+	if err := validateDisjoint("return", c.Leave, c.Return); err != nil {
+		return err
+	}
+	if size := len(encode(c)); size > maxProposalBytes {
+		return fmt.Errorf("out: %d bytes in all are over the %d of one proposal; propose in parts", size, maxProposalBytes)
+	}
+	return nil
+}
+
+// validateTexts looks at all names and texts, in the order in which operators write the fields.
+func (c *Change) validateTexts() error {
+	for _, field := range []struct {
+		name       string
+		texts      []string
+		maxEntries int
+	}{
+		{"id", []string{c.ID}, 1},
+		{"by", []string{c.By}, 1},
+		{"why", []string{c.Why}, 1},
+		{"out", c.Out, maxNames},
+		{"back", c.Back, maxNames},
+		{"leave", c.Leave, maxNames},
+		{"return", c.Return, maxNames},
+		{"limits", slices.Sorted(maps.Keys(c.Limits)), maxLimits},
+		{"settings_digest", optionalText(c.Digest), 1},
+		{"list_of", optionalText(c.Source), 1},
+	} {
+		if len(field.texts) > field.maxEntries {
+			return fmt.Errorf("%s: over %d entries", field.name, field.maxEntries)
+		}
+		for _, text := range field.texts {
+			if !isPlainText(text) {
+				return fmt.Errorf("%s: %.40q is over %d bytes or not plain text", field.name, text, maxNameBytes)
+			}
+			if text == "" && field.maxEntries > 1 {
+				return fmt.Errorf("%s: %w", field.name, errNoName)
+			}
+		}
+	}
+	return nil
+}
+
+// isPlainText tells whether a text can be shown on one line. U+FFFD stands for bytes that are not UTF-8.
+func isPlainText(text string) bool {
+	isOdd := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
+	return len(text) <= maxNameBytes && !strings.ContainsFunc(text, isOdd)
+}
+
+// validateDisjoint refuses a name that a proposal both adds and removes.
+func validateDisjoint(field string, added, removed []string) error {
+	sorted := slices.Sorted(slices.Values(removed))
+	for _, name := range added {
+		if _, has := slices.BinarySearch(sorted, name); has {
+			return fmt.Errorf("%s: %q goes both ways", field, name)
+		}
+	}
+	return nil
+}
+
+func optionalText(s *string) []string {
+	if s == nil {
+		return nil
+	}
+	return []string{*s}
+}
+
+// apply makes the next revision. It depends on nothing but its arguments, as each replica does it for itself; an error has the revision
+// unchanged beside it.
+func (c *Change) apply(was Version) (Version, error) {
+	if c.Base != 0 && c.Base != was.Number {
+		return was, fmt.Errorf("%w: %d, not %d", ErrBase, was.Number, c.Base)
+	}
+	next := c.next(was)
+	d := &next.Document
+	encoded := encode(d)
+	switch {
+	case bytes.Equal(encoded, encode(was.Document)):
+		return was, ErrEmpty
+	case len(encoded) > maxConfigBytes, len(d.Bans) > maxNames, len(d.Limits) > maxLimits, len(d.Left) > maxNames:
+		return was, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", len(encoded), len(d.Bans), len(d.Limits))
+	}
+	return next, nil
+}
--- /dev/null
+++ b/agreed/proposals.go
@@ -0,0 +1,178 @@
+package agreed
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// proposalTimeout is how long an operator waits for a majority before the answer is no.
+	proposalTimeout = 5 * time.Second
+	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: longer than a network repeats a message while
+	// its ticket is good.
+	refusalRetention = 2 * proposalTimeout
+	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority: they are a part of the replicated state.
+	maxPendingProposals = 64
+	maxPendingBytes     = 2 * maxProposalBytes
+	// maxRefusals bounds the final refusals that are remembered.
+	maxRefusals = maxWaitingRequests
+)
+
+// Reasons of proposal results. They go over the wire and to operators.
+const (
+	reasonLeaderChanged = "another leads now: look at the history"
+	reasonNoLeader      = "nobody leads: no majority of the keepers is heard"
+	reasonWithdrawn     = "no majority within 5s: not in force, and it will not be"
+	reasonUnknown       = "no word of a majority within 5s: look at the history"
+	reasonTooMany       = "too many proposals wait"
+)
+
+// proposalTable is the leader's proposals: those that wait for a majority, and those that were refused for good.
+type proposalTable struct {
+	pending []pendingProposal
+	refused []refusal
+}
+
+type pendingProposal struct {
+	proposal   Change
+	from       string
+	deadline   int64
+	isAccepted bool // its acceptance is written: from here on only the history tells whether it is in force
+	bytes      int  // of the proposal
+}
+
+// refusal is a final no, and when the proposal came.
+type refusal struct {
+	Outcome
+	at int64
+}
+
+func (t *proposalTable) indexOf(id string) int {
+	return slices.IndexFunc(t.pending, func(p pendingProposal) bool { return p.proposal.ID == id })
+}
+
+func (t *proposalTable) refusalIndex(id string) int {
+	return slices.IndexFunc(t.refused, func(f refusal) bool { return f.ID == id })
+}
+
+// hasRoomFor tells whether one more proposal may wait.
+func (t *proposalTable) hasRoomFor(bytes int) bool {
+	for n := range t.pending {
+		bytes += t.pending[n].bytes
+	}
+	return len(t.pending) < maxPendingProposals && bytes <= maxPendingBytes
+}
+
+func (t *proposalTable) dropOldRefusals(now int64) {
+	t.refused = slices.DeleteFunc(t.refused, func(f refusal) bool { return now-f.at > int64(refusalRetention) })
+}
+
+// isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a proposal that the network
+// repeats late would be written after its proposer was told a final no, and be in force against that.
+func (t *Ticket) isValid(now int64, term uint64) bool {
+	return t != nil && t.Term == term && t.At <= now && now-t.At <= int64(proposalTimeout)
+}
+
+// handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else when a majority has
+// written it, or proposalTimeout has passed.
+func (r *Keeper) handleProposal(now int64, from string, c Change, ticket *Ticket) {
+	p := pendingProposal{proposal: c, from: from, deadline: now + int64(proposalTimeout), bytes: len(encode(c))}
+	table := &r.leader.proposals
+	table.dropOldRefusals(now)
+	if !r.Leads() {
+		r.redirectProposal(p)
+		return
+	}
+	if revision := r.state.revisionOf(c.ID); revision != 0 {
+		r.answerProposal(p, &Outcome{ID: c.ID, Number: revision, Sure: true})
+		return
+	}
+	if table.indexOf(c.ID) >= 0 {
+		return // It is answered once.
+	}
+	if n := table.refusalIndex(c.ID); n >= 0 {
+		r.answerProposal(p, &table.refused[n].Outcome)
+		return
+	}
+	if !ticket.isValid(now, r.term) {
+		r.answerProposal(p, &Outcome{ID: c.ID, Ticket: &Ticket{r.term, now}})
+		return
+	}
+	if !table.hasRoomFor(p.bytes) {
+		r.answerProposal(p, &Outcome{ID: c.ID, Wrong: reasonTooMany, Sure: true})
+		return
+	}
+	if _, err := c.apply(r.state.latest()); err != nil {
+		r.answerProposal(p, &Outcome{ID: c.ID, Wrong: err.Error(), Sure: true})
+		return
+	}
+	if r.proposeCommand(command{Propose: &c}) {
+		table.pending = append(table.pending, p)
+	}
+}
+
+// redirectProposal tells a proposer who leads, and it asks there; or that nobody does.
+func (r *Keeper) redirectProposal(p pendingProposal) {
+	leader := r.knownLeader()
+	if leader == "" || leader == r.Name {
+		r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonNoLeader, Sure: true})
+		return
+	}
+	r.sender.Send(p.from, &Message{From: r.Name, Grant: &Grant{Leader: leader}})
+}
+
+// answerProposal sends a result. A leader remembers a final no, so that whatever the network repeats gets the same answer.
+func (r *Keeper) answerProposal(p pendingProposal, result *Outcome) {
+	table := &r.leader.proposals
+	isRefusal := result.Sure && result.Number == 0
+	if isRefusal && r.Leads() && table.refusalIndex(result.ID) < 0 && len(table.refused) < maxRefusals {
+		table.refused = append(table.refused, refusal{*result, p.deadline - int64(proposalTimeout)})
+	}
+	r.sender.Send(p.from, &Message{From: r.Name, Outcome: result})
+}
+
+// expireProposals answers the proposals whose time is over. One whose acceptance is not written is withdrawn, and the no is final: an entry of
+// the log says so, and no later leader can accept it. One whose acceptance is written may be in force.
+func (r *Keeper) expireProposals(now int64) {
+	table := &r.leader.proposals
+	waiting := table.pending[:0]
+	for _, p := range table.pending {
+		switch {
+		case now < p.deadline:
+			waiting = append(waiting, p)
+		case p.isAccepted:
+			r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonUnknown})
+		default:
+			r.proposeCommand(command{Withdraw: p.proposal.ID})
+			r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonWithdrawn, Sure: true})
+		}
+	}
+	clear(table.pending[len(waiting):])
+	table.pending = waiting
+}
+
+// applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer still waits.
+func (r *Keeper) applyProposal(now int64, c *Change, term uint64, isOwn bool) {
+	r.state.Candidates = append(r.state.Candidates, candidate{*c, term})
+	table := &r.leader.proposals
+	if at := table.indexOf(c.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
+		table.pending[at].isAccepted = r.proposeCommand(command{Accept: c.ID})
+	}
+}
+
+// applyAcceptance makes a proposal the next revision, and answers its proposer.
+func (r *Keeper) applyAcceptance(id string, isOwn bool) {
+	revision, err := r.state.accept(id)
+	table := &r.leader.proposals
+	if at := table.indexOf(id); at >= 0 {
+		result := &Outcome{ID: id, Number: revision, Sure: true}
+		if err != nil {
+			result.Wrong = err.Error()
+		}
+		r.answerProposal(table.pending[at], result)
+		table.pending = slices.Delete(table.pending, at, at+1)
+	}
+	if isOwn && err == nil {
+		r.notifyHolders()
+	}
+}
--- /dev/null
+++ b/agreed/replica.go
@@ -0,0 +1,323 @@
+package agreed
+
+import (
+	"fmt"
+	"time"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"hollylever/budgets"
+)
+
+// heartbeatsPerLease is how often a leader is heard within the length of a lease: a follower that misses four in a row campaigns, which leaves
+// most of a lease for the election.
+const heartbeatsPerLease = 16
+
+// Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated state and, while it leads,
+// the leases and the proposals that it answers for. It never blocks but in its Storage, and it does not lock: one goroutine calls all
+// methods. All times are nanoseconds of that process's own clock.
+type Keeper struct {
+	Name        string
+	incarnation uint64   // raft's ID: it belongs to the stored state, and a replica that lost that comes back with another
+	replicas    []string // names of all replicas, in the order of the settings: the first bootstraps the fleet
+	timing      Terms
+	sender      Sender
+	random      func(n int) int // draws below n
+	err         error           // why it stopped; nil while it runs
+
+	node  *raft.RawNode // nil until the replica has a state or has heard of one
+	log   raftLog
+	state replicatedState
+	term  uint64 // the last raft term that was written since the start; 0: none yet
+
+	nextTick int64
+	election electionTimer
+	peers    peerTable
+	leader   leadership
+}
+
+// electionTimer decides when a follower campaigns.
+type electionTimer struct {
+	campaignAt    int64
+	leaderHeardAt int64 // 0: never
+}
+
+// leadership is what only a leader has. becomeLeader and becomeFollower begin it anew, so nothing that an earlier leader of this replica was
+// asked is answered in a later term.
+type leadership struct {
+	since               int64 // 0: this replica does not take itself for the leader
+	leases              leaseTable
+	proposals           proposalTable
+	proposedMinRevision uint64 // the last that was proposed and may not be committed yet
+	memberChangeAt      int64  // when a change of the voters was proposed last; 0: not in this term
+}
+
+// NewReplica opens a replica with the records that its storage has, in their order; without records it bootstraps a fleet or joins one under
+// the given incarnation. random draws below n. An error tells which record cannot be read.
+func NewKeeper(now int64, name string, incarnation uint64, timing Terms, replicas []string, records [][]byte, storage Lasting, sender Sender,
+	random func(n int) int) (*Keeper, error) {
+	r := &Keeper{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random, nextTick: now,
+		log: newRaftLog(storage), peers: newPeerTable()}
+	r.leader.leases.granted = map[holderID]*grantedLease{}
+	if len(records) == 0 {
+		return r, r.log.writeIncarnation(incarnation)
+	}
+	hasState, err := r.load(records)
+	if err != nil || !hasState {
+		return r, err
+	}
+	return r, r.startNode(now)
+}
+
+// startNode begins to take part in raft. Raft's own election timer never fires: campaigns follow electionTimer, whose chance is handed in, so
+// that a run can be repeated from its seed.
+func (r *Keeper) startNode(now int64) (err error) {
+	r.node, err = raft.NewRawNode(&raft.Config{ID: r.incarnation, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: r.log.entries,
+		Applied: r.log.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, PreVote: true, Logger: discardLogger{},
+		DisableProposalForwarding: true})
+	r.resetElectionTimer(now)
+	return err
+}
+
+// resetElectionTimer puts the next campaign off, as a leader was heard or another candidate got this replica's vote.
+func (r *Keeper) resetElectionTimer(now int64) {
+	quarter := int64(r.timing.Lease) / 4
+	r.election.campaignAt = now + quarter + int64(r.random(int(quarter)))
+}
+
+func (r *Keeper) heartbeatInterval() int64 { return int64(r.timing.Lease) / heartbeatsPerLease }
+
+// IsLeader tells whether this replica takes itself for the leader. Another may lead already: what needs certainty asks a majority.
+func (r *Keeper) Leads() bool { return r.leader.since != 0 }
+
+// IsBootstrapped tells whether this replica knows a history.
+func (r *Keeper) Founded() bool { return r.node != nil && len(r.state.History) > 0 }
+
+// History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under. The caller does not change
+// them.
+func (r *Keeper) History() (revisions []Version, minRevision uint64) {
+	return r.state.History, r.state.Floor
+}
+
+// Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it neither sends nor answers.
+// It is nil while the replica runs.
+func (r *Keeper) Broken() error { return r.err }
+
+// TimeUntilTick is how long Tick has nothing to do.
+func (r *Keeper) Wait(now int64) time.Duration { return time.Duration(max(0, r.nextTick-now)) }
+
+// Tick does what is due at this time: heartbeats, campaigns, announcements, time-outs. The driver calls it once TimeUntilTick has passed;
+// earlier calls do nothing.
+func (r *Keeper) Look(now int64) {
+	if r.err != nil || now < r.nextTick {
+		return
+	}
+	r.nextTick = now + r.heartbeatInterval()
+	if r.node == nil {
+		r.announceToAll()
+		r.tryBootstrap(now)
+		return
+	}
+	if r.state.Voters[r.Name] != r.incarnation {
+		r.announceToAll() // It lost its state or is new: the leader lets it in when it hears this.
+	}
+	r.node.Tick()
+	if !r.Leads() && now >= r.election.campaignAt {
+		r.resetElectionTimer(now)
+		_ = r.node.Campaign() // It fails where this replica is no voter, and then there is nothing to do.
+	}
+	if r.Leads() {
+		r.leaderTick(now)
+	}
+	r.processReady(now)
+}
+
+// leaderTick does what only a leader does.
+func (r *Keeper) leaderTick(now int64) {
+	r.dropOverdueRequests(now)
+	r.confirmLeadership(now)
+	r.expireProposals(now)
+	r.advanceMinRevision(now)
+	r.replaceLostIncarnation(now)
+}
+
+// HandleMessage takes a message of another process, or of this one's lease holder.
+//
+// Raft panics at messages that its own code never sends. A peer that is faulty or forged can send one, and without the guard it would end
+// this process, which serves requests too. So the replica stops alone, and Err tells which peer sent it.
+func (r *Keeper) Heard(now int64, m *Message) {
+	if r.err != nil {
+		return
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			r.err = fmt.Errorf("handle message of %s: raft panicked: %v", m.From, cause)
+		}
+	}()
+	switch {
+	case m.Hello != nil:
+		r.handleAnnouncement(now, m.From, m.Hello)
+	case r.node == nil:
+		return
+	case m.Raft != nil:
+		r.stepRaft(now, m.Raft)
+	case m.Ask != nil:
+		r.handleLeaseRequest(now, m.From, *m.Ask)
+	case m.Propose != nil:
+		r.handleProposal(now, m.From, *m.Propose, m.Ticket)
+	}
+	r.processReady(now)
+}
+
+// stepRaft hands a message of another replica to raft.
+func (r *Keeper) stepRaft(now int64, packed []byte) {
+	m := &pb.Message{}
+	if proto.Unmarshal(packed, m) != nil || m.GetTo() != r.incarnation || raft.IsLocalMsg(m.GetType()) {
+		return
+	}
+	r.peers.recordHeard(now, m.GetFrom())
+	switch m.GetType() {
+	case pb.MsgHeartbeat, pb.MsgApp, pb.MsgSnap:
+		if m.GetTerm() >= r.term {
+			r.resetElectionTimer(now)
+			r.election.leaderHeardAt = now
+		}
+	case pb.MsgPreVote:
+		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again and again: those
+		// who hear the leader ignore it.
+		if r.Leads() || r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < int64(r.timing.Lease)/4 {
+			return
+		}
+	}
+	_ = r.node.Step(m) // Raft refuses messages of replicas that it does not know: they are dropped.
+}
+
+// knownLeader is the name of the leader as raft has it; "" where there is none or its name is not known.
+func (r *Keeper) knownLeader() string { return r.peers.names[r.node.BasicStatus().Lead] }
+
+// processReady carries out all that raft has ready. What has to last is written before anything is sent: a vote or an acknowledgement that
+// leaves before it is on disk can be given a second time after a crash, and then two leaders have a majority in one term.
+func (r *Keeper) processReady(now int64) {
+	for r.err == nil && r.node != nil && r.node.HasReady() {
+		ready := r.node.Ready()
+		if r.err = r.persistReady(now, &ready); r.err != nil {
+			return
+		}
+		if ready.SoftState != nil {
+			r.setLeadership(now, ready.RaftState == raft.StateLeader)
+		}
+		r.sendRaft(ready.Messages)
+		for _, e := range ready.CommittedEntries {
+			r.applyEntry(now, e)
+		}
+		for _, read := range ready.ReadStates {
+			r.grantConfirmedLeases(now, requestNumber(read.RequestCtx), read.Index)
+		}
+		r.node.Advance(ready)
+		if r.err == nil {
+			r.err = r.compactLog()
+		}
+	}
+}
+
+// persistReady writes the hard state, entries and snapshot that raft has ready, and takes them up.
+func (r *Keeper) persistReady(now int64, ready *raft.Ready) error {
+	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
+		if vote := ready.GetVote(); vote != r.log.hard.GetVote() && vote != r.incarnation {
+			r.resetElectionTimer(now) // It voted for another, which gets its time.
+		}
+		r.term = ready.HardState.GetTerm()
+	}
+	if err := r.log.write(ready); err != nil {
+		return fmt.Errorf("write replica log: %w", err)
+	}
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := r.restore(ready.Snapshot); err != nil {
+			return err
+		}
+	}
+	return r.log.append(ready)
+}
+
+// sendRaft sends raft's messages to those replicas whose names are known.
+func (r *Keeper) sendRaft(messages []*pb.Message) {
+	for _, m := range messages {
+		name := r.peers.names[m.GetTo()]
+		if name == "" {
+			continue
+		}
+		r.sender.Send(name, &Message{From: r.Name, Raft: marshalProto(m)})
+		if m.GetType() == pb.MsgSnap {
+			r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // Raft sends it again if the follower's answers show that it was lost.
+		}
+	}
+}
+
+// setLeadership takes up what raft says of who leads.
+func (r *Keeper) setLeadership(now int64, leads bool) {
+	switch {
+	case leads == r.Leads():
+	case leads:
+		r.becomeLeader(now)
+	default:
+		r.becomeFollower()
+	}
+}
+
+// becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier leaders have expired, and
+// budget shares do not grow until then.
+func (r *Keeper) becomeLeader(now int64) {
+	r.leader = r.leader.next()
+	r.leader.since = now
+	if r.timing.Most > 0 {
+		r.leader.leases.ledger = budgets.New(now, r.timing.Most, int64(r.timing.Outlasts()))
+	}
+}
+
+// becomeFollower tells the proposers who wait that their proposals' fate is open: a later leader may still commit what was written. Tickets of
+// the term are void from here on.
+func (r *Keeper) becomeFollower() {
+	for _, p := range r.leader.proposals.pending {
+		r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonLeaderChanged})
+	}
+	r.leader = r.leader.next()
+}
+
+// next is the leadership that a term begins with: empty, but the numbers of lease requests go on, so that no late confirmation of an earlier
+// term is taken for one of this.
+func (l *leadership) next() leadership {
+	return leadership{leases: leaseTable{requestCount: l.leases.requestCount, granted: map[holderID]*grantedLease{}}}
+}
+
+// applyEntry takes up an entry that a majority has written.
+func (r *Keeper) applyEntry(now int64, e *pb.Entry) {
+	r.log.applied = e.GetIndex()
+	r.state.beginTerm(e.GetTerm())
+	if e.GetType() == pb.EntryConfChangeV2 || e.GetType() == pb.EntryConfChange {
+		r.applyMemberChange(e.GetData())
+		return
+	}
+	var c command
+	if len(e.GetData()) == 0 || strictDecoding.Unmarshal(e.GetData(), &c) != nil {
+		return
+	}
+	isOwn := r.Leads() && e.GetTerm() == r.term
+	switch {
+	case c.Propose != nil:
+		r.applyProposal(now, c.Propose, e.GetTerm(), isOwn)
+	case c.Accept != "":
+		r.applyAcceptance(c.Accept, isOwn)
+	case c.Withdraw != "":
+		r.state.withdraw(c.Withdraw)
+	case c.Floor != 0:
+		r.state.Floor = max(r.state.Floor, min(c.Floor, r.state.latest().Number))
+		if isOwn {
+			r.notifyHolders()
+		}
+	}
+}
+
+// proposeCommand hands a command to raft, and tells whether raft took it.
+func (r *Keeper) proposeCommand(c command) bool { return r.node.Propose(encode(c)) == nil }
--- a/agreed/size_test.go
+++ b/agreed/size_test.go
@@ -13,7 +13,7 @@
 func thousandNames(kind string) (names []string) {
 	for n := range thousand {
 		name := fmt.Sprintf("%s-%04d-", kind, n)
-		names = append(names, name+strings.Repeat("x", maxText-len(name)))
+		names = append(names, name+strings.Repeat("x", maxNameBytes-len(name)))
 	}
 	return names
 }
@@ -21,8 +21,8 @@
 // 1,024 versions, each with one more of 1,024 hosts out, can wait for a lease under the first; all go in one message and in one snapshot, and
 // a holder that knows any of them has the rest in steps.
 func TestAThousandVersionsCanWait(t *testing.T) {
-	s := founding(7, map[string]uint64{"b0": 1})
-	for n := 1; n < maxBetween; n++ {
+	s := initialState(7, map[string]uint64{"b0": 1})
+	for n := 1; n < maxActiveRevisions; n++ {
 		id := fmt.Sprint("p", n)
 		s.Candidates = append(s.Candidates, candidate{Change{ID: id, By: "op", Why: "a test", Out: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
@@ -33,15 +33,15 @@
 	if _, err := s.accept("more"); err == nil {
 		t.Error("one more than can count is accepted")
 	}
-	bytes := s.packed()
-	back, err := unpackState(bytes)
-	if err != nil || len(back.History) != maxBetween || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessage {
-		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxBetween, len(bytes))
+	bytes := s.marshal()
+	back, err := unmarshalState(bytes)
+	if err != nil || len(back.History) != maxActiveRevisions || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessageBytes {
+		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
 	}
 	k := &Keeper{Name: "b0", state: back}
 	h := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
 	for _, known := range []uint64{0, 1000} {
-		packed := (&Message{From: "b0", Grant: k.grant(1, known, true)}).Pack()
+		packed := (&Message{From: "b0", Grant: k.leaseResponse(1, known, true)}).Pack()
 		m, err := Unpack(packed)
 		if err != nil {
 			t.Fatal(err)
@@ -50,23 +50,23 @@
 			h = NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
 			h.Recall(1, slices.Clone(back.History[:known]))
 			if len(m.Grant.Versions) != 0 || len(packed) > 10_000 {
-				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxBetween)-known)
+				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxActiveRevisions)-known)
 			}
 		}
-		if !h.learn(m.Grant) || len(h.versions) != maxBetween || len(h.acting.Bans) != maxBetween-1 ||
-			h.versions[maxBetween-1].Digest() != s.latest().Digest() {
-			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.versions), len(h.acting.Bans))
+		if !h.learn(m.Grant) || len(h.known.active) != maxActiveRevisions || len(h.known.config.Bans) != maxActiveRevisions-1 ||
+			h.known.active[maxActiveRevisions-1].Digest() != s.latest().Digest() {
+			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.known.active), len(h.known.config.Bans))
 		}
 	}
 	unknowing := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
-	if unknowing.learn(k.grant(1, 1000, true)) || len(unknowing.versions) > 0 {
+	if unknowing.learn(k.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
 		t.Error("steps are taken without what they begin with")
 	}
-	left, err := UnpackChain(PackChain(h.versions))
-	if err != nil || len(left) != maxBetween || left[maxBetween-1].Digest() != s.latest().Digest() {
+	left, err := UnpackChain(PackChain(h.known.active))
+	if err != nil || len(left) != maxActiveRevisions || left[maxActiveRevisions-1].Digest() != s.latest().Digest() {
 		t.Errorf("%v: %d versions come back", err, len(left))
 	}
-	if g := k.grant(1, 1020, false); len(g.Versions) != 4 || len(g.Steps) != 0 {
+	if g := k.leaseResponse(1, 1020, false); len(g.Versions) != 4 || len(g.Steps) != 0 {
 		t.Error("one of a version before is told steps")
 	}
 }
