--- a/agreed/fleet_test.go
+++ b/agreed/fleet_test.go
@@ -296,7 +296,7 @@
 		a := p.holder.Acting(p.clock())
 		w.trace.add(4, p.n, a.Floor, a.Latest, a.Leased, a.Document, p.holder.Until(), p.holder.Leader(), p.holder.Contrary, p.holder.Wait(p.clock()))
 		if k := p.keeper; k != nil {
-			w.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.Floor, k.log.applied, k.Wait(p.clock()))
+			w.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.MinRevision, k.log.applied, k.Wait(p.clock()))
 		}
 		if !p.stopped && len(w.procs) <= terms.Most {
 			parts += a.Part
--- a/agreed/golden_test.go
+++ b/agreed/golden_test.go
@@ -89,7 +89,7 @@
 	two := change.next(one)
 	later := Change{ID: "p2", Out: []string{"c"}, Limits: map[string]int64{}}
 	members := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
-	st := replicatedState{History: []Version{one, two}, Floor: 3, Voters: members, Candidates: []candidate{{change, 4}}, ID: 7}
+	st := replicatedState{History: []Version{one, two}, MinRevision: 3, Voters: members, Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
 	long := initialState(7, members)
 	for n := range 20 { // So large that it is written as a chain.
 		c := Change{ID: fmt.Sprint("l", n), Out: slices.Repeat([]string{""}, 200)}
@@ -109,7 +109,7 @@
 		"proposal":        (&Message{From: "b0", Propose: &change, Ticket: &Ticket{Term: 3, At: 1e12}}).Pack(),
 		"result":          (&Message{From: "b0", Outcome: &Outcome{ID: "p1", Number: 4, Wrong: "no", Sure: true, Ticket: &Ticket{Term: 3, At: 1}}}).Pack(),
 		"record":          encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
-		"entry":           encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", Floor: 4}),
+		"entry":           encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
 		"state":           st.marshal(),
 		"state, chain":    sum[:],
 		"chain":           PackChain([]Version{one, two, later.next(two)}),
@@ -260,7 +260,7 @@
 	}
 	versions, floor := k.History()
 	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.incarnation, k.Founded(), floor,
-		k.log.applied, marshalProto(k.log.hard), encode(k.state.Voters), encode(k.state.Candidates), encode(versions))
+		k.log.applied, marshalProto(k.log.hard), encode(k.state.Voters), encode(k.state.Unaccepted), encode(versions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
 		return strictDecoding.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
--- a/agreed/leases.go
+++ b/agreed/leases.go
@@ -142,9 +142,9 @@
 
 // leaseResponse has the revisions after a known one; as deltas, where the holder takes these. With seq 0 it is news and no lease.
 func (r *Keeper) leaseResponse(seq, known uint64, deltas bool) *Grant {
-	response := &Grant{Seq: seq, Leader: r.Name, Floor: r.state.Floor, History: r.state.ID}
+	response := &Grant{Seq: seq, Leader: r.Name, Floor: r.state.MinRevision, History: r.state.HistoryID}
 	active := r.state.active()
-	if known < r.state.Floor {
+	if known < r.state.MinRevision {
 		known = 0
 	}
 	firstMissing := 0
@@ -176,10 +176,10 @@
 // after it.
 func (r *Keeper) advanceMinRevision(now int64) {
 	latest := r.state.latest().Number
-	if r.state.Floor >= latest || r.leader.proposedMinRevision >= latest || now-r.leader.since < int64(r.timing.Outlasts()) {
+	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest || now-r.leader.since < int64(r.timing.Outlasts()) {
 		return
 	}
-	if r.doAllHoldersKnow(now, latest) && r.proposeCommand(command{Floor: latest}) {
+	if r.doAllHoldersKnow(now, latest) && r.proposeCommand(command{MinRevision: latest}) {
 		r.leader.proposedMinRevision = latest
 	}
 }
--- a/agreed/proposals.go
+++ b/agreed/proposals.go
@@ -153,7 +153,7 @@
 
 // applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer still waits.
 func (r *Keeper) applyProposal(now int64, c *Change, term uint64, isOwn bool) {
-	r.state.Candidates = append(r.state.Candidates, candidate{*c, term})
+	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*c, term})
 	table := &r.leader.proposals
 	if at := table.indexOf(c.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
 		table.pending[at].isAccepted = r.proposeCommand(command{Accept: c.ID})
--- a/agreed/replica.go
+++ b/agreed/replica.go
@@ -98,7 +98,7 @@
 // History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under. The caller does not change
 // them.
 func (r *Keeper) History() (revisions []Version, minRevision uint64) {
-	return r.state.History, r.state.Floor
+	return r.state.History, r.state.MinRevision
 }
 
 // Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it neither sends nor answers.
@@ -311,8 +311,8 @@
 		r.applyAcceptance(c.Accept, isOwn)
 	case c.Withdraw != "":
 		r.state.withdraw(c.Withdraw)
-	case c.Floor != 0:
-		r.state.Floor = max(r.state.Floor, min(c.Floor, r.state.latest().Number))
+	case c.MinRevision != 0:
+		r.state.MinRevision = max(r.state.MinRevision, min(c.MinRevision, r.state.latest().Number))
 		if isOwn {
 			r.notifyHolders()
 		}
--- a/agreed/size_test.go
+++ b/agreed/size_test.go
@@ -24,12 +24,12 @@
 	s := initialState(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxActiveRevisions; n++ {
 		id := fmt.Sprint("p", n)
-		s.Candidates = append(s.Candidates, candidate{Change{ID: id, By: "op", Why: "a test", Out: []string{fmt.Sprintf("host-%04d", n)}}, 1})
+		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Change{ID: id, By: "op", Why: "a test", Out: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
 			t.Fatalf("version %d: %v", n+1, err)
 		}
 	}
-	s.Candidates = []candidate{{Change{ID: "more", Out: []string{"more"}}, 1}}
+	s.Unaccepted = []unacceptedProposal{{Change{ID: "more", Out: []string{"more"}}, 1}}
 	if _, err := s.accept("more"); err == nil {
 		t.Error("one more than can count is accepted")
 	}
--- a/agreed/statemachine.go
+++ b/agreed/statemachine.go
@@ -27,36 +27,36 @@
 // replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock, on chance or on the order
 // of a map.
 type replicatedState struct {
-	History    []Version         `cbor:"1,keyasint"` // up to the latest
-	Floor      uint64            `cbor:"2,keyasint"` // no lease under an older revision is left
-	Voters     map[string]uint64 `cbor:"3,keyasint"` // incarnations of the replicas that vote
-	Candidates []candidate       `cbor:"4,keyasint,omitempty"`
-	ID         uint64            `cbor:"5,keyasint"`           // of the history: the incarnation of the replica that bootstrapped it
-	Chain      *revisionChain    `cbor:"6,keyasint,omitempty"` // in the place of the history, where that is long
+	History     []Version            `cbor:"1,keyasint"` // up to the latest
+	MinRevision uint64               `cbor:"2,keyasint"` // no lease under an older revision is left
+	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the replicas that vote
+	Unaccepted  []unacceptedProposal `cbor:"4,keyasint,omitempty"`
+	HistoryID   uint64               `cbor:"5,keyasint"`           // of the history: the incarnation of the replica that bootstrapped it
+	Chain       *revisionChain       `cbor:"6,keyasint,omitempty"` // in the place of the history, where that is long
 }
 
 // candidate is a proposal that was written and is neither accepted nor withdrawn.
-type candidate struct {
+type unacceptedProposal struct {
 	Proposal Change `cbor:"1,keyasint"`
 	Term     uint64 `cbor:"2,keyasint"`
 }
 
 // command is an entry of the replicated log. One field is there.
 type command struct {
-	Propose  *Change `cbor:"1,keyasint,omitempty"`
-	Accept   string  `cbor:"2,keyasint,omitempty"` // the ID of a candidate
-	Withdraw string  `cbor:"3,keyasint,omitempty"` // the ID of a candidate
-	Floor    uint64  `cbor:"4,keyasint,omitempty"`
+	Propose     *Change `cbor:"1,keyasint,omitempty"`
+	Accept      string  `cbor:"2,keyasint,omitempty"` // the ID of a candidate
+	Withdraw    string  `cbor:"3,keyasint,omitempty"` // the ID of a candidate
+	MinRevision uint64  `cbor:"4,keyasint,omitempty"`
 }
 
 // initialState is what a history begins with: an empty first revision.
 func initialState(founder uint64, voters map[string]uint64) replicatedState {
-	return replicatedState{History: []Version{{Number: 1}}, Floor: 1, Voters: voters, ID: founder}
+	return replicatedState{History: []Version{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: founder}
 }
 
 // isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the latest.
 func (s *replicatedState) isConsistent() bool {
-	return len(s.History) > 0 && s.History[0].Number <= s.Floor && s.Floor <= s.latest().Number
+	return len(s.History) > 0 && s.History[0].Number <= s.MinRevision && s.MinRevision <= s.latest().Number
 }
 
 // marshal is the state as it is stored and sent. A long history goes as a chain, which builds that do not know it refuse, as they see no
@@ -96,7 +96,7 @@
 
 // active are the revisions from the min revision on: those that a process under a lease can be acting on.
 func (s *replicatedState) active() []Version {
-	return s.History[slices.IndexFunc(s.History, func(v Version) bool { return v.Number >= s.Floor }):]
+	return s.History[slices.IndexFunc(s.History, func(v Version) bool { return v.Number >= s.MinRevision }):]
 }
 
 // revisionOf is the revision that a proposal became; 0: none that is still known.
@@ -112,7 +112,7 @@
 // beginTerm drops what was proposed and not accepted in earlier terms: the leader that could have accepted it may have told its proposer that
 // it never will be in force.
 func (s *replicatedState) beginTerm(term uint64) {
-	s.Candidates = slices.DeleteFunc(s.Candidates, func(c candidate) bool { return c.Term < term })
+	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Term < term })
 }
 
 // accept makes a candidate the next revision and returns its number. A proposal that was accepted before has the number of then: sent twice, it
@@ -121,11 +121,11 @@
 	if revision := s.revisionOf(id); revision != 0 {
 		return revision, nil
 	}
-	at := slices.IndexFunc(s.Candidates, func(c candidate) bool { return c.Proposal.ID == id })
+	at := slices.IndexFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Proposal.ID == id })
 	if at < 0 {
 		return 0, errNotProposed
 	}
-	proposal := s.Candidates[at].Proposal
+	proposal := s.Unaccepted[at].Proposal
 	s.withdraw(id)
 	next, err := proposal.apply(s.latest())
 	if err != nil {
@@ -141,7 +141,7 @@
 }
 
 func (s *replicatedState) withdraw(id string) {
-	s.Candidates = slices.DeleteFunc(s.Candidates, func(c candidate) bool { return c.Proposal.ID == id })
+	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Proposal.ID == id })
 }
 
 // checkRoomFor tells whether one more revision can be active: in number, in bytes of a message, and in names of all configurations.
@@ -172,7 +172,7 @@
 			break
 		}
 	}
-	for from > 0 && s.History[from].Number > s.Floor {
+	for from > 0 && s.History[from].Number > s.MinRevision {
 		from--
 	}
 	if from > 0 {
