--- a/agreed/config_test.go
+++ b/agreed/config_test.go
@@ -9,7 +9,7 @@
 )
 
 // What is strict counts at once, what is loose waits for the floor, and what is neither is the floor's.
-func TestStrictest(t *testing.T) {
+func TestStrictestConfigOfActiveRevisions(t *testing.T) {
 	v := Version{Number: 1}
 	next := func(c Change) Version {
 		c.ID = "x"
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestChangesAreChecked(t *testing.T) {
+func TestProposalValidateNamesTheField(t *testing.T) {
 	long := strings.Repeat("n", maxNameBytes+1)
 	for want, c := range map[string]Change{
 		"id: ":      {},
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTerms(t *testing.T) {
+func TestLeaseTimingBounds(t *testing.T) {
 	terms := Terms{Lease: 1800 * time.Millisecond, RateError: 0.01, Pause: 150 * time.Millisecond}
 	if got := terms.T().Round(time.Millisecond); got != 1986*time.Millisecond || terms.Check() != nil {
 		t.Errorf("T %v, %v", got, terms.Check())
@@ -70,7 +70,7 @@
 }
 
 // No message leads a keeper or a holder astray or out of its bounds.
-func FuzzUnpack(f *testing.F) {
+func FuzzUnmarshalMessage(f *testing.F) {
 	f.Add((&Message{From: "a", Ask: &Ask{Seq: 1}}).Pack())
 	f.Add((&Message{From: "a", Raft: []byte{8, 3, 16, 1}}).Pack())
 	f.Add((&Message{From: "a", Grant: &Grant{Floor: 9, Versions: []Version{{Number: 3}, {Number: 9}}}}).Pack())
@@ -81,11 +81,11 @@
 		if err != nil {
 			return
 		}
-		w := newTown(t, 1, 3, 0, true)
-		for w.step < 400 {
-			w.one()
+		sim := newSimulation(t, 1, 3, 0, true)
+		for sim.step < 400 {
+			sim.advance()
 		}
-		p := w.procs[0]
+		p := sim.processes[0]
 		if m.Grant != nil {
 			p.holder.Heard(p.clock(), m.Grant)
 			p.holder.Acting(p.clock())
@@ -93,18 +93,18 @@
 				t.Fatal("a holder keeps more than can count")
 			}
 		} else {
-			p.keeper.Heard(p.clock(), m)
+			p.replica.Heard(p.clock(), m)
 		}
-		for w.step < 450 {
-			w.now += ms
-			w.one()
+		for sim.step < 450 {
+			sim.now += ms
+			sim.advance()
 		}
 	})
 }
 
 // A process that acts on one history takes nothing of another, and no lease.
-func TestAnotherHistory(t *testing.T) {
-	h := NewHolder(0, "p", 1, Terms{Lease: time.Second}, []string{"k"}, nowhere{}, func(int) int { return 0 })
+func TestLeaseHolderRejectsAnotherHistory(t *testing.T) {
+	h := NewHolder(0, "p", 1, Terms{Lease: time.Second}, []string{"k"}, discardSender{}, func(int) int { return 0 })
 	grant := func(seq, history uint64, versions ...Version) {
 		h.Look(h.requests.nextAt)
 		h.Heard(h.requests.sent[h.requests.seq%8].at+1, &Grant{Seq: h.requests.seq, Leader: "k", Floor: versions[0].Number, Versions: versions, History: history})
@@ -122,12 +122,12 @@
 	}
 }
 
-type nowhere struct{}
+type discardSender struct{}
 
-func (nowhere) Send(string, *Message) {}
+func (discardSender) Send(string, *Message) {}
 
 // What others tell of drains beyond one's own list counts; that a host is well never does.
-func TestLists(t *testing.T) {
+func TestCompareListsTakesDrainsOnly(t *testing.T) {
 	others := []Listed{{Name: "a", Index: 9, Digest: 1, Drains: []Drained{{"old", 4}, {"h", 8}, {"odd", 12}}}, {Name: "b", Index: 5, Digest: 3,
 		Drains: []Drained{{"k", 5}}}, {Name: "c", Index: 5, Digest: 2, Drains: []Drained{{"own", 3}}}, {Name: "d", Index: 2, Drains: []Drained{{"past", 2}}}}
 	c := Compare(5, 2, others)
@@ -140,7 +140,7 @@
 }
 
 // A list that goes back is held against what it was, until it has come past that or has stayed lower for a minute.
-func TestListGoesBack(t *testing.T) {
+func TestListRollbackGuardHoldsUntilPastOrWindow(t *testing.T) {
 	var o Own
 	minute := int64(time.Minute)
 	for n, c := range []struct {
@@ -163,13 +163,13 @@
 }
 
 // Without a ticket nothing is written: what the network repeats late cannot come into force after its proposer was told no for sure.
-func TestTickets(t *testing.T) {
-	w := newTown(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.expiresAt != 0 }); n++ {
-		w.one()
+func TestProposalNeedsValidTicket(t *testing.T) {
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.Leads() && p.holder.expiresAt != 0 }); n++ {
+		sim.advance()
 	}
-	p := w.procs[slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() })]
-	k := p.keeper
+	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() })]
+	k := p.replica
 	written := func(id string, t *Ticket) bool {
 		k.Heard(p.clock(), &Message{From: p.name, Propose: &Change{ID: id, Out: []string{id}}, Ticket: t})
 		return slices.ContainsFunc(k.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
@@ -191,7 +191,7 @@
 }
 
 // A list that is behind for a moment is not worth a line; one that stays behind is, once.
-func TestLateIsSaidOnceAndNotAtOnce(t *testing.T) {
+func TestPersistentConditionReportsOnce(t *testing.T) {
 	var l Late
 	for _, step := range []struct {
 		at   int64
--- a/agreed/golden_answers_test.go
+++ b/agreed/golden_answers_test.go
@@ -28,13 +28,13 @@
 // An operator who reads another answer than the one that a proposal had, or none, does the wrong thing next. Each answer is played, with its
 // exact text.
 func TestGoldenAnswers(t *testing.T) {
-	w := newTown(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() && p.holder.expiresAt != 0 }); n++ {
-		w.one()
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.Leads() && p.holder.expiresAt != 0 }); n++ {
+		sim.advance()
 	}
-	at := slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() })
-	p, out := w.procs[at], &outbox{}
-	k, now := p.keeper, p.clock()
+	at := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() })
+	p, out := sim.processes[at], &outbox{}
+	k, now := p.replica, p.clock()
 	k.sender = out
 	propose := func(what string, c Change) {
 		out.note("%s", what)
@@ -60,7 +60,7 @@
 	k.Look(now)
 	propose("refused before", Change{ID: "w1", Out: []string{"h1"}})
 	propose("waits when another leads", Change{ID: "late", Out: []string{"h2"}})
-	other := w.procs[(at+1)%3].keeper
+	other := sim.processes[(at+1)%3].replica
 	step := func(m *pb.Message) {
 		k.Heard(now, &Message{From: other.Name, Raft: marshalProto(m)})
 	}
@@ -78,8 +78,8 @@
 	k.Look(now + ms)
 	k.Heard(now, &Message{From: "op", Propose: &Change{ID: "broken", Out: []string{"h"}}})
 	out.note("broken %t", k.Broken() != nil)
-	for name, full := range map[string]Lasting{"at once": failing{}, "bad records": &disk{}} {
-		_, err := NewKeeper(0, "b0", 1, terms, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name], full, out, func(int) int { return 0 })
+	for name, full := range map[string]Lasting{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
+		_, err := NewKeeper(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name], full, out, func(int) int { return 0 })
 		if err == nil {
 			t.Errorf("%s: a replica begins", name)
 		}
@@ -88,21 +88,21 @@
 }
 
 // failing is a disk that is full.
-type failing struct{}
+type failingStorage struct{}
 
-func (failing) Add([][]byte) error  { return errors.New("full") }
-func (failing) Swap([][]byte) error { return errors.New("full") }
+func (failingStorage) Add([][]byte) error  { return errors.New("full") }
+func (failingStorage) Swap([][]byte) error { return errors.New("full") }
 
 // A replica that says what it could not write may vote twice after it starts again: with a full disk it says nothing more.
-func TestSaysNothingThatIsNotWritten(t *testing.T) {
-	w := newTown(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !w.procs[0].keeper.Founded(); n++ {
-		w.one()
+func TestStopsWhenStorageFails(t *testing.T) {
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !sim.processes[0].replica.Founded(); n++ {
+		sim.advance()
 	}
-	k, other, sent := w.procs[0].keeper, w.procs[1].keeper, 0
-	k.sender, k.log.storage = countingSender{&sent}, failing{}
+	k, other, sent := sim.processes[0].replica, sim.processes[1].replica, 0
+	k.sender, k.log.storage = countingSender{&sent}, failingStorage{}
 	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 9), Index: new(uint64(99)), LogTerm: new(k.term + 8)}
-	k.Heard(w.procs[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
+	k.Heard(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
 	if k.Broken() == nil || sent > 0 {
 		t.Errorf("with a full disk: broken %v, %d messages sent", k.Broken(), sent)
 	}
@@ -144,7 +144,7 @@
 // A process that takes up a version too much, or misses one, acts on what the others do not: what a holder makes of grants out of order, with
 // gaps, of another history, is the same, grant for grant.
 func TestGoldenGrants(t *testing.T) {
-	draw, tr := rand.New(rand.NewPCG(5, 5)), newTrace()
+	draw, tr := rand.New(rand.NewPCG(5, 5)), newTraceHash()
 	histories := [2][]Version{}
 	for h := range histories {
 		histories[h] = []Version{{Number: 1}}
@@ -155,7 +155,7 @@
 		}
 	}
 	for range 40 {
-		h := NewHolder(0, "p", 1, terms, []string{"k", "l"}, nowhere{}, draw.IntN)
+		h := NewHolder(0, "p", 1, testTiming, []string{"k", "l"}, discardSender{}, draw.IntN)
 		if draw.IntN(2) == 0 {
 			h.Recall(1, histories[draw.IntN(2)][:1+draw.IntN(3)])
 		}
--- a/agreed/golden_test.go
+++ b/agreed/golden_test.go
@@ -39,11 +39,11 @@
 }
 
 // trace hashes what a run does: bytes on the wire, stored records, numbers. No identifier of the code may get into it.
-type trace struct{ hash.Hash }
+type traceHash struct{ hash.Hash }
 
-func newTrace() *trace { return &trace{sha256.New()} }
+func newTraceHash() *traceHash { return &traceHash{sha256.New()} }
 
-func (tr *trace) add(values ...any) {
+func (tr *traceHash) add(values ...any) {
 	if tr != nil {
 		tr.Write(encode(values))
 	}
@@ -60,7 +60,7 @@
 	return rest.Pack()
 }
 
-func (tr *trace) sum() string { return hex.EncodeToString(tr.Sum(nil)) }
+func (tr *traceHash) sum() string { return hex.EncodeToString(tr.Sum(nil)) }
 
 // A rename or a split of a function that moves one draw, one message or one record is seen by no rule of a seeded run, and two processes of
 // different builds, or one that starts again from its log, would then decide differently.
@@ -68,13 +68,13 @@
 	var lines []string
 	for _, keepers := range []int{3, 5, 7} {
 		for seed := range uint64(3) {
-			tr := newTrace()
-			w := play(t, seed, keepers, 25_000, func(w *town) { w.trace = tr })
-			if w.calm(keepers); w.broken != "" {
-				t.Fatalf("%d replicas, seed %d: %s", keepers, seed, w.broken)
+			tr := newTraceHash()
+			sim := runSimulation(t, seed, keepers, 25_000, func(sim *simulation) { sim.trace = tr })
+			if sim.healAndCheck(keepers); sim.violation != "" {
+				t.Fatalf("%d replicas, seed %d: %s", keepers, seed, sim.violation)
 			}
-			tr.add(w.sent, len(w.settled), len(w.refused), w.worst)
-			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", keepers, seed, len(w.digests), w.sent, tr.sum()))
+			tr.add(sim.sent, len(sim.accepted), len(sim.refused), sim.longestContradiction)
+			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", keepers, seed, len(sim.digests), sim.sent, tr.sum()))
 		}
 	}
 	checkGolden(t, "traces.golden", []byte(strings.Join(lines, "")))
@@ -137,7 +137,7 @@
 }
 
 // flightRecord is one message of a recorded session: when it arrived where.
-type flightRecord struct {
+type recordedMessage struct {
 	At    int64  `cbor:"1,keyasint"`
 	From  int    `cbor:"2,keyasint"`
 	To    int    `cbor:"3,keyasint"`
@@ -145,34 +145,34 @@
 }
 
 // member is one process of a session; its draws are its own.
-type member struct {
-	n      int
-	keeper *Keeper
-	holder *Holder
-	disk   disk
-	sent   []flightRecord
-	now    int64
+type sessionMember struct {
+	n       int
+	replica *Keeper
+	holder  *Holder
+	disk    memoryStorage
+	sent    []recordedMessage
+	now     int64
 }
 
-func (m *member) Send(to string, msg *Message) {
-	m.sent = append(m.sent, flightRecord{m.now + ms, m.n, int(to[1] - '0'), msg.Pack()})
+func (m *sessionMember) Send(to string, msg *Message) {
+	m.sent = append(m.sent, recordedMessage{m.now + ms, m.n, int(to[1] - '0'), msg.Pack()})
 }
 
 // session runs the live ones of three replicas for some seconds; what the others say is recorded. It gives all that was said.
-func session(t *testing.T, live []int, recorded []flightRecord) (all []flightRecord, members map[int]*member) {
-	members = map[int]*member{}
+func runSession(t *testing.T, live []int, recorded []recordedMessage) (all []recordedMessage, members map[int]*sessionMember) {
+	members = map[int]*sessionMember{}
 	names := []string{"b0", "b1", "b2"}
 	for _, n := range live {
-		m := &member{n: n}
+		m := &sessionMember{n: n}
 		draw := rand.New(rand.NewPCG(uint64(n), 1)).IntN
-		m.holder = NewHolder(0, names[n], uint64(n+1), terms, names, m, draw)
-		k, err := NewKeeper(0, names[n], uint64(n+1), terms, names, nil, &m.disk, m, draw)
+		m.holder = NewHolder(0, names[n], uint64(n+1), testTiming, names, m, draw)
+		k, err := NewKeeper(0, names[n], uint64(n+1), testTiming, names, nil, &m.disk, m, draw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.keeper, members[n] = k, m
+		m.replica, members[n] = k, m
 	}
-	queue := slices.DeleteFunc(slices.Clone(recorded), func(f flightRecord) bool { return slices.Contains(live, f.From) })
+	queue := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool { return slices.Contains(live, f.From) })
 	for now := int64(0); now < 2500*ms; now += ms {
 		for at := 0; at < len(queue); at++ {
 			if m := members[queue[at].To]; m != nil && queue[at].At == now {
@@ -184,41 +184,41 @@
 				if msg.Grant != nil {
 					m.holder.Heard(now, msg.Grant)
 				} else if msg.Outcome == nil {
-					m.keeper.Heard(now, msg)
+					m.replica.Heard(now, msg)
 				}
 			}
 		}
 		for _, n := range live {
 			m := members[n]
 			m.now, m.holder.Rate = now, float64(100*(n+1))
-			if m.keeper.Look(now); n == 1 && now == 1500*ms {
-				m.Send(m.holder.Leader(), &Message{From: "b1", Propose: &Change{ID: "p", Out: []string{"h"}}, Ticket: &Ticket{m.keeper.term, now}})
+			if m.replica.Look(now); n == 1 && now == 1500*ms {
+				m.Send(m.holder.Leader(), &Message{From: "b1", Propose: &Change{ID: "p", Out: []string{"h"}}, Ticket: &Ticket{m.replica.term, now}})
 			}
 			m.holder.Look(now)
 			all, queue, m.sent = append(all, m.sent...), append(queue, m.sent...), nil
 		}
-		slices.SortStableFunc(queue, func(a, b flightRecord) int { return (a.From - b.From) })
+		slices.SortStableFunc(queue, func(a, b recordedMessage) int { return (a.From - b.From) })
 	}
 	return all, members
 }
 
 // Members of the recorded build say what they said; one of this build joins them, leads or follows as then, and comes to the same lease: a
 // fleet that is upgraded one process at a time goes on agreeing.
-func TestAgreesWithARecordedBuild(t *testing.T) {
-	said, _ := session(t, []int{0, 1, 2}, nil)
+func TestReplicatesWithRecordedBuild(t *testing.T) {
+	said, _ := runSession(t, []int{0, 1, 2}, nil)
 	checkGolden(t, "session.cbor", encode(said))
 	file, err := os.ReadFile("testdata/session.cbor")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var recorded []flightRecord
+	var recorded []recordedMessage
 	if err := strictDecoding.Unmarshal(file, &recorded); err != nil {
 		t.Fatal(err)
 	}
 	leaders := 0
 	for n := range 3 {
-		again, members := session(t, []int{n}, recorded)
-		own := slices.DeleteFunc(slices.Clone(recorded), func(f flightRecord) bool { return f.From != n })
+		again, members := runSession(t, []int{n}, recorded)
+		own := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool { return f.From != n })
 		if !bytes.Equal(encode(again), encode(own)) {
 			t.Errorf("b%d among recorded members says something else than then", n)
 		}
@@ -226,7 +226,7 @@
 		if !a.Leased || a.Latest != 2 || !slices.Equal(a.Bans, []string{"h"}) || a.Part <= 0 {
 			t.Errorf("b%d comes to no lease on version 2 with the recorded members", n)
 		}
-		if members[n].keeper.Leads() {
+		if members[n].replica.Leads() {
 			leaders++
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // A replica that cannot read the log that its earlier build wrote has lost its vote; one that reads it otherwise begins a second history.
-func TestOpensARecordedLog(t *testing.T) {
+func TestOpensRecordedReplicaLog(t *testing.T) {
 	const file = "testdata/replica.log"
 	if *update {
 		writeLog(t, file)
@@ -254,7 +254,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	k, err := NewKeeper(0, "b0", 99, terms, []string{"b0", "b1", "b2"}, records, log, nowhere{}, func(int) int { return 0 })
+	k, err := NewKeeper(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,24 +276,24 @@
 
 // writeLog writes the log of a replica that put a snapshot in the place of its oldest records and went on.
 func writeLog(t *testing.T, path string) {
-	w := newTown(t, 11, 3, 0, true)
+	sim := newSimulation(t, 11, 3, 0, true)
 	run := func(span time.Duration) {
-		for end := w.now + int64(span); w.now < end; {
-			w.one()
+		for end := sim.now + int64(span); sim.now < end; {
+			sim.advance()
 		}
 	}
 	change := func(c Change) {
-		w.propose(0, slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() }), c)
+		sim.propose(0, slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() }), c)
 		run(4 * time.Second)
 	}
 	run(10 * time.Second)
 	digest := "d1"
 	change(Change{By: "op", Why: "w", Out: []string{"h1", "h2"}, Limits: map[string]int64{"held": 7}})
 	change(Change{By: "op", Leave: []string{"z1"}, Digest: &digest})
-	leads := slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper.Leads() })
+	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() })
 	lost := 1 + leads%2 // b0 stays; a member of new life comes in the place of one that lost its state.
-	w.procs[lost].disk = nil
-	w.start(lost, true, 3)
+	sim.processes[lost].disk = nil
+	sim.startProcess(lost, true, 3)
 	run(15 * time.Second)
 	change(Change{By: "op", Back: []string{"h1"}, Out: []string{"h3"}})
 	aside := filepath.Join(t.TempDir(), "replica.log")
@@ -302,7 +302,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	records := w.procs[0].disk.records
+	records := sim.processes[0].disk.records
 	if err := log.Swap(records[:2]); err == nil {
 		err = log.Add(records[2:])
 	}
@@ -317,7 +317,7 @@
 
 // What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same, call for call.
 func TestGoldenLists(t *testing.T) {
-	draw, tr := rand.New(rand.NewPCG(3, 3)), newTrace()
+	draw, tr := rand.New(rand.NewPCG(3, 3)), newTraceHash()
 	var own Own
 	var late Late
 	now := int64(1)
--- a/agreed/size_test.go
+++ b/agreed/size_test.go
@@ -20,7 +20,7 @@
 
 // 1,024 versions, each with one more of 1,024 hosts out, can wait for a lease under the first; all go in one message and in one snapshot, and
 // a holder that knows any of them has the rest in steps.
-func TestAThousandVersionsCanWait(t *testing.T) {
+func TestThousandRevisionsCanBeActive(t *testing.T) {
 	s := initialState(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxActiveRevisions; n++ {
 		id := fmt.Sprint("p", n)
@@ -39,7 +39,7 @@
 		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
 	}
 	k := &Keeper{Name: "b0", state: back}
-	h := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+	h := NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 	for _, known := range []uint64{0, 1000} {
 		packed := (&Message{From: "b0", Grant: k.leaseResponse(1, known, true)}).Pack()
 		m, err := Unpack(packed)
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		if known == 1000 { // One that has been told of so many.
-			h = NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+			h = NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 			h.Recall(1, slices.Clone(back.History[:known]))
 			if len(m.Grant.Versions) != 0 || len(packed) > 10_000 {
 				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxActiveRevisions)-known)
@@ -58,7 +58,7 @@
 			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.known.active), len(h.known.config.Bans))
 		}
 	}
-	unknowing := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+	unknowing := NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 	if unknowing.learn(k.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
 		t.Error("steps are taken without what they begin with")
 	}
@@ -72,7 +72,7 @@
 }
 
 // What a version changed, of every kind, is found again from the two documents.
-func TestSteps(t *testing.T) {
+func TestDeltasReproduceRevisions(t *testing.T) {
 	d1, s1, f1 := "d1", "127.0.0.1:1", uint64(9)
 	v := Version{Number: 1}
 	var all []Version
@@ -98,18 +98,18 @@
 
 // A fleet agrees on 1,024 hosts and 1,024 zones of the longest names, on many versions in the time of one lease, and lets a replica in that lost
 // all of it.
-func TestAgreementOnAThousand(t *testing.T) {
-	w := newTown(t, 5, 3, 3, true)
+func TestThousandEndpointsAndZonesReplicate(t *testing.T) {
+	sim := newSimulation(t, 5, 3, 3, true)
 	until := func(what string, come func() bool) {
 		t.Helper()
-		for end := w.now + 60_000*ms; !come(); w.one() {
-			if w.now > end || w.broken != "" {
-				t.Fatalf("%s does not come; %s", what, w.broken)
+		for end := sim.now + 60_000*ms; !come(); sim.advance() {
+			if sim.now > end || sim.violation != "" {
+				t.Fatalf("%s does not come; %s", what, sim.violation)
 			}
 		}
 	}
 	all := func(version uint64, but int) bool {
-		for n, p := range w.procs {
+		for n, p := range sim.processes {
 			if a := p.holder.Acting(p.clock()); n != but && (!a.Leased || a.Latest < version) {
 				return false
 			}
@@ -117,38 +117,38 @@
 		return true
 	}
 	leads := func() int {
-		return slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper != nil && p.keeper.Leads() })
+		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.Leads() })
 	}
 	until("a lease everywhere", func() bool { return all(1, -1) })
-	w.procs[5].stopped = true // Its lease keeps the floor back.
+	sim.processes[5].isPaused = true // Its lease keeps the floor back.
 	const many, atOnce = 192, 32
 	for n := 0; n < many; n += atOnce {
 		for i := range atOnce {
-			w.propose(4, leads(), Change{Out: []string{fmt.Sprint("host-", n+i)}})
+			sim.propose(4, leads(), Change{Out: []string{fmt.Sprint("host-", n+i)}})
 		}
-		until("an answer to each", func() bool { return len(w.procs[4].waiting) == 0 })
+		until("an answer to each", func() bool { return len(sim.processes[4].waiting) == 0 })
 	}
-	if len(w.settled) != many || len(w.refused) > 0 {
-		t.Errorf("%d proposals of %d are accepted, %d refused", len(w.settled), many, len(w.refused))
+	if len(sim.accepted) != many || len(sim.refused) > 0 {
+		t.Errorf("%d proposals of %d are accepted, %d refused", len(sim.accepted), many, len(sim.refused))
 	}
-	w.procs[5].wake()
+	sim.processes[5].resume()
 	until("all acting on all", func() bool { return all(many+1, -1) })
-	w.propose(4, leads(), Change{Out: thousandNames("host")})
-	w.propose(4, leads(), Change{Leave: thousandNames("zone")})
+	sim.propose(4, leads(), Change{Out: thousandNames("host")})
+	sim.propose(4, leads(), Change{Leave: thousandNames("zone")})
 	until("all acting on the long ones", func() bool { return all(many+3, -1) })
-	for _, p := range w.procs {
+	for _, p := range sim.processes {
 		if a := p.holder.Acting(p.clock()); len(a.Bans) != thousand+many || len(a.Left) != thousand {
 			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.Bans), len(a.Left))
 		}
 	}
 	lost := (leads() + 1) % 3
-	w.procs[lost].disk = nil
-	w.start(lost, true, 3)
+	sim.processes[lost].disk = nil
+	sim.startProcess(lost, true, 3)
 	until("the replica that lost its state", func() bool {
-		k := w.procs[lost].keeper
+		k := sim.processes[lost].replica
 		return k.Founded() && len(k.state.latest().Document.Bans) == thousand+many && all(many+3, -1)
 	})
-	if w.broken != "" {
-		t.Error(w.broken)
+	if sim.violation != "" {
+		t.Error(sim.violation)
 	}
 }
