--- /dev/null
+++ b/agreed/invariants_test.go
@@ -0,0 +1,165 @@
+package agreed
+
+import (
+	"container/heap"
+	"fmt"
+	"os"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// Two operators act on two histories, or a host gets requests that another process must not send any more: that is what faults of the network,
+// of processes and of disks may never lead to. Random faults are played; no invariant breaks, and when the faults end, all processes act on
+// the latest revision under leases.
+func TestInvariantsHoldUnderFaults(t *testing.T) {
+	for _, keepers := range []int{3, 5, 7} {
+		t.Run(fmt.Sprint(keepers), func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(3) {
+				sim := runSimulation(t, seed, keepers, stepCount(25_000))
+				if sim.violation != "" {
+					t.Fatalf("seed %d: %s", seed, sim.violation)
+				}
+				t.Logf("seed %d: %d versions, %d accepted, %d refused for sure, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
+					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.T())
+				if sim.healAndCheck(keepers); sim.violation != "" {
+					t.Fatalf("seed %d: %s", seed, sim.violation)
+				}
+			}
+		})
+	}
+}
+
+// A fault plan that breaks an invariant can be one in thousands. HOLLYLEVER_PLANS short runs, each from its seed, by hand; not for CI.
+func TestInvariantsHoldUnderManyFaultPlans(t *testing.T) {
+	plans, err := strconv.Atoi(os.Getenv("HOLLYLEVER_PLANS"))
+	if err != nil {
+		t.Skip("only where it is asked for")
+	}
+	var worst, versions, told atomic.Int64
+	var wait sync.WaitGroup
+	for lane := range 6 {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			for seed := uint64(lane); seed < uint64(plans); seed += 6 {
+				sim := runSimulation(t, seed, []int{3, 5, 7}[seed/3%3], 2500)
+				if sim.violation != "" && told.Add(1) < 5 {
+					t.Errorf("seed %d: %s", seed, sim.violation)
+				}
+				versions.Add(int64(len(sim.digests)))
+				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at, sim.longestContradiction); at = worst.Load() {
+				}
+			}
+		}()
+	}
+	wait.Wait()
+	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), testTiming.T())
+}
+
+// A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time an invariant is seen broken.
+func TestInvariantChecksDetectRemovedGuards(t *testing.T) {
+	for part, c := range map[string]struct {
+		without func(sim *simulation)
+		want    string
+	}{
+		"the wait for leases under older versions": {func(sim *simulation) {
+			sim.beforeEach = func(k *Keeper) {
+				if clear(k.leader.leases.granted); k.leader.since != 0 {
+					k.leader.since = 1
+				}
+			}
+		}, "is loose already"},
+		"the look at a lease after a pause": {func(sim *simulation) { sim.ignoresLeaseExpiry = true }, "is loose already|over T"},
+		"what is written of votes": {func(sim *simulation) {
+			for sim.dropsVotes = true; len(sim.queue) > 0; {
+				heap.Pop(&sim.queue)
+			}
+			for n, p := range sim.processes[:3] {
+				p.disk = nil
+				sim.startProcess(n, true, 3)
+			}
+		}, "two histories|answered no|is loose already"},
+		"a majority's word before a grant": {func(sim *simulation) {
+			sim.beforeEach = func(k *Keeper) {
+				if k.Leads() && k.leader.leases.confirming != 0 {
+					k.grantConfirmedLeases(k.leader.leases.confirmingAt, k.leader.leases.requestCount, 0)
+				}
+			}
+		}, "over T|is loose already|of the whole"},
+	} {
+		t.Run(part, func(t *testing.T) {
+			t.Parallel()
+			for seed := uint64(0); seed < 60; seed += 3 { // With disks.
+				if sim := runSimulation(t, seed, 3, 25_000, c.without); sim.violation != "" {
+					if !regexp.MustCompile(c.want).MatchString(sim.violation) {
+						t.Errorf("seed %d: %s", seed, sim.violation)
+					}
+					return
+				}
+			}
+			t.Error("no rule was broken without it")
+		})
+	}
+}
+
+// With many lease holders the leader could spend its time on leases alone. This measures what agreement costs, in simulated time, for the numbers
+// of processes that HOLLYLEVER_SIZES names, by hand; not for CI.
+func TestMessageCostBySize(t *testing.T) {
+	if os.Getenv("HOLLYLEVER_SIZES") == "" {
+		t.Skip("only where it is asked for")
+	}
+	for _, word := range strings.Split(os.Getenv("HOLLYLEVER_SIZES"), ",") {
+		n, err := strconv.Atoi(word)
+		if err != nil {
+			t.Fatal(err)
+		}
+		sim := newSimulation(t, 1, 3, n-3, true)
+		all := func(floor bool, version uint64) bool {
+			for _, p := range sim.processes {
+				a := p.holder.Acting(p.clock())
+				if !a.Leased || a.Latest < version || floor && a.Floor < version {
+					return false
+				}
+			}
+			return true
+		}
+		for !all(true, 1) {
+			sim.advance()
+		}
+		began, bytes, sent := sim.now, sim.bytes, sim.sent
+		clear(sim.bytesBySender)
+		for sim.now < began+int64(10*time.Second) {
+			sim.advance()
+		}
+		leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.Leads() })
+		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; who leads sends %.0f bytes a second", n,
+			float64(sim.bytes-bytes)/10/float64(n), float64(sim.sent-sent)/10/float64(n), float64(sim.bytesBySender[leads])/10)
+		var strict, loose []int64
+		for v := uint64(2); v < 12; v++ {
+			began := sim.now
+			sim.propose(n-1, leads, Change{Out: []string{fmt.Sprint("h", v)}})
+			for !all(false, v) {
+				sim.advance()
+			}
+			strict = append(strict, sim.now-began)
+			for !all(true, v) {
+				sim.advance()
+			}
+			loose = append(loose, sim.now-began)
+		}
+		slices.Sort(strict)
+		slices.Sort(loose)
+		t.Logf("%d processes: what is strict counts at the last after a median of %v, most %v; what is loose after %v, most %v", n, time.Duration(strict[5]),
+			time.Duration(strict[9]), time.Duration(loose[5]), time.Duration(loose[9]))
+		if sim.violation != "" {
+			t.Error(sim.violation)
+		}
+	}
+}
--- a/agreed/size_test.go
+++ b/agreed/revisions_test.go
@@ -9,7 +9,7 @@
 
 const thousand = 1024
 
-// thousandNames are as long as may be.
+// thousandNames are as long as names may be.
 func thousandNames(kind string) (names []string) {
 	for n := range thousand {
 		name := fmt.Sprintf("%s-%04d-", kind, n)
@@ -18,8 +18,8 @@
 	return names
 }
 
-// 1,024 versions, each with one more of 1,024 hosts out, can wait for a lease under the first; all go in one message and in one snapshot, and
-// a holder that knows any of them has the rest in steps.
+// An operator ejects hosts one by one while a paused process holds a lease under the first revision: 1,024 revisions can wait for it. All go in
+// one message and in one snapshot, a holder that knows any of them has the rest as deltas, and one more is refused.
 func TestThousandRevisionsCanBeActive(t *testing.T) {
 	s := initialState(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxActiveRevisions; n++ {
@@ -71,7 +71,8 @@
 	}
 }
 
-// What a version changed, of every kind, is found again from the two documents.
+// A delta that misses a field gives a holder another configuration under the same number. Changes of every kind are found again from the
+// revisions and give the same digests.
 func TestDeltasReproduceRevisions(t *testing.T) {
 	d1, s1, f1 := "d1", "127.0.0.1:1", uint64(9)
 	v := Version{Number: 1}
@@ -96,8 +97,8 @@
 	}
 }
 
-// A fleet agrees on 1,024 hosts and 1,024 zones of the longest names, on many versions in the time of one lease, and lets a replica in that lost
-// all of it.
+// A fleet of 1,024 hosts and 1,024 zones with the longest names outgrows a message or a snapshot. It agrees on all of them, on many revisions in
+// the time of one lease, and lets a replica in that lost its state.
 func TestThousandEndpointsAndZonesReplicate(t *testing.T) {
 	sim := newSimulation(t, 5, 3, 3, true)
 	until := func(what string, come func() bool) {
--- a/agreed/fleet_test.go
+++ b/agreed/simulation_test.go
@@ -5,23 +5,20 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"regexp"
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 )
 
 const ms = int64(time.Millisecond)
 
-// Most is a bound on the processes of all towns here but the largest, for which measurements set it.
+// testTiming has a bound on the processes that holds for all simulations but those of TestMessageCostBySize.
 var testTiming = Terms{Lease: 1800 * time.Millisecond, RateError: 0.01, Pause: 0, Most: 12}
 
-// A town is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays, repeats and cuts, and
-// the rules looked at after every step.
+// simulation is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays, repeats and cuts, and the
+// invariants checked after every step. All chance comes from one seed.
 type simulation struct {
 	t                    testing.TB
 	random               *rand.Rand
@@ -52,8 +49,10 @@
 	trace                *traceHash        // nil: not hashed
 }
 
+// firstUse is when a revision was acted on first: as the latest, and as the min revision.
 type firstUse struct{ latest, floor int64 }
 
+// process is one member of a simulated fleet: a lease holder, and on the first ones a replica.
 type process struct {
 	sim                    *simulation
 	index                  int
@@ -73,6 +72,7 @@
 	ticketed               map[string]bool
 }
 
+// sentMessage is a message on its way; n orders those that arrive together.
 type sentMessage struct {
 	at       int64
 	n        uint64
@@ -80,29 +80,26 @@
 	bytes    []byte
 }
 
+// messageQueue is a heap by time of arrival.
 type messageQueue []sentMessage
 
 func (f messageQueue) Len() int { return len(f) }
+
 func (f messageQueue) Less(i, j int) bool {
 	return f[i].at < f[j].at || f[i].at == f[j].at && f[i].n < f[j].n
 }
+
 func (f messageQueue) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
-func (f *messageQueue) Push(x any)   { *f = append(*f, x.(sentMessage)) }
+
+func (f *messageQueue) Push(x any) { *f = append(*f, x.(sentMessage)) }
+
 func (f *messageQueue) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
 	return last
 }
 
-// fly puts a message on its way.
-func (sim *simulation) deliverAfter(after int64, from, to int, bytes []byte) {
-	sim.sent++
-	sim.bytes += uint64(len(bytes))
-	sim.bytesBySender[from] += uint64(len(bytes))
-	heap.Push(&sim.queue, sentMessage{sim.now + after, sim.sent, from, to, bytes})
-}
-
-// disk is a Lasting that a crash leaves.
+// memoryStorage is a Storage that outlasts a crash of its process.
 type memoryStorage struct {
 	records    [][]byte
 	dropsVotes bool // votes are not written
@@ -127,32 +124,12 @@
 	return d.Add(records)
 }
 
-func (p *process) clock() int64 {
-	return p.clockBase + int64(float64(p.sim.now-p.clockBaseAt)*p.clockRate)
-}
+// discardSender loses all messages.
+type discardSender struct{}
 
-// Send puts a message on its way, in its packed form.
-func (p *process) Send(to string, m *Message) {
-	sim := p.sim
-	sim.trace.add(3, sim.now, p.index, to, withoutPart(m))
-	dest := slices.IndexFunc(sim.processes, func(q *process) bool { return q.name == to })
-	if dest < 0 {
-		return
-	}
-	if dest == p.index {
-		sim.deliverAfter(0, p.index, dest, m.Pack())
-		return
-	}
-	for range 2 {
-		if !sim.cutLinks[[2]int{p.index, dest}] && sim.random.Float64() >= sim.lossRate {
-			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, dest, m.Pack())
-		}
-		if sim.random.Float64() >= sim.repeatRate {
-			break
-		}
-	}
-}
+func (discardSender) Send(string, *Message) {}
 
+// newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back with no state.
 func newSimulation(t testing.TB, seed uint64, keepers, others int, disks bool) *simulation {
 	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12, cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
 		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Change{}, digests: map[uint64]string{}}
@@ -167,7 +144,7 @@
 	return sim
 }
 
-// start begins a process, with what lasts of it.
+// startProcess begins a process anew, with what its disk has.
 func (sim *simulation) startProcess(n int, keeps bool, keepers int) {
 	p := sim.processes[n]
 	p.clockBaseAt, p.clockBase = sim.now, p.clockBase+sim.random.Int64N(1e9)
@@ -192,7 +169,34 @@
 	p.isDown, p.isPaused, p.pausedInbox = false, false, nil
 }
 
-// one plays one thing: a message that arrives, or time that passes.
+// runSimulation plays a number of steps with random faults and proposals, or until an invariant is broken.
+func runSimulation(t testing.TB, seed uint64, keepers, n int, without ...func(sim *simulation)) *simulation {
+	sim := newSimulation(t, seed, keepers, 4, seed%3 != 2)
+	for _, take := range without {
+		take(sim)
+	}
+	for sim.step < n && sim.violation == "" {
+		if sim.random.IntN(250) == 0 {
+			sim.injectFault(keepers)
+		}
+		if sim.random.IntN(120) == 0 {
+			sim.proposeAtRandom(keepers)
+		}
+		sim.keepMajorityAlive(keepers)
+		sim.advance()
+	}
+	return sim
+}
+
+// stepCount is how many steps a run has: few in CI, as many as HOLLYLEVER_STEPS says by hand.
+func stepCount(few int) int {
+	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
+		return n
+	}
+	return few
+}
+
+// advance plays one step: a message that arrives, or time that passes.
 func (sim *simulation) advance() {
 	sim.step++
 	if len(sim.queue) == 0 || sim.queue[0].at > sim.lastTick+10*ms {
@@ -213,6 +217,41 @@
 	sim.checkInvariants()
 }
 
+// deliverAfter has a message arrive after some nanoseconds.
+func (sim *simulation) deliverAfter(after int64, from, to int, bytes []byte) {
+	sim.sent++
+	sim.bytes += uint64(len(bytes))
+	sim.bytesBySender[from] += uint64(len(bytes))
+	heap.Push(&sim.queue, sentMessage{sim.now + after, sim.sent, from, to, bytes})
+}
+
+// clock is what this process's own clock shows.
+func (p *process) clock() int64 {
+	return p.clockBase + int64(float64(p.sim.now-p.clockBaseAt)*p.clockRate)
+}
+
+// Send puts a message on its way, in its encoded form. One to the process itself always arrives.
+func (p *process) Send(to string, m *Message) {
+	sim := p.sim
+	sim.trace.add(3, sim.now, p.index, to, withoutPart(m))
+	dest := slices.IndexFunc(sim.processes, func(q *process) bool { return q.name == to })
+	if dest < 0 {
+		return
+	}
+	if dest == p.index {
+		sim.deliverAfter(0, p.index, dest, m.Pack())
+		return
+	}
+	for range 2 {
+		if !sim.cutLinks[[2]int{p.index, dest}] && sim.random.Float64() >= sim.lossRate {
+			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, dest, m.Pack())
+		}
+		if sim.random.Float64() >= sim.repeatRate {
+			break
+		}
+	}
+}
+
 func (p *process) tick() {
 	if p.isDown || p.isPaused {
 		return
@@ -228,7 +267,7 @@
 	p.holder.Look(now)
 }
 
-// rateOf is the traffic that comes to a process: it changes, and one may lie.
+// requestRate is the traffic of a process: it changes, and process 1 claims too much.
 func (p *process) requestRate() float64 {
 	rate := float64(1 + (p.sim.step/5000+p.index*7)%9*50)
 	if p.index == 1 {
@@ -255,6 +294,7 @@
 	}
 }
 
+// handleResult takes the answer to a proposal; one that asks for a ticket sends the proposal again.
 func (p *process) handleResult(from string, o *Outcome) {
 	sim := p.sim
 	switch {
@@ -272,7 +312,16 @@
 	delete(p.waiting, o.ID)
 }
 
-// propose asks a keeper to accept a change.
+// resume lets a paused process go on with what has waited for it, as if no time had passed.
+func (p *process) resume() {
+	p.isPaused = false
+	for _, f := range p.pausedInbox {
+		p.sim.deliverAfter(0, f.from, f.to, f.bytes)
+	}
+	p.pausedInbox = nil
+}
+
+// propose sends a proposal from one process to the replica of another, and gives its ID.
 func (sim *simulation) propose(from, to int, c Change) string {
 	sim.proposalCount++
 	c.ID = fmt.Sprintf("p%d", sim.proposalCount)
@@ -283,80 +332,19 @@
 	return c.ID
 }
 
-// rules looks at what all act on. Contradictions are counted between processes under leases.
-func (sim *simulation) checkInvariants() {
-	fail := func(format string, with ...any) {
-		if sim.violation == "" {
-			sim.violation = fmt.Sprintf("step %d: ", sim.step) + fmt.Sprintf(format, with...)
-		}
-	}
-	parts := 0.0
-	for _, p := range sim.processes {
-		if p.isDown {
-			continue
-		}
-		a := p.holder.Acting(p.clock())
-		sim.trace.add(4, p.index, a.Floor, a.Latest, a.Leased, a.Document, p.holder.Until(), p.holder.Leader(), p.holder.Contrary, p.holder.Wait(p.clock()))
-		if k := p.replica; k != nil {
-			sim.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.MinRevision, k.log.applied, k.Wait(p.clock()))
-		}
-		if !p.isPaused && len(sim.processes) <= testTiming.Most {
-			parts += a.Part
-		}
-		looked := p.lastChecked
-		p.lastChecked = [3]uint64{p.incarnation, a.Floor, a.Latest}
-		for _, v := range p.holder.known.active {
-			if looked == p.lastChecked {
-				break
-			}
-			if was, known := sim.digests[v.Number]; !known {
-				sim.digests[v.Number] = v.Digest()
-			} else if was != v.Digest() {
-				fail("two histories: version %d is %s and %s", v.Number, was, v.Digest())
-			}
-			if v.ID != "" && sim.refused[v.ID] {
-				fail("proposal %s was answered no for sure, and is version %d", v.ID, v.Number)
-			}
-		}
-		for uint64(len(sim.firstUses)) <= a.Latest {
-			sim.firstUses = append(sim.firstUses, firstUse{})
-		}
-		for v := int(a.Latest); v > 0 && sim.firstUses[v].latest == 0; v-- {
-			sim.firstUses[v].latest = sim.now
-		}
-		for v := int(a.Floor); v > 0 && sim.firstUses[v].floor == 0; v-- {
-			sim.firstUses[v].floor = sim.now
-		}
-		if !a.Leased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
-			continue // Alone it says so; and while it is stopped it decides nothing.
-		}
-		if next := int(a.Latest) + 1; next < len(sim.firstUses) {
-			if sim.firstUses[next].floor != 0 {
-				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.Latest, next)
-			}
-			if sim.firstUses[next].latest != 0 {
-				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].latest)
-			}
-		}
-	}
-	if sim.largestShareSum = max(sim.largestShareSum, parts); parts > 1+1e-9 {
-		fail("the parts that all act on are %v of the whole", parts)
-	}
-	if sim.longestContradiction > int64(testTiming.T()) {
-		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.T())
-	}
-}
-
-// wake lets a stopped process go on, with what has waited for it, as if nothing had been.
-func (p *process) resume() {
-	p.isPaused = false
-	for _, f := range p.pausedInbox {
-		p.sim.deliverAfter(0, f.from, f.to, f.bytes)
+// proposeAtRandom sends a random proposal from somewhere to some replica.
+func (sim *simulation) proposeAtRandom(keepers int) {
+	host := []string{fmt.Sprint("h", sim.random.IntN(6))}
+	c := Change{By: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
+	if sim.random.IntN(2) == 0 {
+		c.Out = host
+	} else {
+		c.Back = host
 	}
-	p.pausedInbox = nil
+	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(keepers), c)
 }
 
-// trouble changes what the network and the processes do, by chance.
+// injectFault changes by chance what the network and the processes do: cuts, loss, repeats, delays, crashes, pauses, and their ends.
 func (sim *simulation) injectFault(keepers int) {
 	n, m := sim.random.IntN(len(sim.processes)), sim.random.IntN(len(sim.processes))
 	p := sim.processes[n]
@@ -395,193 +383,7 @@
 	}
 }
 
-// change proposes something somewhere.
-func (sim *simulation) proposeAtRandom(keepers int) {
-	host := []string{fmt.Sprint("h", sim.random.IntN(6))}
-	c := Change{By: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
-	if sim.random.IntN(2) == 0 {
-		c.Out = host
-	} else {
-		c.Back = host
-	}
-	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(keepers), c)
-}
-
-// steps is how many are played: few by the way, a million where it is asked for.
-func stepCount(few int) int {
-	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
-		return n
-	}
-	return few
-}
-
-// TestFleet plays troubles by chance: no two histories, nothing loose while a lease under an older version is left, nothing contrary for
-// longer than T, nothing in force that was refused for sure; and when troubles end, all act on the latest under leases.
-func TestInvariantsHoldUnderFaults(t *testing.T) {
-	for _, keepers := range []int{3, 5, 7} {
-		t.Run(fmt.Sprint(keepers), func(t *testing.T) {
-			t.Parallel()
-			for seed := range uint64(3) {
-				sim := runSimulation(t, seed, keepers, stepCount(25_000))
-				if sim.violation != "" {
-					t.Fatalf("seed %d: %s", seed, sim.violation)
-				}
-				t.Logf("seed %d: %d versions, %d accepted, %d refused for sure, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
-					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.T())
-				if sim.healAndCheck(keepers); sim.violation != "" {
-					t.Fatalf("seed %d: %s", seed, sim.violation)
-				}
-			}
-		})
-	}
-}
-
-func runSimulation(t testing.TB, seed uint64, keepers, n int, without ...func(sim *simulation)) *simulation {
-	sim := newSimulation(t, seed, keepers, 4, seed%3 != 2)
-	for _, take := range without {
-		take(sim)
-	}
-	for sim.step < n && sim.violation == "" {
-		if sim.random.IntN(250) == 0 {
-			sim.injectFault(keepers)
-		}
-		if sim.random.IntN(120) == 0 {
-			sim.proposeAtRandom(keepers)
-		}
-		sim.keepMajorityAlive(keepers)
-		sim.advance()
-	}
-	return sim
-}
-
-// TestManyPlans is not for CI: HOLLYLEVER_PLANS short runs, each from its seed.
-func TestInvariantsHoldUnderManyFaultPlans(t *testing.T) {
-	plans, err := strconv.Atoi(os.Getenv("HOLLYLEVER_PLANS"))
-	if err != nil {
-		t.Skip("only where it is asked for")
-	}
-	var worst, versions, told atomic.Int64
-	var wait sync.WaitGroup
-	for lane := range 6 {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			for seed := uint64(lane); seed < uint64(plans); seed += 6 {
-				sim := runSimulation(t, seed, []int{3, 5, 7}[seed/3%3], 2500)
-				if sim.violation != "" && told.Add(1) < 5 {
-					t.Errorf("seed %d: %s", seed, sim.violation)
-				}
-				versions.Add(int64(len(sim.digests)))
-				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at, sim.longestContradiction); at = worst.Load() {
-				}
-			}
-		}()
-	}
-	wait.Wait()
-	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), testTiming.T())
-}
-
-// TestSizes is not for CI: what agreement costs with many holders, in the time of the run. HOLLYLEVER_SIZES names how many.
-func TestMessageCostBySize(t *testing.T) {
-	if os.Getenv("HOLLYLEVER_SIZES") == "" {
-		t.Skip("only where it is asked for")
-	}
-	for _, word := range strings.Split(os.Getenv("HOLLYLEVER_SIZES"), ",") {
-		n, err := strconv.Atoi(word)
-		if err != nil {
-			t.Fatal(err)
-		}
-		sim := newSimulation(t, 1, 3, n-3, true)
-		all := func(floor bool, version uint64) bool {
-			for _, p := range sim.processes {
-				a := p.holder.Acting(p.clock())
-				if !a.Leased || a.Latest < version || floor && a.Floor < version {
-					return false
-				}
-			}
-			return true
-		}
-		for !all(true, 1) {
-			sim.advance()
-		}
-		began, bytes, sent := sim.now, sim.bytes, sim.sent
-		clear(sim.bytesBySender)
-		for sim.now < began+int64(10*time.Second) {
-			sim.advance()
-		}
-		leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.Leads() })
-		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; who leads sends %.0f bytes a second", n,
-			float64(sim.bytes-bytes)/10/float64(n), float64(sim.sent-sent)/10/float64(n), float64(sim.bytesBySender[leads])/10)
-		var strict, loose []int64
-		for v := uint64(2); v < 12; v++ {
-			began := sim.now
-			sim.propose(n-1, leads, Change{Out: []string{fmt.Sprint("h", v)}})
-			for !all(false, v) {
-				sim.advance()
-			}
-			strict = append(strict, sim.now-began)
-			for !all(true, v) {
-				sim.advance()
-			}
-			loose = append(loose, sim.now-began)
-		}
-		slices.Sort(strict)
-		slices.Sort(loose)
-		t.Logf("%d processes: what is strict counts at the last after a median of %v, most %v; what is loose after %v, most %v", n, time.Duration(strict[5]),
-			time.Duration(strict[9]), time.Duration(loose[5]), time.Duration(loose[9]))
-		if sim.violation != "" {
-			t.Error(sim.violation)
-		}
-	}
-}
-
-// TestRulesAreSeenBroken takes out one part after the other that the rules rest on; each time a rule is seen broken.
-func TestInvariantChecksDetectRemovedGuards(t *testing.T) {
-	for part, c := range map[string]struct {
-		without func(sim *simulation)
-		want    string
-	}{
-		"the wait for leases under older versions": {func(sim *simulation) {
-			sim.beforeEach = func(k *Keeper) {
-				if clear(k.leader.leases.granted); k.leader.since != 0 {
-					k.leader.since = 1
-				}
-			}
-		}, "is loose already"},
-		"the look at a lease after a pause": {func(sim *simulation) { sim.ignoresLeaseExpiry = true }, "is loose already|over T"},
-		"what is written of votes": {func(sim *simulation) {
-			for sim.dropsVotes = true; len(sim.queue) > 0; {
-				heap.Pop(&sim.queue)
-			}
-			for n, p := range sim.processes[:3] {
-				p.disk = nil
-				sim.startProcess(n, true, 3)
-			}
-		}, "two histories|answered no|is loose already"},
-		"a majority's word before a grant": {func(sim *simulation) {
-			sim.beforeEach = func(k *Keeper) {
-				if k.Leads() && k.leader.leases.confirming != 0 {
-					k.grantConfirmedLeases(k.leader.leases.confirmingAt, k.leader.leases.requestCount, 0)
-				}
-			}
-		}, "over T|is loose already|of the whole"},
-	} {
-		t.Run(part, func(t *testing.T) {
-			t.Parallel()
-			for seed := uint64(0); seed < 60; seed += 3 { // With disks.
-				if sim := runSimulation(t, seed, 3, 25_000, c.without); sim.violation != "" {
-					if !regexp.MustCompile(c.want).MatchString(sim.violation) {
-						t.Errorf("seed %d: %s", seed, sim.violation)
-					}
-					return
-				}
-			}
-			t.Error("no rule was broken without it")
-		})
-	}
-}
-
-// keepMajority guards a fleet whose keepers have no disks: a majority that dies at once takes the history along, by what is stated.
+// keepMajorityAlive undoes a crash that would take the history along: replicas without disks lose it when a majority dies at once, as is stated.
 func (sim *simulation) keepMajorityAlive(keepers int) {
 	if sim.processes[0].hasDisk {
 		return
@@ -601,7 +403,7 @@
 	}
 }
 
-// calm ends all troubles; then the fleet has to come to rest on one version.
+// healAndCheck ends all faults; then all processes come to rest on one revision, under leases.
 func (sim *simulation) healAndCheck(keepers int) {
 	clear(sim.cutLinks)
 	sim.lossRate, sim.repeatRate, sim.maxDelay = 0, 0, 3*ms
@@ -632,3 +434,68 @@
 		}
 	}
 }
+
+// checkInvariants looks at what all act on: one history, nothing in force that was refused for good, nothing loose while a lease under an older
+// revision is left, no contradiction for longer than stated, and no budget over the whole.
+func (sim *simulation) checkInvariants() {
+	fail := func(format string, with ...any) {
+		if sim.violation == "" {
+			sim.violation = fmt.Sprintf("step %d: ", sim.step) + fmt.Sprintf(format, with...)
+		}
+	}
+	parts := 0.0
+	for _, p := range sim.processes {
+		if p.isDown {
+			continue
+		}
+		a := p.holder.Acting(p.clock())
+		sim.trace.add(4, p.index, a.Floor, a.Latest, a.Leased, a.Document, p.holder.Until(), p.holder.Leader(), p.holder.Contrary, p.holder.Wait(p.clock()))
+		if k := p.replica; k != nil {
+			sim.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.MinRevision, k.log.applied, k.Wait(p.clock()))
+		}
+		if !p.isPaused && len(sim.processes) <= testTiming.Most {
+			parts += a.Part
+		}
+		looked := p.lastChecked
+		p.lastChecked = [3]uint64{p.incarnation, a.Floor, a.Latest}
+		for _, v := range p.holder.known.active {
+			if looked == p.lastChecked {
+				break
+			}
+			if was, known := sim.digests[v.Number]; !known {
+				sim.digests[v.Number] = v.Digest()
+			} else if was != v.Digest() {
+				fail("two histories: version %d is %s and %s", v.Number, was, v.Digest())
+			}
+			if v.ID != "" && sim.refused[v.ID] {
+				fail("proposal %s was answered no for sure, and is version %d", v.ID, v.Number)
+			}
+		}
+		for uint64(len(sim.firstUses)) <= a.Latest {
+			sim.firstUses = append(sim.firstUses, firstUse{})
+		}
+		for v := int(a.Latest); v > 0 && sim.firstUses[v].latest == 0; v-- {
+			sim.firstUses[v].latest = sim.now
+		}
+		for v := int(a.Floor); v > 0 && sim.firstUses[v].floor == 0; v-- {
+			sim.firstUses[v].floor = sim.now
+		}
+		if !a.Leased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
+			continue // Alone it says so; and while it is stopped it decides nothing.
+		}
+		if next := int(a.Latest) + 1; next < len(sim.firstUses) {
+			if sim.firstUses[next].floor != 0 {
+				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.Latest, next)
+			}
+			if sim.firstUses[next].latest != 0 {
+				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].latest)
+			}
+		}
+	}
+	if sim.largestShareSum = max(sim.largestShareSum, parts); parts > 1+1e-9 {
+		fail("the parts that all act on are %v of the whole", parts)
+	}
+	if sim.longestContradiction > int64(testTiming.T()) {
+		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.T())
+	}
+}
