--- a/agreed/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"maps"
@@ -27,7 +27,7 @@
 }
 
 type receivedAnnouncement struct {
-	Hello
+	Announcement
 	at int64
 }
 
@@ -50,7 +50,7 @@
 }
 
 // announceToAll tells all other replicas the incarnation and the voters that this one has.
-func (r *Keeper) announceToAll() {
+func (r *Replica) announceToAll() {
 	for _, name := range r.replicas {
 		if name != r.Name {
 			r.announce(name)
@@ -58,17 +58,17 @@
 	}
 }
 
-func (r *Keeper) announce(to string) {
-	r.sender.Send(to, &Message{From: r.Name, Hello: &Hello{Life: r.incarnation, Voters: maps.Clone(r.state.Voters)}})
+func (r *Replica) announce(to string) {
+	r.sender.Send(to, &Message{From: r.Name, Announcement: &Announcement{Incarnation: r.incarnation, Voters: maps.Clone(r.state.Voters)}})
 }
 
 // handleAnnouncement takes what another replica says of its state.
-func (r *Keeper) handleAnnouncement(now int64, from string, a *Hello) {
+func (r *Replica) handleAnnouncement(now int64, from string, a *Announcement) {
 	if !slices.Contains(r.replicas, from) || from == r.Name || len(a.Voters) > maxAnnouncedVoters {
 		return
 	}
 	r.peers.announcements[from] = receivedAnnouncement{*a, now}
-	r.peers.names[a.Life] = from
+	r.peers.names[a.Incarnation] = from
 	for name, incarnation := range a.Voters {
 		if slices.Contains(r.replicas, name) {
 			r.peers.names[incarnation] = name
@@ -77,14 +77,14 @@
 	switch {
 	case r.node == nil && len(a.Voters) > 0:
 		r.err = r.startNode(now) // There is a history: the leader sends it, once this incarnation is a voter.
-	case r.node != nil && len(a.Voters) == 0 && r.Founded():
+	case r.node != nil && len(a.Voters) == 0 && r.IsBootstrapped():
 		r.announce(from)
 	}
 }
 
 // tryBootstrap begins the history, if this replica is the first that the settings name and all others say that they know of none. A majority
 // would not do: the others could be those that hold the history, and the fleet would act on two.
-func (r *Keeper) tryBootstrap(now int64) {
+func (r *Replica) tryBootstrap(now int64) {
 	if r.replicas[0] != r.Name {
 		return
 	}
@@ -94,13 +94,13 @@
 		if !heard || len(a.Voters) > 0 || now-a.at > bootstrapWindow*r.heartbeatInterval() {
 			return
 		}
-		voters[name] = a.Life
+		voters[name] = a.Incarnation
 	}
 	r.bootstrap(now, voters)
 }
 
 // bootstrap writes the first snapshot, with which all other replicas begin too, and says so.
-func (r *Keeper) bootstrap(now int64, voters map[string]uint64) {
+func (r *Replica) bootstrap(now int64, voters map[string]uint64) {
 	first := initialState(r.incarnation, voters)
 	snapshot := &pb.Snapshot{Data: first.marshal(), Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
 		ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Values(voters))}}}
@@ -118,20 +118,20 @@
 // replaceLostIncarnation lets a replica in that came back without its state, or came new: its incarnation takes the place of its old one among
 // the voters. It waits until the old one has been silent, and the last change of the voters has been over, for as long as a lease can last:
 // else a replica that is only slow would lose its vote, and two changes in a row could take a majority's votes away.
-func (r *Keeper) replaceLostIncarnation(now int64) {
+func (r *Replica) replaceLostIncarnation(now int64) {
 	for _, name := range r.replicas {
 		a, heard := r.peers.announcements[name]
 		old := r.state.Voters[name]
 		quietSince := max(r.peers.lastHeard[old], r.leader.since, r.leader.memberChangeAt)
-		if !heard || a.Life == old || now-a.at > joinWindow*r.heartbeatInterval() || now-quietSince < int64(r.timing.Outlasts()) {
+		if !heard || a.Incarnation == old || now-a.at > joinWindow*r.heartbeatInterval() || now-quietSince < int64(r.timing.GranterTimeout()) {
 			continue
 		}
-		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(a.Life)}}
+		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(a.Incarnation)}}
 		if old != 0 {
 			changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: new(old)})
 		}
-		r.peers.names[a.Life] = name
-		context := encode(map[string]uint64{name: a.Life})
+		r.peers.names[a.Incarnation] = name
+		context := encode(map[string]uint64{name: a.Incarnation})
 		if r.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: context}) == nil {
 			r.leader.memberChangeAt = now
 		}
@@ -140,7 +140,7 @@
 }
 
 // applyMemberChange takes up a change of the voters.
-func (r *Keeper) applyMemberChange(data []byte) {
+func (r *Replica) applyMemberChange(data []byte) {
 	change := &pb.ConfChangeV2{}
 	if proto.Unmarshal(data, change) != nil {
 		return
--- a/agreed/config.go
+++ b/consensus/config.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"crypto/sha256"
@@ -15,76 +15,78 @@
 )
 
 // ReplicatedConfig is what all processes of a fleet agree on. Slices and maps are shared between revisions and are never changed in place.
-type Document struct {
+type ReplicatedConfig struct {
 	// Bans are the hosts that operators ejected, sorted.
-	Bans []string `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
+	EjectedEndpoints []string `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
 	// Limits are stated bounds by name, such as a tenant's quota.
 	Limits map[string]int64 `cbor:"2,keyasint,omitempty" json:"limits,omitempty"`
 	// Digest is that of the settings file in force.
-	Digest string `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"`
+	SettingsDigest string `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"`
 	// Source is the address of the discovery whose endpoint list counts.
-	Source string `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`
+	DiscoverySource string `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`
 	// From is the index from which on that discovery's lists count.
-	From uint64 `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`
+	MinListIndex uint64 `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`
 	// Left are the evacuated zones, sorted.
-	Left []string `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`
+	EvacuatedZones []string `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`
 }
 
 // nameCount is how many names a configuration has: what it takes in memory follows from that.
-func (d *Document) nameCount() int { return len(d.Bans) + len(d.Left) + len(d.Limits) }
+func (d *ReplicatedConfig) nameCount() int {
+	return len(d.EjectedEndpoints) + len(d.EvacuatedZones) + len(d.Limits)
+}
 
 // Revision is one place of the history.
-type Version struct {
+type Revision struct {
 	// Number counts revisions from 1.
 	Number uint64 `cbor:"1,keyasint" json:"version"`
 	// ID is that of the proposal that made it; empty for the first.
-	ID string `cbor:"2,keyasint,omitempty" json:"id,omitempty"`
+	ProposalID string `cbor:"2,keyasint,omitempty" json:"id,omitempty"`
 	// By and Why are who proposed it, and the reason given.
-	By  string `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
-	Why string `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
+	Author string `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
+	Reason string `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
 	// Document is the whole configuration as of this revision.
-	Document Document `cbor:"5,keyasint" json:"document"`
+	Config ReplicatedConfig `cbor:"5,keyasint" json:"document"`
 
-	delta      *Change // what it changed against the one before, where that is known
-	deltaBytes int     // of delta, encoded
+	delta      *Proposal // what it changed against the one before, where that is known
+	deltaBytes int       // of delta, encoded
 }
 
 // Digest tells a revision from every other that could have its number.
-func (v Version) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(encode(v)))[:16] }
+func (v Revision) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(encode(v)))[:16] }
 
 // EffectiveConfig is what a process acts on: the strictest of the revisions that are in force here.
-type Acting struct {
+type EffectiveConfig struct {
 	// Floor and Latest are the first and the last of these revisions; 0: none is known.
-	Floor  uint64 `json:"Floor"`
-	Latest uint64 `json:"Latest"`
+	MinRevision    uint64 `json:"Floor"`
+	LatestRevision uint64 `json:"Latest"`
 	// Leased tells whether the process is under a lease. Without one it acts alone, on what it knows.
-	Leased bool `json:"Leased"`
+	IsLeased bool `json:"Leased"`
 	// Part is this process's share of the fleet's budgets, 0 to 1; 0: they are not divided.
-	Part float64 `json:"Part"`
+	BudgetShare float64 `json:"Part"`
 
-	Document
+	ReplicatedConfig
 }
 
 // strictest puts revisions in a row together: what any of them forbids is forbidden, and what is neither stricter nor looser is as the first
 // has it.
-func strictest(revisions []Version) Document {
+func strictest(revisions []Revision) ReplicatedConfig {
 	if len(revisions) == 0 {
-		return Document{}
+		return ReplicatedConfig{}
 	}
-	first := revisions[0].Document
-	d := Document{Digest: first.Digest, Source: first.Source, From: first.From}
+	first := revisions[0].Config
+	d := ReplicatedConfig{SettingsDigest: first.SettingsDigest, DiscoverySource: first.DiscoverySource, MinListIndex: first.MinListIndex}
 	return d.tightenedBy(revisions)
 }
 
 // tightenedBy is a configuration with all that later revisions make stricter.
-func (d Document) tightenedBy(revisions []Version) Document {
+func (d ReplicatedConfig) tightenedBy(revisions []Revision) ReplicatedConfig {
 	limits := map[string]int64{}
 	maps.Copy(limits, d.Limits)
 	d.Limits = limits
 	for _, v := range revisions {
-		d.Bans, d.Left = union(d.Bans, v.Document.Bans), union(d.Left, v.Document.Left)
-		d.From = max(d.From, v.Document.From)
-		for name, limit := range v.Document.Limits {
+		d.EjectedEndpoints, d.EvacuatedZones = union(d.EjectedEndpoints, v.Config.EjectedEndpoints), union(d.EvacuatedZones, v.Config.EvacuatedZones)
+		d.MinListIndex = max(d.MinListIndex, v.Config.MinListIndex)
+		for name, limit := range v.Config.Limits {
 			if now, stated := d.Limits[name]; !stated || limit < now {
 				d.Limits[name] = limit
 			}
--- a/agreed/doc.go
+++ b/consensus/doc.go
@@ -8,4 +8,4 @@
 //
 // Both are deterministic state machines without I/O: the clock, chance, the network and the storage are handed in, so the same code runs on
 // sockets and in a seeded run of a million steps. docs/design/agreement.md has the reasons.
-package agreed
+package consensus
--- a/agreed/encoding.go
+++ b/consensus/encoding.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import "github.com/fxamacker/cbor/v2"
 
--- a/agreed/endpointlists.go
+++ b/consensus/endpointlists.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"slices"
@@ -6,45 +6,45 @@
 )
 
 // EndpointListState is what a process tells of the endpoint list that it acts on.
-type Listed struct {
+type EndpointListState struct {
 	Name          string // of the process
 	Index, Digest uint64 // of the list
-	Drains        []Drained
+	Drained       []DrainedEndpoint
 }
 
 // DrainedHost is a host that a list called draining or gone from an index on.
-type Drained struct {
+type DrainedEndpoint struct {
 	Host  string
 	Index uint64
 }
 
 // ListComparison is what the lists of others tell about one's own.
-type Compared struct {
-	News     []string // hosts that a later list, or another under the same index, calls draining or gone; sorted
-	Behind   string   // a process that has a later list; empty: none has
-	Latest   uint64   // the highest index of these; 0: none is later
-	Contrary string   // a process that has another list under the same index; empty: none has
+type ListComparison struct {
+	DrainedEndpoints []string // hosts that a later list, or another under the same index, calls draining or gone; sorted
+	PeerAhead        string   // a process that has a later list; empty: none has
+	LatestIndex      uint64   // the highest index of these; 0: none is later
+	ConflictingPeer  string   // a process that has another list under the same index; empty: none has
 }
 
 // CompareLists compares one's own list with others'. Drains beyond the own index count, and so do those of another list under the same index;
 // that a host is ready never does. A process whose discovery is late would else go on sending to a host that is shutting down.
-func Compare(index, digest uint64, others []Listed) (c Compared) {
+func CompareLists(index, digest uint64, others []EndpointListState) (c ListComparison) {
 	for _, other := range others {
 		isConflicting := other.Index == index && other.Digest != digest
 		if isConflicting {
-			c.Contrary = other.Name
+			c.ConflictingPeer = other.Name
 		}
-		if other.Index > index && other.Index > c.Latest {
-			c.Behind, c.Latest = other.Name, other.Index
+		if other.Index > index && other.Index > c.LatestIndex {
+			c.PeerAhead, c.LatestIndex = other.Name, other.Index
 		}
-		for _, d := range other.Drains {
+		for _, d := range other.Drained {
 			if d.Index > index && d.Index <= other.Index || isConflicting && d.Index <= index {
-				c.News = append(c.News, d.Host)
+				c.DrainedEndpoints = append(c.DrainedEndpoints, d.Host)
 			}
 		}
 	}
-	slices.Sort(c.News)
-	c.News = slices.Compact(c.News)
+	slices.Sort(c.DrainedEndpoints)
+	c.DrainedEndpoints = slices.Compact(c.DrainedEndpoints)
 	return c
 }
 
@@ -54,14 +54,14 @@
 
 // ListRollbackGuard holds one's own list against an earlier one of a higher index. A discovery that answers from a stale copy would else call
 // hosts ready that drain. The zero value is ready for use.
-type Own struct {
-	highest         Listed
+type ListRollbackGuard struct {
+	highest         EndpointListState
 	rolledBackSince int64 // nanoseconds; 0: the list did not go back
 }
 
 // Observe takes one's own list at a time in nanoseconds. While the list is rolled back, it gives what the list was before, which counts like
 // another process's; isNew tells that it just went back.
-func (g *Own) Saw(now int64, list Listed) (before []Listed, isNew bool) {
+func (g *ListRollbackGuard) Observe(now int64, list EndpointListState) (before []EndpointListState, isNew bool) {
 	switch {
 	case list.Index >= g.highest.Index || g.rolledBackSince != 0 && now-g.rolledBackSince >= rollbackWindow:
 		g.highest, g.rolledBackSince = list, 0
@@ -69,12 +69,12 @@
 	case g.rolledBackSince == 0:
 		g.rolledBackSince, isNew = now, true
 	}
-	return []Listed{g.highest}, isNew
+	return []EndpointListState{g.highest}, isNew
 }
 
 // PersistentCondition tells once when a condition has held for a while, so that a log line is written for what stays and not for what passes.
 // The zero value is ready for use.
-type Late struct {
+type PersistentCondition struct {
 	since      int64 // nanoseconds
 	holds      bool
 	isReported bool
@@ -82,9 +82,9 @@
 
 // Observe takes whether the condition holds at a time in nanoseconds. It returns true once each time that the condition has held for the window
 // without a break.
-func (c *Late) Saw(now int64, holds bool, window time.Duration) bool {
+func (c *PersistentCondition) Observe(now int64, holds bool, window time.Duration) bool {
 	if !holds || !c.holds {
-		*c = Late{since: now, holds: holds}
+		*c = PersistentCondition{since: now, holds: holds}
 	}
 	if !holds || c.isReported || now-c.since < int64(window) {
 		return false
--- a/agreed/endpointlists_test.go
+++ b/consensus/endpointlists_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"slices"
@@ -9,13 +9,13 @@
 // A process whose discovery is late goes on sending to a host that shuts down, or, worse, takes a peer's word that a host is ready which its own
 // list calls draining. Drains beyond one's own list count; that a host is ready never does.
 func TestCompareListsTakesDrainsOnly(t *testing.T) {
-	others := []Listed{{Name: "a", Index: 9, Digest: 1, Drains: []Drained{{"old", 4}, {"h", 8}, {"odd", 12}}}, {Name: "b", Index: 5, Digest: 3,
-		Drains: []Drained{{"k", 5}}}, {Name: "c", Index: 5, Digest: 2, Drains: []Drained{{"own", 3}}}, {Name: "d", Index: 2, Drains: []Drained{{"past", 2}}}}
-	c := Compare(5, 2, others)
-	if !slices.Equal(c.News, []string{"h", "k"}) || c.Behind != "a" || c.Latest != 9 || c.Contrary != "b" {
+	others := []EndpointListState{{Name: "a", Index: 9, Digest: 1, Drained: []DrainedEndpoint{{"old", 4}, {"h", 8}, {"odd", 12}}}, {Name: "b", Index: 5, Digest: 3,
+		Drained: []DrainedEndpoint{{"k", 5}}}, {Name: "c", Index: 5, Digest: 2, Drained: []DrainedEndpoint{{"own", 3}}}, {Name: "d", Index: 2, Drained: []DrainedEndpoint{{"past", 2}}}}
+	c := CompareLists(5, 2, others)
+	if !slices.Equal(c.DrainedEndpoints, []string{"h", "k"}) || c.PeerAhead != "a" || c.LatestIndex != 9 || c.ConflictingPeer != "b" {
 		t.Errorf("%+v", c)
 	}
-	if c = Compare(9, 1, others); len(c.News) > 0 || c.Behind != "" || c.Contrary != "" {
+	if c = CompareLists(9, 1, others); len(c.DrainedEndpoints) > 0 || c.PeerAhead != "" || c.ConflictingPeer != "" {
 		t.Errorf("with the latest list: %+v", c)
 	}
 }
@@ -23,7 +23,7 @@
 // Discovery answers from a stale copy and calls a host ready that drains. A list that goes back is held against what it was, until it has come
 // past that or has stayed lower for a minute.
 func TestListRollbackGuardHoldsUntilPastOrWindow(t *testing.T) {
-	var o Own
+	var o ListRollbackGuard
 	minute := int64(time.Minute)
 	for n, c := range []struct {
 		at    int64
@@ -32,12 +32,12 @@
 		went  bool
 	}{{1, 5, false, false}, {2, 9, false, false}, {3, 4, true, true}, {4, 6, true, false}, {5, 9, false, false}, {6, 1, true, true},
 		{6 + minute - 1, 2, true, false}, {6 + minute, 3, false, false}, {7 + minute, 4, false, false}} {
-		before, went := o.Saw(c.at, Listed{Index: c.index, Drains: []Drained{{"h", c.index}}})
+		before, went := o.Observe(c.at, EndpointListState{Index: c.index, Drained: []DrainedEndpoint{{"h", c.index}}})
 		if len(before) > 0 != c.held || went != c.went {
 			t.Errorf("%d: index %d: held against %v, went %v", n, c.index, before, went)
 		}
 		if c.held {
-			if got := Compare(c.index, 0, before); !slices.Contains(got.News, "h") {
+			if got := CompareLists(c.index, 0, before); !slices.Contains(got.DrainedEndpoints, "h") {
 				t.Errorf("%d: what was out is not out: %+v", n, got)
 			}
 		}
@@ -46,14 +46,14 @@
 
 // A list that is behind for a moment fills the log with lines that nobody can act on. What passes is not reported; what stays is, once.
 func TestPersistentConditionReportsOnce(t *testing.T) {
-	var l Late
+	var l PersistentCondition
 	for _, step := range []struct {
 		at   int64
 		is   bool
 		says bool
 	}{{0, true, false}, {900 * ms, true, false}, {950 * ms, false, false}, {1000 * ms, true, false}, {1999 * ms, true, false}, {2000 * ms, true, true},
 		{5000 * ms, true, false}, {5001 * ms, false, false}, {6000 * ms, true, false}, {7000 * ms, true, true}} {
-		if says := l.Saw(step.at, step.is, time.Second); says != step.says {
+		if says := l.Observe(step.at, step.is, time.Second); says != step.says {
 			t.Errorf("at %v: %t", time.Duration(step.at), says)
 		}
 	}
--- /dev/null
+++ b/consensus/golden_answers_test.go
@@ -0,0 +1,178 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// outbox keeps what was sent, as lines that can be read.
+type outbox struct{ lines []string }
+
+func (o *outbox) Send(to string, m *Message) {
+	if m.Raft == nil {
+		o.lines = append(o.lines, fmt.Sprintf("to %s: %q", to, m.Marshal()))
+	}
+}
+
+func (o *outbox) note(format string, with ...any) {
+	o.lines = append(o.lines, "# "+fmt.Sprintf(format, with...))
+}
+
+// An operator who reads another answer than the one that a proposal had, or none, does the wrong thing next. Each answer is played, with its
+// exact text.
+func TestGoldenAnswers(t *testing.T) {
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
+		sim.advance()
+	}
+	at := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
+	p, out := sim.processes[at], &outbox{}
+	k, now := p.replica, p.clock()
+	k.sender = out
+	propose := func(what string, c Proposal) {
+		out.note("%s", what)
+		k.HandleMessage(now, &Message{From: "op", Proposal: &c, Ticket: &ProposalTicket{k.term, now}})
+	}
+	out.note("no ticket")
+	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "a", EjectEndpoints: []string{"h"}}})
+	propose("another base", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
+	propose("the same again", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
+	propose("changes nothing", Proposal{ID: "empty", UnejectEndpoints: []string{"h"}})
+	k.state.History[len(k.state.History)-1].Config.EjectedEndpoints = slices.Sorted(slices.Values(slices.Concat(thousandNames("a"), thousandNames("b"))))
+	propose("too large", Proposal{ID: "large", EjectEndpoints: append(thousandNames("c"), "x")})
+	k.state.History[len(k.state.History)-1].Config.EjectedEndpoints = nil
+	propose("already a version", Proposal{ID: k.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
+	for n := range maxPendingProposals {
+		propose("written", Proposal{ID: fmt.Sprint("w", n), EjectEndpoints: []string{fmt.Sprint("h", n)}})
+	}
+	propose("one more than may wait", Proposal{ID: "more", EjectEndpoints: []string{"h"}})
+	propose("waits already", Proposal{ID: "w1", EjectEndpoints: []string{"h1"}})
+	k.leader.proposals.pending[0].isAccepted = true
+	now += int64(proposalTimeout)
+	out.note("no majority in time")
+	k.Tick(now)
+	propose("refused before", Proposal{ID: "w1", EjectEndpoints: []string{"h1"}})
+	propose("waits when another leads", Proposal{ID: "late", EjectEndpoints: []string{"h2"}})
+	other := sim.processes[(at+1)%3].replica
+	step := func(m *pb.Message) {
+		k.HandleMessage(now, &Message{From: other.Name, Raft: marshalProto(m)})
+	}
+	out.note("another leads")
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1)})
+	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "other", EjectEndpoints: []string{"h"}}})
+	k.HandleMessage(now, &Message{From: "op", LeaseRequest: &LeaseRequest{Seq: 1, Incarnation: 1}})
+	out.note("leads %t, broken %t", k.IsLeader(), k.Err() != nil)
+	k.election.campaignAt, now = 0, now+int64(10*time.Second)
+	out.note("nobody leads")
+	k.Tick(now)
+	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "nobody", EjectEndpoints: []string{"h"}}})
+	out.note("a message that cannot be: silent from then on")
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1), Commit: new(uint64(1 << 40))})
+	k.Tick(now + ms)
+	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "broken", EjectEndpoints: []string{"h"}}})
+	out.note("broken %t", k.Err() != nil)
+	for name, full := range map[string]Storage{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
+		_, err := NewReplica(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name], full, out, func(int) int { return 0 })
+		if err == nil {
+			t.Errorf("%s: a replica begins", name)
+		}
+	}
+	checkGolden(t, "answers.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
+}
+
+// failing is a disk that is full.
+type failingStorage struct{}
+
+func (failingStorage) Append([][]byte) error  { return errors.New("full") }
+func (failingStorage) Replace([][]byte) error { return errors.New("full") }
+
+// A replica that says what it could not write may vote twice after it starts again: with a full disk it says nothing more.
+func TestStopsWhenStorageFails(t *testing.T) {
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !sim.processes[0].replica.IsBootstrapped(); n++ {
+		sim.advance()
+	}
+	k, other, sent := sim.processes[0].replica, sim.processes[1].replica, 0
+	k.sender, k.log.storage = countingSender{&sent}, failingStorage{}
+	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 9), Index: new(uint64(99)), LogTerm: new(k.term + 8)}
+	k.HandleMessage(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
+	if k.Err() == nil || sent > 0 {
+		t.Errorf("with a full disk: broken %v, %d messages sent", k.Err(), sent)
+	}
+}
+
+type countingSender struct{ sent *int }
+
+func (c countingSender) Send(string, *Message) { *c.sent++ }
+
+// What a change may be is said to its proposer, and a message out of bounds is dropped: the texts and the bounds stay.
+func TestGoldenBounds(t *testing.T) {
+	out := &outbox{}
+	long, both := strings.Repeat("n", maxNameBytes+1), []string{"h"}
+	many := make([]string, maxNames+1)
+	for n := range many {
+		many[n] = fmt.Sprint(n)
+	}
+	big := Proposal{ID: "i", EjectEndpoints: append(thousandNames("o"), thousandNames("p")...)}
+	for _, c := range []Proposal{{}, {ID: long}, {ID: "i", Author: "\x7f"}, {ID: "i", Reason: "a\nb"}, {ID: "i", EjectEndpoints: many}, {ID: "i", EjectEndpoints: []string{""}},
+		{ID: "i", EjectEndpoints: both, UnejectEndpoints: both}, {ID: "i", EvacuateZones: both, RestoreZones: both}, {ID: "i", Limits: map[string]int64{"\x00": 1}}, {ID: "i", DiscoverySource: &long},
+		{ID: "i", SettingsDigest: &long}, {ID: "i", EvacuateZones: many}, {ID: "i", RestoreZones: many}, big, {ID: "i"}, {ID: "i", EjectEndpoints: many[:maxNames]}} {
+		_, err := UnmarshalMessage((&Message{From: "a", Proposal: &c}).Marshal())
+		out.note("%v; taken %t", c.Validate(), err == nil)
+	}
+	ask := &LeaseRequest{Seq: 1}
+	for _, m := range []Message{{}, {From: "a"}, {LeaseRequest: ask}, {From: "a", LeaseRequest: ask, ProposalResult: &ProposalResult{}}, {From: long, LeaseRequest: ask}, {From: "a", LeaseRequest: ask},
+		{From: "a", Raft: make([]byte, maxMessageBytes)}} {
+		_, err := UnmarshalMessage(m.Marshal())
+		out.note("taken %t", err == nil)
+	}
+	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}), encode(revisionChain{First: Revision{Number: 1}, Deltas: make([]Proposal, maxShownRevisions+maxActiveRevisions+1)}),
+		encode(revisionChain{First: Revision{Number: 1}, Deltas: slices.Repeat([]Proposal{big}, 400)})} {
+		versions, err := UnmarshalRevisions(bytes)
+		out.note("%d versions, refused %t", len(versions), err != nil)
+	}
+	checkGolden(t, "bounds.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
+}
+
+// A process that takes up a version too much, or misses one, acts on what the others do not: what a holder makes of grants out of order, with
+// gaps, of another history, is the same, grant for grant.
+func TestGoldenGrants(t *testing.T) {
+	draw, tr := rand.New(rand.NewPCG(5, 5)), newTraceHash()
+	histories := [2][]Revision{}
+	for h := range histories {
+		histories[h] = []Revision{{Number: 1}}
+		for n := range 60 {
+			c := Proposal{ID: fmt.Sprint(h*n, "v", n), EjectEndpoints: []string{fmt.Sprint("h", draw.IntN(9))}, UnejectEndpoints: []string{fmt.Sprint("i", draw.IntN(9))},
+				Limits: map[string]int64{"held": draw.Int64N(50) - 1}}
+			histories[h] = append(histories[h], c.next(histories[h][n]))
+		}
+	}
+	for range 40 {
+		h := NewLeaseHolder(0, "p", 1, testTiming, []string{"k", "l"}, discardSender{}, draw.IntN)
+		if draw.IntN(2) == 0 {
+			h.Restore(1, histories[draw.IntN(2)][:1+draw.IntN(3)])
+		}
+		for now, reached := int64(0), 1; now < 60_000*ms; now += draw.Int64N(400 * ms) {
+			h.Tick(now)
+			reached = min(60, reached+draw.IntN(3))
+			of := histories[max(0, draw.IntN(12)-10)]
+			from := max(0, reached-draw.IntN(6)-1)
+			g := &LeaseResponse{Seq: h.requests.seq - min(h.requests.seq, draw.Uint64N(3)), Leader: []string{"k", "l", ""}[draw.IntN(3)], MinRevision: of[draw.IntN(reached)].Number,
+				HistoryID: uint64(draw.IntN(30)/29 + 7), BudgetShare: draw.Float64()}
+			if g.Revisions = of[from:reached]; draw.IntN(2) == 0 && from > 0 {
+				g.Revisions, g.BaseRevision, g.Deltas = nil, of[from-1].Number, deltasOf(of[from-1], of[from:reached])
+			}
+			h.HandleLeaseResponse(now, g)
+			a := h.EffectiveConfig(now)
+			tr.add(a.MinRevision, a.LatestRevision, a.IsLeased, a.BudgetShare, a.ReplicatedConfig, h.ConflictingResponses, h.LeaseExpiry(), h.Leader(), h.TimeUntilTick(now), h.Revisions())
+		}
+	}
+	checkGolden(t, "grants.golden", []byte(tr.sum()+"\n"))
+}
--- a/agreed/golden_test.go
+++ b/consensus/golden_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"bytes"
@@ -52,12 +52,12 @@
 // withoutPart packs a message but for the part of the budgets: with four holders and more its last digit depends on the order in which the
 // ledger of the budgets adds up a map, so it differs from run to run. Parts are in the recorded session, where two others are added.
 func withoutPart(m *Message) []byte {
-	if m.Grant == nil || m.Grant.Part == 0 {
-		return m.Pack()
+	if m.LeaseResponse == nil || m.LeaseResponse.BudgetShare == 0 {
+		return m.Marshal()
 	}
-	g, rest := *m.Grant, *m
-	g.Part, rest.Grant = 0, &g
-	return rest.Pack()
+	g, rest := *m.LeaseResponse, *m
+	g.BudgetShare, rest.LeaseResponse = 0, &g
+	return rest.Marshal()
 }
 
 func (tr *traceHash) sum() string { return hex.EncodeToString(tr.Sum(nil)) }
@@ -83,38 +83,38 @@
 // examples are messages and records of every kind, each field filled.
 func examples() (names []string, packed map[string][]byte) {
 	digest, source, from := "d2", "127.0.0.1:7", uint64(9)
-	change := Change{ID: "p1", By: "op", Why: "a reason", Base: 3, Out: []string{"a", "b"}, Back: []string{"c"},
-		Limits: map[string]int64{"held": 5, "quota.t": -1}, Digest: &digest, Source: &source, From: &from, Leave: []string{"z"}, Return: []string{"y"}}
-	one := Version{Number: 3, Document: Document{Bans: []string{"c"}, Limits: map[string]int64{"quota.t": 1}, Left: []string{"y"}}}
+	change := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a", "b"}, UnejectEndpoints: []string{"c"},
+		Limits: map[string]int64{"held": 5, "quota.t": -1}, SettingsDigest: &digest, DiscoverySource: &source, MinListIndex: &from, EvacuateZones: []string{"z"}, RestoreZones: []string{"y"}}
+	one := Revision{Number: 3, Config: ReplicatedConfig{EjectedEndpoints: []string{"c"}, Limits: map[string]int64{"quota.t": 1}, EvacuatedZones: []string{"y"}}}
 	two := change.next(one)
-	later := Change{ID: "p2", Out: []string{"c"}, Limits: map[string]int64{}}
+	later := Proposal{ID: "p2", EjectEndpoints: []string{"c"}, Limits: map[string]int64{}}
 	members := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
-	st := replicatedState{History: []Version{one, two}, MinRevision: 3, Voters: members, Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
+	st := replicatedState{History: []Revision{one, two}, MinRevision: 3, Voters: members, Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
 	long := initialState(7, members)
 	for n := range 20 { // So large that it is written as a chain.
-		c := Change{ID: fmt.Sprint("l", n), Out: slices.Repeat([]string{""}, 200)}
-		for i := range c.Out {
-			c.Out[i] = fmt.Sprintf("%03d-%s", n*200+i, strings.Repeat("h", 20))
+		c := Proposal{ID: fmt.Sprint("l", n), EjectEndpoints: slices.Repeat([]string{""}, 200)}
+		for i := range c.EjectEndpoints {
+			c.EjectEndpoints[i] = fmt.Sprintf("%03d-%s", n*200+i, strings.Repeat("h", 20))
 		}
 		long.History = append(long.History, c.next(long.latest()))
 	}
 	sum := sha256.Sum256(long.marshal())
 	packed = map[string][]byte{
-		"raft":            (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Pack(),
-		"lease request":   (&Message{From: "b0", Ask: &Ask{Seq: 5, Life: 2, Known: 4, Floor: 3, From: 1, Rate: 2.5, Steps: true}}).Pack(),
-		"grant, versions": (&Message{From: "b0", Grant: &Grant{Seq: 5, Leader: "b0", Floor: 3, Versions: []Version{one, two}, History: 7, Part: 0.25}}).Pack(),
-		"grant, steps":    (&Message{From: "b0", Grant: &Grant{Seq: 5, Leader: "b0", Floor: 3, Steps: []Change{change, later}, Base: 3, History: 7}}).Pack(),
-		"grant, leader":   (&Message{From: "b1", Grant: &Grant{Leader: "b0"}}).Pack(),
-		"announcement":    (&Message{From: "b0", Hello: &Hello{Life: 2, Voters: members, Founds: true}}).Pack(),
-		"proposal":        (&Message{From: "b0", Propose: &change, Ticket: &Ticket{Term: 3, At: 1e12}}).Pack(),
-		"result":          (&Message{From: "b0", Outcome: &Outcome{ID: "p1", Number: 4, Wrong: "no", Sure: true, Ticket: &Ticket{Term: 3, At: 1}}}).Pack(),
+		"raft":            (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Marshal(),
+		"lease request":   (&Message{From: "b0", LeaseRequest: &LeaseRequest{Seq: 5, Incarnation: 2, KnownRevision: 4, MinRevision: 3, ShareSeq: 1, RequestRate: 2.5, AcceptsDeltas: true}}).Marshal(),
+		"grant, versions": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3, Revisions: []Revision{one, two}, HistoryID: 7, BudgetShare: 0.25}}).Marshal(),
+		"grant, steps":    (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3, Deltas: []Proposal{change, later}, BaseRevision: 3, HistoryID: 7}}).Marshal(),
+		"grant, leader":   (&Message{From: "b1", LeaseResponse: &LeaseResponse{Leader: "b0"}}).Marshal(),
+		"announcement":    (&Message{From: "b0", Announcement: &Announcement{Incarnation: 2, Voters: members, IsBootstrap: true}}).Marshal(),
+		"proposal":        (&Message{From: "b0", Proposal: &change, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1e12}}).Marshal(),
+		"result":          (&Message{From: "b0", ProposalResult: &ProposalResult{ID: "p1", Revision: 4, Reason: "no", IsFinal: true, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1}}}).Marshal(),
 		"record":          encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
 		"entry":           encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
 		"state":           st.marshal(),
 		"state, chain":    sum[:],
-		"chain":           PackChain([]Version{one, two, later.next(two)}),
+		"chain":           MarshalRevisions([]Revision{one, two, later.next(two)}),
 		"digest":          []byte(two.Digest()),
-		"strictest":       encode(strictest([]Version{one, two, later.next(two)})),
+		"strictest":       encode(strictest([]Revision{one, two, later.next(two)})),
 	}
 	for name := range packed {
 		names = append(names, name)
@@ -129,7 +129,7 @@
 	var lines []byte
 	for _, name := range names {
 		lines = fmt.Appendf(lines, "%s: %x\n", name, packed[name])
-		if m, err := Unpack(packed[name]); err == nil && !bytes.Equal(m.Pack(), packed[name]) {
+		if m, err := UnmarshalMessage(packed[name]); err == nil && !bytes.Equal(m.Marshal(), packed[name]) {
 			t.Errorf("%s: not the same when unpacked and packed", name)
 		}
 	}
@@ -147,15 +147,15 @@
 // member is one process of a session; its draws are its own.
 type sessionMember struct {
 	n       int
-	replica *Keeper
-	holder  *Holder
+	replica *Replica
+	holder  *LeaseHolder
 	disk    memoryStorage
 	sent    []recordedMessage
 	now     int64
 }
 
 func (m *sessionMember) Send(to string, msg *Message) {
-	m.sent = append(m.sent, recordedMessage{m.now + ms, m.n, int(to[1] - '0'), msg.Pack()})
+	m.sent = append(m.sent, recordedMessage{m.now + ms, m.n, int(to[1] - '0'), msg.Marshal()})
 }
 
 // session runs the live ones of three replicas for some seconds; what the others say is recorded. It gives all that was said.
@@ -165,8 +165,8 @@
 	for _, n := range live {
 		m := &sessionMember{n: n}
 		draw := rand.New(rand.NewPCG(uint64(n), 1)).IntN
-		m.holder = NewHolder(0, names[n], uint64(n+1), testTiming, names, m, draw)
-		k, err := NewKeeper(0, names[n], uint64(n+1), testTiming, names, nil, &m.disk, m, draw)
+		m.holder = NewLeaseHolder(0, names[n], uint64(n+1), testTiming, names, m, draw)
+		k, err := NewReplica(0, names[n], uint64(n+1), testTiming, names, nil, &m.disk, m, draw)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,24 +177,24 @@
 		for at := 0; at < len(queue); at++ {
 			if m := members[queue[at].To]; m != nil && queue[at].At == now {
 				m.now = now
-				msg, err := Unpack(queue[at].Bytes)
+				msg, err := UnmarshalMessage(queue[at].Bytes)
 				if err != nil {
 					t.Fatal(err)
 				}
-				if msg.Grant != nil {
-					m.holder.Heard(now, msg.Grant)
-				} else if msg.Outcome == nil {
-					m.replica.Heard(now, msg)
+				if msg.LeaseResponse != nil {
+					m.holder.HandleLeaseResponse(now, msg.LeaseResponse)
+				} else if msg.ProposalResult == nil {
+					m.replica.HandleMessage(now, msg)
 				}
 			}
 		}
 		for _, n := range live {
 			m := members[n]
-			m.now, m.holder.Rate = now, float64(100*(n+1))
-			if m.replica.Look(now); n == 1 && now == 1500*ms {
-				m.Send(m.holder.Leader(), &Message{From: "b1", Propose: &Change{ID: "p", Out: []string{"h"}}, Ticket: &Ticket{m.replica.term, now}})
+			m.now, m.holder.RequestRate = now, float64(100*(n+1))
+			if m.replica.Tick(now); n == 1 && now == 1500*ms {
+				m.Send(m.holder.Leader(), &Message{From: "b1", Proposal: &Proposal{ID: "p", EjectEndpoints: []string{"h"}}, Ticket: &ProposalTicket{m.replica.term, now}})
 			}
-			m.holder.Look(now)
+			m.holder.Tick(now)
 			all, queue, m.sent = append(all, m.sent...), append(queue, m.sent...), nil
 		}
 		slices.SortStableFunc(queue, func(a, b recordedMessage) int { return (a.From - b.From) })
@@ -222,11 +222,11 @@
 		if !bytes.Equal(encode(again), encode(own)) {
 			t.Errorf("b%d among recorded members says something else than then", n)
 		}
-		a := members[n].holder.Acting(2500 * ms)
-		if !a.Leased || a.Latest != 2 || !slices.Equal(a.Bans, []string{"h"}) || a.Part <= 0 {
+		a := members[n].holder.EffectiveConfig(2500 * ms)
+		if !a.IsLeased || a.LatestRevision != 2 || !slices.Equal(a.EjectedEndpoints, []string{"h"}) || a.BudgetShare <= 0 {
 			t.Errorf("b%d comes to no lease on version 2 with the recorded members", n)
 		}
-		if members[n].replica.Leads() {
+		if members[n].replica.IsLeader() {
 			leaders++
 		}
 	}
@@ -254,12 +254,12 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	k, err := NewKeeper(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
+	k, err := NewReplica(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
 	versions, floor := k.History()
-	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.incarnation, k.Founded(), floor,
+	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.incarnation, k.IsBootstrapped(), floor,
 		k.log.applied, marshalProto(k.log.hard), encode(k.state.Voters), encode(k.state.Unaccepted), encode(versions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
@@ -268,7 +268,7 @@
 	if !hasSnapshot || len(records) < 4 {
 		t.Error("the recorded log has no snapshot with records after it")
 	}
-	k.Look(ms)
+	k.Tick(ms)
 	versions, floor = k.History()
 	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", floor, k.log.applied, encode(versions))
 	checkGolden(t, "replica.golden", []byte(shown))
@@ -282,20 +282,20 @@
 			sim.advance()
 		}
 	}
-	change := func(c Change) {
-		sim.propose(0, slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() }), c)
+	change := func(c Proposal) {
+		sim.propose(0, slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() }), c)
 		run(4 * time.Second)
 	}
 	run(10 * time.Second)
 	digest := "d1"
-	change(Change{By: "op", Why: "w", Out: []string{"h1", "h2"}, Limits: map[string]int64{"held": 7}})
-	change(Change{By: "op", Leave: []string{"z1"}, Digest: &digest})
-	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() })
+	change(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 7}})
+	change(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
+	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
 	lost := 1 + leads%2 // b0 stays; a member of new life comes in the place of one that lost its state.
 	sim.processes[lost].disk = nil
 	sim.startProcess(lost, true, 3)
 	run(15 * time.Second)
-	change(Change{By: "op", Back: []string{"h1"}, Out: []string{"h3"}})
+	change(Proposal{Author: "op", UnejectEndpoints: []string{"h1"}, EjectEndpoints: []string{"h3"}})
 	aside := filepath.Join(t.TempDir(), "replica.log")
 	log, _, err := store.Open(aside)
 	if err != nil {
@@ -303,8 +303,8 @@
 	}
 	defer log.Close()
 	records := sim.processes[0].disk.records
-	if err := log.Swap(records[:2]); err == nil {
-		err = log.Add(records[2:])
+	if err := log.Replace(records[:2]); err == nil {
+		err = log.Append(records[2:])
 	}
 	content, _ := os.ReadFile(aside)
 	if err == nil {
@@ -318,23 +318,23 @@
 // What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same, call for call.
 func TestGoldenLists(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(3, 3)), newTraceHash()
-	var own Own
-	var late Late
+	var own ListRollbackGuard
+	var late PersistentCondition
 	now := int64(1)
 	for range 20_000 {
 		now += draw.Int64N(20_000 * ms)
-		listed := func() Listed {
-			l := Listed{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12), Digest: draw.Uint64N(3)}
+		listed := func() EndpointListState {
+			l := EndpointListState{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12), Digest: draw.Uint64N(3)}
 			for range draw.IntN(4) {
-				l.Drains = append(l.Drains, Drained{fmt.Sprint("h", draw.IntN(9)), draw.Uint64N(12)})
+				l.Drained = append(l.Drained, DrainedEndpoint{fmt.Sprint("h", draw.IntN(9)), draw.Uint64N(12)})
 			}
 			return l
 		}
-		others := []Listed{listed(), listed(), listed()}
-		before, went := own.Saw(now, listed())
+		others := []EndpointListState{listed(), listed(), listed()}
+		before, went := own.Observe(now, listed())
 		tr.add(len(before), went)
-		c := Compare(draw.Uint64N(12), draw.Uint64N(3), append(others, before...))
-		tr.add(c.News, c.Behind, c.Latest, c.Contrary, late.Saw(now, c.Behind != "", 30*time.Second))
+		c := CompareLists(draw.Uint64N(12), draw.Uint64N(3), append(others, before...))
+		tr.add(c.DrainedEndpoints, c.PeerAhead, c.LatestIndex, c.ConflictingPeer, late.Observe(now, c.PeerAhead != "", 30*time.Second))
 	}
 	checkGolden(t, "lists.golden", []byte(tr.sum()+"\n"))
 }
--- a/agreed/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"container/heap"
@@ -27,7 +27,7 @@
 					t.Fatalf("seed %d: %s", seed, sim.violation)
 				}
 				t.Logf("seed %d: %d versions, %d accepted, %d refused for sure, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
-					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.T())
+					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
 				if sim.healAndCheck(keepers); sim.violation != "" {
 					t.Fatalf("seed %d: %s", seed, sim.violation)
 				}
@@ -60,7 +60,7 @@
 		}()
 	}
 	wait.Wait()
-	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), testTiming.T())
+	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), testTiming.MaxDisagreement())
 }
 
 // A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time an invariant is seen broken.
@@ -70,7 +70,7 @@
 		want    string
 	}{
 		"the wait for leases under older versions": {func(sim *simulation) {
-			sim.beforeEach = func(k *Keeper) {
+			sim.beforeEach = func(k *Replica) {
 				if clear(k.leader.leases.granted); k.leader.since != 0 {
 					k.leader.since = 1
 				}
@@ -87,8 +87,8 @@
 			}
 		}, "two histories|answered no|is loose already"},
 		"a majority's word before a grant": {func(sim *simulation) {
-			sim.beforeEach = func(k *Keeper) {
-				if k.Leads() && k.leader.leases.confirming != 0 {
+			sim.beforeEach = func(k *Replica) {
+				if k.IsLeader() && k.leader.leases.confirming != 0 {
 					k.grantConfirmedLeases(k.leader.leases.confirmingAt, k.leader.leases.requestCount, 0)
 				}
 			}
@@ -123,8 +123,8 @@
 		sim := newSimulation(t, 1, 3, n-3, true)
 		all := func(floor bool, version uint64) bool {
 			for _, p := range sim.processes {
-				a := p.holder.Acting(p.clock())
-				if !a.Leased || a.Latest < version || floor && a.Floor < version {
+				a := p.holder.EffectiveConfig(p.clock())
+				if !a.IsLeased || a.LatestRevision < version || floor && a.MinRevision < version {
 					return false
 				}
 			}
@@ -138,13 +138,13 @@
 		for sim.now < began+int64(10*time.Second) {
 			sim.advance()
 		}
-		leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.Leads() })
+		leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.IsLeader() })
 		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; who leads sends %.0f bytes a second", n,
 			float64(sim.bytes-bytes)/10/float64(n), float64(sim.sent-sent)/10/float64(n), float64(sim.bytesBySender[leads])/10)
 		var strict, loose []int64
 		for v := uint64(2); v < 12; v++ {
 			began := sim.now
-			sim.propose(n-1, leads, Change{Out: []string{fmt.Sprint("h", v)}})
+			sim.propose(n-1, leads, Proposal{EjectEndpoints: []string{fmt.Sprint("h", v)}})
 			for !all(false, v) {
 				sim.advance()
 			}
--- a/agreed/knownrevisions.go
+++ b/consensus/knownrevisions.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -16,10 +16,10 @@
 
 // knownRevisions is what a holder knows of the history, and what it acts on for that.
 type knownRevisions struct {
-	active    []Version // from the min revision on, in a row
-	config    Document  // the strictest of them
-	minimum   uint64    // the min revision that the leader told; 0: none yet
-	historyID uint64    // of the first response with revisions; 0: none yet
+	active    []Revision       // from the min revision on, in a row
+	config    ReplicatedConfig // the strictest of them
+	minimum   uint64           // the min revision that the leader told; 0: none yet
+	historyID uint64           // of the first response with revisions; 0: none yet
 }
 
 // latest is the number of the latest revision; 0: none is known.
@@ -32,50 +32,50 @@
 
 // take takes up the revisions and the min revision of a response. Without an error, all that the response speaks of is known now; with one,
 // nothing has changed.
-func (k *knownRevisions) take(response *Grant) error {
-	if response.History != 0 && k.historyID != 0 && response.History != k.historyID {
+func (k *knownRevisions) take(response *LeaseResponse) error {
+	if response.HistoryID != 0 && k.historyID != 0 && response.HistoryID != k.historyID {
 		return errConflictingHistory
 	}
 	told, err := k.revisionsOf(response)
 	if err != nil {
 		return err
 	}
-	next, isExtension, err := k.merge(told, response.Floor)
+	next, isExtension, err := k.merge(told, response.MinRevision)
 	if err != nil {
 		return err
 	}
-	if len(next) == 0 && response.Floor == 0 {
+	if len(next) == 0 && response.MinRevision == 0 {
 		return nil // It only says who leads.
 	}
-	if len(next) == 0 || next[len(next)-1].Number < response.Floor {
+	if len(next) == 0 || next[len(next)-1].Number < response.MinRevision {
 		return errRevisionsMissing
 	}
 	if len(told) > 0 {
-		k.historyID = response.History
+		k.historyID = response.HistoryID
 	}
-	k.replace(next, response.Floor, isExtension)
+	k.replace(next, response.MinRevision, isExtension)
 	return nil
 }
 
 // revisionsOf gives the revisions that a response brings. Deltas follow its last whole revision or, where it has none, a known one.
-func (k *knownRevisions) revisionsOf(response *Grant) ([]Version, error) {
-	if len(response.Steps) == 0 {
-		return response.Versions, nil
+func (k *knownRevisions) revisionsOf(response *LeaseResponse) ([]Revision, error) {
+	if len(response.Deltas) == 0 {
+		return response.Revisions, nil
 	}
-	if whole := response.Versions; len(whole) > 0 {
-		rest, err := applyDeltas(whole[len(whole)-1], response.Steps)
+	if whole := response.Revisions; len(whole) > 0 {
+		rest, err := applyDeltas(whole[len(whole)-1], response.Deltas)
 		return append(slices.Clip(whole), rest...), err
 	}
-	at := slices.IndexFunc(k.active, func(v Version) bool { return v.Number == response.Base })
+	at := slices.IndexFunc(k.active, func(v Revision) bool { return v.Number == response.BaseRevision })
 	if at < 0 {
 		return nil, errRevisionsMissing
 	}
-	return applyDeltas(k.active[at], response.Steps)
+	return applyDeltas(k.active[at], response.Deltas)
 }
 
 // merge puts told revisions behind the known ones. isExtension tells that all known ones are still there. Where the told ones begin with the min
 // revision and leave a gap, all that was known is older than that and gives way.
-func (k *knownRevisions) merge(told []Version, minRevision uint64) (next []Version, isExtension bool, err error) {
+func (k *knownRevisions) merge(told []Revision, minRevision uint64) (next []Revision, isExtension bool, err error) {
 	next, isExtension = slices.Clone(k.active), true
 	for _, v := range told {
 		n := len(next)
@@ -100,7 +100,7 @@
 
 // replace acts on other revisions, less those that are older than the min revision. An extension is added to the configuration in place of
 // putting all together again, which for a thousand revisions in a row would take a million steps.
-func (k *knownRevisions) replace(next []Version, minRevision uint64, isExtension bool) {
+func (k *knownRevisions) replace(next []Revision, minRevision uint64, isExtension bool) {
 	known := len(k.active)
 	k.active = next
 	for minRevision > k.minimum && len(k.active) > 1 && k.active[0].Number < minRevision {
--- a/agreed/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -20,15 +20,15 @@
 
 // LeaseHolder keeps what one process acts on: it asks the leader of the replicas for leases. It does not lock: one goroutine calls all methods.
 // All times are nanoseconds of the process's own clock, which goes on while the process or its machine stands still.
-type Holder struct {
+type LeaseHolder struct {
 	Name string
 	// Rate is how many requests a second come to this process. The driver sets it before Tick; the next lease request has it.
-	Rate float64
+	RequestRate float64
 	// Contrary counts responses of another history, or of other revisions under the same numbers. They are not taken.
-	Contrary int
+	ConflictingResponses int
 
 	incarnation uint64
-	timing      Terms
+	timing      LeaseTiming
 	replicas    []string
 	sender      Sender
 	random      func(n int) int // draws below n
@@ -37,7 +37,7 @@
 	requests  requestLog
 	leader    string // who was heard to lead last; "" before anyone was
 	expiresAt int64  // the end of the lease; 0: there was none
-	share     budgets.Held
+	share     budgets.HeldShare
 }
 
 // requestLog is the lease requests that may still be answered.
@@ -54,46 +54,46 @@
 }
 
 // NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name; random draws below n.
-func NewHolder(now int64, name string, incarnation uint64, timing Terms, replicas []string, sender Sender, random func(n int) int) *Holder {
-	return &Holder{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random,
+func NewLeaseHolder(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, sender Sender, random func(n int) int) *LeaseHolder {
+	return &LeaseHolder{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random,
 		requests: requestLog{nextAt: now}}
 }
 
 // EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that stood still finds its
 // lease expired before it acts.
-func (h *Holder) Acting(now int64) Acting {
-	a := Acting{Floor: h.known.minimum, Latest: h.known.latest(), Leased: now < h.expiresAt, Document: h.known.config}
-	if h.timing.Most > 0 {
-		a.Part = budgets.Alone(h.timing.Most)
-		if a.Leased && h.share.Part > 0 {
-			a.Part = h.share.Part
+func (h *LeaseHolder) EffectiveConfig(now int64) EffectiveConfig {
+	a := EffectiveConfig{MinRevision: h.known.minimum, LatestRevision: h.known.latest(), IsLeased: now < h.expiresAt, ReplicatedConfig: h.known.config}
+	if h.timing.MaxMembers > 0 {
+		a.BudgetShare = budgets.ShareWithoutLease(h.timing.MaxMembers)
+		if a.IsLeased && h.share.Share > 0 {
+			a.BudgetShare = h.share.Share
 		}
 	}
 	return a
 }
 
 // LeaseExpiry is when the lease ends, also where that is past; 0 where there was none.
-func (h *Holder) Until() int64 { return h.expiresAt }
+func (h *LeaseHolder) LeaseExpiry() int64 { return h.expiresAt }
 
 // Leader is the replica that was heard to lead last; empty before any was.
-func (h *Holder) Leader() string { return h.leader }
+func (h *LeaseHolder) Leader() string { return h.leader }
 
 // Revisions are those that are active, from the min revision on. The caller does not change them.
-func (h *Holder) Versions() []Version { return h.known.active }
+func (h *LeaseHolder) Revisions() []Revision { return h.known.active }
 
 // TimeUntilTick is how long Tick has nothing to do.
-func (h *Holder) Wait(now int64) time.Duration {
+func (h *LeaseHolder) TimeUntilTick(now int64) time.Duration {
 	return time.Duration(max(0, h.requests.nextAt-now))
 }
 
 // Tick sends a lease request if one is due: to the leader, or, after two without an answer, to any replica, as the leader may be gone.
-func (h *Holder) Look(now int64) {
+func (h *LeaseHolder) Tick(now int64) {
 	if now < h.requests.nextAt {
 		return
 	}
-	interval := int64(h.timing.Lease) / requestsPerLease
+	interval := int64(h.timing.LeaseDuration) / requestsPerLease
 	if h.requests.unanswered > 0 {
-		shortest := int64(h.timing.Lease) / retriesPerLease
+		shortest := int64(h.timing.LeaseDuration) / retriesPerLease
 		interval = shortest + int64(h.random(int(shortest)+1))
 	}
 	to := h.leader
@@ -102,8 +102,8 @@
 	}
 	seq := h.requests.record(now)
 	h.requests.nextAt = now + interval
-	h.sender.Send(to, &Message{From: h.Name, Ask: &Ask{Seq: seq, Life: h.incarnation, Known: h.known.latest(), Floor: h.known.minimum,
-		From: h.share.From, Rate: h.Rate, Steps: true}})
+	h.sender.Send(to, &Message{From: h.Name, LeaseRequest: &LeaseRequest{Seq: seq, Incarnation: h.incarnation, KnownRevision: h.known.latest(), MinRevision: h.known.minimum,
+		ShareSeq: h.share.GrantSeq, RequestRate: h.RequestRate, AcceptsDeltas: true}})
 }
 
 // record notes a request that is sent now, and gives its number.
@@ -121,7 +121,7 @@
 }
 
 // HandleLeaseResponse takes a lease, or news. A lease counts only where all revisions that it speaks of are known.
-func (h *Holder) Heard(now int64, response *Grant) {
+func (h *LeaseHolder) HandleLeaseResponse(now int64, response *LeaseResponse) {
 	isComplete := h.learn(response)
 	if response.Leader != "" && response.Leader != h.leader {
 		h.leader = response.Leader
@@ -133,28 +133,28 @@
 	if !isRemembered || !isComplete {
 		return
 	}
-	h.share.Take(response.Seq, response.Part)
+	h.share.Accept(response.Seq, response.BudgetShare)
 	// The lease runs from the request, not from the response: the leader was confirmed at some time between the two, and a response that
 	// was long on its way must not prolong it.
-	if expiry := sentAt + int64(h.timing.Lease); expiry > h.expiresAt && now < expiry {
+	if expiry := sentAt + int64(h.timing.LeaseDuration); expiry > h.expiresAt && now < expiry {
 		h.expiresAt = expiry
 	}
 	h.requests.unanswered = 0
-	h.requests.nextAt = max(h.requests.nextAt, sentAt+int64(h.timing.Lease)/requestsPerLease)
+	h.requests.nextAt = max(h.requests.nextAt, sentAt+int64(h.timing.LeaseDuration)/requestsPerLease)
 }
 
 // learn takes up the revisions of a response, and tells whether all that it speaks of is known now.
-func (h *Holder) learn(response *Grant) bool {
+func (h *LeaseHolder) learn(response *LeaseResponse) bool {
 	err := h.known.take(response)
 	if errors.Is(err, errConflictingHistory) {
-		h.Contrary++
+		h.ConflictingResponses++
 	}
 	return err == nil
 }
 
 // Restore gives a holder that knows nothing yet what an earlier process knew: it acts on that, without a lease, until it has one. Where the
 // holder knows revisions, or these are too many, it does nothing.
-func (h *Holder) Recall(minRevision uint64, revisions []Version) {
+func (h *LeaseHolder) Restore(minRevision uint64, revisions []Revision) {
 	if len(h.known.active) > 0 || len(revisions) == 0 || len(revisions) > maxActiveRevisions+1 {
 		return
 	}
--- a/agreed/leases.go
+++ b/consensus/leases.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"cmp"
@@ -8,13 +8,13 @@
 	"time"
 
 	"hollylever/budgets"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 const (
 	// maxWaitingRequests and maxLeaseHolders bound the leader's memory. Over an upgrade there are two processes of each member.
-	maxWaitingRequests = 2 * joining.MaxMembers
-	maxLeaseHolders    = 2 * joining.MaxMembers
+	maxWaitingRequests = 2 * fleetconfig.MaxMembers
+	maxLeaseHolders    = 2 * fleetconfig.MaxMembers
 	// expiredLeaseRetention is how long a lease that is over is kept: its holder, when it asks again, is not sent again what it has.
 	expiredLeaseRetention = int64(time.Minute)
 )
@@ -36,7 +36,7 @@
 // waitingRequest is a lease request that no majority has confirmed yet.
 type waitingRequest struct {
 	from    string
-	request Ask
+	request LeaseRequest
 	at      int64
 	number  uint64
 }
@@ -50,7 +50,7 @@
 }
 
 // ActiveLeases is how many processes are under a lease of this replica.
-func (r *Keeper) Holders(now int64) (n int) {
+func (r *Replica) ActiveLeases(now int64) (n int) {
 	for _, lease := range r.leader.leases.granted {
 		if lease.expiresAt > now {
 			n++
@@ -61,10 +61,10 @@
 
 // handleLeaseRequest takes a request for a lease. A follower answers who leads; the leader has a majority confirm that it leads before it
 // grants. Without that, a leader that was cut off could go on granting leases while another moves on.
-func (r *Keeper) handleLeaseRequest(now int64, from string, request Ask) {
-	if !r.Leads() {
+func (r *Replica) handleLeaseRequest(now int64, from string, request LeaseRequest) {
+	if !r.IsLeader() {
 		if leader := r.knownLeader(); leader != "" {
-			r.sender.Send(from, &Message{From: r.Name, Grant: &Grant{Leader: leader}})
+			r.sender.Send(from, &Message{From: r.Name, LeaseResponse: &LeaseResponse{Leader: leader}})
 		}
 		return
 	}
@@ -78,7 +78,7 @@
 
 // confirmLeadership asks a majority whether this replica still leads, once for all requests so far. A round without an answer is repeated after
 // a heartbeat.
-func (r *Keeper) confirmLeadership(now int64) {
+func (r *Replica) confirmLeadership(now int64) {
 	leases := &r.leader.leases
 	if len(leases.waiting) == 0 || leases.confirming != 0 && now-leases.confirmingAt < r.heartbeatInterval() {
 		return
@@ -98,8 +98,8 @@
 
 // grantConfirmedLeases grants all requests up to a number: after they came, a majority confirmed this leader, with all that was committed up to
 // this log index. Where that is not applied yet, the requests wait for the next round.
-func (r *Keeper) grantConfirmedLeases(now int64, upTo, index uint64) {
-	if !r.Leads() || r.log.applied < index {
+func (r *Replica) grantConfirmedLeases(now int64, upTo, index uint64) {
+	if !r.IsLeader() || r.log.applied < index {
 		return
 	}
 	leases := &r.leader.leases
@@ -118,9 +118,9 @@
 }
 
 // grantLease answers a confirmed request with a lease, the revisions that its holder lacks, and its share of the budgets.
-func (r *Keeper) grantLease(now int64, w waitingRequest) {
+func (r *Replica) grantLease(now int64, w waitingRequest) {
 	leases := &r.leader.leases
-	id := holderID{Name: w.from, Life: w.request.Life}
+	id := holderID{Name: w.from, Incarnation: w.request.Incarnation}
 	lease := leases.granted[id]
 	if lease == nil {
 		if len(leases.granted) >= maxLeaseHolders {
@@ -129,20 +129,20 @@
 		lease = &grantedLease{}
 		leases.granted[id] = lease
 	}
-	lease.knownRevision = max(lease.knownRevision, w.request.Known)
-	lease.acceptsDeltas = w.request.Steps
-	lease.expiresAt = now + int64(r.timing.Outlasts())
-	response := r.leaseResponse(w.request.Seq, w.request.Known, lease.acceptsDeltas)
+	lease.knownRevision = max(lease.knownRevision, w.request.KnownRevision)
+	lease.acceptsDeltas = w.request.AcceptsDeltas
+	lease.expiresAt = now + int64(r.timing.GranterTimeout())
+	response := r.leaseResponse(w.request.Seq, w.request.KnownRevision, lease.acceptsDeltas)
 	lease.sentRevision = r.state.latest().Number
 	if leases.ledger != nil {
-		response.Part = leases.ledger.Grant(now, id, budgets.Told{Seq: w.request.Seq, From: w.request.From, Rate: w.request.Rate})
+		response.BudgetShare = leases.ledger.Grant(now, id, budgets.ShareRequest{Seq: w.request.Seq, GrantSeq: w.request.ShareSeq, RequestRate: w.request.RequestRate})
 	}
-	r.sender.Send(w.from, &Message{From: r.Name, Grant: response})
+	r.sender.Send(w.from, &Message{From: r.Name, LeaseResponse: response})
 }
 
 // leaseResponse has the revisions after a known one; as deltas, where the holder takes these. With seq 0 it is news and no lease.
-func (r *Keeper) leaseResponse(seq, known uint64, deltas bool) *Grant {
-	response := &Grant{Seq: seq, Leader: r.Name, Floor: r.state.MinRevision, History: r.state.HistoryID}
+func (r *Replica) leaseResponse(seq, known uint64, deltas bool) *LeaseResponse {
+	response := &LeaseResponse{Seq: seq, Leader: r.Name, MinRevision: r.state.MinRevision, HistoryID: r.state.HistoryID}
 	active := r.state.active()
 	if known < r.state.MinRevision {
 		known = 0
@@ -154,29 +154,29 @@
 	switch {
 	case firstMissing == len(active):
 	case !deltas:
-		response.Versions = active[firstMissing:]
+		response.Revisions = active[firstMissing:]
 	case firstMissing == 0:
-		response.Versions, response.Steps = active[:1], deltasOf(active[0], active[1:])
+		response.Revisions, response.Deltas = active[:1], deltasOf(active[0], active[1:])
 	default:
 		base := active[firstMissing-1]
-		response.Base, response.Steps = base.Number, deltasOf(base, active[firstMissing:])
+		response.BaseRevision, response.Deltas = base.Number, deltasOf(base, active[firstMissing:])
 	}
 	return response
 }
 
 // dropOverdueRequests forgets requests whose leases, which count from the request, would be over by now.
-func (r *Keeper) dropOverdueRequests(now int64) {
+func (r *Replica) dropOverdueRequests(now int64) {
 	leases := &r.leader.leases
-	leases.waiting = slices.DeleteFunc(leases.waiting, func(w waitingRequest) bool { return now-w.at > int64(r.timing.Lease) })
+	leases.waiting = slices.DeleteFunc(leases.waiting, func(w waitingRequest) bool { return now-w.at > int64(r.timing.LeaseDuration) })
 }
 
 // advanceMinRevision proposes the latest revision as the lowest that a lease can be under, once no process is under a lease that was granted
 // without it: neither one of this leader's nor, for as long as these can last, one of an earlier leader's. From then on what the latest
 // revision loosens is in force. Without the wait, a process that has not heard of a tightening yet would meet one that acts on the loosening
 // after it.
-func (r *Keeper) advanceMinRevision(now int64) {
+func (r *Replica) advanceMinRevision(now int64) {
 	latest := r.state.latest().Number
-	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest || now-r.leader.since < int64(r.timing.Outlasts()) {
+	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest || now-r.leader.since < int64(r.timing.GranterTimeout()) {
 		return
 	}
 	if r.doAllHoldersKnow(now, latest) && r.proposeCommand(command{MinRevision: latest}) {
@@ -185,7 +185,7 @@
 }
 
 // doAllHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over long ago.
-func (r *Keeper) doAllHoldersKnow(now int64, revision uint64) bool {
+func (r *Replica) doAllHoldersKnow(now int64, revision uint64) bool {
 	all := true
 	for id, lease := range r.leader.leases.granted {
 		all = all && (lease.knownRevision >= revision || now >= lease.expiresAt)
@@ -198,9 +198,9 @@
 
 // notifyHolders sends the latest revisions to all that were granted a lease: what is strict is in force as soon as it is heard. What is lost on
 // the way comes with the next lease.
-func (r *Keeper) notifyHolders() {
+func (r *Replica) notifyHolders() {
 	ids := slices.SortedFunc(maps.Keys(r.leader.leases.granted), func(a, b holderID) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life))
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	for _, id := range ids {
 		lease := r.leader.leases.granted[id]
@@ -208,7 +208,7 @@
 		if lease.acceptsDeltas {
 			known = max(known, lease.sentRevision)
 		}
-		r.sender.Send(id.Name, &Message{From: r.Name, Grant: r.leaseResponse(0, known, lease.acceptsDeltas)})
+		r.sender.Send(id.Name, &Message{From: r.Name, LeaseResponse: r.leaseResponse(0, known, lease.acceptsDeltas)})
 		lease.sentRevision = r.state.latest().Number
 	}
 }
--- /dev/null
+++ b/consensus/messages.go
@@ -0,0 +1,108 @@
+package consensus
+
+import (
+	"errors"
+	"fmt"
+)
+
+// maxMessageBytes bounds a message: all active revisions and what is pending fit.
+const maxMessageBytes = 2 << 20
+
+// errNotMessage refuses bytes that no process of a fleet sends.
+var errNotMessage = errors.New("not a message of the fleet")
+
+// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its own process.
+type Sender interface{ Send(to string, m *Message) }
+
+// Message is what processes tell each other. One of the fields is there, besides From and Ticket.
+type Message struct {
+	From           string          `cbor:"1,keyasint"`           // the name of the process that sent it
+	Raft           []byte          `cbor:"2,keyasint,omitempty"` // between replicas
+	LeaseRequest   *LeaseRequest   `cbor:"3,keyasint,omitempty"` // a lease holder to a replica
+	LeaseResponse  *LeaseResponse  `cbor:"4,keyasint,omitempty"` // and back
+	Announcement   *Announcement   `cbor:"5,keyasint,omitempty"` // a replica to the others
+	Proposal       *Proposal       `cbor:"6,keyasint,omitempty"` // a proposer to a replica
+	ProposalResult *ProposalResult `cbor:"7,keyasint,omitempty"` // and back
+	Ticket         *ProposalTicket `cbor:"8,keyasint,omitempty"` // of a proposal
+}
+
+// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer to it is owed.
+type ProposalTicket struct {
+	Term     uint64 `cbor:"1,keyasint"`
+	IssuedAt int64  `cbor:"2,keyasint"` // nanoseconds of the leader's clock
+}
+
+// LeaseRequest asks for a lease.
+type LeaseRequest struct {
+	Seq           uint64 `cbor:"1,keyasint"` // counts this holder's requests
+	Incarnation   uint64 `cbor:"2,keyasint"` // of the process: it may have come back under the same name
+	KnownRevision uint64 `cbor:"3,keyasint"` // the latest revision that it knows; 0: none
+	MinRevision   uint64 `cbor:"4,keyasint"` // the min revision that it knows; 0: none
+
+	ShareSeq    uint64  `cbor:"5,keyasint,omitempty"` // the request for which the budget share that it acts on was granted
+	RequestRate float64 `cbor:"6,keyasint,omitempty"` // requests a second that come to it
+
+	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"` // it takes deltas in place of whole revisions; builds before deltas do not
+}
+
+// LeaseResponse is a lease if Seq is not 0; else it only has news of revisions, or of who leads.
+type LeaseResponse struct {
+	Seq          uint64     `cbor:"1,keyasint,omitempty"` // of the request
+	Leader       string     `cbor:"2,keyasint,omitempty"`
+	MinRevision  uint64     `cbor:"3,keyasint,omitempty"` // no lease under an older revision is left
+	Revisions    []Revision `cbor:"4,keyasint,omitempty"` // from the min revision on, those that the holder lacks
+	HistoryID    uint64     `cbor:"5,keyasint,omitempty"` // which history: a fleet that lost one begins another
+	BudgetShare  float64    `cbor:"6,keyasint,omitempty"` // of the fleet's budgets, 0 to 1, for as long as the lease
+	Deltas       []Proposal `cbor:"7,keyasint,omitempty"` // what later revisions changed, one after the other
+	BaseRevision uint64     `cbor:"8,keyasint,omitempty"` // the revision that the first delta changed, where none is whole here
+}
+
+// Announcement tells what a replica has: the incarnation of its state, and the voters that it knows of.
+type Announcement struct {
+	Incarnation uint64            `cbor:"1,keyasint"`
+	Voters      map[string]uint64 `cbor:"2,keyasint,omitempty"` // incarnations by name; none: it knows no history
+	IsBootstrap bool              `cbor:"3,keyasint,omitempty"` // no build sets it; the key stays taken
+}
+
+// ProposalResult is what became of a proposal.
+type ProposalResult struct {
+	ID       string          `cbor:"1,keyasint"`
+	Revision uint64          `cbor:"2,keyasint,omitempty"` // its revision, if it was accepted
+	Reason   string          `cbor:"3,keyasint,omitempty"` // why not
+	IsFinal  bool            `cbor:"4,keyasint,omitempty"` // false: it may still be in force, the history tells
+	Ticket   *ProposalTicket `cbor:"5,keyasint,omitempty"` // no answer yet: send it again, with this
+}
+
+// Marshal encodes a message for UnmarshalMessage.
+func (m *Message) Marshal() []byte { return encode(m) }
+
+// UnmarshalMessage takes no message that is not complete and within bounds.
+func UnmarshalMessage(bytes []byte) (*Message, error) {
+	m := &Message{}
+	if len(bytes) > maxMessageBytes {
+		return nil, errNotMessage
+	}
+	if err := strictDecoding.Unmarshal(bytes, m); err != nil {
+		return nil, fmt.Errorf("%w: %w", errNotMessage, err)
+	}
+	if m.contents() != 1 || m.From == "" || len(m.From) > maxNameBytes {
+		return nil, errNotMessage
+	}
+	if m.Proposal != nil {
+		if err := m.Proposal.Validate(); err != nil {
+			return nil, fmt.Errorf("%w: %w", errNotMessage, err)
+		}
+	}
+	return m, nil
+}
+
+// contents is how many of the fields that a message has one of are there.
+func (m *Message) contents() (n int) {
+	isPresent := []bool{len(m.Raft) > 0, m.LeaseRequest != nil, m.LeaseResponse != nil, m.Announcement != nil, m.Proposal != nil, m.ProposalResult != nil}
+	for _, is := range isPresent {
+		if is {
+			n++
+		}
+	}
+	return n
+}
--- a/agreed/proposal.go
+++ b/consensus/proposal.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"bytes"
@@ -15,47 +15,47 @@
 // Why a proposal cannot become the next revision. Proposers read the texts.
 var (
 	// ErrBase is returned where another revision came in between.
-	ErrBase = errors.New("made for another version")
+	ErrBaseRevision = errors.New("made for another version")
 	// ErrEmpty is returned where the latest revision has all of it already.
-	ErrEmpty  = errors.New("changes nothing")
-	errNoID   = errors.New("id: missing")
-	errNoName = errors.New("an empty name")
+	ErrNoChange = errors.New("changes nothing")
+	errNoID     = errors.New("id: missing")
+	errNoName   = errors.New("an empty name")
 )
 
 // Proposal is what is to differ from the revision before. It is also the delta between two revisions.
-type Change struct {
+type Proposal struct {
 	// ID is chosen by the proposer: a proposal that is sent twice is in force once.
-	ID  string `cbor:"1,keyasint"`
-	By  string `cbor:"2,keyasint,omitempty"`
-	Why string `cbor:"3,keyasint,omitempty"`
+	ID     string `cbor:"1,keyasint"`
+	Author string `cbor:"2,keyasint,omitempty"`
+	Reason string `cbor:"3,keyasint,omitempty"`
 	// Base is the revision that it was made for; 0: any.
-	Base uint64 `cbor:"4,keyasint,omitempty"`
+	BaseRevision uint64 `cbor:"4,keyasint,omitempty"`
 	// Out and Back are the hosts to eject and to take back.
-	Out  []string `cbor:"5,keyasint,omitempty"`
-	Back []string `cbor:"6,keyasint,omitempty"`
+	EjectEndpoints   []string `cbor:"5,keyasint,omitempty"`
+	UnejectEndpoints []string `cbor:"6,keyasint,omitempty"`
 	// Limits are limits to state; one under 0 is taken back.
 	Limits map[string]int64 `cbor:"7,keyasint,omitempty"`
 	// Digest, Source and From are new values of the fields of the same name; nil: as before.
-	Digest *string `cbor:"8,keyasint,omitempty"`
-	Source *string `cbor:"9,keyasint,omitempty"`
-	From   *uint64 `cbor:"10,keyasint,omitempty"`
+	SettingsDigest  *string `cbor:"8,keyasint,omitempty"`
+	DiscoverySource *string `cbor:"9,keyasint,omitempty"`
+	MinListIndex    *uint64 `cbor:"10,keyasint,omitempty"`
 	// Leave and Return are the zones to evacuate and to return to.
-	Leave  []string `cbor:"11,keyasint,omitempty"`
-	Return []string `cbor:"12,keyasint,omitempty"`
+	EvacuateZones []string `cbor:"11,keyasint,omitempty"`
+	RestoreZones  []string `cbor:"12,keyasint,omitempty"`
 }
 
 // Validate tells whether this can be a proposal, whatever configuration it meets. The error names the field by the name that operators write.
-func (c *Change) Check() error {
+func (c *Proposal) Validate() error {
 	if c.ID == "" {
 		return errNoID
 	}
 	if err := c.validateTexts(); err != nil {
 		return err
 	}
-	if err := validateDisjoint("back", c.Out, c.Back); err != nil {
+	if err := validateDisjoint("back", c.EjectEndpoints, c.UnejectEndpoints); err != nil {
 		return err
 	}
-	if err := validateDisjoint("return", c.Leave, c.Return); err != nil {
+	if err := validateDisjoint("return", c.EvacuateZones, c.RestoreZones); err != nil {
 		return err
 	}
 	if size := len(encode(c)); size > maxProposalBytes {
@@ -65,22 +65,22 @@
 }
 
 // validateTexts looks at all names and texts, in the order in which operators write the fields.
-func (c *Change) validateTexts() error {
+func (c *Proposal) validateTexts() error {
 	for _, field := range []struct {
 		name       string
 		texts      []string
 		maxEntries int
 	}{
 		{"id", []string{c.ID}, 1},
-		{"by", []string{c.By}, 1},
-		{"why", []string{c.Why}, 1},
-		{"out", c.Out, maxNames},
-		{"back", c.Back, maxNames},
-		{"leave", c.Leave, maxNames},
-		{"return", c.Return, maxNames},
+		{"by", []string{c.Author}, 1},
+		{"why", []string{c.Reason}, 1},
+		{"out", c.EjectEndpoints, maxNames},
+		{"back", c.UnejectEndpoints, maxNames},
+		{"leave", c.EvacuateZones, maxNames},
+		{"return", c.RestoreZones, maxNames},
 		{"limits", slices.Sorted(maps.Keys(c.Limits)), maxLimits},
-		{"settings_digest", optionalText(c.Digest), 1},
-		{"list_of", optionalText(c.Source), 1},
+		{"settings_digest", optionalText(c.SettingsDigest), 1},
+		{"list_of", optionalText(c.DiscoverySource), 1},
 	} {
 		if len(field.texts) > field.maxEntries {
 			return fmt.Errorf("%s: over %d entries", field.name, field.maxEntries)
@@ -123,18 +123,18 @@
 
 // apply makes the next revision. It depends on nothing but its arguments, as each replica does it for itself; an error has the revision
 // unchanged beside it.
-func (c *Change) apply(was Version) (Version, error) {
-	if c.Base != 0 && c.Base != was.Number {
-		return was, fmt.Errorf("%w: %d, not %d", ErrBase, was.Number, c.Base)
+func (c *Proposal) apply(was Revision) (Revision, error) {
+	if c.BaseRevision != 0 && c.BaseRevision != was.Number {
+		return was, fmt.Errorf("%w: %d, not %d", ErrBaseRevision, was.Number, c.BaseRevision)
 	}
 	next := c.next(was)
-	d := &next.Document
+	d := &next.Config
 	encoded := encode(d)
 	switch {
-	case bytes.Equal(encoded, encode(was.Document)):
-		return was, ErrEmpty
-	case len(encoded) > maxConfigBytes, len(d.Bans) > maxNames, len(d.Limits) > maxLimits, len(d.Left) > maxNames:
-		return was, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", len(encoded), len(d.Bans), len(d.Limits))
+	case bytes.Equal(encoded, encode(was.Config)):
+		return was, ErrNoChange
+	case len(encoded) > maxConfigBytes, len(d.EjectedEndpoints) > maxNames, len(d.Limits) > maxLimits, len(d.EvacuatedZones) > maxNames:
+		return was, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", len(encoded), len(d.EjectedEndpoints), len(d.Limits))
 	}
 	return next, nil
 }
--- a/agreed/proposals.go
+++ b/consensus/proposals.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"slices"
@@ -34,7 +34,7 @@
 }
 
 type pendingProposal struct {
-	proposal   Change
+	proposal   Proposal
 	from       string
 	deadline   int64
 	isAccepted bool // its acceptance is written: from here on only the history tells whether it is in force
@@ -43,7 +43,7 @@
 
 // refusal is a final no, and when the proposal came.
 type refusal struct {
-	Outcome
+	ProposalResult
 	at int64
 }
 
@@ -69,41 +69,41 @@
 
 // isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a proposal that the network
 // repeats late would be written after its proposer was told a final no, and be in force against that.
-func (t *Ticket) isValid(now int64, term uint64) bool {
-	return t != nil && t.Term == term && t.At <= now && now-t.At <= int64(proposalTimeout)
+func (t *ProposalTicket) isValid(now int64, term uint64) bool {
+	return t != nil && t.Term == term && t.IssuedAt <= now && now-t.IssuedAt <= int64(proposalTimeout)
 }
 
 // handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else when a majority has
 // written it, or proposalTimeout has passed.
-func (r *Keeper) handleProposal(now int64, from string, c Change, ticket *Ticket) {
+func (r *Replica) handleProposal(now int64, from string, c Proposal, ticket *ProposalTicket) {
 	p := pendingProposal{proposal: c, from: from, deadline: now + int64(proposalTimeout), bytes: len(encode(c))}
 	table := &r.leader.proposals
 	table.dropOldRefusals(now)
-	if !r.Leads() {
+	if !r.IsLeader() {
 		r.redirectProposal(p)
 		return
 	}
 	if revision := r.state.revisionOf(c.ID); revision != 0 {
-		r.answerProposal(p, &Outcome{ID: c.ID, Number: revision, Sure: true})
+		r.answerProposal(p, &ProposalResult{ID: c.ID, Revision: revision, IsFinal: true})
 		return
 	}
 	if table.indexOf(c.ID) >= 0 {
 		return // It is answered once.
 	}
 	if n := table.refusalIndex(c.ID); n >= 0 {
-		r.answerProposal(p, &table.refused[n].Outcome)
+		r.answerProposal(p, &table.refused[n].ProposalResult)
 		return
 	}
 	if !ticket.isValid(now, r.term) {
-		r.answerProposal(p, &Outcome{ID: c.ID, Ticket: &Ticket{r.term, now}})
+		r.answerProposal(p, &ProposalResult{ID: c.ID, Ticket: &ProposalTicket{r.term, now}})
 		return
 	}
 	if !table.hasRoomFor(p.bytes) {
-		r.answerProposal(p, &Outcome{ID: c.ID, Wrong: reasonTooMany, Sure: true})
+		r.answerProposal(p, &ProposalResult{ID: c.ID, Reason: reasonTooMany, IsFinal: true})
 		return
 	}
 	if _, err := c.apply(r.state.latest()); err != nil {
-		r.answerProposal(p, &Outcome{ID: c.ID, Wrong: err.Error(), Sure: true})
+		r.answerProposal(p, &ProposalResult{ID: c.ID, Reason: err.Error(), IsFinal: true})
 		return
 	}
 	if r.proposeCommand(command{Propose: &c}) {
@@ -112,28 +112,28 @@
 }
 
 // redirectProposal tells a proposer who leads, and it asks there; or that nobody does.
-func (r *Keeper) redirectProposal(p pendingProposal) {
+func (r *Replica) redirectProposal(p pendingProposal) {
 	leader := r.knownLeader()
 	if leader == "" || leader == r.Name {
-		r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonNoLeader, Sure: true})
+		r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonNoLeader, IsFinal: true})
 		return
 	}
-	r.sender.Send(p.from, &Message{From: r.Name, Grant: &Grant{Leader: leader}})
+	r.sender.Send(p.from, &Message{From: r.Name, LeaseResponse: &LeaseResponse{Leader: leader}})
 }
 
 // answerProposal sends a result. A leader remembers a final no, so that whatever the network repeats gets the same answer.
-func (r *Keeper) answerProposal(p pendingProposal, result *Outcome) {
+func (r *Replica) answerProposal(p pendingProposal, result *ProposalResult) {
 	table := &r.leader.proposals
-	isRefusal := result.Sure && result.Number == 0
-	if isRefusal && r.Leads() && table.refusalIndex(result.ID) < 0 && len(table.refused) < maxRefusals {
+	isRefusal := result.IsFinal && result.Revision == 0
+	if isRefusal && r.IsLeader() && table.refusalIndex(result.ID) < 0 && len(table.refused) < maxRefusals {
 		table.refused = append(table.refused, refusal{*result, p.deadline - int64(proposalTimeout)})
 	}
-	r.sender.Send(p.from, &Message{From: r.Name, Outcome: result})
+	r.sender.Send(p.from, &Message{From: r.Name, ProposalResult: result})
 }
 
 // expireProposals answers the proposals whose time is over. One whose acceptance is not written is withdrawn, and the no is final: an entry of
 // the log says so, and no later leader can accept it. One whose acceptance is written may be in force.
-func (r *Keeper) expireProposals(now int64) {
+func (r *Replica) expireProposals(now int64) {
 	table := &r.leader.proposals
 	waiting := table.pending[:0]
 	for _, p := range table.pending {
@@ -141,10 +141,10 @@
 		case now < p.deadline:
 			waiting = append(waiting, p)
 		case p.isAccepted:
-			r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonUnknown})
+			r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonUnknown})
 		default:
 			r.proposeCommand(command{Withdraw: p.proposal.ID})
-			r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonWithdrawn, Sure: true})
+			r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonWithdrawn, IsFinal: true})
 		}
 	}
 	clear(table.pending[len(waiting):])
@@ -152,7 +152,7 @@
 }
 
 // applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer still waits.
-func (r *Keeper) applyProposal(now int64, c *Change, term uint64, isOwn bool) {
+func (r *Replica) applyProposal(now int64, c *Proposal, term uint64, isOwn bool) {
 	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*c, term})
 	table := &r.leader.proposals
 	if at := table.indexOf(c.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
@@ -161,13 +161,13 @@
 }
 
 // applyAcceptance makes a proposal the next revision, and answers its proposer.
-func (r *Keeper) applyAcceptance(id string, isOwn bool) {
+func (r *Replica) applyAcceptance(id string, isOwn bool) {
 	revision, err := r.state.accept(id)
 	table := &r.leader.proposals
 	if at := table.indexOf(id); at >= 0 {
-		result := &Outcome{ID: id, Number: revision, Sure: true}
+		result := &ProposalResult{ID: id, Revision: revision, IsFinal: true}
 		if err != nil {
-			result.Wrong = err.Error()
+			result.Reason = err.Error()
 		}
 		r.answerProposal(table.pending[at], result)
 		table.pending = slices.Delete(table.pending, at, at+1)
--- a/agreed/proposals_test.go
+++ b/consensus/proposals_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"slices"
@@ -10,17 +10,17 @@
 // An operator whose proposal is refused has to find the field to mend: the error begins with its name.
 func TestProposalValidateNamesTheField(t *testing.T) {
 	long := strings.Repeat("n", maxNameBytes+1)
-	for want, c := range map[string]Change{
+	for want, c := range map[string]Proposal{
 		"id: ":      {},
-		"out: ":     {ID: "i", Out: []string{""}},
-		"why: ":     {ID: "i", Why: "a\nb"},
-		"by: ":      {ID: "i", By: long},
-		"back: ":    {ID: "i", Out: []string{"h"}, Back: []string{"h"}},
-		"return: ":  {ID: "i", Leave: []string{"z"}, Return: []string{"z"}},
-		"list_of: ": {ID: "i", Source: &long},
+		"out: ":     {ID: "i", EjectEndpoints: []string{""}},
+		"why: ":     {ID: "i", Reason: "a\nb"},
+		"by: ":      {ID: "i", Author: long},
+		"back: ":    {ID: "i", EjectEndpoints: []string{"h"}, UnejectEndpoints: []string{"h"}},
+		"return: ":  {ID: "i", EvacuateZones: []string{"z"}, RestoreZones: []string{"z"}},
+		"list_of: ": {ID: "i", DiscoverySource: &long},
 		"limits: ":  {ID: "i", Limits: map[string]int64{"\x00": 1}},
 	} {
-		if err := c.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
+		if err := c.Validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%s%v", want, err)
 		}
 	}
@@ -30,17 +30,17 @@
 // leader's term, at most as old as an answer is waited for, nothing is written.
 func TestProposalNeedsValidTicket(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.Leads() && p.holder.expiresAt != 0 }); n++ {
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
 		sim.advance()
 	}
-	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.Leads() })]
+	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })]
 	k := p.replica
-	written := func(id string, t *Ticket) bool {
-		k.Heard(p.clock(), &Message{From: p.name, Propose: &Change{ID: id, Out: []string{id}}, Ticket: t})
+	written := func(id string, t *ProposalTicket) bool {
+		k.HandleMessage(p.clock(), &Message{From: p.name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{id}}, Ticket: t})
 		return slices.ContainsFunc(k.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
 	}
-	fresh := &Ticket{k.term, p.clock()}
-	for why, ticket := range map[string]*Ticket{"none": nil, "of another term": {k.term - 1, p.clock()}, "old": {k.term, p.clock() - int64(proposalTimeout) - 1},
+	fresh := &ProposalTicket{k.term, p.clock()}
+	for why, ticket := range map[string]*ProposalTicket{"none": nil, "of another term": {k.term - 1, p.clock()}, "old": {k.term, p.clock() - int64(proposalTimeout) - 1},
 		"of the future": {k.term, p.clock() + int64(time.Second)}} {
 		if written(why, ticket) {
 			t.Errorf("written with a ticket: %s", why)
@@ -49,7 +49,7 @@
 	if !written("good", fresh) {
 		t.Error("not written with a good ticket")
 	}
-	k.answerProposal(pendingProposal{proposal: Change{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &Outcome{ID: "no", Wrong: "no", Sure: true})
+	k.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
 	if written("no", fresh) {
 		t.Error("written after a sure no")
 	}
--- a/agreed/raftlog.go
+++ b/consensus/raftlog.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -11,9 +11,9 @@
 
 // Storage is where a replica's records go, in order. What Append was given is there after any crash once it has returned without an error;
 // Replace puts records in the place of all that were there, or changes nothing. A replica whose storage returns an error stops.
-type Lasting interface {
-	Add(records [][]byte) error
-	Swap(records [][]byte) error
+type Storage interface {
+	Append(records [][]byte) error
+	Replace(records [][]byte) error
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // raftLog is raft's log in memory and the records that make it last.
 type raftLog struct {
-	storage Lasting
+	storage Storage
 	entries *raft.MemoryStorage
 	conf    *pb.ConfState
 	hard    *pb.HardState
@@ -49,12 +49,12 @@
 	bytesSinceSnapshot   int
 }
 
-func newRaftLog(storage Lasting) raftLog {
+func newRaftLog(storage Storage) raftLog {
 	return raftLog{storage: storage, entries: raft.NewMemoryStorage(), hard: &pb.HardState{}, conf: &pb.ConfState{}}
 }
 
 // load takes up the records that a storage has, and tells whether there was more than an incarnation.
-func (r *Keeper) load(records [][]byte) (hasState bool, err error) {
+func (r *Replica) load(records [][]byte) (hasState bool, err error) {
 	for n, bytes := range records {
 		var rec record
 		if err := strictDecoding.Unmarshal(bytes, &rec); err != nil || n == 0 && rec.Incarnation == 0 {
@@ -77,7 +77,7 @@
 }
 
 // loadRecord takes up a record after the first.
-func (r *Keeper) loadRecord(rec *record) (isState bool, err error) {
+func (r *Replica) loadRecord(rec *record) (isState bool, err error) {
 	switch {
 	case rec.HardState != nil:
 		hard := &pb.HardState{}
@@ -109,7 +109,7 @@
 }
 
 // restore takes a snapshot, stored or sent by the leader, as what the state is.
-func (r *Keeper) restore(snapshot *pb.Snapshot) error {
+func (r *Replica) restore(snapshot *pb.Snapshot) error {
 	state, err := unmarshalState(snapshot.GetData())
 	if err != nil || !state.isConsistent() {
 		return errNotSnapshot
@@ -126,13 +126,13 @@
 
 // writeIncarnation writes the first record of a log.
 func (l *raftLog) writeIncarnation(incarnation uint64) error {
-	return l.storage.Add([][]byte{encode(record{Incarnation: incarnation})})
+	return l.storage.Append([][]byte{encode(record{Incarnation: incarnation})})
 }
 
 // writeBootstrap writes the snapshot with which a history begins.
 func (l *raftLog) writeBootstrap(snapshot *pb.Snapshot, hard *pb.HardState) error {
 	l.hard = hard
-	return l.storage.Add([][]byte{encode(record{Snapshot: marshalProto(snapshot)}), encode(record{HardState: marshalProto(hard)})})
+	return l.storage.Append([][]byte{encode(record{Snapshot: marshalProto(snapshot)}), encode(record{HardState: marshalProto(hard)})})
 }
 
 // write makes what raft has ready last: a snapshot, entries, and the hard state with the vote.
@@ -151,7 +151,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	return l.storage.Add(records)
+	return l.storage.Append(records)
 }
 
 // append takes up entries and the hard state that were written.
@@ -182,7 +182,7 @@
 }
 
 // compactLog puts a snapshot of the state in the place of a long log, in memory and in storage.
-func (r *Keeper) compactLog() error {
+func (r *Replica) compactLog() error {
 	l := &r.log
 	if !l.isLong() || l.applied == 0 {
 		return nil
@@ -200,7 +200,7 @@
 			records = append(records, encode(record{Entry: marshalProto(e)}))
 		}
 	}
-	if err := l.storage.Swap(append(records, encode(record{HardState: marshalProto(l.hard)}))); err != nil {
+	if err := l.storage.Replace(append(records, encode(record{HardState: marshalProto(l.hard)}))); err != nil {
 		return fmt.Errorf("compact replica log: %w", err)
 	}
 	return nil
--- a/agreed/replica.go
+++ b/consensus/replica.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"fmt"
@@ -18,11 +18,11 @@
 // Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated state and, while it leads,
 // the leases and the proposals that it answers for. It never blocks but in its Storage, and it does not lock: one goroutine calls all
 // methods. All times are nanoseconds of that process's own clock.
-type Keeper struct {
+type Replica struct {
 	Name        string
 	incarnation uint64   // raft's ID: it belongs to the stored state, and a replica that lost that comes back with another
 	replicas    []string // names of all replicas, in the order of the settings: the first bootstraps the fleet
-	timing      Terms
+	timing      LeaseTiming
 	sender      Sender
 	random      func(n int) int // draws below n
 	err         error           // why it stopped; nil while it runs
@@ -56,9 +56,9 @@
 
 // NewReplica opens a replica with the records that its storage has, in their order; without records it bootstraps a fleet or joins one under
 // the given incarnation. random draws below n. An error tells which record cannot be read.
-func NewKeeper(now int64, name string, incarnation uint64, timing Terms, replicas []string, records [][]byte, storage Lasting, sender Sender,
-	random func(n int) int) (*Keeper, error) {
-	r := &Keeper{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random, nextTick: now,
+func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte, storage Storage, sender Sender,
+	random func(n int) int) (*Replica, error) {
+	r := &Replica{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random, nextTick: now,
 		log: newRaftLog(storage), peers: newPeerTable()}
 	r.leader.leases.granted = map[holderID]*grantedLease{}
 	if len(records) == 0 {
@@ -73,7 +73,7 @@
 
 // startNode begins to take part in raft. Raft's own election timer never fires: campaigns follow electionTimer, whose chance is handed in, so
 // that a run can be repeated from its seed.
-func (r *Keeper) startNode(now int64) (err error) {
+func (r *Replica) startNode(now int64) (err error) {
 	r.node, err = raft.NewRawNode(&raft.Config{ID: r.incarnation, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: r.log.entries,
 		Applied: r.log.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, PreVote: true, Logger: discardLogger{},
 		DisableProposalForwarding: true})
@@ -82,35 +82,39 @@
 }
 
 // resetElectionTimer puts the next campaign off, as a leader was heard or another candidate got this replica's vote.
-func (r *Keeper) resetElectionTimer(now int64) {
-	quarter := int64(r.timing.Lease) / 4
+func (r *Replica) resetElectionTimer(now int64) {
+	quarter := int64(r.timing.LeaseDuration) / 4
 	r.election.campaignAt = now + quarter + int64(r.random(int(quarter)))
 }
 
-func (r *Keeper) heartbeatInterval() int64 { return int64(r.timing.Lease) / heartbeatsPerLease }
+func (r *Replica) heartbeatInterval() int64 {
+	return int64(r.timing.LeaseDuration) / heartbeatsPerLease
+}
 
 // IsLeader tells whether this replica takes itself for the leader. Another may lead already: what needs certainty asks a majority.
-func (r *Keeper) Leads() bool { return r.leader.since != 0 }
+func (r *Replica) IsLeader() bool { return r.leader.since != 0 }
 
 // IsBootstrapped tells whether this replica knows a history.
-func (r *Keeper) Founded() bool { return r.node != nil && len(r.state.History) > 0 }
+func (r *Replica) IsBootstrapped() bool { return r.node != nil && len(r.state.History) > 0 }
 
 // History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under. The caller does not change
 // them.
-func (r *Keeper) History() (revisions []Version, minRevision uint64) {
+func (r *Replica) History() (revisions []Revision, minRevision uint64) {
 	return r.state.History, r.state.MinRevision
 }
 
 // Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it neither sends nor answers.
 // It is nil while the replica runs.
-func (r *Keeper) Broken() error { return r.err }
+func (r *Replica) Err() error { return r.err }
 
 // TimeUntilTick is how long Tick has nothing to do.
-func (r *Keeper) Wait(now int64) time.Duration { return time.Duration(max(0, r.nextTick-now)) }
+func (r *Replica) TimeUntilTick(now int64) time.Duration {
+	return time.Duration(max(0, r.nextTick-now))
+}
 
 // Tick does what is due at this time: heartbeats, campaigns, announcements, time-outs. The driver calls it once TimeUntilTick has passed;
 // earlier calls do nothing.
-func (r *Keeper) Look(now int64) {
+func (r *Replica) Tick(now int64) {
 	if r.err != nil || now < r.nextTick {
 		return
 	}
@@ -124,18 +128,18 @@
 		r.announceToAll() // It lost its state or is new: the leader lets it in when it hears this.
 	}
 	r.node.Tick()
-	if !r.Leads() && now >= r.election.campaignAt {
+	if !r.IsLeader() && now >= r.election.campaignAt {
 		r.resetElectionTimer(now)
 		_ = r.node.Campaign() // It fails where this replica is no voter, and then there is nothing to do.
 	}
-	if r.Leads() {
+	if r.IsLeader() {
 		r.leaderTick(now)
 	}
 	r.processReady(now)
 }
 
 // leaderTick does what only a leader does.
-func (r *Keeper) leaderTick(now int64) {
+func (r *Replica) leaderTick(now int64) {
 	r.dropOverdueRequests(now)
 	r.confirmLeadership(now)
 	r.expireProposals(now)
@@ -147,7 +151,7 @@
 //
 // Raft panics at messages that its own code never sends. A peer that is faulty or forged can send one, and without the guard it would end
 // this process, which serves requests too. So the replica stops alone, and Err tells which peer sent it.
-func (r *Keeper) Heard(now int64, m *Message) {
+func (r *Replica) HandleMessage(now int64, m *Message) {
 	if r.err != nil {
 		return
 	}
@@ -157,22 +161,22 @@
 		}
 	}()
 	switch {
-	case m.Hello != nil:
-		r.handleAnnouncement(now, m.From, m.Hello)
+	case m.Announcement != nil:
+		r.handleAnnouncement(now, m.From, m.Announcement)
 	case r.node == nil:
 		return
 	case m.Raft != nil:
 		r.stepRaft(now, m.Raft)
-	case m.Ask != nil:
-		r.handleLeaseRequest(now, m.From, *m.Ask)
-	case m.Propose != nil:
-		r.handleProposal(now, m.From, *m.Propose, m.Ticket)
+	case m.LeaseRequest != nil:
+		r.handleLeaseRequest(now, m.From, *m.LeaseRequest)
+	case m.Proposal != nil:
+		r.handleProposal(now, m.From, *m.Proposal, m.Ticket)
 	}
 	r.processReady(now)
 }
 
 // stepRaft hands a message of another replica to raft.
-func (r *Keeper) stepRaft(now int64, packed []byte) {
+func (r *Replica) stepRaft(now int64, packed []byte) {
 	m := &pb.Message{}
 	if proto.Unmarshal(packed, m) != nil || m.GetTo() != r.incarnation || raft.IsLocalMsg(m.GetType()) {
 		return
@@ -187,7 +191,7 @@
 	case pb.MsgPreVote:
 		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again and again: those
 		// who hear the leader ignore it.
-		if r.Leads() || r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < int64(r.timing.Lease)/4 {
+		if r.IsLeader() || r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < int64(r.timing.LeaseDuration)/4 {
 			return
 		}
 	}
@@ -195,11 +199,11 @@
 }
 
 // knownLeader is the name of the leader as raft has it; "" where there is none or its name is not known.
-func (r *Keeper) knownLeader() string { return r.peers.names[r.node.BasicStatus().Lead] }
+func (r *Replica) knownLeader() string { return r.peers.names[r.node.BasicStatus().Lead] }
 
 // processReady carries out all that raft has ready. What has to last is written before anything is sent: a vote or an acknowledgement that
 // leaves before it is on disk can be given a second time after a crash, and then two leaders have a majority in one term.
-func (r *Keeper) processReady(now int64) {
+func (r *Replica) processReady(now int64) {
 	for r.err == nil && r.node != nil && r.node.HasReady() {
 		ready := r.node.Ready()
 		if r.err = r.persistReady(now, &ready); r.err != nil {
@@ -223,7 +227,7 @@
 }
 
 // persistReady writes the hard state, entries and snapshot that raft has ready, and takes them up.
-func (r *Keeper) persistReady(now int64, ready *raft.Ready) error {
+func (r *Replica) persistReady(now int64, ready *raft.Ready) error {
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 		if vote := ready.GetVote(); vote != r.log.hard.GetVote() && vote != r.incarnation {
 			r.resetElectionTimer(now) // It voted for another, which gets its time.
@@ -242,7 +246,7 @@
 }
 
 // sendRaft sends raft's messages to those replicas whose names are known.
-func (r *Keeper) sendRaft(messages []*pb.Message) {
+func (r *Replica) sendRaft(messages []*pb.Message) {
 	for _, m := range messages {
 		name := r.peers.names[m.GetTo()]
 		if name == "" {
@@ -256,9 +260,9 @@
 }
 
 // setLeadership takes up what raft says of who leads.
-func (r *Keeper) setLeadership(now int64, leads bool) {
+func (r *Replica) setLeadership(now int64, leads bool) {
 	switch {
-	case leads == r.Leads():
+	case leads == r.IsLeader():
 	case leads:
 		r.becomeLeader(now)
 	default:
@@ -268,19 +272,19 @@
 
 // becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier leaders have expired, and
 // budget shares do not grow until then.
-func (r *Keeper) becomeLeader(now int64) {
+func (r *Replica) becomeLeader(now int64) {
 	r.leader = r.leader.next()
 	r.leader.since = now
-	if r.timing.Most > 0 {
-		r.leader.leases.ledger = budgets.New(now, r.timing.Most, int64(r.timing.Outlasts()))
+	if r.timing.MaxMembers > 0 {
+		r.leader.leases.ledger = budgets.New(now, r.timing.MaxMembers, int64(r.timing.GranterTimeout()))
 	}
 }
 
 // becomeFollower tells the proposers who wait that their proposals' fate is open: a later leader may still commit what was written. Tickets of
 // the term are void from here on.
-func (r *Keeper) becomeFollower() {
+func (r *Replica) becomeFollower() {
 	for _, p := range r.leader.proposals.pending {
-		r.answerProposal(p, &Outcome{ID: p.proposal.ID, Wrong: reasonLeaderChanged})
+		r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonLeaderChanged})
 	}
 	r.leader = r.leader.next()
 }
@@ -292,7 +296,7 @@
 }
 
 // applyEntry takes up an entry that a majority has written.
-func (r *Keeper) applyEntry(now int64, e *pb.Entry) {
+func (r *Replica) applyEntry(now int64, e *pb.Entry) {
 	r.log.applied = e.GetIndex()
 	r.state.beginTerm(e.GetTerm())
 	if e.GetType() == pb.EntryConfChangeV2 || e.GetType() == pb.EntryConfChange {
@@ -303,7 +307,7 @@
 	if len(e.GetData()) == 0 || strictDecoding.Unmarshal(e.GetData(), &c) != nil {
 		return
 	}
-	isOwn := r.Leads() && e.GetTerm() == r.term
+	isOwn := r.IsLeader() && e.GetTerm() == r.term
 	switch {
 	case c.Propose != nil:
 		r.applyProposal(now, c.Propose, e.GetTerm(), isOwn)
@@ -320,4 +324,4 @@
 }
 
 // proposeCommand hands a command to raft, and tells whether raft took it.
-func (r *Keeper) proposeCommand(c command) bool { return r.node.Propose(encode(c)) == nil }
+func (r *Replica) proposeCommand(c command) bool { return r.node.Propose(encode(c)) == nil }
--- a/agreed/revisions.go
+++ b/consensus/revisions.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -12,11 +12,11 @@
 
 // revisionChain is revisions in a row, encoded small: the first in full, and of each later one what it changed.
 type revisionChain struct {
-	First  Version  `cbor:"1,keyasint"`
-	Deltas []Change `cbor:"2,keyasint,omitempty"`
+	First  Revision   `cbor:"1,keyasint"`
+	Deltas []Proposal `cbor:"2,keyasint,omitempty"`
 }
 
-func newRevisionChain(revisions []Version) revisionChain {
+func newRevisionChain(revisions []Revision) revisionChain {
 	if len(revisions) == 0 {
 		return revisionChain{}
 	}
@@ -24,19 +24,19 @@
 }
 
 // revisions gives the revisions of a chain; none for one without a first.
-func (c *revisionChain) revisions() ([]Version, error) {
+func (c *revisionChain) revisions() ([]Revision, error) {
 	if c.First.Number == 0 {
 		return nil, nil
 	}
 	rest, err := applyDeltas(c.First, c.Deltas)
-	return append([]Version{c.First}, rest...), err
+	return append([]Revision{c.First}, rest...), err
 }
 
 // MarshalRevisions encodes revisions in a row, for a process that hands them over to its successor.
-func PackChain(revisions []Version) []byte { return encode(newRevisionChain(revisions)) }
+func MarshalRevisions(revisions []Revision) []byte { return encode(newRevisionChain(revisions)) }
 
 // UnmarshalRevisions reads what MarshalRevisions wrote. The error is not nil for all else; the revisions before the fault come with it.
-func UnpackChain(bytes []byte) ([]Version, error) {
+func UnmarshalRevisions(bytes []byte) ([]Revision, error) {
 	var c revisionChain
 	if err := strictDecoding.Unmarshal(bytes, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", errRevisions, err)
@@ -45,8 +45,8 @@
 }
 
 // deltasOf gives what each revision changed, the first against the one before.
-func deltasOf(before Version, revisions []Version) []Change {
-	deltas := make([]Change, 0, len(revisions))
+func deltasOf(before Revision, revisions []Revision) []Proposal {
+	deltas := make([]Proposal, 0, len(revisions))
 	for _, v := range revisions {
 		if v.delta == nil { // It came in full.
 			v.delta = deltaBetween(before, v)
@@ -59,15 +59,15 @@
 
 // applyDeltas gives the revisions that deltas make, one after the other, from the one before them. It bounds them in number and in names:
 // without that, a message of few bytes could make configurations of gigabytes.
-func applyDeltas(before Version, deltas []Change) ([]Version, error) {
+func applyDeltas(before Revision, deltas []Proposal) ([]Revision, error) {
 	if len(deltas) > maxShownRevisions+maxActiveRevisions {
 		return nil, fmt.Errorf("%w: %d of them", errRevisions, len(deltas))
 	}
-	revisions, names := make([]Version, 0, len(deltas)), 0
+	revisions, names := make([]Revision, 0, len(deltas)), 0
 	for n := range deltas {
 		before = deltas[n].next(before)
 		before.delta = &deltas[n]
-		if names += before.Document.nameCount(); names > 2*maxActiveNames {
+		if names += before.Config.nameCount(); names > 2*maxActiveNames {
 			return nil, fmt.Errorf("%w: too many names", errRevisions)
 		}
 		revisions = append(revisions, before)
@@ -76,14 +76,14 @@
 }
 
 // deltaBetween is the least change that makes a revision of the one before.
-func deltaBetween(before, after Version) *Change {
-	was, is := &before.Document, &after.Document
-	c := &Change{ID: after.ID, By: after.By, Why: after.Why, Limits: changedLimits(was.Limits, is.Limits)}
-	c.Out, c.Back = difference(is.Bans, was.Bans), difference(was.Bans, is.Bans)
-	c.Leave, c.Return = difference(is.Left, was.Left), difference(was.Left, is.Left)
-	c.Digest = changed(was.Digest, is.Digest)
-	c.Source = changed(was.Source, is.Source)
-	c.From = changed(was.From, is.From)
+func deltaBetween(before, after Revision) *Proposal {
+	was, is := &before.Config, &after.Config
+	c := &Proposal{ID: after.ProposalID, Author: after.Author, Reason: after.Reason, Limits: changedLimits(was.Limits, is.Limits)}
+	c.EjectEndpoints, c.UnejectEndpoints = difference(is.EjectedEndpoints, was.EjectedEndpoints), difference(was.EjectedEndpoints, is.EjectedEndpoints)
+	c.EvacuateZones, c.RestoreZones = difference(is.EvacuatedZones, was.EvacuatedZones), difference(was.EvacuatedZones, is.EvacuatedZones)
+	c.SettingsDigest = changed(was.SettingsDigest, is.SettingsDigest)
+	c.DiscoverySource = changed(was.DiscoverySource, is.DiscoverySource)
+	c.MinListIndex = changed(was.MinListIndex, is.MinListIndex)
 	return c
 }
 
@@ -112,7 +112,7 @@
 }
 
 // measureDelta notes what a revision changed against the one before, and how many bytes that takes.
-func (v *Version) measureDelta(before Version) {
+func (v *Revision) measureDelta(before Revision) {
 	if v.delta == nil {
 		v.delta = deltaBetween(before, *v)
 	}
@@ -120,10 +120,10 @@
 }
 
 // next is the revision that a proposal makes of another, whatever its size. It shares with that what it does not change.
-func (c *Change) next(was Version) Version {
-	d := was.Document
-	d.Bans = withChanges(d.Bans, c.Out, c.Back)
-	d.Left = withChanges(d.Left, c.Leave, c.Return)
+func (c *Proposal) next(was Revision) Revision {
+	d := was.Config
+	d.EjectedEndpoints = withChanges(d.EjectedEndpoints, c.EjectEndpoints, c.UnejectEndpoints)
+	d.EvacuatedZones = withChanges(d.EvacuatedZones, c.EvacuateZones, c.RestoreZones)
 	if len(c.Limits) > 0 || d.Limits == nil {
 		if d.Limits = maps.Clone(d.Limits); d.Limits == nil {
 			d.Limits = map[string]int64{}
@@ -134,16 +134,16 @@
 			delete(d.Limits, name)
 		}
 	}
-	if c.Digest != nil {
-		d.Digest = *c.Digest
+	if c.SettingsDigest != nil {
+		d.SettingsDigest = *c.SettingsDigest
 	}
-	if c.Source != nil {
-		d.Source = *c.Source
+	if c.DiscoverySource != nil {
+		d.DiscoverySource = *c.DiscoverySource
 	}
-	if c.From != nil {
-		d.From = *c.From
+	if c.MinListIndex != nil {
+		d.MinListIndex = *c.MinListIndex
 	}
-	return Version{Number: was.Number + 1, ID: c.ID, By: c.By, Why: c.Why, Document: d}
+	return Revision{Number: was.Number + 1, ProposalID: c.ID, Author: c.Author, Reason: c.Reason, Config: d}
 }
 
 // difference gives the names of one sorted set that another does not have.
--- a/agreed/revisions_test.go
+++ b/consensus/revisions_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"fmt"
@@ -24,12 +24,12 @@
 	s := initialState(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxActiveRevisions; n++ {
 		id := fmt.Sprint("p", n)
-		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Change{ID: id, By: "op", Why: "a test", Out: []string{fmt.Sprintf("host-%04d", n)}}, 1})
+		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Proposal{ID: id, Author: "op", Reason: "a test", EjectEndpoints: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
 			t.Fatalf("version %d: %v", n+1, err)
 		}
 	}
-	s.Unaccepted = []unacceptedProposal{{Change{ID: "more", Out: []string{"more"}}, 1}}
+	s.Unaccepted = []unacceptedProposal{{Proposal{ID: "more", EjectEndpoints: []string{"more"}}, 1}}
 	if _, err := s.accept("more"); err == nil {
 		t.Error("one more than can count is accepted")
 	}
@@ -38,35 +38,35 @@
 	if err != nil || len(back.History) != maxActiveRevisions || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessageBytes {
 		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
 	}
-	k := &Keeper{Name: "b0", state: back}
-	h := NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
+	k := &Replica{Name: "b0", state: back}
+	h := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 	for _, known := range []uint64{0, 1000} {
-		packed := (&Message{From: "b0", Grant: k.leaseResponse(1, known, true)}).Pack()
-		m, err := Unpack(packed)
+		packed := (&Message{From: "b0", LeaseResponse: k.leaseResponse(1, known, true)}).Marshal()
+		m, err := UnmarshalMessage(packed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if known == 1000 { // One that has been told of so many.
-			h = NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
-			h.Recall(1, slices.Clone(back.History[:known]))
-			if len(m.Grant.Versions) != 0 || len(packed) > 10_000 {
+			h = NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
+			h.Restore(1, slices.Clone(back.History[:known]))
+			if len(m.LeaseResponse.Revisions) != 0 || len(packed) > 10_000 {
 				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxActiveRevisions)-known)
 			}
 		}
-		if !h.learn(m.Grant) || len(h.known.active) != maxActiveRevisions || len(h.known.config.Bans) != maxActiveRevisions-1 ||
+		if !h.learn(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions || len(h.known.config.EjectedEndpoints) != maxActiveRevisions-1 ||
 			h.known.active[maxActiveRevisions-1].Digest() != s.latest().Digest() {
-			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.known.active), len(h.known.config.Bans))
+			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.known.active), len(h.known.config.EjectedEndpoints))
 		}
 	}
-	unknowing := NewHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
+	unknowing := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 	if unknowing.learn(k.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
 		t.Error("steps are taken without what they begin with")
 	}
-	left, err := UnpackChain(PackChain(h.known.active))
+	left, err := UnmarshalRevisions(MarshalRevisions(h.known.active))
 	if err != nil || len(left) != maxActiveRevisions || left[maxActiveRevisions-1].Digest() != s.latest().Digest() {
 		t.Errorf("%v: %d versions come back", err, len(left))
 	}
-	if g := k.leaseResponse(1, 1020, false); len(g.Versions) != 4 || len(g.Steps) != 0 {
+	if g := k.leaseResponse(1, 1020, false); len(g.Revisions) != 4 || len(g.Deltas) != 0 {
 		t.Error("one of a version before is told steps")
 	}
 }
@@ -75,18 +75,18 @@
 // revisions and give the same digests.
 func TestDeltasReproduceRevisions(t *testing.T) {
 	d1, s1, f1 := "d1", "127.0.0.1:1", uint64(9)
-	v := Version{Number: 1}
-	var all []Version
-	for n, c := range []Change{{Out: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5, "quota.t": 7}}, {Back: []string{"b"}, Leave: []string{"z"}, Digest: &d1},
-		{Limits: map[string]int64{"held": -1, "quota.t": 0}, Source: &s1}, {Return: []string{"z"}, From: &f1, Out: []string{"b"}}} {
-		c.ID, c.By, c.Why = fmt.Sprint("p", n), "op", "w"
+	v := Revision{Number: 1}
+	var all []Revision
+	for n, c := range []Proposal{{EjectEndpoints: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5, "quota.t": 7}}, {UnejectEndpoints: []string{"b"}, EvacuateZones: []string{"z"}, SettingsDigest: &d1},
+		{Limits: map[string]int64{"held": -1, "quota.t": 0}, DiscoverySource: &s1}, {RestoreZones: []string{"z"}, MinListIndex: &f1, EjectEndpoints: []string{"b"}}} {
+		c.ID, c.Author, c.Reason = fmt.Sprint("p", n), "op", "w"
 		next, err := c.apply(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all, v = append(all, next), next
 	}
-	back, err := UnpackChain(PackChain(all))
+	back, err := UnmarshalRevisions(MarshalRevisions(all))
 	if err != nil || len(back) != len(all) {
 		t.Fatal(back, err)
 	}
@@ -111,21 +111,21 @@
 	}
 	all := func(version uint64, but int) bool {
 		for n, p := range sim.processes {
-			if a := p.holder.Acting(p.clock()); n != but && (!a.Leased || a.Latest < version) {
+			if a := p.holder.EffectiveConfig(p.clock()); n != but && (!a.IsLeased || a.LatestRevision < version) {
 				return false
 			}
 		}
 		return true
 	}
 	leads := func() int {
-		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.Leads() })
+		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.IsLeader() })
 	}
 	until("a lease everywhere", func() bool { return all(1, -1) })
 	sim.processes[5].isPaused = true // Its lease keeps the floor back.
 	const many, atOnce = 192, 32
 	for n := 0; n < many; n += atOnce {
 		for i := range atOnce {
-			sim.propose(4, leads(), Change{Out: []string{fmt.Sprint("host-", n+i)}})
+			sim.propose(4, leads(), Proposal{EjectEndpoints: []string{fmt.Sprint("host-", n+i)}})
 		}
 		until("an answer to each", func() bool { return len(sim.processes[4].waiting) == 0 })
 	}
@@ -134,12 +134,12 @@
 	}
 	sim.processes[5].resume()
 	until("all acting on all", func() bool { return all(many+1, -1) })
-	sim.propose(4, leads(), Change{Out: thousandNames("host")})
-	sim.propose(4, leads(), Change{Leave: thousandNames("zone")})
+	sim.propose(4, leads(), Proposal{EjectEndpoints: thousandNames("host")})
+	sim.propose(4, leads(), Proposal{EvacuateZones: thousandNames("zone")})
 	until("all acting on the long ones", func() bool { return all(many+3, -1) })
 	for _, p := range sim.processes {
-		if a := p.holder.Acting(p.clock()); len(a.Bans) != thousand+many || len(a.Left) != thousand {
-			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.Bans), len(a.Left))
+		if a := p.holder.EffectiveConfig(p.clock()); len(a.EjectedEndpoints) != thousand+many || len(a.EvacuatedZones) != thousand {
+			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.EjectedEndpoints), len(a.EvacuatedZones))
 		}
 	}
 	lost := (leads() + 1) % 3
@@ -147,7 +147,7 @@
 	sim.startProcess(lost, true, 3)
 	until("the replica that lost its state", func() bool {
 		k := sim.processes[lost].replica
-		return k.Founded() && len(k.state.latest().Document.Bans) == thousand+many && all(many+3, -1)
+		return k.IsBootstrapped() && len(k.state.latest().Config.EjectedEndpoints) == thousand+many && all(many+3, -1)
 	})
 	if sim.violation != "" {
 		t.Error(sim.violation)
--- a/agreed/simulation_test.go
+++ b/consensus/simulation_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"container/heap"
@@ -15,7 +15,7 @@
 const ms = int64(time.Millisecond)
 
 // testTiming has a bound on the processes that holds for all simulations but those of TestMessageCostBySize.
-var testTiming = Terms{Lease: 1800 * time.Millisecond, RateError: 0.01, Pause: 0, Most: 12}
+var testTiming = LeaseTiming{LeaseDuration: 1800 * time.Millisecond, ClockRateError: 0.01, MaxPause: 0, MaxMembers: 12}
 
 // simulation is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays, repeats and cuts, and the
 // invariants checked after every step. All chance comes from one seed.
@@ -35,7 +35,7 @@
 	step                 int
 	lastTick             int64
 	proposalCount        int
-	proposals            map[string]Change
+	proposals            map[string]Proposal
 	accepted             map[string]uint64 // proposals that were answered with a version
 	refused              map[string]bool   // that were answered with a sure no
 	digests              map[uint64]string // of versions, as somebody had them
@@ -43,7 +43,7 @@
 	longestContradiction int64             // the longest contradiction so far
 	largestShareSum      float64           // the largest sum of parts that all acted on
 	violation            string            // the first rule broken
-	beforeEach           func(k *Keeper)   // takes a part out
+	beforeEach           func(k *Replica)  // takes a part out
 	dropsVotes           bool              // keepers do not write their votes
 	ignoresLeaseExpiry   bool              // leases are not looked at again
 	trace                *traceHash        // nil: not hashed
@@ -59,8 +59,8 @@
 	name                   string
 	clockRate              float64
 	clockBase, clockBaseAt int64 // its clock
-	replica                *Keeper
-	holder                 *Holder
+	replica                *Replica
+	holder                 *LeaseHolder
 	disk                   *memoryStorage
 	hasDisk                bool // a keeper's state lasts
 	isDown                 bool
@@ -106,7 +106,7 @@
 	trace      *traceHash
 }
 
-func (d *memoryStorage) Add(records [][]byte) error {
+func (d *memoryStorage) Append(records [][]byte) error {
 	d.trace.add(1, records)
 	for _, r := range records {
 		var as record
@@ -118,10 +118,10 @@
 	return nil
 }
 
-func (d *memoryStorage) Swap(records [][]byte) error {
+func (d *memoryStorage) Replace(records [][]byte) error {
 	d.trace.add(2)
 	d.records = nil
-	return d.Add(records)
+	return d.Append(records)
 }
 
 // discardSender loses all messages.
@@ -132,9 +132,9 @@
 // newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back with no state.
 func newSimulation(t testing.TB, seed uint64, keepers, others int, disks bool) *simulation {
 	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12, cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
-		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Change{}, digests: map[uint64]string{}}
+		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Proposal{}, digests: map[uint64]string{}}
 	for n := range keepers + others {
-		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n), clockRate: 1 + testTiming.RateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
+		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n), clockRate: 1 + testTiming.ClockRateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
 			hasDisk: disks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
 		sim.processes = append(sim.processes, p)
 	}
@@ -154,13 +154,13 @@
 	for i := range names {
 		names[i] = sim.processes[i].name
 	}
-	p.holder = NewHolder(p.clock(), p.name, life, testTiming, names, p, sim.random.IntN)
+	p.holder = NewLeaseHolder(p.clock(), p.name, life, testTiming, names, p, sim.random.IntN)
 	if keeps {
 		if p.disk == nil || !p.hasDisk {
 			p.disk = &memoryStorage{dropsVotes: sim.dropsVotes}
 		}
 		p.disk.trace = sim.trace
-		k, err := NewKeeper(p.clock(), p.name, life, testTiming, names, p.disk.records, p.disk, p, sim.random.IntN)
+		k, err := NewReplica(p.clock(), p.name, life, testTiming, names, p.disk.records, p.disk, p, sim.random.IntN)
 		if err != nil {
 			sim.t.Fatalf("step %d: %v", sim.step, err)
 		}
@@ -239,12 +239,12 @@
 		return
 	}
 	if dest == p.index {
-		sim.deliverAfter(0, p.index, dest, m.Pack())
+		sim.deliverAfter(0, p.index, dest, m.Marshal())
 		return
 	}
 	for range 2 {
 		if !sim.cutLinks[[2]int{p.index, dest}] && sim.random.Float64() >= sim.lossRate {
-			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, dest, m.Pack())
+			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, dest, m.Marshal())
 		}
 		if sim.random.Float64() >= sim.repeatRate {
 			break
@@ -261,10 +261,10 @@
 		if p.sim.beforeEach != nil {
 			p.sim.beforeEach(p.replica)
 		}
-		p.replica.Look(now)
+		p.replica.Tick(now)
 	}
-	p.holder.Rate = p.requestRate()
-	p.holder.Look(now)
+	p.holder.RequestRate = p.requestRate()
+	p.holder.Tick(now)
 }
 
 // requestRate is the traffic of a process: it changes, and process 1 claims too much.
@@ -277,36 +277,36 @@
 }
 
 func (p *process) receive(bytes []byte) {
-	m, err := Unpack(bytes)
+	m, err := UnmarshalMessage(bytes)
 	if err != nil {
 		p.sim.t.Fatalf("step %d: %v", p.sim.step, err)
 	}
 	switch now := p.clock(); {
-	case m.Grant != nil:
-		p.holder.Heard(now, m.Grant)
-	case m.Outcome != nil:
-		p.handleResult(m.From, m.Outcome)
+	case m.LeaseResponse != nil:
+		p.holder.HandleLeaseResponse(now, m.LeaseResponse)
+	case m.ProposalResult != nil:
+		p.handleResult(m.From, m.ProposalResult)
 	case p.replica != nil:
 		if p.sim.beforeEach != nil {
 			p.sim.beforeEach(p.replica)
 		}
-		p.replica.Heard(now, m)
+		p.replica.HandleMessage(now, m)
 	}
 }
 
 // handleResult takes the answer to a proposal; one that asks for a ticket sends the proposal again.
-func (p *process) handleResult(from string, o *Outcome) {
+func (p *process) handleResult(from string, o *ProposalResult) {
 	sim := p.sim
 	switch {
 	case o.Ticket != nil:
 		if c, waits := sim.proposals[o.ID]; waits && p.waiting[o.ID] {
 			p.ticketed[o.ID] = true
-			p.Send(from, &Message{From: p.name, Propose: &c, Ticket: o.Ticket})
+			p.Send(from, &Message{From: p.name, Proposal: &c, Ticket: o.Ticket})
 		}
 		return
-	case o.Number != 0:
-		sim.accepted[o.ID] = o.Number
-	case o.Sure && (!p.ticketed[o.ID] || !strings.HasPrefix(o.Wrong, "nobody leads")):
+	case o.Revision != 0:
+		sim.accepted[o.ID] = o.Revision
+	case o.IsFinal && (!p.ticketed[o.ID] || !strings.HasPrefix(o.Reason, "nobody leads")):
 		sim.refused[o.ID] = true // Nobody leads: sure as long as nobody was sent it with a ticket.
 	}
 	delete(p.waiting, o.ID)
@@ -322,12 +322,12 @@
 }
 
 // propose sends a proposal from one process to the replica of another, and gives its ID.
-func (sim *simulation) propose(from, to int, c Change) string {
+func (sim *simulation) propose(from, to int, c Proposal) string {
 	sim.proposalCount++
 	c.ID = fmt.Sprintf("p%d", sim.proposalCount)
 	if p := sim.processes[from]; !p.isDown && !p.isPaused {
 		p.waiting[c.ID], sim.proposals[c.ID] = true, c
-		p.Send(sim.processes[to].name, &Message{From: p.name, Propose: &c})
+		p.Send(sim.processes[to].name, &Message{From: p.name, Proposal: &c})
 	}
 	return c.ID
 }
@@ -335,11 +335,11 @@
 // proposeAtRandom sends a random proposal from somewhere to some replica.
 func (sim *simulation) proposeAtRandom(keepers int) {
 	host := []string{fmt.Sprint("h", sim.random.IntN(6))}
-	c := Change{By: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
+	c := Proposal{Author: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
 	if sim.random.IntN(2) == 0 {
-		c.Out = host
+		c.EjectEndpoints = host
 	} else {
-		c.Back = host
+		c.UnejectEndpoints = host
 	}
 	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(keepers), c)
 }
@@ -392,7 +392,7 @@
 		if p.isDown {
 			alive := 0
 			for _, q := range sim.processes[:keepers] {
-				if !q.isDown && q.replica.Founded() && q.replica.state.Voters[q.name] == q.replica.incarnation {
+				if !q.isDown && q.replica.IsBootstrapped() && q.replica.state.Voters[q.name] == q.replica.incarnation {
 					alive++
 				}
 			}
@@ -416,20 +416,20 @@
 	for end := sim.now + int64(20*time.Second); sim.now < end && sim.violation == ""; {
 		sim.advance()
 	}
-	id := sim.propose(len(sim.processes)-1, 0, Change{Out: []string{"last"}})
+	id := sim.propose(len(sim.processes)-1, 0, Proposal{EjectEndpoints: []string{"last"}})
 	for end, n := sim.now+int64(8*time.Second), 0; sim.now < end && sim.violation == ""; n++ {
 		if sim.advance(); n%500 == 499 && sim.accepted[id] == 0 {
 			for to := range keepers {
 				sim.processes[0].waiting[id] = true
-				sim.processes[0].Send(sim.processes[to].name, &Message{From: sim.processes[0].name, Propose: &Change{ID: id, Out: []string{"last"}}})
+				sim.processes[0].Send(sim.processes[to].name, &Message{From: sim.processes[0].name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{"last"}}})
 			}
 		}
 	}
 	number := sim.accepted[id]
 	for _, p := range sim.processes {
-		if a := p.holder.Acting(p.clock()); !a.Leased || a.Latest < number || number == 0 || a.Floor != a.Latest || !slices.Contains(a.Bans, "last") {
+		if a := p.holder.EffectiveConfig(p.clock()); !a.IsLeased || a.LatestRevision < number || number == 0 || a.MinRevision != a.LatestRevision || !slices.Contains(a.EjectedEndpoints, "last") {
 			if sim.violation == "" {
-				sim.violation = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d", p.name, a.Floor, a.Latest, a.Leased, number)
+				sim.violation = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d", p.name, a.MinRevision, a.LatestRevision, a.IsLeased, number)
 			}
 		}
 	}
@@ -448,16 +448,16 @@
 		if p.isDown {
 			continue
 		}
-		a := p.holder.Acting(p.clock())
-		sim.trace.add(4, p.index, a.Floor, a.Latest, a.Leased, a.Document, p.holder.Until(), p.holder.Leader(), p.holder.Contrary, p.holder.Wait(p.clock()))
+		a := p.holder.EffectiveConfig(p.clock())
+		sim.trace.add(4, p.index, a.MinRevision, a.LatestRevision, a.IsLeased, a.ReplicatedConfig, p.holder.LeaseExpiry(), p.holder.Leader(), p.holder.ConflictingResponses, p.holder.TimeUntilTick(p.clock()))
 		if k := p.replica; k != nil {
-			sim.trace.add(5, k.Leads(), k.Founded(), k.Holders(p.clock()), k.state.MinRevision, k.log.applied, k.Wait(p.clock()))
+			sim.trace.add(5, k.IsLeader(), k.IsBootstrapped(), k.ActiveLeases(p.clock()), k.state.MinRevision, k.log.applied, k.TimeUntilTick(p.clock()))
 		}
-		if !p.isPaused && len(sim.processes) <= testTiming.Most {
-			parts += a.Part
+		if !p.isPaused && len(sim.processes) <= testTiming.MaxMembers {
+			parts += a.BudgetShare
 		}
 		looked := p.lastChecked
-		p.lastChecked = [3]uint64{p.incarnation, a.Floor, a.Latest}
+		p.lastChecked = [3]uint64{p.incarnation, a.MinRevision, a.LatestRevision}
 		for _, v := range p.holder.known.active {
 			if looked == p.lastChecked {
 				break
@@ -467,25 +467,25 @@
 			} else if was != v.Digest() {
 				fail("two histories: version %d is %s and %s", v.Number, was, v.Digest())
 			}
-			if v.ID != "" && sim.refused[v.ID] {
-				fail("proposal %s was answered no for sure, and is version %d", v.ID, v.Number)
+			if v.ProposalID != "" && sim.refused[v.ProposalID] {
+				fail("proposal %s was answered no for sure, and is version %d", v.ProposalID, v.Number)
 			}
 		}
-		for uint64(len(sim.firstUses)) <= a.Latest {
+		for uint64(len(sim.firstUses)) <= a.LatestRevision {
 			sim.firstUses = append(sim.firstUses, firstUse{})
 		}
-		for v := int(a.Latest); v > 0 && sim.firstUses[v].latest == 0; v-- {
+		for v := int(a.LatestRevision); v > 0 && sim.firstUses[v].latest == 0; v-- {
 			sim.firstUses[v].latest = sim.now
 		}
-		for v := int(a.Floor); v > 0 && sim.firstUses[v].floor == 0; v-- {
+		for v := int(a.MinRevision); v > 0 && sim.firstUses[v].floor == 0; v-- {
 			sim.firstUses[v].floor = sim.now
 		}
-		if !a.Leased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
+		if !a.IsLeased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
 			continue // Alone it says so; and while it is stopped it decides nothing.
 		}
-		if next := int(a.Latest) + 1; next < len(sim.firstUses) {
+		if next := int(a.LatestRevision) + 1; next < len(sim.firstUses) {
 			if sim.firstUses[next].floor != 0 {
-				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.Latest, next)
+				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.LatestRevision, next)
 			}
 			if sim.firstUses[next].latest != 0 {
 				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].latest)
@@ -495,7 +495,7 @@
 	if sim.largestShareSum = max(sim.largestShareSum, parts); parts > 1+1e-9 {
 		fail("the parts that all act on are %v of the whole", parts)
 	}
-	if sim.longestContradiction > int64(testTiming.T()) {
-		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.T())
+	if sim.longestContradiction > int64(testTiming.MaxDisagreement()) {
+		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
 	}
 }
--- a/agreed/statemachine.go
+++ b/consensus/statemachine.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -27,7 +27,7 @@
 // replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock, on chance or on the order
 // of a map.
 type replicatedState struct {
-	History     []Version            `cbor:"1,keyasint"` // up to the latest
+	History     []Revision           `cbor:"1,keyasint"` // up to the latest
 	MinRevision uint64               `cbor:"2,keyasint"` // no lease under an older revision is left
 	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the replicas that vote
 	Unaccepted  []unacceptedProposal `cbor:"4,keyasint,omitempty"`
@@ -37,21 +37,21 @@
 
 // candidate is a proposal that was written and is neither accepted nor withdrawn.
 type unacceptedProposal struct {
-	Proposal Change `cbor:"1,keyasint"`
-	Term     uint64 `cbor:"2,keyasint"`
+	Proposal Proposal `cbor:"1,keyasint"`
+	Term     uint64   `cbor:"2,keyasint"`
 }
 
 // command is an entry of the replicated log. One field is there.
 type command struct {
-	Propose     *Change `cbor:"1,keyasint,omitempty"`
-	Accept      string  `cbor:"2,keyasint,omitempty"` // the ID of a candidate
-	Withdraw    string  `cbor:"3,keyasint,omitempty"` // the ID of a candidate
-	MinRevision uint64  `cbor:"4,keyasint,omitempty"`
+	Propose     *Proposal `cbor:"1,keyasint,omitempty"`
+	Accept      string    `cbor:"2,keyasint,omitempty"` // the ID of a candidate
+	Withdraw    string    `cbor:"3,keyasint,omitempty"` // the ID of a candidate
+	MinRevision uint64    `cbor:"4,keyasint,omitempty"`
 }
 
 // initialState is what a history begins with: an empty first revision.
 func initialState(founder uint64, voters map[string]uint64) replicatedState {
-	return replicatedState{History: []Version{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: founder}
+	return replicatedState{History: []Revision{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: founder}
 }
 
 // isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the latest.
@@ -64,7 +64,7 @@
 func (s *replicatedState) marshal() []byte {
 	names := 0
 	for n := range s.History {
-		names += s.History[n].Document.nameCount()
+		names += s.History[n].Config.nameCount()
 	}
 	if names*minNameBytes <= maxPlainStateBytes { // Else it is over the bound anyway, and encoding it would take long.
 		if bytes := encode(s); len(bytes) <= maxPlainStateBytes {
@@ -92,17 +92,17 @@
 	return s, err
 }
 
-func (s *replicatedState) latest() Version { return s.History[len(s.History)-1] }
+func (s *replicatedState) latest() Revision { return s.History[len(s.History)-1] }
 
 // active are the revisions from the min revision on: those that a process under a lease can be acting on.
-func (s *replicatedState) active() []Version {
-	return s.History[slices.IndexFunc(s.History, func(v Version) bool { return v.Number >= s.MinRevision }):]
+func (s *replicatedState) active() []Revision {
+	return s.History[slices.IndexFunc(s.History, func(v Revision) bool { return v.Number >= s.MinRevision }):]
 }
 
 // revisionOf is the revision that a proposal became; 0: none that is still known.
 func (s *replicatedState) revisionOf(id string) uint64 {
 	for _, v := range s.History {
-		if v.ID == id {
+		if v.ProposalID == id {
 			return v.Number
 		}
 	}
@@ -145,11 +145,11 @@
 }
 
 // checkRoomFor tells whether one more revision can be active: in number, in bytes of a message, and in names of all configurations.
-func (s *replicatedState) checkRoomFor(next Version) error {
+func (s *replicatedState) checkRoomFor(next Revision) error {
 	active := s.active()
-	bytes, names := len(encode(active[0]))+next.deltaBytes, next.Document.nameCount()
+	bytes, names := len(encode(active[0]))+next.deltaBytes, next.Config.nameCount()
 	for n := range active {
-		names += active[n].Document.nameCount()
+		names += active[n].Config.nameCount()
 		if n > 0 {
 			bytes += active[n].deltaBytes
 		}
@@ -167,7 +167,7 @@
 func (s *replicatedState) dropOldRevisions() {
 	bytes, names, from := 0, 0, len(s.History)-1
 	for ; from > 0 && len(s.History)-from < maxShownRevisions; from-- {
-		bytes, names = bytes+s.History[from].deltaBytes, names+s.History[from].Document.nameCount()
+		bytes, names = bytes+s.History[from].deltaBytes, names+s.History[from].Config.nameCount()
 		if bytes > maxActiveBytes/2 || names > maxActiveNames {
 			break
 		}
--- a/agreed/timing.go
+++ b/consensus/timing.go
@@ -1,6 +1,6 @@
-package agreed
+package consensus
 
-import "hollylever/joining"
+import "hollylever/fleetconfig"
 
 // LeaseTiming is the stated length of a lease and the bounds that follow from it. All processes of a fleet have the same.
-type Terms = joining.Terms
+type LeaseTiming = fleetconfig.LeaseTiming
--- a/fleet/cards.go
+++ b/fleet/cards.go
@@ -5,24 +5,24 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
-	"hollylever/members"
+	"hollylever/consensus"
+	"hollylever/membership"
 )
 
 // card is what this process tells of itself.
-func (f *Fleet) card() members.Card {
-	index, digest, drains := f.acts.List()
+func (f *Fleet) card() membership.MemberState {
+	index, digest, drains := f.acts.EndpointList()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cards++
-	var ways []members.Way
+	var ways []membership.ZoneEvacuation
 	for _, z := range f.zones.stands {
 		if z.Part > 0 {
-			ways = append(ways, members.Way{Zone: z.Zone, Part: z.Part})
+			ways = append(ways, membership.ZoneEvacuation{Zone: z.Zone, KeyFraction: z.Part})
 		}
 	}
-	return members.Card{Ways: ways, Name: f.name, Zone: f.zone, Life: f.life, Seq: f.cards, Keeper: f.keeper != nil, Leads: f.keeper != nil && f.keeper.Leads(),
-		Version: f.settings, Leased: f.acting.Leased, Floor: f.acting.Floor, Latest: f.acting.Latest, Index: index, Digest: digest, Drains: drains}
+	return membership.MemberState{Evacuations: ways, Name: f.name, Zone: f.zone, Incarnation: f.life, Seq: f.cards, IsReplica: f.keeper != nil, IsLeader: f.keeper != nil && f.keeper.IsLeader(),
+		SettingsDigest: f.settings, HasLease: f.acting.IsLeased, MinRevision: f.acting.MinRevision, LatestRevision: f.acting.LatestRevision, ListIndex: index, ListDigest: digest, Drains: drains}
 }
 
 // gossips is when cards are looked at: not at each that comes, as a thousand come in a second and each look is at all of them.
@@ -51,33 +51,33 @@
 	}
 	f.gossips.wanted = now
 	for range min(wantAtOnce, len(partial)) {
-		f.exchange.Want(partial[rand.IntN(len(partial))])
+		f.exchange.RequestFullState(partial[rand.IntN(len(partial))])
 	}
 }
 
 // gossip takes from other processes' cards what is strict: drains that this one's list does not have yet.
 func (f *Fleet) gossip() {
 	f.gossips.last = Now()
-	index, digest, drains := f.acts.List()
-	mine := agreed.Listed{Name: f.name, Index: index, Digest: digest}
+	index, digest, drains := f.acts.EndpointList()
+	mine := consensus.EndpointListState{Name: f.name, Index: index, Digest: digest}
 	for _, d := range drains {
-		mine.Drains = append(mine.Drains, agreed.Drained(d))
+		mine.Drained = append(mine.Drained, consensus.DrainedEndpoint(d))
 	}
-	cards, went := f.own.Saw(Now(), mine)
+	cards, went := f.own.Observe(Now(), mine)
 	if went {
 		f.log.Warn().Uint64("index", index).Uint64("before", cards[0].Index).Msg("list went back: what the later one took out stays out for a while")
 	}
 	now, partial := time.Now(), []string(nil)
 	for _, m := range f.exchange.Members() {
-		if m.Gone(now) || m.Name == f.name {
+		if m.IsGone(now) || m.Name == f.name {
 			continue
 		}
-		listed := agreed.Listed{Name: m.Name, Index: m.Index, Digest: m.Digest}
-		if m.Index > index || m.Index == index && m.Digest != digest { // Of others the drains say nothing that counts here.
+		listed := consensus.EndpointListState{Name: m.Name, Index: m.ListIndex, Digest: m.ListDigest}
+		if m.ListIndex > index || m.ListIndex == index && m.ListDigest != digest { // Of others the drains say nothing that counts here.
 			for _, d := range m.Drains {
-				listed.Drains = append(listed.Drains, agreed.Drained(d))
+				listed.Drained = append(listed.Drained, consensus.DrainedEndpoint(d))
 			}
-			if m.Partial() {
+			if m.IsPartial() {
 				partial = append(partial, m.Name)
 			}
 		}
@@ -85,22 +85,22 @@
 	}
 	f.want(f.gossips.last, partial)
 	f.mu.Lock()
-	what := agreed.Compare(index, digest, cards)
-	news := what.News
+	what := consensus.CompareLists(index, digest, cards)
+	news := what.DrainedEndpoints
 	changed := !slices.Equal(news, f.news)
 	f.news = news
-	late := f.late.Saw(Now(), what.Behind != "", f.behind)
+	late := f.late.Observe(Now(), what.PeerAhead != "", f.behind)
 	differs := f.differs
-	f.differs = what.Contrary != ""
+	f.differs = what.ConflictingPeer != ""
 	f.mu.Unlock()
 	if changed {
-		f.acts.Drained(news)
+		f.acts.ApplyPeerDrains(news)
 		f.log.Info().Strs("hosts", news[:min(len(news), maxLogged)]).Int("count", len(news)).Msg("drains by others' later lists")
 	}
 	if late {
-		f.log.Warn().Uint64("index", index).Str("member", what.Behind).Uint64("its", what.Latest).Msg("list behind another's")
+		f.log.Warn().Uint64("index", index).Str("member", what.PeerAhead).Uint64("its", what.LatestIndex).Msg("list behind another's")
 	}
-	if !differs && what.Contrary != "" {
-		f.log.Warn().Uint64("index", index).Str("member", what.Contrary).Msg("another list under the same index")
+	if !differs && what.ConflictingPeer != "" {
+		f.log.Warn().Uint64("index", index).Str("member", what.ConflictingPeer).Msg("another list under the same index")
 	}
 }
--- a/fleet/door.go
+++ b/fleet/door.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"net/http"
 
-	"hollylever/agreed"
-	"hollylever/joining"
+	"hollylever/consensus"
+	"hollylever/fleetconfig"
 )
 
 // ServeHTTP answers operators' calls under /fleet.
@@ -16,16 +16,16 @@
 	case r.URL.Path == "/fleet/history" && r.Method == http.MethodGet:
 		answer(w, f.History())
 	case r.URL.Path == "/fleet/propose" && r.Method == http.MethodPost:
-		var p joining.Proposal
+		var p fleetconfig.Proposal
 		reader := json.NewDecoder(r.Body)
 		reader.DisallowUnknownFields()
 		if err := reader.Decode(&p); err != nil {
 			http.Error(w, "not a proposal: "+err.Error(), http.StatusBadRequest)
 			return
 		}
-		o := f.Propose(r.Context(), agreed.Change{ID: p.ID, By: p.By, Why: p.Why, Base: p.Base, Out: p.Out, Back: p.Back, Limits: p.Limits,
-			Digest: p.Digest, Source: p.Source, From: p.From, Leave: p.Leave, Return: p.Return})
-		answer(w, joining.Answer{ID: o.ID, Version: o.Number, Wrong: o.Wrong, Sure: o.Sure})
+		o := f.Propose(r.Context(), consensus.Proposal{ID: p.ID, Author: p.Author, Reason: p.Reason, BaseRevision: p.BaseRevision, EjectEndpoints: p.EjectEndpoints, UnejectEndpoints: p.UnejectEndpoints, Limits: p.Limits,
+			SettingsDigest: p.SettingsDigest, DiscoverySource: p.DiscoverySource, MinListIndex: p.MinListIndex, EvacuateZones: p.EvacuateZones, RestoreZones: p.RestoreZones})
+		answer(w, fleetconfig.ProposalResult{ID: o.ID, Revision: o.Revision, Reason: o.Reason, IsFinal: o.IsFinal})
 	case r.URL.Path == "/fleet" || r.URL.Path == "/fleet/history" || r.URL.Path == "/fleet/propose":
 		http.Error(w, "this call is for another method", http.StatusMethodNotAllowed)
 	default:
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,44 +20,44 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"hollylever/agreed"
-	"hollylever/bootclock"
 	"hollylever/budgets"
+	"hollylever/consensus"
+	"hollylever/evacuation"
 	"hollylever/fields"
-	"hollylever/joining"
-	"hollylever/members"
+	"hollylever/fleetconfig"
+	"hollylever/membership"
+	"hollylever/monotime"
 	"hollylever/store"
 	"hollylever/subset"
-	"hollylever/zones"
 )
 
 // Acts is what is told what to act on: the balancer. Heeds is called under no lock, whenever it changes.
-type Acts interface {
-	Heeds(agreed.Acting)
-	Drained(names []string) // hosts that other processes' later lists call draining or gone
-	List() (index, digest uint64, drains []members.Drain)
-	Servers() []subset.Host
-	Tends(names map[string]bool, all bool)                // to which hosts idle connections are kept
-	Heard(parts map[string]float64)                       // what others' word takes from hosts' chances
-	Portion(part float64)                                 // of the fleet's budgets; 0: they are not divided
-	Came() int                                            // retrievals since the start
-	Leaves(parts map[string]float64, fills time.Duration) // which part of the keys does not go to each zone
-	WarmUp() time.Duration
-	Missed() (reads, misses int) // since the start
-	Scarce(is bool)              // reads miss for all
+type Balancer interface {
+	ApplyConfig(consensus.EffectiveConfig)
+	ApplyPeerDrains(names []string) // hosts that other processes' later lists call draining or gone
+	EndpointList() (index, digest uint64, drains []membership.DrainedEndpoint)
+	Endpoints() []subset.Endpoint
+	SetConnectionSubset(names map[string]bool, all bool)         // to which hosts idle connections are kept
+	ApplyPeerVerdicts(parts map[string]float64)                  // what others' word takes from hosts' chances
+	SetBudgetShare(part float64)                                 // of the fleet's budgets; 0: they are not divided
+	RequestCount() int                                           // retrievals since the start
+	SetEvacuation(parts map[string]float64, fills time.Duration) // which part of the keys does not go to each zone
+	SlowStartDuration() time.Duration
+	ReadCounts() (reads, misses int) // since the start
+	SetWidespreadMisses(is bool)     // reads miss for all
 }
 
 // Fleet is one process's part in the fleet.
 type Fleet struct {
 	name, zone string
 	settings   string // a digest of them
-	own        agreed.Own
+	own        consensus.ListRollbackGuard
 	odd        bool // its settings are not those in force, and it said so
-	terms      agreed.Terms
+	terms      consensus.LeaseTiming
 	keepers    []string
-	acts       Acts
+	acts       Balancer
 	log        zerolog.Logger
-	exchange   members.Exchange
+	exchange   membership.Exchange
 	came       chan []byte
 	changed    chan struct{}
 	life       uint64
@@ -75,21 +75,21 @@
 	gossips    gossips
 
 	mu     sync.Mutex
-	holder *agreed.Holder
-	keeper *agreed.Keeper
+	holder *consensus.LeaseHolder
+	keeper *consensus.Replica
 	last   *store.Log
 
 	again         *time.Ticker // what could not be begun yet is tried again
 	isReplicaLost bool         // its folder was damaged meanwhile: only a restart helps
 	isReplicaDown bool         // its folder has failed and it has not been begun again
-	acting        agreed.Acting
+	acting        consensus.EffectiveConfig
 	waiting       map[string]chan said
 	cards         uint64
 	portion       float64 // that the balancer was told
 	came0         int     // retrievals, and when they were counted
 	cameAt        int64
 	news          []string
-	late          agreed.Late // its list is behind
+	late          consensus.PersistentCondition // its list is behind
 	behind        time.Duration
 	differs       bool
 	contrary      int
@@ -97,7 +97,7 @@
 
 const (
 	minQueue     = 256 // messages that wait
-	maxQueue     = 4 * joining.MaxMembers
+	maxQueue     = 4 * fleetconfig.MaxMembers
 	replicaEvery = 250 * time.Millisecond // a replica whose folder has failed is begun again so often
 	joinEvery    = 50 * time.Millisecond
 )
@@ -106,11 +106,11 @@
 var rate = 1.0
 
 // ClockOff is for tests' processes: this one's clock runs at so many times the true rate.
-func ClockOff(by float64) { rate = by }
+func SetClockRate(by float64) { rate = by }
 
 // Now is the clock that leases run on: it goes on while the process, or the machine, stands still.
 func Now() int64 {
-	now := bootclock.Now()
+	now := monotime.Now()
 	if rate != 1 {
 		return int64(float64(now) * rate)
 	}
@@ -118,12 +118,12 @@
 }
 
 // Start joins the fleet, as the checked table says. name is the balancer's, of whose processes each is a life.
-func Start(own fields.Values, name, zone, settings string, acts Acts, log zerolog.Logger) (*Fleet, error) {
-	if err := joining.Check(own, name); err != nil {
+func Start(own fields.Values, name, zone, settings string, acts Balancer, log zerolog.Logger) (*Fleet, error) {
+	if err := fleetconfig.Validate(own, name); err != nil {
 		return nil, err
 	}
-	peers, _ := joining.Peers(own.Word("fleet.peers"))
-	f := &Fleet{name: name, zone: zone, settings: settings, terms: joining.Of(own), keepers: joining.Names(own.Word("fleet.keepers")), acts: acts, log: log,
+	peers, _ := fleetconfig.ParsePeers(own.Word("fleet.peers"))
+	f := &Fleet{name: name, zone: zone, settings: settings, terms: fleetconfig.ParseLeaseTiming(own), keepers: fleetconfig.ParseNames(own.Word("fleet.keepers")), acts: acts, log: log,
 		behind: own.Duration("fleet.behind"), came: make(chan []byte, queueFor(peers, own)), changed: make(chan struct{}, 1), waiting: map[string]chan said{}}
 	var seed [16]byte
 	crand.Read(seed[:])
@@ -131,8 +131,8 @@
 	if own.Yes("fleet.signals") {
 		f.seen = newSeen(name, zone, f.life, own.Duration("fleet.signal_delay"), queueFor(peers, own))
 	}
-	f.zones = leaving{itself: own.Yes("fleet.zones"), terms: zones.Terms{Leaves: int64(leavesOver), Returns: int64(acts.WarmUp() * 3 / 2)}, paths: map[string]*zones.Path{}}
-	f.tends = tending{rule: subset.Rule{Hosts: int(own.Count("fleet.tends")), Balancers: subset.Usual.Balancers, Near: own.Yes("fleet.tends_near")}}
+	f.zones = leaving{itself: own.Yes("fleet.zones"), terms: evacuation.RampDurations{EvacuationNanos: int64(leavesOver), RecoveryNanos: int64(acts.SlowStartDuration() * 3 / 2)}, paths: map[string]*evacuation.Ramp{}}
+	f.tends = tending{rule: subset.Config{MinEndpoints: int(own.Count("fleet.tends")), MinBalancers: subset.DefaultConfig.MinBalancers, ZoneLocal: own.Yes("fleet.tends_near")}}
 	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
 	chance := source.IntN // Only called under the lock.
 	if path := own.Word("fleet.trace"); path != "" {
@@ -144,18 +144,18 @@
 	if place := os.Getenv("TMPDIR"); place != "" {
 		f.left = filepath.Join(place, "hollylever.fleet")
 	}
-	f.holder = agreed.NewHolder(Now(), name, f.life, f.terms, f.keepers, f, chance)
+	f.holder = consensus.NewLeaseHolder(Now(), name, f.life, f.terms, f.keepers, f, chance)
 	f.recall()
 	f.join = func() error {
 		if f.exchange != nil {
 			return nil
 		}
-		open := func() (members.Exchange, error) {
-			return members.OpenPlain(name, own.Word("fleet.listen"), peers, joining.Rate(own, len(peers)), f)
+		open := func() (membership.Exchange, error) {
+			return membership.OpenPlain(name, own.Word("fleet.listen"), peers, fleetconfig.SendRate(own, len(peers)), f)
 		}
 		if own.Word("fleet.way") == "gossip" {
-			open = func() (members.Exchange, error) {
-				return members.OpenGossip(name, own.Word("fleet.listen"), peers, joining.Rate(own, len(peers)), f)
+			open = func() (membership.Exchange, error) {
+				return membership.OpenGossip(name, own.Word("fleet.listen"), peers, fleetconfig.SendRate(own, len(peers)), f)
 			}
 		}
 		exchange, err := open()
@@ -181,35 +181,35 @@
 	case err != nil:
 		return nil, err
 	}
-	if err := f.keeps(); err != nil && !errors.Is(err, store.ErrHeld) {
+	if err := f.keeps(); err != nil && !errors.Is(err, store.ErrLocked) {
 		return nil, err
 	}
-	log.Info().Str("listen", own.Word("fleet.listen")).Bool("keeper", f.keeper != nil).Dur("t_ms", f.terms.T()).Msg("fleet joined")
+	log.Info().Str("listen", own.Word("fleet.listen")).Bool("keeper", f.keeper != nil).Dur("t_ms", f.terms.MaxDisagreement()).Msg("fleet joined")
 	return f, nil
 }
 
 // queueFor is how many messages may wait here: a few of each process that the settings name or allow.
-func queueFor(peers []members.Peer, own fields.Values) int {
+func queueFor(peers []membership.Peer, own fields.Values) int {
 	return min(maxQueue, max(minQueue, 4*len(peers), 4*int(own.Count("fleet.most"))))
 }
 
 // keep begins a keeper, with what lasts of it.
 func (f *Fleet) keep(path string, chance func(int) int) (err error) {
 	var records [][]byte
-	var lasting agreed.Lasting = forgets{}
+	var lasting consensus.Storage = forgets{}
 	if path != "" {
 		f.last, records, err = store.Open(path)
 		switch {
-		case errors.Is(err, store.ErrHeld):
+		case errors.Is(err, store.ErrLocked):
 			return err // Another process of this balancer keeps, over an upgrade: one keeps at a time.
-		case errors.Is(err, store.ErrDamaged) && f.isReplicaDown:
+		case errors.Is(err, store.ErrCorrupt) && f.isReplicaDown:
 			// What this process has voted for is lost, and it may not begin anew under the same incarnation: a restart may.
 			f.log.Error().Str("file", path).Msg("replica stopped for good: its folder is damaged; restart the process")
 			f.isReplicaLost = true
 			f.last.Close()
 			f.last = nil
 			return nil
-		case errors.Is(err, store.ErrDamaged):
+		case errors.Is(err, store.ErrCorrupt):
 			f.log.Error().Str("file", path).Msg("what lasted is damaged and was put aside: this keeper learns anew")
 		case err != nil:
 			return fmt.Errorf("fleet.state: %w", err)
@@ -218,7 +218,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.keeper, err = agreed.NewKeeper(Now(), f.name, f.life, f.terms, f.keepers, records, lasting, f, chance); err != nil {
+	if f.keeper, err = consensus.NewReplica(Now(), f.name, f.life, f.terms, f.keepers, records, lasting, f, chance); err != nil {
 		f.keeper = nil
 		if f.last != nil {
 			f.last.Close()
@@ -232,14 +232,14 @@
 // forgets is where a keeper without a disk writes: its life is its state's.
 type forgets struct{}
 
-func (forgets) Add([][]byte) error  { return nil }
-func (forgets) Swap([][]byte) error { return nil }
+func (forgets) Append([][]byte) error  { return nil }
+func (forgets) Replace([][]byte) error { return nil }
 
 // Send is how holder and keeper send: to itself by the way that all messages come.
-func (f *Fleet) Send(to string, m *agreed.Message) {
-	bytes := m.Pack()
+func (f *Fleet) Send(to string, m *consensus.Message) {
+	bytes := m.Marshal()
 	if to == f.name {
-		f.Message(bytes)
+		f.NotifyMessage(bytes)
 		return
 	}
 	if f.exchange != nil {
@@ -248,7 +248,7 @@
 }
 
 // Message takes what the exchange hears. It does not wait.
-func (f *Fleet) Message(bytes []byte) {
+func (f *Fleet) NotifyMessage(bytes []byte) {
 	select {
 	case f.came <- bytes:
 	default:
@@ -257,7 +257,7 @@
 }
 
 // Card takes a member's card: what later lists say of drains is news.
-func (f *Fleet) Card(members.Card) {
+func (f *Fleet) NotifyState(membership.MemberState) {
 	select {
 	case f.changed <- struct{}{}:
 	default:
@@ -315,7 +315,7 @@
 			}
 		case <-tell.C:
 			if f.exchange != nil {
-				f.exchange.Tell(f.card())
+				f.exchange.PublishState(f.card())
 				f.gossip()
 				f.counts()
 			}
@@ -326,7 +326,7 @@
 }
 
 func (f *Fleet) hear(bytes []byte) {
-	m, err := agreed.Unpack(bytes)
+	m, err := consensus.UnmarshalMessage(bytes)
 	if err != nil {
 		f.log.Warn().Err(err).Msg("not a message of the fleet")
 		return
@@ -334,17 +334,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch now := Now(); {
-	case m.Grant != nil:
-		f.holder.Heard(now, m.Grant)
-	case m.Outcome != nil:
-		if wait := f.waiting[m.Outcome.ID]; wait != nil {
+	case m.LeaseResponse != nil:
+		f.holder.HandleLeaseResponse(now, m.LeaseResponse)
+	case m.ProposalResult != nil:
+		if wait := f.waiting[m.ProposalResult.ID]; wait != nil {
 			select {
-			case wait <- said{*m.Outcome, m.From}:
+			case wait <- said{*m.ProposalResult, m.From}:
 			default:
 			}
 		}
 	case f.keeper != nil:
-		f.keeper.Heard(now, m)
+		f.keeper.HandleMessage(now, m)
 	}
 }
 
@@ -377,46 +377,46 @@
 func (f *Fleet) look() time.Duration {
 	f.mu.Lock()
 	now := Now()
-	f.holder.Look(now)
-	wait := f.holder.Wait(now)
+	f.holder.Tick(now)
+	wait := f.holder.TimeUntilTick(now)
 	if f.keeper != nil {
-		f.keeper.Look(now)
-		wait = min(wait, f.keeper.Wait(now))
-		if err := f.keeper.Broken(); err != nil {
+		f.keeper.Tick(now)
+		wait = min(wait, f.keeper.TimeUntilTick(now))
+		if err := f.keeper.Err(); err != nil {
 			f.endReplica(err)
 		}
 	}
 	was := f.acting
-	f.acting = f.holder.Acting(now)
-	f.until.Store(f.holder.Until())
-	if f.acting.Leased {
-		wait = min(wait, time.Duration(f.holder.Until()-now))
+	f.acting = f.holder.EffectiveConfig(now)
+	f.until.Store(f.holder.LeaseExpiry())
+	if f.acting.IsLeased {
+		wait = min(wait, time.Duration(f.holder.LeaseExpiry()-now))
 	}
-	acting, contrary := f.acting, f.holder.Contrary
+	acting, contrary := f.acting, f.holder.ConflictingResponses
 	f.mu.Unlock()
 	if contrary > f.contrary {
 		f.contrary = contrary
 		f.log.Error().Msg("there are two histories: what this process acts on is another's")
 	}
-	if was.Floor != acting.Floor || was.Latest != acting.Latest {
-		f.log.Info().Uint64("floor", acting.Floor).Uint64("latest", acting.Latest).Int("bans", len(acting.Bans)).Msg("acts on")
-		f.acts.Heeds(acting)
+	if was.MinRevision != acting.MinRevision || was.LatestRevision != acting.LatestRevision {
+		f.log.Info().Uint64("floor", acting.MinRevision).Uint64("latest", acting.LatestRevision).Int("bans", len(acting.EjectedEndpoints)).Msg("acts on")
+		f.acts.ApplyConfig(acting)
 		f.leave()
 	}
-	if d := acting.Part - f.portion; d > 0.01*f.portion || d < 0 {
-		f.portion = acting.Part
-		f.acts.Portion(acting.Part)
+	if d := acting.BudgetShare - f.portion; d > 0.01*f.portion || d < 0 {
+		f.portion = acting.BudgetShare
+		f.acts.SetBudgetShare(acting.BudgetShare)
 	}
-	if odd := acting.Leased && acting.Digest != "" && acting.Digest != f.settings; odd != f.odd {
+	if odd := acting.IsLeased && acting.SettingsDigest != "" && acting.SettingsDigest != f.settings; odd != f.odd {
 		if f.odd = odd; odd {
-			f.log.Warn().Str("own", f.settings).Str("in_force", acting.Digest).Msg("settings are not those in force")
+			f.log.Warn().Str("own", f.settings).Str("in_force", acting.SettingsDigest).Msg("settings are not those in force")
 		}
 	}
-	if was.Leased != acting.Leased {
-		if acting.Leased {
-			f.log.Info().Uint64("latest", acting.Latest).Msg("under a lease")
+	if was.IsLeased != acting.IsLeased {
+		if acting.IsLeased {
+			f.log.Info().Uint64("latest", acting.LatestRevision).Msg("under a lease")
 		} else {
-			f.log.Warn().Uint64("latest", acting.Latest).Msg("alone: cut off from the majority, acts on the strictest that it knows")
+			f.log.Warn().Uint64("latest", acting.LatestRevision).Msg("alone: cut off from the majority, acts on the strictest that it knows")
 		}
 	}
 	return max(wait, time.Millisecond)
@@ -424,18 +424,18 @@
 
 // counts takes how many retrievals come, for the part that is asked for.
 func (f *Fleet) counts() {
-	came, now := f.acts.Came(), Now()
+	came, now := f.acts.RequestCount(), Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cameAt != 0 && now > f.cameAt {
 		rate := float64(came-f.came0) / float64(now-f.cameAt) * 1e9
-		f.holder.Rate += (rate - f.holder.Rate) / 2
+		f.holder.RequestRate += (rate - f.holder.RequestRate) / 2
 	}
 	f.came0, f.cameAt = came, now
 }
 
 // Decides is called before each decision: it looks at the lease. It allocates nothing.
-func (f *Fleet) Decides() (leased bool) {
+func (f *Fleet) CheckLease() (leased bool) {
 	now := Now()
 	if leased = now < f.until.Load(); leased {
 		f.under.Add(1)
@@ -453,41 +453,41 @@
 	f.mu.Lock()
 	a := f.acting
 	digest := ""
-	if v := f.holder.Versions(); len(v) > 0 {
+	if v := f.holder.Revisions(); len(v) > 0 {
 		digest = v[len(v)-1].Digest()
 	}
 	f.mu.Unlock()
 	var t unix.Timespec
 	unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
-	if !leased && f.terms.Most > 0 {
-		a.Part = budgets.Alone(f.terms.Most)
+	if !leased && f.terms.MaxMembers > 0 {
+		a.BudgetShare = budgets.ShareWithoutLease(f.terms.MaxMembers)
 	}
-	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", t.Nano(), f.name, a.Floor, a.Latest, leased, a.Part, digest)
+	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", t.Nano(), f.name, a.MinRevision, a.LatestRevision, leased, a.BudgetShare, digest)
 }
 
 // Status is what the door shows.
 type Status struct {
-	Name     string           `json:"name"`
-	Zone     string           `json:"zone,omitempty"`
-	Leads    string           `json:"leads,omitempty"`
-	Acting   agreed.Acting    `json:"acting"`
-	T        string           `json:"t"`
-	LeaseMS  int64            `json:"lease_left_ms"`
-	Alone    int64            `json:"decisions_alone"`
-	Under    int64            `json:"decisions_under_lease"`
-	Lost     int64            `json:"messages_lost"`
-	Members  []Stands         `json:"members"`
-	News     []string         `json:"drains_by_others,omitempty"`
-	Keeper   *KeeperStands    `json:"keeper,omitempty"`
-	Versions []agreed.Version `json:"versions_that_count"`
-	Signals  *SignalsStand    `json:"signals,omitempty"`
-	Tends    []string         `json:"tends,omitempty"`
-	Zones    []ZoneStands     `json:"zones,omitempty"`
+	Name     string                    `json:"name"`
+	Zone     string                    `json:"zone,omitempty"`
+	Leads    string                    `json:"leads,omitempty"`
+	Acting   consensus.EffectiveConfig `json:"acting"`
+	T        string                    `json:"t"`
+	LeaseMS  int64                     `json:"lease_left_ms"`
+	Alone    int64                     `json:"decisions_alone"`
+	Under    int64                     `json:"decisions_under_lease"`
+	Lost     int64                     `json:"messages_lost"`
+	Members  []Stands                  `json:"members"`
+	News     []string                  `json:"drains_by_others,omitempty"`
+	Keeper   *KeeperStands             `json:"keeper,omitempty"`
+	Versions []consensus.Revision      `json:"versions_that_count"`
+	Signals  *SignalsStand             `json:"signals,omitempty"`
+	Tends    []string                  `json:"tends,omitempty"`
+	Zones    []ZoneStands              `json:"zones,omitempty"`
 }
 
 // Stands is a member as this process heard of it.
 type Stands struct {
-	members.Card
+	membership.MemberState
 	AgoMS int64 `json:"heard_ms_ago"`
 	Gone  bool  `json:"gone"`
 }
@@ -502,7 +502,7 @@
 // Status tells how things stand.
 func (f *Fleet) Status() Status {
 	own := f.card()
-	var list []members.Member
+	var list []membership.Member
 	f.mu.Lock()
 	if f.exchange != nil {
 		list = f.exchange.Members()
@@ -511,29 +511,29 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := Now()
-	s := Status{Name: f.name, Zone: f.zone, Leads: f.holder.Leader(), Acting: f.holder.Acting(now), T: f.terms.T().Round(time.Millisecond).String(),
-		LeaseMS: max(0, f.holder.Until()-now) / 1e6, Alone: f.alone.Load(), Under: f.under.Load(), Lost: f.lost.Load(), News: f.news,
-		Versions: slices.Clone(f.holder.Versions()), Members: []Stands{{Card: own}}}
+	s := Status{Name: f.name, Zone: f.zone, Leads: f.holder.Leader(), Acting: f.holder.EffectiveConfig(now), T: f.terms.MaxDisagreement().Round(time.Millisecond).String(),
+		LeaseMS: max(0, f.holder.LeaseExpiry()-now) / 1e6, Alone: f.alone.Load(), Under: f.under.Load(), Lost: f.lost.Load(), News: f.news,
+		Versions: slices.Clone(f.holder.Revisions()), Members: []Stands{{MemberState: own}}}
 	for _, m := range list {
-		s.Members = append(s.Members, Stands{m.Card, time.Since(m.Heard).Milliseconds(), m.Gone(time.Now())})
+		s.Members = append(s.Members, Stands{m.MemberState, time.Since(m.LastSeen).Milliseconds(), m.IsGone(time.Now())})
 	}
 	if f.seen != nil {
 		s.Signals = f.seen.stand()
 	}
 	s.Tends, s.Zones = f.tends.has, f.zones.stands
 	if f.keeper != nil {
-		s.Keeper = &KeeperStands{Leads: f.keeper.Leads(), Founded: f.keeper.Founded(), Holders: f.keeper.Holders(now)}
+		s.Keeper = &KeeperStands{Leads: f.keeper.IsLeader(), Founded: f.keeper.IsBootstrapped(), Holders: f.keeper.ActiveLeases(now)}
 	}
 	return s
 }
 
 // History is what this process knows of it: a keeper more than others.
-func (f *Fleet) History() []agreed.Version {
+func (f *Fleet) History() []consensus.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.keeper != nil && f.keeper.Founded() {
+	if f.keeper != nil && f.keeper.IsBootstrapped() {
 		all, _ := f.keeper.History()
 		return slices.Clone(all)
 	}
-	return slices.Clone(f.holder.Versions())
+	return slices.Clone(f.holder.Revisions())
 }
--- a/fleet/leave.go
+++ b/fleet/leave.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
-	"hollylever/members"
-	"hollylever/zones"
+	"hollylever/consensus"
+	"hollylever/evacuation"
+	"hollylever/membership"
 )
 
 const (
@@ -22,9 +22,9 @@
 // leaving is what this process has on zones: what it would propose if it leads, and how far it has come out of each or back.
 type leaving struct {
 	itself  bool
-	terms   zones.Terms
-	watch   zones.Watch
-	paths   map[string]*zones.Path
+	terms   evacuation.RampDurations
+	watch   evacuation.Controller
+	paths   map[string]*evacuation.Ramp
 	told    map[string]float64 // parts, as the balancer has them
 	toldAt  int64
 	asking  bool // a proposal is out; under the fleet's lock
@@ -48,16 +48,16 @@
 
 // views gives each zone's hosts and how many of them several processes call failing, by name; whether a host of this process's own zone fails for
 // itself too; and whether reads miss for all.
-func (s *seen) views(now int64, own string) (all []zones.View, fails, scarce bool) {
+func (s *seen) views(now int64, own string) (all []evacuation.ZoneHealth, fails, scarce bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all = slices.Clone(s.counts)
 	for _, h := range s.board.Status(now) {
-		at, known := s.in[h.Host]
-		if known && h.Heeded && h.Witnesses > 0 {
+		at, known := s.in[h.ID]
+		if known && h.Ejected && h.Witnesses > 0 {
 			all[at].Failing++
 		}
-		fails = fails || known && h.Own > 0 && all[at].Zone == own
+		fails = fails || known && h.OwnConsecutiveFailures > 0 && all[at].Zone == own
 	}
 	return all, fails, s.scarce
 }
@@ -70,8 +70,8 @@
 		return // One zone is never left.
 	}
 	f.mu.Lock()
-	knows := f.acting.Latest > 0
-	left, leads, asking := f.acting.Left, f.keeper != nil && f.keeper.Leads() && f.acting.Leased, f.zones.asking
+	knows := f.acting.LatestRevision > 0
+	left, leads, asking := f.acting.EvacuatedZones, f.keeper != nil && f.keeper.IsLeader() && f.acting.IsLeased, f.zones.asking
 	f.mu.Unlock()
 	if !knows {
 		return // It has just started, and what is left already is no way to go.
@@ -79,12 +79,12 @@
 	l := &f.zones
 	others := f.begins(now)
 	if leads != l.led {
-		l.led, l.watch = leads, zones.Watch{} // What another saw while it led is not known here.
+		l.led, l.watch = leads, evacuation.Controller{} // What another saw while it led is not known here.
 	}
 	if leads && l.itself && !asking {
-		say, stays := l.watch.Look(now, views, left)
+		say, stays := l.watch.Tick(now, views, left)
 		for _, v := range stays {
-			f.log.Warn().Str("zone", v.Zone).Int("hosts", v.Hosts).Int("failing", v.Failing).Msg("a zone fails and is not left: too little would remain")
+			f.log.Warn().Str("zone", v.Zone).Int("hosts", v.Endpoints).Int("failing", v.Failing).Msg("a zone fails and is not left: too little would remain")
 		}
 		for _, s := range say {
 			f.say(ctx, s)
@@ -94,16 +94,16 @@
 	for _, v := range views {
 		path := l.paths[v.Zone]
 		if path == nil {
-			path = &zones.Path{}
+			path = &evacuation.Ramp{}
 			l.paths[v.Zone] = path
 		}
 		if part, told := others(v.Zone); told {
-			path.Begin(part)
+			path.Start(part)
 		}
 		// Others' word alone does not take it out of its own zone: once out, it would see nothing of it any more.
-		own := v.Zone == f.zone && (v.Failing*2 < v.Hosts || !fails)
-		parts[v.Zone] = path.Look(now, v.Zone, left, own, scarce, l.terms)
-		stands = append(stands, ZoneStands{v.Zone, v.Hosts, v.Failing, v.Zone == f.zone, slices.Contains(left, v.Zone), slices.Contains(left, zones.Fails+v.Zone), parts[v.Zone]})
+		own := v.Zone == f.zone && (v.Failing*2 < v.Endpoints || !fails)
+		parts[v.Zone] = path.Advance(now, v.Zone, left, own, scarce, l.terms)
+		stands = append(stands, ZoneStands{v.Zone, v.Endpoints, v.Failing, v.Zone == f.zone, slices.Contains(left, v.Zone), slices.Contains(left, evacuation.AutomaticPrefix+v.Zone), parts[v.Zone]})
 	}
 	f.mu.Lock()
 	l.stands = stands
@@ -116,7 +116,7 @@
 		}
 	}
 	if again {
-		f.acts.Leaves(parts, time.Duration(l.terms.Returns))
+		f.acts.SetEvacuation(parts, time.Duration(l.terms.RecoveryNanos))
 		moved := !maps.Equal(parts, l.told)
 		if l.told, l.toldAt = parts, now; moved {
 			f.leave()
@@ -131,7 +131,7 @@
 // begins gives how far the others are, as long as this process starts: what it was left by the one before it may be old, and on the way back to a
 // zone whose hosts are cold it must not begin at its end. The middle one counts: some may not know the last version.
 func (f *Fleet) begins(now int64) (others func(zone string) (part float64, told bool)) {
-	var fellows []members.Member
+	var fellows []membership.Member
 	if l := &f.zones; !l.begun && f.exchange != nil { // Over an upgrade there is none until the process before this one has gone.
 		if l.since == 0 {
 			l.since = now
@@ -139,8 +139,8 @@
 		var partial []string
 		for _, m := range f.lately() {
 			switch {
-			case m.Name == f.name || m.Latest == 0:
-			case m.Partial(): // Not all of its ways are known.
+			case m.Name == f.name || m.LatestRevision == 0:
+			case m.IsPartial(): // Not all of its ways are known.
 				partial = append(partial, m.Name)
 			default:
 				fellows = append(fellows, m)
@@ -148,7 +148,7 @@
 		}
 		f.want(now, partial)
 		f.mu.Lock()
-		leased := f.acting.Leased
+		leased := f.acting.IsLeased
 		f.mu.Unlock()
 		l.begun = leased && len(fellows) > 0 || now-l.since > startsFor
 	}
@@ -156,9 +156,9 @@
 		parts := []float64{}
 		for _, m := range fellows {
 			part := 0.0
-			for _, w := range m.Ways {
+			for _, w := range m.Evacuations {
 				if w.Zone == zone {
-					part = w.Part
+					part = w.KeyFraction
 				}
 			}
 			parts = append(parts, part)
@@ -171,10 +171,10 @@
 }
 
 // say proposes what the watch says, in the background: the majority decides.
-func (f *Fleet) say(ctx context.Context, s zones.Say) {
-	c := agreed.Change{ID: crand.Text(), By: byItself, Why: fmt.Sprintf("%s: %d of %d", s.Why, s.Failing, s.Hosts)}
-	if c.Leave = []string{zones.Fails + s.Zone}; !s.Leaves {
-		c.Leave, c.Return = nil, c.Leave
+func (f *Fleet) say(ctx context.Context, s evacuation.Proposal) {
+	c := consensus.Proposal{ID: crand.Text(), Author: byItself, Reason: fmt.Sprintf("%s: %d of %d", s.Reason, s.Failing, s.Endpoints)}
+	if c.EvacuateZones = []string{evacuation.AutomaticPrefix + s.Zone}; !s.Evacuate {
+		c.EvacuateZones, c.RestoreZones = nil, c.EvacuateZones
 	}
 	f.mu.Lock()
 	f.zones.asking = true
@@ -184,6 +184,6 @@
 		f.mu.Lock()
 		f.zones.asking = false
 		f.mu.Unlock()
-		f.log.Info().Str("zone", s.Zone).Bool("leaves", s.Leaves).Int("hosts", s.Hosts).Int("failing", s.Failing).Uint64("version", o.Number).Msg("proposed of a zone")
+		f.log.Info().Str("zone", s.Zone).Bool("leaves", s.Evacuate).Int("hosts", s.Endpoints).Int("failing", s.Failing).Uint64("version", o.Revision).Msg("proposed of a zone")
 	}()
 }
--- a/fleet/left.go
+++ b/fleet/left.go
@@ -4,16 +4,16 @@
 	"encoding/json"
 	"os"
 
-	"hollylever/agreed"
-	"hollylever/zones"
+	"hollylever/consensus"
+	"hollylever/evacuation"
 )
 
 // left is what a process leaves for the one that comes after it: what counts, so that a ban holds from its first retrieval on.
 type left struct {
-	Floor    uint64           `json:"floor"`
-	Versions []agreed.Version `json:"versions,omitempty"`
-	Chain    []byte           `json:"chain,omitempty"` // the same, where they are many: a version before takes them from its first lease
-	Ways     []leftWay        `json:"ways,omitempty"`
+	Floor    uint64               `json:"floor"`
+	Versions []consensus.Revision `json:"versions,omitempty"`
+	Chain    []byte               `json:"chain,omitempty"` // the same, where they are many: a version before takes them from its first lease
+	Ways     []leftWay            `json:"ways,omitempty"`
 }
 
 // leftWay is how far it was from a zone, and when by the machine's clock since its start.
@@ -30,10 +30,10 @@
 )
 
 // leavesPlain tells whether versions are left one by one.
-func leavesPlain(versions []agreed.Version) bool {
+func leavesPlain(versions []consensus.Revision) bool {
 	names := 0
 	for _, v := range versions {
-		names += len(v.Document.Bans) + len(v.Document.Left) + len(v.Document.Limits)
+		names += len(v.Config.EjectedEndpoints) + len(v.Config.EvacuatedZones) + len(v.Config.Limits)
 	}
 	return len(versions) <= plainVersion && names <= plainNames
 }
@@ -46,13 +46,13 @@
 	f.mu.Lock()
 	var ways []leftWay
 	for zone, path := range f.zones.paths {
-		if part, at := path.Stands(); part > 0 {
+		if part, at := path.Position(); part > 0 {
 			ways = append(ways, leftWay{zone, part, at})
 		}
 	}
-	l := left{Floor: f.acting.Floor, Versions: f.holder.Versions(), Ways: ways}
+	l := left{Floor: f.acting.MinRevision, Versions: f.holder.Revisions(), Ways: ways}
 	if !leavesPlain(l.Versions) {
-		l.Versions, l.Chain = nil, agreed.PackChain(l.Versions)
+		l.Versions, l.Chain = nil, consensus.MarshalRevisions(l.Versions)
 	}
 	bytes, err := json.Marshal(l)
 	f.mu.Unlock()
@@ -78,7 +78,7 @@
 		return
 	}
 	if len(l.Chain) > 0 {
-		if l.Versions, err = agreed.UnpackChain(l.Chain); err != nil {
+		if l.Versions, err = consensus.UnmarshalRevisions(l.Chain); err != nil {
 			return
 		}
 	}
@@ -88,12 +88,12 @@
 		}
 	}
 	for _, w := range l.Ways {
-		f.zones.paths[w.Zone] = &zones.Path{}
-		f.zones.paths[w.Zone].Recall(w.Part, w.At, Now())
+		f.zones.paths[w.Zone] = &evacuation.Ramp{}
+		f.zones.paths[w.Zone].Resume(w.Part, w.At, Now())
 	}
-	f.holder.Recall(l.Floor, l.Versions)
-	f.acting = f.holder.Acting(Now())
-	if f.acting.Latest > 0 {
-		f.acts.Heeds(f.acting)
+	f.holder.Restore(l.Floor, l.Versions)
+	f.acting = f.holder.EffectiveConfig(Now())
+	if f.acting.LatestRevision > 0 {
+		f.acts.ApplyConfig(f.acting)
 	}
 }
--- a/fleet/propose.go
+++ b/fleet/propose.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 )
 
 const (
@@ -14,15 +14,15 @@
 )
 
 // Propose asks the keepers to accept a change, and waits for their answer.
-func (f *Fleet) Propose(ctx context.Context, c agreed.Change) agreed.Outcome {
-	if err := c.Check(); err != nil {
-		return agreed.Outcome{ID: c.ID, Wrong: err.Error(), Sure: true}
+func (f *Fleet) Propose(ctx context.Context, c consensus.Proposal) consensus.ProposalResult {
+	if err := c.Validate(); err != nil {
+		return consensus.ProposalResult{ID: c.ID, Reason: err.Error(), IsFinal: true}
 	}
 	answer := make(chan said, 4)
 	f.mu.Lock()
 	if len(f.waiting) >= maxWaiting {
 		f.mu.Unlock()
-		return agreed.Outcome{ID: c.ID, Wrong: "too many proposals wait", Sure: true}
+		return consensus.ProposalResult{ID: c.ID, Reason: "too many proposals wait", IsFinal: true}
 	}
 	f.waiting[c.ID] = answer
 	f.mu.Unlock()
@@ -35,7 +35,7 @@
 	defer end.Stop()
 	defer again.Stop()
 	// Until it went to somebody with a ticket, nobody can have written it: then a no is sure.
-	nobody, asked, to, ticket := agreed.Outcome{ID: c.ID, Wrong: "nobody leads: no majority of the keepers is heard", Sure: true}, 0, "", (*agreed.Ticket)(nil)
+	nobody, asked, to, ticket := consensus.ProposalResult{ID: c.ID, Reason: "nobody leads: no majority of the keepers is heard", IsFinal: true}, 0, "", (*consensus.ProposalTicket)(nil)
 	for {
 		f.mu.Lock()
 		if ticket == nil {
@@ -43,7 +43,7 @@
 				to = f.keepers[asked%len(f.keepers)]
 			}
 		}
-		f.Send(to, &agreed.Message{From: f.name, Propose: &c, Ticket: ticket})
+		f.Send(to, &consensus.Message{From: f.name, Proposal: &c, Ticket: ticket})
 		f.mu.Unlock()
 		asked++
 		select {
@@ -51,12 +51,12 @@
 			switch {
 			case o.Ticket != nil:
 				ticket, to = o.Ticket, o.from
-				nobody = agreed.Outcome{ID: c.ID, Wrong: "no word of a majority"}
+				nobody = consensus.ProposalResult{ID: c.ID, Reason: "no word of a majority"}
 				continue
-			case o.Number == 0 && strings.HasPrefix(o.Wrong, "nobody leads"):
+			case o.Revision == 0 && strings.HasPrefix(o.Reason, "nobody leads"):
 				ticket = nil // One may lead in a moment.
 			default:
-				return o.Outcome
+				return o.ProposalResult
 			}
 		case <-again.C:
 			if asked%4 == 3 {
@@ -80,6 +80,6 @@
 
 // said is an answer to a proposal, and whose.
 type said struct {
-	agreed.Outcome
+	consensus.ProposalResult
 	from string
 }
--- a/fleet/seen.go
+++ b/fleet/seen.go
@@ -8,10 +8,10 @@
 	"sync/atomic"
 	"time"
 
-	"hollylever/members"
+	"hollylever/evacuation"
+	"hollylever/membership"
+	"hollylever/outlier"
 	"hollylever/policy"
-	"hollylever/signals"
-	"hollylever/zones"
 )
 
 // seen is what this process and others saw of hosts: the board, and names for its numbers. Its lock is held for moments only, and the
@@ -21,11 +21,11 @@
 	lost atomic.Int64
 
 	mu     sync.Mutex
-	board  *signals.Board
+	board  *outlier.Detector
 	ids    map[string]uint32
 	names  map[uint32]string
-	counts []zones.View   // hosts by zone, sorted by its name, made up with the list
-	in     map[uint32]int // which of these a host is in
+	counts []evacuation.ZoneHealth // hosts by zone, sorted by its name, made up with the list
+	in     map[uint32]int          // which of these a host is in
 	zones  map[string]uint16
 	heeds  map[uint32]bool // that the log knows of
 	odd    int             // what was no signal
@@ -39,8 +39,8 @@
 
 func newSeen(name, zone string, life uint64, delay time.Duration, queue int) *seen {
 	s := &seen{came: make(chan []byte, queue), ids: map[string]uint32{}, names: map[uint32]string{}, zones: map[string]uint16{}, heeds: map[uint32]bool{}}
-	s.board = signals.New(signals.Member{ID: signals.ID(name), Zone: s.zone(zone)}, life)
-	s.board.Delay(int64(delay))
+	s.board = outlier.New(outlier.Member{ID: outlier.HashName(name), Zone: s.zone(zone)}, life)
+	s.board.SetMessageDelay(int64(delay))
 	return s
 }
 
@@ -54,9 +54,9 @@
 	case known:
 		return n
 	case name == "" || len(s.zones) >= maxZones:
-		return signals.NoZone
+		return outlier.UnknownZone
 	}
-	if n = uint16(len(s.zones)); n >= signals.NoZone {
+	if n = uint16(len(s.zones)); n >= outlier.UnknownZone {
 		n++ // That number says that there is none.
 	}
 	s.zones[name] = n
@@ -64,26 +64,26 @@
 }
 
 // Fellows is what the balancer tells of its trips; nil where signals are off.
-func (f *Fleet) Fellows() *seen { return f.seen }
+func (f *Fleet) OutlierExchange() *seen { return f.seen }
 
 // Sent tells that a trip goes to a host.
-func (s *seen) Sent(server string) (float64, bool) {
+func (s *seen) HandleAttemptStarted(server string) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.board.Sent(Now(), s.ids[server])
+	return s.board.RecordAttempt(Now(), s.ids[server])
 }
 
 // Saw tells how a trip ended.
-func (s *seen) Saw(server string, how policy.Outcome, took, expected int64) {
-	if sign := signals.Of(how, took, expected); sign != signals.Nothing {
+func (s *seen) HandleAttemptEnded(server string, how policy.Outcome, took, expected int64) {
+	if sign := outlier.Classify(how, took, expected); sign != outlier.Inconclusive {
 		s.mu.Lock()
-		s.board.Saw(Now(), s.ids[server], sign)
+		s.board.Observe(Now(), s.ids[server], sign)
 		s.mu.Unlock()
 	}
 }
 
 // Signal takes what the exchange hears. It does not wait.
-func (f *Fleet) Signal(bytes []byte) {
+func (f *Fleet) NotifyBroadcast(bytes []byte) {
 	if f.seen == nil {
 		return
 	}
@@ -95,24 +95,24 @@
 }
 
 func (s *seen) hear(bytes []byte) bool {
-	m, err := signals.Unpack(bytes)
+	m, err := outlier.DecodeMessage(bytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.odd++
 		return false
 	}
-	s.board.Hear(Now(), m)
+	s.board.HandleMessage(Now(), m)
 	return true
 }
 
 // lately is who was heard lately: nobody before this process has joined, as over an upgrade until the one before it has gone.
-func (f *Fleet) lately() (all []members.Member) {
+func (f *Fleet) lately() (all []membership.Member) {
 	if f.exchange == nil {
 		return nil
 	}
 	for _, m := range f.exchange.Members() {
-		if time.Since(m.Heard) <= silentFor {
+		if time.Since(m.LastSeen) <= silentFor {
 			all = append(all, m)
 		}
 	}
@@ -121,7 +121,7 @@
 
 // fellows says who may speak and which hosts there are, and takes up which of these are this process's to tend.
 func (f *Fleet) fellows() {
-	servers, lately := f.acts.Servers(), f.lately()
+	servers, lately := f.acts.Endpoints(), f.lately()
 	f.tend(lately, servers)
 	s := f.seen
 	if s == nil {
@@ -129,32 +129,32 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var all []signals.Member
+	var all []outlier.Member
 	for _, m := range lately {
-		all = append(all, signals.Member{ID: signals.ID(m.Name), Zone: s.zone(m.Zone)})
+		all = append(all, outlier.Member{ID: outlier.HashName(m.Name), Zone: s.zone(m.Zone)})
 	}
-	s.board.Members(all)
+	s.board.SetMembers(all)
 	clear(s.ids)
 	clear(s.names)
 	s.counts, s.in = nil, map[uint32]int{}
 	hosts := make([]uint32, len(servers))
 	byZone := map[string]int{}
 	for n, h := range servers {
-		hosts[n] = signals.ID(h.Name)
+		hosts[n] = outlier.HashName(h.Name)
 		s.ids[h.Name], s.names[hosts[n]] = hosts[n], h.Name
 		if h.Zone != "" {
 			byZone[h.Zone]++
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
-		s.counts = append(s.counts, zones.View{Zone: zone, Hosts: byZone[zone]})
+		s.counts = append(s.counts, evacuation.ZoneHealth{Zone: zone, Endpoints: byZone[zone]})
 	}
 	for n, h := range servers {
-		if at := slices.IndexFunc(s.counts, func(v zones.View) bool { return v.Zone == h.Zone }); at >= 0 {
+		if at := slices.IndexFunc(s.counts, func(v evacuation.ZoneHealth) bool { return v.Zone == h.Zone }); at >= 0 {
 			s.in[hosts[n]] = at
 		}
 	}
-	s.board.Hosts(hosts)
+	s.board.SetEndpoints(hosts)
 }
 
 // signals looks at what was seen and heard: it hands the balancer what is heeded, tells what is due, and logs what changed.
@@ -163,29 +163,29 @@
 	type change struct {
 		host  string
 		heeds bool
-		signals.Stands
+		outlier.EndpointStatus
 	}
 	var changes []change
-	reads, misses := f.acts.Missed()
+	reads, misses := f.acts.ReadCounts()
 	s.mu.Lock()
 	now := Now()
-	scarce := s.board.Misses(now, reads, misses)
+	scarce := s.board.UpdateMissRate(now, reads, misses)
 	turned := scarce != s.scarce
 	s.scarce = scarce
-	s.board.Look(now)
-	s.board.Heeded(now, func(id uint32, part float64) { parts[s.names[id]] = part })
+	s.board.Tick(now)
+	s.board.EachEjection(now, func(id uint32, part float64) { parts[s.names[id]] = part })
 	var message []byte
-	if m := s.board.Tell(now); m != nil {
-		message = m.Pack()
+	if m := s.board.NextMessage(now); m != nil {
+		message = m.Encode()
 	}
 	if len(parts) > 0 || len(s.heeds) > 0 {
 		heeds := map[uint32]bool{}
 		for _, st := range s.board.Status(now) {
-			if !st.Heeded {
+			if !st.Ejected {
 				continue
 			}
-			if heeds[st.Host] = true; !s.heeds[st.Host] {
-				changes = append(changes, change{s.names[st.Host], true, st})
+			if heeds[st.ID] = true; !s.heeds[st.ID] {
+				changes = append(changes, change{s.names[st.ID], true, st})
 			}
 		}
 		for id := range s.heeds {
@@ -197,19 +197,19 @@
 	}
 	s.mu.Unlock()
 	if turned {
-		f.acts.Scarce(scarce)
+		f.acts.SetWidespreadMisses(scarce)
 		f.log.Info().Bool("is", scarce).Int("reads", reads).Int("misses", misses).Msg("reads miss for all")
 	}
 	if len(parts) > 0 {
-		f.acts.Heard(parts)
+		f.acts.ApplyPeerVerdicts(parts)
 	}
 	if message != nil && f.exchange != nil {
-		f.exchange.Signal(message)
+		f.exchange.Broadcast(message)
 	}
 	slices.SortFunc(changes, func(a, b change) int { return cmp.Compare(a.host, b.host) })
 	for _, c := range changes {
 		if c.heeds {
-			f.log.Info().Str("server", c.host).Int("witnesses", c.Witnesses).Int("zones", c.Zones).Int("failures", c.Runs).Int("own", c.Own).Msg("server fails for several: left but for turns")
+			f.log.Info().Str("server", c.host).Int("witnesses", c.Witnesses).Int("zones", c.Zones).Int("failures", c.ConsecutiveFailures).Int("own", c.OwnConsecutiveFailures).Msg("server fails for several: left but for turns")
 		} else {
 			f.log.Info().Str("server", c.host).Msg("server settles again, or nobody says otherwise any more")
 		}
@@ -218,23 +218,23 @@
 
 // SignalsStand is what the door shows of signals.
 type SignalsStand struct {
-	Told  int              `json:"told"`
-	Took  int              `json:"taken"`
-	Late  int              `json:"older_than_known"`
-	Odd   int              `json:"of_nobody_or_none"`
-	Lost  int64            `json:"lost"`
-	Miss  bool             `json:"reads_miss_for_all"`
-	Hosts []signals.Stands `json:"hosts,omitempty"`
+	Told  int                      `json:"told"`
+	Took  int                      `json:"taken"`
+	Late  int                      `json:"older_than_known"`
+	Odd   int                      `json:"of_nobody_or_none"`
+	Lost  int64                    `json:"lost"`
+	Miss  bool                     `json:"reads_miss_for_all"`
+	Hosts []outlier.EndpointStatus `json:"hosts,omitempty"`
 }
 
 func (s *seen) stand() *SignalsStand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := &SignalsStand{Told: s.board.Told, Took: s.board.Took, Late: s.board.Late, Odd: s.board.Odd + s.odd, Lost: s.lost.Load(), Miss: s.scarce,
+	st := &SignalsStand{Told: s.board.MessagesSent, Took: s.board.MessagesAccepted, Late: s.board.MessagesStale, Odd: s.board.MessagesFromUnknown + s.odd, Lost: s.lost.Load(), Miss: s.scarce,
 		Hosts: s.board.Status(Now())}
 	for n := range st.Hosts {
-		st.Hosts[n].Name = s.names[st.Hosts[n].Host]
+		st.Hosts[n].Endpoint = s.names[st.Hosts[n].ID]
 	}
-	slices.SortFunc(st.Hosts, func(a, b signals.Stands) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(st.Hosts, func(a, b outlier.EndpointStatus) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return st
 }
--- a/fleet/tend.go
+++ b/fleet/tend.go
@@ -3,21 +3,21 @@
 import (
 	"slices"
 
-	"hollylever/members"
+	"hollylever/membership"
 	"hollylever/subset"
 )
 
 // tending is which hosts are this process's to tend, and what that was made up from.
 type tending struct {
-	rule      subset.Rule
+	rule      subset.Config
 	balancers []subset.Balancer
-	hosts     []subset.Host
+	hosts     []subset.Endpoint
 	has       []string
 }
 
 // tend makes up anew which hosts are this process's, if members or hosts have changed. While nobody speaks all are.
-func (f *Fleet) tend(lately []members.Member, hosts []subset.Host) {
-	if f.tends.rule.Hosts == 0 {
+func (f *Fleet) tend(lately []membership.Member, hosts []subset.Endpoint) {
+	if f.tends.rule.MinEndpoints == 0 {
 		return
 	}
 	balancers := []subset.Balancer{{Name: f.name, Zone: f.zone}}
@@ -29,12 +29,12 @@
 	if slices.Equal(balancers, f.tends.balancers) && slices.Equal(hosts, f.tends.hosts) {
 		return
 	}
-	has := subset.New(balancers, hosts, f.tends.rule).Has(f.name, hosts)
+	has := subset.New(balancers, hosts, f.tends.rule).EndpointsOf(f.name, hosts)
 	names := map[string]bool{}
 	for _, name := range has {
 		names[name] = true
 	}
-	f.acts.Tends(names, len(balancers) == 1)
+	f.acts.SetConnectionSubset(names, len(balancers) == 1)
 	f.mu.Lock()
 	f.tends.balancers, f.tends.hosts, f.tends.has = balancers, hosts, has
 	f.mu.Unlock()
