--- a/snapshot/learnt.go
+++ b/snapshot/learnt.go
@@ -34,15 +34,15 @@
 
 // Snapshot is what one process leaves for the next.
 type Snapshot struct {
-	BalancerName        string // of the balancer
-	SettingsFingerprint uint64 // a fingerprint: indices of workloads, tenants and kinds mean the same
-	WrittenAt           int64  // the system's time, Unix nanoseconds
-	BootID              string // this start of the machine, "" if unknown,
-	SinceBoot           int64  // and the time since: it tells the age under the same start, whatever steps the system's time takes
-	DiscoveryServer     string // whose count Index is
-	ListIndex           uint64
-	EndpointList        []byte // as it was last told, in discovery's form
-	BalancerState       policy.State
+	BalancerName        string       `cbor:"Name"`      // of the balancer
+	SettingsFingerprint uint64       `cbor:"Settings"`  // a fingerprint: indices of workloads, tenants and kinds mean the same
+	WrittenAt           int64        `cbor:"At"`        // the system's time, Unix nanoseconds
+	BootID              string       `cbor:"Boot"`      // this start of the machine, "" if unknown,
+	SinceBoot           int64        `cbor:"BootAt"`    // and the time since: it tells the age under the same start, whatever steps the system's time takes
+	DiscoveryServer     string       `cbor:"Discovery"` // whose count Index is
+	ListIndex           uint64       `cbor:"Index"`
+	EndpointList        []byte       `cbor:"List"` // as it was last told, in discovery's form
+	BalancerState       policy.State `cbor:"State"`
 
 	Age time.Duration `cbor:"-"` // how long ago, once read
 }
