--- a/consensus/config.go
+++ b/consensus/config.go
@@ -16,52 +16,61 @@
 
 // ReplicatedConfig is what all processes of a fleet agree on. Slices and maps are shared between revisions and are never changed in place.
 type ReplicatedConfig struct {
-	// Bans are the hosts that operators ejected, sorted.
+	// EjectedEndpoints are the hosts that operators ejected, sorted.
 	EjectedEndpoints []string `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
 	// Limits are stated bounds by name, such as a tenant's quota.
 	Limits map[string]int64 `cbor:"2,keyasint,omitempty" json:"limits,omitempty"`
-	// Digest is that of the settings file in force.
+	// SettingsDigest is that of the settings file in force.
 	SettingsDigest string `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"`
-	// Source is the address of the discovery whose endpoint list counts.
+	// DiscoverySource is the address of the discovery whose endpoint list counts.
 	DiscoverySource string `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`
-	// From is the index from which on that discovery's lists count.
+	// MinListIndex is the index from which on lists of that discovery count.
 	MinListIndex uint64 `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`
-	// Left are the evacuated zones, sorted.
+	// EvacuatedZones are the evacuated zones, sorted.
 	EvacuatedZones []string `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`
 }
 
 // nameCount is how many names a configuration has: what it takes in memory follows from that.
-func (d *ReplicatedConfig) nameCount() int {
-	return len(d.EjectedEndpoints) + len(d.EvacuatedZones) + len(d.Limits)
+func (c *ReplicatedConfig) nameCount() int {
+	return len(c.EjectedEndpoints) + len(c.EvacuatedZones) + len(c.Limits)
+}
+
+func (c *ReplicatedConfig) hasCountsWithinBounds() bool {
+	return len(c.EjectedEndpoints) <= maxNames && len(c.EvacuatedZones) <= maxNames && len(c.Limits) <= maxLimits
 }
 
 // Revision is one place of the history.
 type Revision struct {
 	// Number counts revisions from 1.
 	Number uint64 `cbor:"1,keyasint" json:"version"`
-	// ID is that of the proposal that made it; empty for the first.
+	// ProposalID is that of the proposal that made it; empty for the first.
 	ProposalID string `cbor:"2,keyasint,omitempty" json:"id,omitempty"`
-	// By and Why are who proposed it, and the reason given.
+	// Author is who proposed it, and Reason the reason that was given.
 	Author string `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
 	Reason string `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
-	// Document is the whole configuration as of this revision.
+	// Config is the whole configuration as of this revision.
 	Config ReplicatedConfig `cbor:"5,keyasint" json:"document"`
 
 	delta      *Proposal // what it changed against the one before, where that is known
 	deltaBytes int       // of delta, encoded
 }
 
+// digestLength, in hexadecimal digits, is enough that two revisions of one number do not share a digest by chance.
+const digestLength = 16
+
 // Digest tells a revision from every other that could have its number.
-func (v Revision) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(encode(v)))[:16] }
+func (r Revision) Digest() string {
+	return fmt.Sprintf("%x", sha256.Sum256(encode(r)))[:digestLength]
+}
 
 // EffectiveConfig is what a process acts on: the strictest of the revisions that are in force here.
 type EffectiveConfig struct {
-	// Floor and Latest are the first and the last of these revisions; 0: none is known.
+	// MinRevision and LatestRevision are the first and the last of these revisions; 0: none is known.
 	MinRevision    uint64 `json:"Floor"`
 	LatestRevision uint64 `json:"Latest"`
-	// Leased tells whether the process is under a lease. Without one it acts alone, on what it knows.
+	// IsLeased tells whether the process is under a lease. Without one it acts alone, on what it knows.
 	IsLeased bool `json:"Leased"`
-	// Part is this process's share of the fleet's budgets, 0 to 1; 0: they are not divided.
+	// BudgetShare is this process's share of the fleet's budgets, 0 to 1; 0: they are not divided.
 	BudgetShare float64 `json:"Part"`
 
 	ReplicatedConfig
@@ -74,23 +83,26 @@
 		return ReplicatedConfig{}
 	}
 	first := revisions[0].Config
-	d := ReplicatedConfig{SettingsDigest: first.SettingsDigest, DiscoverySource: first.DiscoverySource, MinListIndex: first.MinListIndex}
-	return d.tightenedBy(revisions)
+	config := ReplicatedConfig{SettingsDigest: first.SettingsDigest, DiscoverySource: first.DiscoverySource, MinListIndex: first.MinListIndex}
+	return config.tightenedBy(revisions)
 }
 
-// tightenedBy is a configuration with all that later revisions make stricter.
-func (d ReplicatedConfig) tightenedBy(revisions []Revision) ReplicatedConfig {
+// tightenedBy is a configuration with all that later revisions make stricter: more ejected hosts and evacuated zones, lower limits, a higher
+// first index of lists.
+func (c ReplicatedConfig) tightenedBy(revisions []Revision) ReplicatedConfig {
 	limits := map[string]int64{}
-	maps.Copy(limits, d.Limits)
-	d.Limits = limits
-	for _, v := range revisions {
-		d.EjectedEndpoints, d.EvacuatedZones = union(d.EjectedEndpoints, v.Config.EjectedEndpoints), union(d.EvacuatedZones, v.Config.EvacuatedZones)
-		d.MinListIndex = max(d.MinListIndex, v.Config.MinListIndex)
-		for name, limit := range v.Config.Limits {
-			if now, stated := d.Limits[name]; !stated || limit < now {
-				d.Limits[name] = limit
+	maps.Copy(limits, c.Limits)
+	c.Limits = limits
+	for n := range revisions {
+		later := &revisions[n].Config
+		c.EjectedEndpoints = union(c.EjectedEndpoints, later.EjectedEndpoints)
+		c.EvacuatedZones = union(c.EvacuatedZones, later.EvacuatedZones)
+		c.MinListIndex = max(c.MinListIndex, later.MinListIndex)
+		for name, limit := range later.Limits {
+			if current, isStated := c.Limits[name]; !isStated || limit < current {
+				c.Limits[name] = limit
 			}
 		}
 	}
-	return d
+	return c
 }
--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package agreed replicates one ordered history of revisions of a small configuration that many balancers act on, and grants the leases
+// Package consensus replicates one ordered history of revisions of a small configuration that many balancers act on, and grants the leases
 // under which they do.
 //
 // A Replica is one of the few processes whose majority decides on revisions, by raft. A LeaseHolder is in every process: it asks the leader
--- a/consensus/endpointlists.go
+++ b/consensus/endpointlists.go
@@ -12,7 +12,7 @@
 	Drained       []DrainedEndpoint
 }
 
-// DrainedHost is a host that a list called draining or gone from an index on.
+// DrainedEndpoint is a host that a list called draining or gone from an index on.
 type DrainedEndpoint struct {
 	Host  string
 	Index uint64
--- a/consensus/revisions.go
+++ b/consensus/revisions.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// ErrRevisions says that bytes or deltas do not make revisions in a row.
+// errRevisions says that bytes or deltas do not make revisions in a row.
 var errRevisions = errors.New("not revisions in a row")
 
 // revisionChain is revisions in a row, encoded small: the first in full, and of each later one what it changed.
@@ -47,12 +47,13 @@
 // deltasOf gives what each revision changed, the first against the one before.
 func deltasOf(before Revision, revisions []Revision) []Proposal {
 	deltas := make([]Proposal, 0, len(revisions))
-	for _, v := range revisions {
-		if v.delta == nil { // It came in full.
-			v.delta = deltaBetween(before, v)
+	for _, revision := range revisions {
+		delta := revision.delta
+		if delta == nil { // It came in full.
+			delta = deltaBetween(before, revision)
 		}
-		deltas = append(deltas, *v.delta)
-		before = v
+		deltas = append(deltas, *delta)
+		before = revision
 	}
 	return deltas
 }
@@ -63,28 +64,37 @@
 	if len(deltas) > maxShownRevisions+maxActiveRevisions {
 		return nil, fmt.Errorf("%w: %d of them", errRevisions, len(deltas))
 	}
-	revisions, names := make([]Revision, 0, len(deltas)), 0
+	revisions := make([]Revision, 0, len(deltas))
+	names := 0
 	for n := range deltas {
-		before = deltas[n].next(before)
-		before.delta = &deltas[n]
-		if names += before.Config.nameCount(); names > 2*maxActiveNames {
+		revision := deltas[n].next(before)
+		revision.delta = &deltas[n]
+		names += revision.Config.nameCount()
+		if names > 2*maxActiveNames {
 			return nil, fmt.Errorf("%w: too many names", errRevisions)
 		}
-		revisions = append(revisions, before)
+		revisions = append(revisions, revision)
+		before = revision
 	}
 	return revisions, nil
 }
 
-// deltaBetween is the least change that makes a revision of the one before.
+// deltaBetween is the least proposal that makes a revision of the one before.
 func deltaBetween(before, after Revision) *Proposal {
 	was, is := &before.Config, &after.Config
-	c := &Proposal{ID: after.ProposalID, Author: after.Author, Reason: after.Reason, Limits: changedLimits(was.Limits, is.Limits)}
-	c.EjectEndpoints, c.UnejectEndpoints = difference(is.EjectedEndpoints, was.EjectedEndpoints), difference(was.EjectedEndpoints, is.EjectedEndpoints)
-	c.EvacuateZones, c.RestoreZones = difference(is.EvacuatedZones, was.EvacuatedZones), difference(was.EvacuatedZones, is.EvacuatedZones)
-	c.SettingsDigest = changed(was.SettingsDigest, is.SettingsDigest)
-	c.DiscoverySource = changed(was.DiscoverySource, is.DiscoverySource)
-	c.MinListIndex = changed(was.MinListIndex, is.MinListIndex)
-	return c
+	return &Proposal{
+		ID:               after.ProposalID,
+		Author:           after.Author,
+		Reason:           after.Reason,
+		EjectEndpoints:   difference(is.EjectedEndpoints, was.EjectedEndpoints),
+		UnejectEndpoints: difference(was.EjectedEndpoints, is.EjectedEndpoints),
+		Limits:           changedLimits(was.Limits, is.Limits),
+		SettingsDigest:   changed(was.SettingsDigest, is.SettingsDigest),
+		DiscoverySource:  changed(was.DiscoverySource, is.DiscoverySource),
+		MinListIndex:     changed(was.MinListIndex, is.MinListIndex),
+		EvacuateZones:    difference(is.EvacuatedZones, was.EvacuatedZones),
+		RestoreZones:     difference(was.EvacuatedZones, is.EvacuatedZones),
+	}
 }
 
 // changed gives a value where it differs from the one before.
@@ -112,38 +122,46 @@
 }
 
 // measureDelta notes what a revision changed against the one before, and how many bytes that takes.
-func (v *Revision) measureDelta(before Revision) {
-	if v.delta == nil {
-		v.delta = deltaBetween(before, *v)
+func (r *Revision) measureDelta(before Revision) {
+	if r.delta == nil {
+		r.delta = deltaBetween(before, *r)
 	}
-	v.deltaBytes = len(encode(v.delta))
+	r.deltaBytes = len(encode(r.delta))
 }
 
-// next is the revision that a proposal makes of another, whatever its size. It shares with that what it does not change.
-func (c *Proposal) next(was Revision) Revision {
-	d := was.Config
-	d.EjectedEndpoints = withChanges(d.EjectedEndpoints, c.EjectEndpoints, c.UnejectEndpoints)
-	d.EvacuatedZones = withChanges(d.EvacuatedZones, c.EvacuateZones, c.RestoreZones)
-	if len(c.Limits) > 0 || d.Limits == nil {
-		if d.Limits = maps.Clone(d.Limits); d.Limits == nil {
-			d.Limits = map[string]int64{}
-		}
-	}
-	for name, limit := range c.Limits {
-		if d.Limits[name] = limit; limit < 0 {
-			delete(d.Limits, name)
-		}
+// next is the revision that a proposal makes of the one before, whatever its size. It shares with that what it does not change.
+func (p *Proposal) next(before Revision) Revision {
+	config := before.Config
+	config.EjectedEndpoints = withChanges(config.EjectedEndpoints, p.EjectEndpoints, p.UnejectEndpoints)
+	config.EvacuatedZones = withChanges(config.EvacuatedZones, p.EvacuateZones, p.RestoreZones)
+	config.Limits = withLimits(config.Limits, p.Limits)
+	if p.SettingsDigest != nil {
+		config.SettingsDigest = *p.SettingsDigest
 	}
-	if c.SettingsDigest != nil {
-		d.SettingsDigest = *c.SettingsDigest
+	if p.DiscoverySource != nil {
+		config.DiscoverySource = *p.DiscoverySource
 	}
-	if c.DiscoverySource != nil {
-		d.DiscoverySource = *c.DiscoverySource
+	if p.MinListIndex != nil {
+		config.MinListIndex = *p.MinListIndex
 	}
-	if c.MinListIndex != nil {
-		d.MinListIndex = *c.MinListIndex
+	return Revision{Number: before.Number + 1, ProposalID: p.ID, Author: p.Author, Reason: p.Reason, Config: config}
+}
+
+// withLimits is limits with some stated anew or, where under 0, taken back. The limits themselves are not changed.
+func withLimits(limits, changes map[string]int64) map[string]int64 {
+	if len(changes) == 0 && limits != nil {
+		return limits
+	}
+	result := map[string]int64{}
+	maps.Copy(result, limits)
+	for name, limit := range changes {
+		if limit < 0 {
+			delete(result, name)
+		} else {
+			result[name] = limit
+		}
 	}
-	return Revision{Number: was.Number + 1, ProposalID: c.ID, Author: c.Author, Reason: c.Reason, Config: d}
+	return result
 }
 
 // difference gives the names of one sorted set that another does not have.
@@ -165,7 +183,10 @@
 	slices.Sort(result)
 	result = slices.Compact(result)
 	gone := slices.Sorted(slices.Values(removed))
-	return slices.DeleteFunc(result, func(name string) bool { _, is := slices.BinarySearch(gone, name); return is })
+	return slices.DeleteFunc(result, func(name string) bool {
+		_, isGone := slices.BinarySearch(gone, name)
+		return isGone
+	})
 }
 
 // union is two sorted sets in one. It is the first itself where the second adds nothing.
