--- a/consensus/leases.go
+++ b/consensus/leases.go
@@ -135,17 +135,21 @@
 	response := r.leaseResponse(w.request.Seq, w.request.KnownRevision, lease.acceptsDeltas)
 	lease.sentRevision = r.state.latest().Number
 	if leases.ledger != nil {
-		response.BudgetShare = leases.ledger.Grant(now, id, budgets.ShareRequest{Seq: w.request.Seq, GrantSeq: w.request.ShareSeq, RequestRate: w.request.RequestRate})
+		response.BudgetShare = leases.ledger.Grant(now, id, budgets.ShareRequest{
+			Seq:         w.request.Seq,
+			GrantSeq:    w.request.ShareSeq,
+			RequestRate: w.request.RequestRate,
+		})
 	}
 	r.sender.Send(w.from, &Message{From: r.Name, LeaseResponse: response})
 }
 
-// leaseResponse has the revisions after a known one; as deltas, where the holder takes these. With seq 0 it is news and no lease.
-func (r *Replica) leaseResponse(seq, known uint64, deltas bool) *LeaseResponse {
+// leaseResponse has the active revisions after a known one; as deltas, where the holder takes these. With seq 0 it is news and no lease.
+func (r *Replica) leaseResponse(seq, known uint64, acceptsDeltas bool) *LeaseResponse {
 	response := &LeaseResponse{Seq: seq, Leader: r.Name, MinRevision: r.state.MinRevision, HistoryID: r.state.HistoryID}
 	active := r.state.active()
 	if known < r.state.MinRevision {
-		known = 0
+		known = 0 // What it knows is no base for a delta any more.
 	}
 	firstMissing := 0
 	for firstMissing < len(active) && active[firstMissing].Number <= known {
@@ -153,7 +157,7 @@
 	}
 	switch {
 	case firstMissing == len(active):
-	case !deltas:
+	case !acceptsDeltas:
 		response.Revisions = active[firstMissing:]
 	case firstMissing == 0:
 		response.Revisions, response.Deltas = active[:1], deltasOf(active[0], active[1:])
@@ -167,7 +171,9 @@
 // dropOverdueRequests forgets requests whose leases, which count from the request, would be over by now.
 func (r *Replica) dropOverdueRequests(now int64) {
 	leases := &r.leader.leases
-	leases.waiting = slices.DeleteFunc(leases.waiting, func(w waitingRequest) bool { return now-w.at > int64(r.timing.LeaseDuration) })
+	leases.waiting = slices.DeleteFunc(leases.waiting, func(w waitingRequest) bool {
+		return now-w.at > int64(r.timing.LeaseDuration)
+	})
 }
 
 // advanceMinRevision proposes the latest revision as the lowest that a lease can be under, once no process is under a lease that was granted
@@ -176,16 +182,19 @@
 // after it.
 func (r *Replica) advanceMinRevision(now int64) {
 	latest := r.state.latest().Number
-	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest || now-r.leader.since < int64(r.timing.GranterTimeout()) {
+	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest {
+		return
+	}
+	if now-r.leader.since < int64(r.timing.GranterTimeout()) {
 		return
 	}
-	if r.doAllHoldersKnow(now, latest) && r.proposeCommand(command{MinRevision: latest}) {
+	if r.allHoldersKnow(now, latest) && r.proposeCommand(command{MinRevision: latest}) {
 		r.leader.proposedMinRevision = latest
 	}
 }
 
-// doAllHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over long ago.
-func (r *Replica) doAllHoldersKnow(now int64, revision uint64) bool {
+// allHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over long ago.
+func (r *Replica) allHoldersKnow(now int64, revision uint64) bool {
 	all := true
 	for id, lease := range r.leader.leases.granted {
 		all = all && (lease.knownRevision >= revision || now >= lease.expiresAt)
--- a/consensus/proposals.go
+++ b/consensus/proposals.go
@@ -8,8 +8,8 @@
 const (
 	// proposalTimeout is how long an operator waits for a majority before the answer is no.
 	proposalTimeout = 5 * time.Second
-	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: longer than a network repeats a message while
-	// its ticket is good.
+	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: until its ticket is no longer valid, with as
+	// much again in reserve.
 	refusalRetention = 2 * proposalTimeout
 	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority: they are a part of the replicated state.
 	maxPendingProposals = 64
@@ -64,7 +64,9 @@
 }
 
 func (t *proposalTable) dropOldRefusals(now int64) {
-	t.refused = slices.DeleteFunc(t.refused, func(f refusal) bool { return now-f.at > int64(refusalRetention) })
+	t.refused = slices.DeleteFunc(t.refused, func(f refusal) bool {
+		return now-f.at > int64(refusalRetention)
+	})
 }
 
 // isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a proposal that the network
@@ -75,40 +77,46 @@
 
 // handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else when a majority has
 // written it, or proposalTimeout has passed.
-func (r *Replica) handleProposal(now int64, from string, c Proposal, ticket *ProposalTicket) {
-	p := pendingProposal{proposal: c, from: from, deadline: now + int64(proposalTimeout), bytes: len(encode(c))}
+func (r *Replica) handleProposal(now int64, from string, proposal Proposal, ticket *ProposalTicket) {
+	p := pendingProposal{proposal: proposal, from: from, deadline: now + int64(proposalTimeout), bytes: len(encode(proposal))}
 	table := &r.leader.proposals
 	table.dropOldRefusals(now)
 	if !r.IsLeader() {
 		r.redirectProposal(p)
 		return
 	}
-	if revision := r.state.revisionOf(c.ID); revision != 0 {
-		r.answerProposal(p, &ProposalResult{ID: c.ID, Revision: revision, IsFinal: true})
-		return
-	}
-	if table.indexOf(c.ID) >= 0 {
+	if table.indexOf(proposal.ID) >= 0 && r.state.revisionOf(proposal.ID) == 0 {
 		return // It is answered once.
 	}
-	if n := table.refusalIndex(c.ID); n >= 0 {
-		r.answerProposal(p, &table.refused[n].ProposalResult)
+	if result := r.immediateResult(now, p, ticket); result != nil {
+		r.answerProposal(p, result)
 		return
 	}
+	if r.proposeCommand(command{Propose: &proposal}) {
+		table.pending = append(table.pending, p)
+	}
+}
+
+// immediateResult is the result of a proposal that needs no majority: it was decided before, lacks a ticket, or cannot be taken. It is nil for
+// one that is to be written.
+func (r *Replica) immediateResult(now int64, p pendingProposal, ticket *ProposalTicket) *ProposalResult {
+	id, table := p.proposal.ID, &r.leader.proposals
+	if revision := r.state.revisionOf(id); revision != 0 {
+		return &ProposalResult{ID: id, Revision: revision, IsFinal: true}
+	}
+	if at := table.refusalIndex(id); at >= 0 {
+		return &table.refused[at].ProposalResult
+	}
 	if !ticket.isValid(now, r.term) {
-		r.answerProposal(p, &ProposalResult{ID: c.ID, Ticket: &ProposalTicket{r.term, now}})
-		return
+		return &ProposalResult{ID: id, Ticket: &ProposalTicket{r.term, now}}
 	}
 	if !table.hasRoomFor(p.bytes) {
-		r.answerProposal(p, &ProposalResult{ID: c.ID, Reason: reasonTooMany, IsFinal: true})
-		return
+		return &ProposalResult{ID: id, Reason: reasonTooMany, IsFinal: true}
 	}
-	if _, err := c.apply(r.state.latest()); err != nil {
-		r.answerProposal(p, &ProposalResult{ID: c.ID, Reason: err.Error(), IsFinal: true})
-		return
-	}
-	if r.proposeCommand(command{Propose: &c}) {
-		table.pending = append(table.pending, p)
+	if _, err := p.proposal.apply(r.state.latest()); err != nil {
+		return &ProposalResult{ID: id, Reason: err.Error(), IsFinal: true}
 	}
+	return nil
 }
 
 // redirectProposal tells a proposer who leads, and it asks there; or that nobody does.
@@ -152,11 +160,11 @@
 }
 
 // applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer still waits.
-func (r *Replica) applyProposal(now int64, c *Proposal, term uint64, isOwn bool) {
-	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*c, term})
+func (r *Replica) applyProposal(now int64, proposal *Proposal, term uint64, isOwn bool) {
+	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*proposal, term})
 	table := &r.leader.proposals
-	if at := table.indexOf(c.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
-		table.pending[at].isAccepted = r.proposeCommand(command{Accept: c.ID})
+	if at := table.indexOf(proposal.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
+		table.pending[at].isAccepted = r.proposeCommand(command{Accept: proposal.ID})
 	}
 }
 
--- a/consensus/replica.go
+++ b/consensus/replica.go
@@ -11,9 +11,22 @@
 	"hollylever/budgets"
 )
 
-// heartbeatsPerLease is how often a leader is heard within the length of a lease: a follower that misses four in a row campaigns, which leaves
-// most of a lease for the election.
-const heartbeatsPerLease = 16
+const (
+	// heartbeatsPerLease is how often a leader is heard within the length of a lease: often enough that a follower misses several in a row
+	// before it campaigns.
+	heartbeatsPerLease = 16
+	// electionTimeoutsPerLease makes a follower campaign after a quarter to half of a lease without a leader. That leaves holders the rest
+	// of their leases to hear of the next leader.
+	electionTimeoutsPerLease = 4
+	// raftElectionTicks is never reached: raft's own election timer draws from the system's chance, and no run could be repeated from its
+	// seed. electionTimer takes its place.
+	raftElectionTicks = 1 << 30
+	// maxRaftMessageBytes bounds the entries in one raft message: a follower that is far behind is not sent all of them at once. A single
+	// larger entry goes alone.
+	maxRaftMessageBytes = 64 << 10
+	// maxRaftMessagesInFlight bounds what is sent to a follower that does not answer.
+	maxRaftMessagesInFlight = 64
+)
 
 // Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated state and, while it leads,
 // the leases and the proposals that it answers for. It never blocks but in its Storage, and it does not lock: one goroutine calls all
@@ -30,7 +43,7 @@
 	node  *raft.RawNode // nil until the replica has a state or has heard of one
 	log   raftLog
 	state replicatedState
-	term  uint64 // the last raft term that was written since the start; 0: none yet
+	term  uint64 // of the last hard state that was written since the start; 0: none yet
 
 	nextTick int64
 	election electionTimer
@@ -54,44 +67,79 @@
 	memberChangeAt      int64  // when a change of the voters was proposed last; 0: not in this term
 }
 
-// NewReplica opens a replica with the records that its storage has, in their order; without records it bootstraps a fleet or joins one under
-// the given incarnation. random draws below n. An error tells which record cannot be read.
-func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte, storage Storage, sender Sender,
-	random func(n int) int) (*Replica, error) {
-	r := &Replica{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random, nextTick: now,
-		log: newRaftLog(storage), peers: newPeerTable()}
-	r.leader.leases.granted = map[holderID]*grantedLease{}
+// NewReplica opens a replica with the records that its storage has, in their order. Without records it bootstraps a fleet or joins one, under the
+// given incarnation; with records it has theirs. replicas are the names of all replicas, the same in the same order at each; random draws below
+// n. An error tells which record cannot be read, or that the first one cannot be written.
+func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte, storage Storage,
+	sender Sender, random func(n int) int) (*Replica, error) {
+	r := &Replica{
+		Name:        name,
+		incarnation: incarnation,
+		replicas:    replicas,
+		timing:      timing,
+		sender:      sender,
+		random:      random,
+		log:         newRaftLog(storage),
+		nextTick:    now,
+		peers:       newPeerTable(),
+		leader:      newLeadership(0),
+	}
 	if len(records) == 0 {
-		return r, r.log.writeIncarnation(incarnation)
+		if err := r.log.writeIncarnation(incarnation); err != nil {
+			return nil, err
+		}
+		return r, nil
 	}
 	hasState, err := r.load(records)
-	if err != nil || !hasState {
-		return r, err
+	if err != nil {
+		return nil, err
+	}
+	if hasState {
+		if err := r.startNode(now); err != nil {
+			return nil, err
+		}
 	}
-	return r, r.startNode(now)
+	return r, nil
 }
 
-// startNode begins to take part in raft. Raft's own election timer never fires: campaigns follow electionTimer, whose chance is handed in, so
-// that a run can be repeated from its seed.
+// startNode begins to take part in raft.
 func (r *Replica) startNode(now int64) (err error) {
-	r.node, err = raft.NewRawNode(&raft.Config{ID: r.incarnation, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: r.log.entries,
-		Applied: r.log.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, PreVote: true, Logger: discardLogger{},
-		DisableProposalForwarding: true})
+	r.node, err = raft.NewRawNode(&raft.Config{
+		ID:                        r.incarnation,
+		ElectionTick:              raftElectionTicks,
+		HeartbeatTick:             1,
+		Storage:                   r.log.entries,
+		Applied:                   r.log.applied,
+		MaxSizePerMsg:             maxRaftMessageBytes,
+		MaxInflightMsgs:           maxRaftMessagesInFlight,
+		PreVote:                   true, // One that was cut off does not raise the term when it comes back.
+		Logger:                    discardLogger{},
+		DisableProposalForwarding: true, // A proposal is written by the leader that issued its ticket, or by none.
+	})
 	r.resetElectionTimer(now)
-	return err
+	if err != nil {
+		return fmt.Errorf("start raft node: %w", err)
+	}
+	return nil
 }
 
 // resetElectionTimer puts the next campaign off, as a leader was heard or another candidate got this replica's vote.
 func (r *Replica) resetElectionTimer(now int64) {
-	quarter := int64(r.timing.LeaseDuration) / 4
-	r.election.campaignAt = now + quarter + int64(r.random(int(quarter)))
+	timeout := r.electionTimeout()
+	r.election.campaignAt = now + timeout + int64(r.random(int(timeout)))
+}
+
+// electionTimeout is the shortest time without a leader after which a follower campaigns.
+func (r *Replica) electionTimeout() int64 {
+	return int64(r.timing.LeaseDuration) / electionTimeoutsPerLease
 }
 
 func (r *Replica) heartbeatInterval() int64 {
 	return int64(r.timing.LeaseDuration) / heartbeatsPerLease
 }
 
-// IsLeader tells whether this replica takes itself for the leader. Another may lead already: what needs certainty asks a majority.
+// IsLeader tells whether this replica takes itself for the leader. Another may lead already; a lease is only granted once a majority has
+// confirmed this one.
 func (r *Replica) IsLeader() bool { return r.leader.since != 0 }
 
 // IsBootstrapped tells whether this replica knows a history.
@@ -191,7 +239,8 @@
 	case pb.MsgPreVote:
 		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again and again: those
 		// who hear the leader ignore it.
-		if r.IsLeader() || r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < int64(r.timing.LeaseDuration)/4 {
+		hearsLeader := r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < r.electionTimeout()
+		if r.IsLeader() || hearsLeader {
 			return
 		}
 	}
@@ -254,7 +303,8 @@
 		}
 		r.sender.Send(name, &Message{From: r.Name, Raft: marshalProto(m)})
 		if m.GetType() == pb.MsgSnap {
-			r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // Raft sends it again if the follower's answers show that it was lost.
+			// Whether it arrives is not known here; raft sends it again if the follower's answers show that it did not.
+			r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
@@ -273,7 +323,7 @@
 // becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier leaders have expired, and
 // budget shares do not grow until then.
 func (r *Replica) becomeLeader(now int64) {
-	r.leader = r.leader.next()
+	r.leader = newLeadership(r.leader.leases.requestCount)
 	r.leader.since = now
 	if r.timing.MaxMembers > 0 {
 		r.leader.leases.ledger = budgets.New(now, r.timing.MaxMembers, int64(r.timing.GranterTimeout()))
@@ -286,13 +336,12 @@
 	for _, p := range r.leader.proposals.pending {
 		r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonLeaderChanged})
 	}
-	r.leader = r.leader.next()
+	r.leader = newLeadership(r.leader.leases.requestCount)
 }
 
-// next is the leadership that a term begins with: empty, but the numbers of lease requests go on, so that no late confirmation of an earlier
-// term is taken for one of this.
-func (l *leadership) next() leadership {
-	return leadership{leases: leaseTable{requestCount: l.leases.requestCount, granted: map[holderID]*grantedLease{}}}
+// newLeadership is empty, but the numbers of lease requests go on: a late confirmation of an earlier term is then not taken for one of this.
+func newLeadership(requestCount uint64) leadership {
+	return leadership{leases: leaseTable{requestCount: requestCount, granted: map[holderID]*grantedLease{}}}
 }
 
 // applyEntry takes up an entry that a majority has written.
@@ -307,7 +356,7 @@
 	if len(e.GetData()) == 0 || strictDecoding.Unmarshal(e.GetData(), &c) != nil {
 		return
 	}
-	isOwn := r.IsLeader() && e.GetTerm() == r.term
+	isOwn := r.IsLeader() && e.GetTerm() == r.term // This replica wrote it, in the term in which it still leads.
 	switch {
 	case c.Propose != nil:
 		r.applyProposal(now, c.Propose, e.GetTerm(), isOwn)
