--- a/consensus/golden_answers_test.go
+++ b/consensus/golden_answers_test.go
@@ -34,50 +34,50 @@
 	}
 	at := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
 	p, out := sim.processes[at], &outbox{}
-	k, now := p.replica, p.clock()
-	k.sender = out
+	r, now := p.replica, p.clock()
+	r.sender = out
 	propose := func(what string, c Proposal) {
 		out.note("%s", what)
-		k.HandleMessage(now, &Message{From: "op", Proposal: &c, Ticket: &ProposalTicket{k.term, now}})
+		r.HandleMessage(now, &Message{From: "op", Proposal: &c, Ticket: &ProposalTicket{r.term, now}})
 	}
 	out.note("no ticket")
-	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "a", EjectEndpoints: []string{"h"}}})
+	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "a", EjectEndpoints: []string{"h"}}})
 	propose("another base", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("the same again", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("changes nothing", Proposal{ID: "empty", UnejectEndpoints: []string{"h"}})
-	k.state.History[len(k.state.History)-1].Config.EjectedEndpoints = slices.Sorted(slices.Values(slices.Concat(thousandNames("a"), thousandNames("b"))))
+	r.state.History[len(r.state.History)-1].Config.EjectedEndpoints = slices.Sorted(slices.Values(slices.Concat(thousandNames("a"), thousandNames("b"))))
 	propose("too large", Proposal{ID: "large", EjectEndpoints: append(thousandNames("c"), "x")})
-	k.state.History[len(k.state.History)-1].Config.EjectedEndpoints = nil
-	propose("already a version", Proposal{ID: k.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
+	r.state.History[len(r.state.History)-1].Config.EjectedEndpoints = nil
+	propose("already a version", Proposal{ID: r.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
 	for n := range maxPendingProposals {
 		propose("written", Proposal{ID: fmt.Sprint("w", n), EjectEndpoints: []string{fmt.Sprint("h", n)}})
 	}
 	propose("one more than may wait", Proposal{ID: "more", EjectEndpoints: []string{"h"}})
 	propose("waits already", Proposal{ID: "w1", EjectEndpoints: []string{"h1"}})
-	k.leader.proposals.pending[0].isAccepted = true
+	r.leader.proposals.pending[0].isAccepted = true
 	now += int64(proposalTimeout)
 	out.note("no majority in time")
-	k.Tick(now)
+	r.Tick(now)
 	propose("refused before", Proposal{ID: "w1", EjectEndpoints: []string{"h1"}})
 	propose("waits when another leads", Proposal{ID: "late", EjectEndpoints: []string{"h2"}})
 	other := sim.processes[(at+1)%3].replica
 	step := func(m *pb.Message) {
-		k.HandleMessage(now, &Message{From: other.Name, Raft: marshalProto(m)})
+		r.HandleMessage(now, &Message{From: other.Name, Raft: marshalProto(m)})
 	}
 	out.note("another leads")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1)})
-	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "other", EjectEndpoints: []string{"h"}}})
-	k.HandleMessage(now, &Message{From: "op", LeaseRequest: &LeaseRequest{Seq: 1, Incarnation: 1}})
-	out.note("leads %t, broken %t", k.IsLeader(), k.Err() != nil)
-	k.election.campaignAt, now = 0, now+int64(10*time.Second)
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 1)})
+	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "other", EjectEndpoints: []string{"h"}}})
+	r.HandleMessage(now, &Message{From: "op", LeaseRequest: &LeaseRequest{Seq: 1, Incarnation: 1}})
+	out.note("leads %t, broken %t", r.IsLeader(), r.Err() != nil)
+	r.election.campaignAt, now = 0, now+int64(10*time.Second)
 	out.note("nobody leads")
-	k.Tick(now)
-	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "nobody", EjectEndpoints: []string{"h"}}})
+	r.Tick(now)
+	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "nobody", EjectEndpoints: []string{"h"}}})
 	out.note("a message that cannot be: silent from then on")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 1), Commit: new(uint64(1 << 40))})
-	k.Tick(now + ms)
-	k.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "broken", EjectEndpoints: []string{"h"}}})
-	out.note("broken %t", k.Err() != nil)
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 1), Commit: new(uint64(1 << 40))})
+	r.Tick(now + ms)
+	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "broken", EjectEndpoints: []string{"h"}}})
+	out.note("broken %t", r.Err() != nil)
 	for name, full := range map[string]Storage{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
 		_, err := NewReplica(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name], full, out, func(int) int { return 0 })
 		if err == nil {
@@ -99,12 +99,12 @@
 	for n := 0; n < 20_000 && !sim.processes[0].replica.IsBootstrapped(); n++ {
 		sim.advance()
 	}
-	k, other, sent := sim.processes[0].replica, sim.processes[1].replica, 0
-	k.sender, k.log.storage = countingSender{&sent}, failingStorage{}
-	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(k.incarnation), From: new(other.incarnation), Term: new(k.term + 9), Index: new(uint64(99)), LogTerm: new(k.term + 8)}
-	k.HandleMessage(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
-	if k.Err() == nil || sent > 0 {
-		t.Errorf("with a full disk: broken %v, %d messages sent", k.Err(), sent)
+	r, other, sent := sim.processes[0].replica, sim.processes[1].replica, 0
+	r.sender, r.log.storage = countingSender{&sent}, failingStorage{}
+	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 9), Index: new(uint64(99)), LogTerm: new(r.term + 8)}
+	r.HandleMessage(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
+	if r.Err() == nil || sent > 0 {
+		t.Errorf("with a full disk: broken %v, %d messages sent", r.Err(), sent)
 	}
 }
 
@@ -135,14 +135,14 @@
 	}
 	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}), encode(revisionChain{First: Revision{Number: 1}, Deltas: make([]Proposal, maxShownRevisions+maxActiveRevisions+1)}),
 		encode(revisionChain{First: Revision{Number: 1}, Deltas: slices.Repeat([]Proposal{big}, 400)})} {
-		versions, err := UnmarshalRevisions(bytes)
-		out.note("%d versions, refused %t", len(versions), err != nil)
+		revisions, err := UnmarshalRevisions(bytes)
+		out.note("%d versions, refused %t", len(revisions), err != nil)
 	}
 	checkGolden(t, "bounds.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
 }
 
-// A process that takes up a version too much, or misses one, acts on what the others do not: what a holder makes of grants out of order, with
-// gaps, of another history, is the same, grant for grant.
+// A process that takes up a revision too much, or misses one, acts on what the others do not: what a lease holder makes of responses out of
+// order, with gaps, of another history, is the same, response for response.
 func TestGoldenGrants(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(5, 5)), newTraceHash()
 	histories := [2][]Revision{}
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// withoutPart packs a message but for the part of the budgets: with four holders and more its last digit depends on the order in which the
-// ledger of the budgets adds up a map, so it differs from run to run. Parts are in the recorded session, where two others are added.
-func withoutPart(m *Message) []byte {
+// withoutBudgetShare encodes a message but for its budget share: with four holders and more, the last digit of that depends on the order in which the
+// ledger of the budgets adds up a map, so it differs from run to run. Shares are in the recorded session, where two others are added.
+func withoutBudgetShare(m *Message) []byte {
 	if m.LeaseResponse == nil || m.LeaseResponse.BudgetShare == 0 {
 		return m.Marshal()
 	}
@@ -66,15 +66,15 @@
 // different builds, or one that starts again from its log, would then decide differently.
 func TestGoldenTraces(t *testing.T) {
 	var lines []string
-	for _, keepers := range []int{3, 5, 7} {
+	for _, replicas := range []int{3, 5, 7} {
 		for seed := range uint64(3) {
 			tr := newTraceHash()
-			sim := runSimulation(t, seed, keepers, 25_000, func(sim *simulation) { sim.trace = tr })
-			if sim.healAndCheck(keepers); sim.violation != "" {
-				t.Fatalf("%d replicas, seed %d: %s", keepers, seed, sim.violation)
+			sim := runSimulation(t, seed, replicas, 25_000, func(sim *simulation) { sim.trace = tr })
+			if sim.healAndCheck(replicas); sim.violation != "" {
+				t.Fatalf("%d replicas, seed %d: %s", replicas, seed, sim.violation)
 			}
 			tr.add(sim.sent, len(sim.accepted), len(sim.refused), sim.longestContradiction)
-			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", keepers, seed, len(sim.digests), sim.sent, tr.sum()))
+			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", replicas, seed, len(sim.digests), sim.sent, tr.sum()))
 		}
 	}
 	checkGolden(t, "traces.golden", []byte(strings.Join(lines, "")))
@@ -166,11 +166,11 @@
 		m := &sessionMember{n: n}
 		draw := rand.New(rand.NewPCG(uint64(n), 1)).IntN
 		m.holder = NewLeaseHolder(0, names[n], uint64(n+1), testTiming, names, m, draw)
-		k, err := NewReplica(0, names[n], uint64(n+1), testTiming, names, nil, &m.disk, m, draw)
+		r, err := NewReplica(0, names[n], uint64(n+1), testTiming, names, nil, &m.disk, m, draw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.replica, members[n] = k, m
+		m.replica, members[n] = r, m
 	}
 	queue := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool { return slices.Contains(live, f.From) })
 	for now := int64(0); now < 2500*ms; now += ms {
@@ -224,7 +224,7 @@
 		}
 		a := members[n].holder.EffectiveConfig(2500 * ms)
 		if !a.IsLeased || a.LatestRevision != 2 || !slices.Equal(a.EjectedEndpoints, []string{"h"}) || a.BudgetShare <= 0 {
-			t.Errorf("b%d comes to no lease on version 2 with the recorded members", n)
+			t.Errorf("b%d comes to no lease on revision 2 with the recorded members", n)
 		}
 		if members[n].replica.IsLeader() {
 			leaders++
@@ -254,13 +254,13 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	k, err := NewReplica(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
+	r, err := NewReplica(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
-	versions, floor := k.History()
-	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), k.incarnation, k.IsBootstrapped(), floor,
-		k.log.applied, marshalProto(k.log.hard), encode(k.state.Voters), encode(k.state.Unaccepted), encode(versions))
+	revisions, minRevision := r.History()
+	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), r.incarnation, r.IsBootstrapped(), minRevision,
+		r.log.applied, marshalProto(r.log.hard), encode(r.state.Voters), encode(r.state.Unaccepted), encode(revisions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
 		return strictDecoding.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
@@ -268,9 +268,9 @@
 	if !hasSnapshot || len(records) < 4 {
 		t.Error("the recorded log has no snapshot with records after it")
 	}
-	k.Tick(ms)
-	versions, floor = k.History()
-	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", floor, k.log.applied, encode(versions))
+	r.Tick(ms)
+	revisions, minRevision = r.History()
+	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", minRevision, r.log.applied, encode(revisions))
 	checkGolden(t, "replica.golden", []byte(shown))
 }
 
@@ -291,7 +291,7 @@
 	change(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 7}})
 	change(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
 	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
-	lost := 1 + leads%2 // b0 stays; a member of new life comes in the place of one that lost its state.
+	lost := 1 + leads%2 // b0 stays; a new incarnation takes the place of one that lost its state.
 	sim.processes[lost].disk = nil
 	sim.startProcess(lost, true, 3)
 	run(15 * time.Second)
@@ -303,16 +303,19 @@
 	}
 	defer log.Close()
 	records := sim.processes[0].disk.records
-	if err := log.Replace(records[:2]); err == nil {
-		err = log.Append(records[2:])
+	if err := log.Replace(records[:2]); err != nil {
+		t.Fatal(err)
 	}
-	content, _ := os.ReadFile(aside)
-	if err == nil {
-		err = os.WriteFile(path, content, 0o644)
+	if err := log.Append(records[2:]); err != nil {
+		t.Fatal(err)
 	}
+	content, err := os.ReadFile(aside)
 	if err != nil {
 		t.Fatal(err)
 	}
+	if err := os.WriteFile(path, content, 0o644); err != nil {
+		t.Fatal(err)
+	}
 }
 
 // What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same, call for call.
--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -18,17 +18,17 @@
 // of processes and of disks may never lead to. Random faults are played; no invariant breaks, and when the faults end, all processes act on
 // the latest revision under leases.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
-	for _, keepers := range []int{3, 5, 7} {
-		t.Run(fmt.Sprint(keepers), func(t *testing.T) {
+	for _, replicas := range []int{3, 5, 7} {
+		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(3) {
-				sim := runSimulation(t, seed, keepers, stepCount(25_000))
+				sim := runSimulation(t, seed, replicas, stepCount(25_000))
 				if sim.violation != "" {
 					t.Fatalf("seed %d: %s", seed, sim.violation)
 				}
-				t.Logf("seed %d: %d versions, %d accepted, %d refused for sure, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
+				t.Logf("seed %d: %d revisions, %d accepted, %d refused for good, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
 					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
-				if sim.healAndCheck(keepers); sim.violation != "" {
+				if sim.healAndCheck(replicas); sim.violation != "" {
 					t.Fatalf("seed %d: %s", seed, sim.violation)
 				}
 			}
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Skip("only where it is asked for")
 	}
-	var worst, versions, told atomic.Int64
+	var worst, revisions, told atomic.Int64
 	var wait sync.WaitGroup
 	for lane := range 6 {
 		wait.Add(1)
@@ -53,14 +53,14 @@
 				if sim.violation != "" && told.Add(1) < 5 {
 					t.Errorf("seed %d: %s", seed, sim.violation)
 				}
-				versions.Add(int64(len(sim.digests)))
+				revisions.Add(int64(len(sim.digests)))
 				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at, sim.longestContradiction); at = worst.Load() {
 				}
 			}
 		}()
 	}
 	wait.Wait()
-	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), testTiming.MaxDisagreement())
+	t.Logf("%d plans, %d revisions, longest contradiction %v of %v", plans, revisions.Load(), time.Duration(worst.Load()), testTiming.MaxDisagreement())
 }
 
 // A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time an invariant is seen broken.
@@ -69,10 +69,10 @@
 		without func(sim *simulation)
 		want    string
 	}{
-		"the wait for leases under older versions": {func(sim *simulation) {
-			sim.beforeEach = func(k *Replica) {
-				if clear(k.leader.leases.granted); k.leader.since != 0 {
-					k.leader.since = 1
+		"the wait for leases under older revisions": {func(sim *simulation) {
+			sim.beforeEach = func(r *Replica) {
+				if clear(r.leader.leases.granted); r.leader.since != 0 {
+					r.leader.since = 1
 				}
 			}
 		}, "is loose already"},
@@ -86,10 +86,10 @@
 				sim.startProcess(n, true, 3)
 			}
 		}, "two histories|answered no|is loose already"},
-		"a majority's word before a grant": {func(sim *simulation) {
-			sim.beforeEach = func(k *Replica) {
-				if k.IsLeader() && k.leader.leases.confirming != 0 {
-					k.grantConfirmedLeases(k.leader.leases.confirmingAt, k.leader.leases.requestCount, 0)
+		"a majority's confirmation before a lease": {func(sim *simulation) {
+			sim.beforeEach = func(r *Replica) {
+				if r.IsLeader() && r.leader.leases.confirming != 0 {
+					r.grantConfirmedLeases(r.leader.leases.confirmingAt, r.leader.leases.requestCount, 0)
 				}
 			}
 		}, "over T|is loose already|of the whole"},
@@ -121,10 +121,10 @@
 			t.Fatal(err)
 		}
 		sim := newSimulation(t, 1, 3, n-3, true)
-		all := func(floor bool, version uint64) bool {
+		all := func(minRevision bool, revision uint64) bool {
 			for _, p := range sim.processes {
 				a := p.holder.EffectiveConfig(p.clock())
-				if !a.IsLeased || a.LatestRevision < version || floor && a.MinRevision < version {
+				if !a.IsLeased || a.LatestRevision < revision || minRevision && a.MinRevision < revision {
 					return false
 				}
 			}
--- a/consensus/proposals_test.go
+++ b/consensus/proposals_test.go
@@ -34,14 +34,14 @@
 		sim.advance()
 	}
 	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })]
-	k := p.replica
+	r := p.replica
 	written := func(id string, t *ProposalTicket) bool {
-		k.HandleMessage(p.clock(), &Message{From: p.name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{id}}, Ticket: t})
-		return slices.ContainsFunc(k.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
+		r.HandleMessage(p.clock(), &Message{From: p.name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{id}}, Ticket: t})
+		return slices.ContainsFunc(r.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
 	}
-	fresh := &ProposalTicket{k.term, p.clock()}
-	for why, ticket := range map[string]*ProposalTicket{"none": nil, "of another term": {k.term - 1, p.clock()}, "old": {k.term, p.clock() - int64(proposalTimeout) - 1},
-		"of the future": {k.term, p.clock() + int64(time.Second)}} {
+	fresh := &ProposalTicket{r.term, p.clock()}
+	for why, ticket := range map[string]*ProposalTicket{"none": nil, "of another term": {r.term - 1, p.clock()}, "old": {r.term, p.clock() - int64(proposalTimeout) - 1},
+		"of the future": {r.term, p.clock() + int64(time.Second)}} {
 		if written(why, ticket) {
 			t.Errorf("written with a ticket: %s", why)
 		}
@@ -49,7 +49,7 @@
 	if !written("good", fresh) {
 		t.Error("not written with a good ticket")
 	}
-	k.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
+	r.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
 	if written("no", fresh) {
 		t.Error("written after a sure no")
 	}
--- a/consensus/revisions_test.go
+++ b/consensus/revisions_test.go
@@ -26,7 +26,7 @@
 		id := fmt.Sprint("p", n)
 		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Proposal{ID: id, Author: "op", Reason: "a test", EjectEndpoints: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
-			t.Fatalf("version %d: %v", n+1, err)
+			t.Fatalf("revision %d: %v", n+1, err)
 		}
 	}
 	s.Unaccepted = []unacceptedProposal{{Proposal{ID: "more", EjectEndpoints: []string{"more"}}, 1}}
@@ -36,38 +36,38 @@
 	bytes := s.marshal()
 	back, err := unmarshalState(bytes)
 	if err != nil || len(back.History) != maxActiveRevisions || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessageBytes {
-		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
+		t.Fatalf("%v: %d revisions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
 	}
-	k := &Replica{Name: "b0", state: back}
+	r := &Replica{Name: "b0", state: back}
 	h := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 	for _, known := range []uint64{0, 1000} {
-		packed := (&Message{From: "b0", LeaseResponse: k.leaseResponse(1, known, true)}).Marshal()
+		packed := (&Message{From: "b0", LeaseResponse: r.leaseResponse(1, known, true)}).Marshal()
 		m, err := UnmarshalMessage(packed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if known == 1000 { // One that has been told of so many.
+		if known == 1000 { // One that knows so many already.
 			h = NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
 			h.Restore(1, slices.Clone(back.History[:known]))
 			if len(m.LeaseResponse.Revisions) != 0 || len(packed) > 10_000 {
-				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxActiveRevisions)-known)
+				t.Errorf("%d bytes for the last %d revisions", len(packed), uint64(maxActiveRevisions)-known)
 			}
 		}
 		if !h.learn(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions || len(h.known.config.EjectedEndpoints) != maxActiveRevisions-1 ||
 			h.known.active[maxActiveRevisions-1].Digest() != s.latest().Digest() {
-			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.known.active), len(h.known.config.EjectedEndpoints))
+			t.Errorf("knowing %d: %d revisions, %d ejected", known, len(h.known.active), len(h.known.config.EjectedEndpoints))
 		}
 	}
 	unknowing := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
-	if unknowing.learn(k.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
-		t.Error("steps are taken without what they begin with")
+	if unknowing.learn(r.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
+		t.Error("deltas are taken without what they begin with")
 	}
 	left, err := UnmarshalRevisions(MarshalRevisions(h.known.active))
 	if err != nil || len(left) != maxActiveRevisions || left[maxActiveRevisions-1].Digest() != s.latest().Digest() {
-		t.Errorf("%v: %d versions come back", err, len(left))
+		t.Errorf("%v: %d revisions come back", err, len(left))
 	}
-	if g := k.leaseResponse(1, 1020, false); len(g.Revisions) != 4 || len(g.Deltas) != 0 {
-		t.Error("one of a version before is told steps")
+	if g := r.leaseResponse(1, 1020, false); len(g.Revisions) != 4 || len(g.Deltas) != 0 {
+		t.Error("a holder of a build before deltas is sent deltas")
 	}
 }
 
@@ -109,9 +109,9 @@
 			}
 		}
 	}
-	all := func(version uint64, but int) bool {
+	all := func(revision uint64, but int) bool {
 		for n, p := range sim.processes {
-			if a := p.holder.EffectiveConfig(p.clock()); n != but && (!a.IsLeased || a.LatestRevision < version) {
+			if a := p.holder.EffectiveConfig(p.clock()); n != but && (!a.IsLeased || a.LatestRevision < revision) {
 				return false
 			}
 		}
@@ -121,7 +121,7 @@
 		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.IsLeader() })
 	}
 	until("a lease everywhere", func() bool { return all(1, -1) })
-	sim.processes[5].isPaused = true // Its lease keeps the floor back.
+	sim.processes[5].isPaused = true // Its lease keeps the min revision back.
 	const many, atOnce = 192, 32
 	for n := 0; n < many; n += atOnce {
 		for i := range atOnce {
@@ -146,8 +146,8 @@
 	sim.processes[lost].disk = nil
 	sim.startProcess(lost, true, 3)
 	until("the replica that lost its state", func() bool {
-		k := sim.processes[lost].replica
-		return k.IsBootstrapped() && len(k.state.latest().Config.EjectedEndpoints) == thousand+many && all(many+3, -1)
+		r := sim.processes[lost].replica
+		return r.IsBootstrapped() && len(r.state.latest().Config.EjectedEndpoints) == thousand+many && all(many+3, -1)
 	})
 	if sim.violation != "" {
 		t.Error(sim.violation)
--- a/consensus/simulation_test.go
+++ b/consensus/simulation_test.go
@@ -36,21 +36,21 @@
 	lastTick             int64
 	proposalCount        int
 	proposals            map[string]Proposal
-	accepted             map[string]uint64 // proposals that were answered with a version
-	refused              map[string]bool   // that were answered with a sure no
-	digests              map[uint64]string // of versions, as somebody had them
-	firstUses            []firstUse        // by version: when it was acted on first, as the latest and as the floor
-	longestContradiction int64             // the longest contradiction so far
-	largestShareSum      float64           // the largest sum of parts that all acted on
-	violation            string            // the first rule broken
-	beforeEach           func(k *Replica)  // takes a part out
-	dropsVotes           bool              // keepers do not write their votes
-	ignoresLeaseExpiry   bool              // leases are not looked at again
+	accepted             map[string]uint64 // proposals that were answered with a revision
+	refused              map[string]bool   // those that were refused for good
+	digests              map[uint64]string // of revisions, as the first process had them
+	firstUses            []firstUse        // by revision
+	longestContradiction int64             // nanoseconds, so far
+	largestShareSum      float64           // of the budget shares that all acted on
+	violation            string            // the first invariant broken; empty: none
+	beforeEach           func(r *Replica)  // takes a guard out before each call of a replica
+	dropsVotes           bool              // replicas do not write their votes
+	ignoresLeaseExpiry   bool              // leases are not looked at again after the first
 	trace                *traceHash        // nil: not hashed
 }
 
 // firstUse is when a revision was acted on first: as the latest, and as the min revision.
-type firstUse struct{ latest, floor int64 }
+type firstUse struct{ asLatest, asMinimum int64 }
 
 // process is one member of a simulated fleet: a lease holder, and on the first ones a replica.
 type process struct {
@@ -62,11 +62,11 @@
 	replica                *Replica
 	holder                 *LeaseHolder
 	disk                   *memoryStorage
-	hasDisk                bool // a keeper's state lasts
+	hasDisk                bool // the replica's state outlasts a crash
 	isDown                 bool
 	isPaused               bool
 	pausedInbox            []sentMessage
-	lastChecked            [3]uint64 // life, floor and latest when the rules were looked at
+	lastChecked            [3]uint64 // incarnation, min and latest revision when the invariants were checked last
 	incarnation            uint64
 	waiting                map[string]bool
 	ticketed               map[string]bool
@@ -130,59 +130,59 @@
 func (discardSender) Send(string, *Message) {}
 
 // newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back with no state.
-func newSimulation(t testing.TB, seed uint64, keepers, others int, disks bool) *simulation {
+func newSimulation(t testing.TB, seed uint64, replicas, others int, disks bool) *simulation {
 	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12, cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
 		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Proposal{}, digests: map[uint64]string{}}
-	for n := range keepers + others {
+	for n := range replicas + others {
 		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n), clockRate: 1 + testTiming.ClockRateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
 			hasDisk: disks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
 		sim.processes = append(sim.processes, p)
 	}
 	for n := range sim.processes {
-		sim.startProcess(n, n < keepers, keepers)
+		sim.startProcess(n, n < replicas, replicas)
 	}
 	return sim
 }
 
 // startProcess begins a process anew, with what its disk has.
-func (sim *simulation) startProcess(n int, keeps bool, keepers int) {
+func (sim *simulation) startProcess(n int, hasReplica bool, replicas int) {
 	p := sim.processes[n]
 	p.clockBaseAt, p.clockBase = sim.now, p.clockBase+sim.random.Int64N(1e9)
 	p.incarnation++
-	life := uint64(n+1)<<32 | p.incarnation
-	names := make([]string, keepers)
+	incarnation := uint64(n+1)<<32 | p.incarnation
+	names := make([]string, replicas)
 	for i := range names {
 		names[i] = sim.processes[i].name
 	}
-	p.holder = NewLeaseHolder(p.clock(), p.name, life, testTiming, names, p, sim.random.IntN)
-	if keeps {
+	p.holder = NewLeaseHolder(p.clock(), p.name, incarnation, testTiming, names, p, sim.random.IntN)
+	if hasReplica {
 		if p.disk == nil || !p.hasDisk {
 			p.disk = &memoryStorage{dropsVotes: sim.dropsVotes}
 		}
 		p.disk.trace = sim.trace
-		k, err := NewReplica(p.clock(), p.name, life, testTiming, names, p.disk.records, p.disk, p, sim.random.IntN)
+		r, err := NewReplica(p.clock(), p.name, incarnation, testTiming, names, p.disk.records, p.disk, p, sim.random.IntN)
 		if err != nil {
 			sim.t.Fatalf("step %d: %v", sim.step, err)
 		}
-		p.replica = k
+		p.replica = r
 	}
 	p.isDown, p.isPaused, p.pausedInbox = false, false, nil
 }
 
 // runSimulation plays a number of steps with random faults and proposals, or until an invariant is broken.
-func runSimulation(t testing.TB, seed uint64, keepers, n int, without ...func(sim *simulation)) *simulation {
-	sim := newSimulation(t, seed, keepers, 4, seed%3 != 2)
+func runSimulation(t testing.TB, seed uint64, replicas, n int, without ...func(sim *simulation)) *simulation {
+	sim := newSimulation(t, seed, replicas, 4, seed%3 != 2)
 	for _, take := range without {
 		take(sim)
 	}
 	for sim.step < n && sim.violation == "" {
 		if sim.random.IntN(250) == 0 {
-			sim.injectFault(keepers)
+			sim.injectFault(replicas)
 		}
 		if sim.random.IntN(120) == 0 {
-			sim.proposeAtRandom(keepers)
+			sim.proposeAtRandom(replicas)
 		}
-		sim.keepMajorityAlive(keepers)
+		sim.keepMajorityAlive(replicas)
 		sim.advance()
 	}
 	return sim
@@ -233,7 +233,7 @@
 // Send puts a message on its way, in its encoded form. One to the process itself always arrives.
 func (p *process) Send(to string, m *Message) {
 	sim := p.sim
-	sim.trace.add(3, sim.now, p.index, to, withoutPart(m))
+	sim.trace.add(3, sim.now, p.index, to, withoutBudgetShare(m))
 	dest := slices.IndexFunc(sim.processes, func(q *process) bool { return q.name == to })
 	if dest < 0 {
 		return
@@ -333,7 +333,7 @@
 }
 
 // proposeAtRandom sends a random proposal from somewhere to some replica.
-func (sim *simulation) proposeAtRandom(keepers int) {
+func (sim *simulation) proposeAtRandom(replicas int) {
 	host := []string{fmt.Sprint("h", sim.random.IntN(6))}
 	c := Proposal{Author: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
 	if sim.random.IntN(2) == 0 {
@@ -341,11 +341,11 @@
 	} else {
 		c.UnejectEndpoints = host
 	}
-	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(keepers), c)
+	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(replicas), c)
 }
 
 // injectFault changes by chance what the network and the processes do: cuts, loss, repeats, delays, crashes, pauses, and their ends.
-func (sim *simulation) injectFault(keepers int) {
+func (sim *simulation) injectFault(replicas int) {
 	n, m := sim.random.IntN(len(sim.processes)), sim.random.IntN(len(sim.processes))
 	p := sim.processes[n]
 	switch sim.random.IntN(14) {
@@ -372,7 +372,7 @@
 	case 9, 10, 11:
 		for i, q := range sim.processes {
 			if q.isDown {
-				sim.startProcess(i, i < keepers, keepers)
+				sim.startProcess(i, i < replicas, replicas)
 			}
 			q.resume()
 		}
@@ -384,19 +384,19 @@
 }
 
 // keepMajorityAlive undoes a crash that would take the history along: replicas without disks lose it when a majority dies at once, as is stated.
-func (sim *simulation) keepMajorityAlive(keepers int) {
+func (sim *simulation) keepMajorityAlive(replicas int) {
 	if sim.processes[0].hasDisk {
 		return
 	}
-	for _, p := range sim.processes[:keepers] {
+	for _, p := range sim.processes[:replicas] {
 		if p.isDown {
 			alive := 0
-			for _, q := range sim.processes[:keepers] {
+			for _, q := range sim.processes[:replicas] {
 				if !q.isDown && q.replica.IsBootstrapped() && q.replica.state.Voters[q.name] == q.replica.incarnation {
 					alive++
 				}
 			}
-			if alive <= keepers/2+1 {
+			if alive <= replicas/2+1 {
 				p.isDown = false // It was not to die yet.
 			}
 		}
@@ -404,12 +404,12 @@
 }
 
 // healAndCheck ends all faults; then all processes come to rest on one revision, under leases.
-func (sim *simulation) healAndCheck(keepers int) {
+func (sim *simulation) healAndCheck(replicas int) {
 	clear(sim.cutLinks)
 	sim.lossRate, sim.repeatRate, sim.maxDelay = 0, 0, 3*ms
 	for i, p := range sim.processes {
 		if p.isDown {
-			sim.startProcess(i, i < keepers, keepers)
+			sim.startProcess(i, i < replicas, replicas)
 		}
 		p.resume()
 	}
@@ -419,7 +419,7 @@
 	id := sim.propose(len(sim.processes)-1, 0, Proposal{EjectEndpoints: []string{"last"}})
 	for end, n := sim.now+int64(8*time.Second), 0; sim.now < end && sim.violation == ""; n++ {
 		if sim.advance(); n%500 == 499 && sim.accepted[id] == 0 {
-			for to := range keepers {
+			for to := range replicas {
 				sim.processes[0].waiting[id] = true
 				sim.processes[0].Send(sim.processes[to].name, &Message{From: sim.processes[0].name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{"last"}}})
 			}
@@ -443,18 +443,18 @@
 			sim.violation = fmt.Sprintf("step %d: ", sim.step) + fmt.Sprintf(format, with...)
 		}
 	}
-	parts := 0.0
+	shares := 0.0
 	for _, p := range sim.processes {
 		if p.isDown {
 			continue
 		}
 		a := p.holder.EffectiveConfig(p.clock())
 		sim.trace.add(4, p.index, a.MinRevision, a.LatestRevision, a.IsLeased, a.ReplicatedConfig, p.holder.LeaseExpiry(), p.holder.Leader(), p.holder.ConflictingResponses, p.holder.TimeUntilTick(p.clock()))
-		if k := p.replica; k != nil {
-			sim.trace.add(5, k.IsLeader(), k.IsBootstrapped(), k.ActiveLeases(p.clock()), k.state.MinRevision, k.log.applied, k.TimeUntilTick(p.clock()))
+		if r := p.replica; r != nil {
+			sim.trace.add(5, r.IsLeader(), r.IsBootstrapped(), r.ActiveLeases(p.clock()), r.state.MinRevision, r.log.applied, r.TimeUntilTick(p.clock()))
 		}
 		if !p.isPaused && len(sim.processes) <= testTiming.MaxMembers {
-			parts += a.BudgetShare
+			shares += a.BudgetShare
 		}
 		looked := p.lastChecked
 		p.lastChecked = [3]uint64{p.incarnation, a.MinRevision, a.LatestRevision}
@@ -465,35 +465,35 @@
 			if was, known := sim.digests[v.Number]; !known {
 				sim.digests[v.Number] = v.Digest()
 			} else if was != v.Digest() {
-				fail("two histories: version %d is %s and %s", v.Number, was, v.Digest())
+				fail("two histories: revision %d is %s and %s", v.Number, was, v.Digest())
 			}
 			if v.ProposalID != "" && sim.refused[v.ProposalID] {
-				fail("proposal %s was answered no for sure, and is version %d", v.ProposalID, v.Number)
+				fail("proposal %s was answered no for good, and is revision %d", v.ProposalID, v.Number)
 			}
 		}
 		for uint64(len(sim.firstUses)) <= a.LatestRevision {
 			sim.firstUses = append(sim.firstUses, firstUse{})
 		}
-		for v := int(a.LatestRevision); v > 0 && sim.firstUses[v].latest == 0; v-- {
-			sim.firstUses[v].latest = sim.now
+		for v := int(a.LatestRevision); v > 0 && sim.firstUses[v].asLatest == 0; v-- {
+			sim.firstUses[v].asLatest = sim.now
 		}
-		for v := int(a.MinRevision); v > 0 && sim.firstUses[v].floor == 0; v-- {
-			sim.firstUses[v].floor = sim.now
+		for v := int(a.MinRevision); v > 0 && sim.firstUses[v].asMinimum == 0; v-- {
+			sim.firstUses[v].asMinimum = sim.now
 		}
 		if !a.IsLeased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
 			continue // Alone it says so; and while it is stopped it decides nothing.
 		}
 		if next := int(a.LatestRevision) + 1; next < len(sim.firstUses) {
-			if sim.firstUses[next].floor != 0 {
+			if sim.firstUses[next].asMinimum != 0 {
 				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.LatestRevision, next)
 			}
-			if sim.firstUses[next].latest != 0 {
-				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].latest)
+			if sim.firstUses[next].asLatest != 0 {
+				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].asLatest)
 			}
 		}
 	}
-	if sim.largestShareSum = max(sim.largestShareSum, parts); parts > 1+1e-9 {
-		fail("the parts that all act on are %v of the whole", parts)
+	if sim.largestShareSum = max(sim.largestShareSum, shares); shares > 1+1e-9 {
+		fail("the budget shares that all act on are %v of the whole", shares)
 	}
 	if sim.longestContradiction > int64(testTiming.MaxDisagreement()) {
 		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
