--- a/consensus/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost without the lease running out.
+	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost before the lease expires.
 	requestsPerLease = 3
-	// retriesPerLease is how often an unanswered holder asks at most, each time after as much again by chance: soon enough to find another
-	// leader before the lease runs out, and not all at once when a leader dies.
+	// retriesPerLease is how often a holder without an answer asks at most; a random wait of up to as much again is added each time. That
+	// is soon enough to find another leader before the lease expires, and spreads the requests of all holders when a leader dies.
 	retriesPerLease = 16
-	// rememberedRequests is how many requests can be answered late; with more under way than that the network is slower than a lease lasts.
+	// rememberedRequests is how many of the last requests can still be answered: with more on their way, a response comes so late that its
+	// lease has expired or nearly so.
 	rememberedRequests = 8
 )
 
@@ -22,9 +23,9 @@
 // All times are nanoseconds of the process's own clock, which goes on while the process or its machine stands still.
 type LeaseHolder struct {
 	Name string
-	// Rate is how many requests a second come to this process. The driver sets it before Tick; the next lease request has it.
+	// RequestRate is how many requests a second come to this process. The driver sets it before Tick; the next lease request has it.
 	RequestRate float64
-	// Contrary counts responses of another history, or of other revisions under the same numbers. They are not taken.
+	// ConflictingResponses counts responses of another history, or of other revisions under the same numbers. They are not taken.
 	ConflictingResponses int
 
 	incarnation uint64
@@ -54,22 +55,43 @@
 }
 
 // NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name; random draws below n.
-func NewLeaseHolder(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, sender Sender, random func(n int) int) *LeaseHolder {
-	return &LeaseHolder{Name: name, incarnation: incarnation, timing: timing, replicas: replicas, sender: sender, random: random,
-		requests: requestLog{nextAt: now}}
+func NewLeaseHolder(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, sender Sender,
+	random func(n int) int) *LeaseHolder {
+	return &LeaseHolder{
+		Name:        name,
+		incarnation: incarnation,
+		timing:      timing,
+		replicas:    replicas,
+		sender:      sender,
+		random:      random,
+		requests:    requestLog{nextAt: now},
+	}
 }
 
 // EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that stood still finds its
 // lease expired before it acts.
 func (h *LeaseHolder) EffectiveConfig(now int64) EffectiveConfig {
-	a := EffectiveConfig{MinRevision: h.known.minimum, LatestRevision: h.known.latest(), IsLeased: now < h.expiresAt, ReplicatedConfig: h.known.config}
-	if h.timing.MaxMembers > 0 {
-		a.BudgetShare = budgets.ShareWithoutLease(h.timing.MaxMembers)
-		if a.IsLeased && h.share.Share > 0 {
-			a.BudgetShare = h.share.Share
-		}
+	isLeased := now < h.expiresAt
+	return EffectiveConfig{
+		MinRevision:      h.known.minimum,
+		LatestRevision:   h.known.latest(),
+		IsLeased:         isLeased,
+		BudgetShare:      h.budgetShare(isLeased),
+		ReplicatedConfig: h.known.config,
+	}
+}
+
+// budgetShare is the share that came with the lease; without a lease, the one that every process may take alone; 0 where budgets are not
+// divided.
+func (h *LeaseHolder) budgetShare(isLeased bool) float64 {
+	switch {
+	case h.timing.MaxMembers <= 0:
+		return 0
+	case isLeased && h.share.Share > 0:
+		return h.share.Share
+	default:
+		return budgets.ShareWithoutLease(h.timing.MaxMembers)
 	}
-	return a
 }
 
 // LeaseExpiry is when the lease ends, also where that is past; 0 where there was none.
@@ -91,19 +113,36 @@
 	if now < h.requests.nextAt {
 		return
 	}
-	interval := int64(h.timing.LeaseDuration) / requestsPerLease
+	interval := h.requestInterval()
 	if h.requests.unanswered > 0 {
-		shortest := int64(h.timing.LeaseDuration) / retriesPerLease
-		interval = shortest + int64(h.random(int(shortest)+1))
+		interval = h.retryInterval()
 	}
 	to := h.leader
 	if to == "" || h.requests.unanswered > 1 {
 		to = h.replicas[h.random(len(h.replicas))]
 	}
-	seq := h.requests.record(now)
+	request := &LeaseRequest{
+		Seq:           h.requests.record(now),
+		Incarnation:   h.incarnation,
+		KnownRevision: h.known.latest(),
+		MinRevision:   h.known.minimum,
+		ShareSeq:      h.share.GrantSeq,
+		RequestRate:   h.RequestRate,
+		AcceptsDeltas: true,
+	}
 	h.requests.nextAt = now + interval
-	h.sender.Send(to, &Message{From: h.Name, LeaseRequest: &LeaseRequest{Seq: seq, Incarnation: h.incarnation, KnownRevision: h.known.latest(), MinRevision: h.known.minimum,
-		ShareSeq: h.share.GrantSeq, RequestRate: h.RequestRate, AcceptsDeltas: true}})
+	h.sender.Send(to, &Message{From: h.Name, LeaseRequest: request})
+}
+
+// requestInterval is the time between requests that are answered.
+func (h *LeaseHolder) requestInterval() int64 {
+	return int64(h.timing.LeaseDuration) / requestsPerLease
+}
+
+// retryInterval is the time until the next request while none is answered, drawn anew each time.
+func (h *LeaseHolder) retryInterval() int64 {
+	shortest := int64(h.timing.LeaseDuration) / retriesPerLease
+	return shortest + int64(h.random(int(shortest)+1))
 }
 
 // record notes a request that is sent now, and gives its number.
@@ -140,7 +179,7 @@
 		h.expiresAt = expiry
 	}
 	h.requests.unanswered = 0
-	h.requests.nextAt = max(h.requests.nextAt, sentAt+int64(h.timing.LeaseDuration)/requestsPerLease)
+	h.requests.nextAt = max(h.requests.nextAt, sentAt+h.requestInterval())
 }
 
 // learn takes up the revisions of a response, and tells whether all that it speaks of is known now.
--- a/consensus/statemachine.go
+++ b/consensus/statemachine.go
@@ -31,21 +31,23 @@
 	MinRevision uint64               `cbor:"2,keyasint"` // no lease under an older revision is left
 	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the replicas that vote
 	Unaccepted  []unacceptedProposal `cbor:"4,keyasint,omitempty"`
-	HistoryID   uint64               `cbor:"5,keyasint"`           // of the history: the incarnation of the replica that bootstrapped it
+	HistoryID   uint64               `cbor:"5,keyasint"`           // the incarnation of the replica that bootstrapped this history
 	Chain       *revisionChain       `cbor:"6,keyasint,omitempty"` // in the place of the history, where that is long
 }
 
-// candidate is a proposal that was written and is neither accepted nor withdrawn.
+// unacceptedProposal is a proposal that was written and is neither accepted nor withdrawn.
 type unacceptedProposal struct {
 	Proposal Proposal `cbor:"1,keyasint"`
 	Term     uint64   `cbor:"2,keyasint"`
 }
 
-// command is an entry of the replicated log. One field is there.
+// command is an entry of the replicated log. One field is there. A proposal takes two commands: Propose has a majority write it, and Accept, which
+// only the leader that proposed it sends, makes it the next revision. Between the two the leader can still withdraw it, so that "no majority"
+// is a final answer to its proposer.
 type command struct {
 	Propose     *Proposal `cbor:"1,keyasint,omitempty"`
-	Accept      string    `cbor:"2,keyasint,omitempty"` // the ID of a candidate
-	Withdraw    string    `cbor:"3,keyasint,omitempty"` // the ID of a candidate
+	Accept      string    `cbor:"2,keyasint,omitempty"` // the ID of an unaccepted proposal
+	Withdraw    string    `cbor:"3,keyasint,omitempty"` // the ID of an unaccepted proposal
 	MinRevision uint64    `cbor:"4,keyasint,omitempty"`
 }
 
@@ -115,7 +117,7 @@
 	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Term < term })
 }
 
-// accept makes a candidate the next revision and returns its number. A proposal that was accepted before has the number of then: sent twice, it
+// accept makes an unaccepted proposal the next revision and returns its number. A proposal that was accepted before has the number of then: sent twice, it
 // counts once. The error is what its proposer is told.
 func (s *replicatedState) accept(id string) (uint64, error) {
 	if revision := s.revisionOf(id); revision != 0 {
