--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxUnknownPeers bounds the incarnations without a name whose last message is remembered: a forged sender could invent any number.
+	// maxUnknownPeers bounds the incarnations without a name whose last message is remembered: a forged sender could
+	// invent any number.
 	maxUnknownPeers = 64
 	// maxAnnouncedVoters bounds the voters in an announcement that is looked at: more than any fleet has.
 	maxAnnouncedVoters = 256
-	// bootstrapWindow and joinWindow, in heartbeats, are how old an announcement may be to count as said by a replica that runs now: a
-	// bootstrap needs all replicas at once, a join can wait for a few that were lost.
+	// bootstrapWindow and joinWindow, in heartbeats, are how old an announcement may be to count as said by a replica
+	// that runs now: a bootstrap needs all replicas at once, a join can wait for a few that were lost.
 	bootstrapWindow = 4
 	joinWindow      = 8
 )
@@ -32,7 +33,11 @@
 }
 
 func newPeerTable() peerTable {
-	return peerTable{names: map[uint64]string{}, lastHeard: map[uint64]int64{}, announcements: map[string]receivedAnnouncement{}}
+	return peerTable{
+		names:         map[uint64]string{},
+		lastHeard:     map[uint64]int64{},
+		announcements: map[string]receivedAnnouncement{},
+	}
 }
 
 // recordHeard notes that an incarnation is alive.
@@ -59,7 +64,8 @@
 }
 
 func (r *Replica) announce(to string) {
-	r.sender.Send(to, &Message{From: r.Name, Announcement: &Announcement{Incarnation: r.incarnation, Voters: maps.Clone(r.state.Voters)}})
+	announcement := &Announcement{Incarnation: r.incarnation, Voters: maps.Clone(r.state.Voters)}
+	r.sender.Send(to, &Message{From: r.Name, Announcement: announcement})
 }
 
 // handleAnnouncement takes what another replica says of its state.
@@ -82,16 +88,17 @@
 	}
 }
 
-// tryBootstrap begins the history, if this replica is the first that the settings name and all others say that they know of none. A majority
-// would not do: the others could be those that hold the history, and the fleet would act on two.
+// tryBootstrap begins the history, if this replica is the first that the settings name and all others say that they
+// know of none. A majority would not do: the others could be those that hold the history, and the fleet would act on
+// two.
 func (r *Replica) tryBootstrap(now int64) {
 	if r.replicas[0] != r.Name {
 		return
 	}
 	voters := map[string]uint64{r.Name: r.incarnation}
 	for _, name := range r.replicas[1:] {
-		a, heard := r.peers.announcements[name]
-		if !heard || len(a.Voters) > 0 || now-a.at > bootstrapWindow*r.heartbeatInterval() {
+		a, isAnnounced := r.peers.announcements[name]
+		if !isAnnounced || len(a.Voters) > 0 || now-a.at > bootstrapWindow*r.heartbeatInterval() {
 			return
 		}
 		voters[name] = a.Incarnation
@@ -102,8 +109,14 @@
 // bootstrap writes the first snapshot, with which all other replicas begin too, and says so.
 func (r *Replica) bootstrap(now int64, voters map[string]uint64) {
 	first := initialState(r.incarnation, voters)
-	snapshot := &pb.Snapshot{Data: first.marshal(), Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
-		ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Values(voters))}}}
+	snapshot := &pb.Snapshot{
+		Data: first.marshal(),
+		Metadata: &pb.SnapshotMetadata{
+			Index:     new(uint64(1)),
+			Term:      new(uint64(1)),
+			ConfState: &pb.ConfState{Voters: slices.Sorted(maps.Values(voters))},
+		},
+	}
 	hard := &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
 	if r.err = r.log.writeBootstrap(snapshot, hard); r.err != nil {
 		return
@@ -115,15 +128,19 @@
 	r.announceToAll()
 }
 
-// replaceLostIncarnation lets a replica in that came back without its state, or came new: its incarnation takes the place of its old one among
-// the voters. It waits until the old one has been silent, and the last change of the voters has been over, for as long as a lease can last:
-// else a replica that is only slow would lose its vote, and two changes in a row could take a majority's votes away.
+// replaceLostIncarnation lets a replica in that came back without its state, or came new: its incarnation takes the
+// place of its old one among the voters. It waits until the old one has been silent, and the last change of the
+// voters has been over, for as long as a lease can last: else a replica that is only slow would lose its vote, and
+// two changes in a row could take a majority's votes away.
 func (r *Replica) replaceLostIncarnation(now int64) {
 	for _, name := range r.replicas {
-		a, heard := r.peers.announcements[name]
+		a, isAnnounced := r.peers.announcements[name]
 		old := r.state.Voters[name]
+		if !isAnnounced || a.Incarnation == old || now-a.at > joinWindow*r.heartbeatInterval() {
+			continue
+		}
 		quietSince := max(r.peers.lastHeard[old], r.leader.since, r.leader.memberChangeAt)
-		if !heard || a.Incarnation == old || now-a.at > joinWindow*r.heartbeatInterval() || now-quietSince < int64(r.timing.GranterTimeout()) {
+		if now-quietSince < int64(r.timing.GranterTimeout()) {
 			continue
 		}
 		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(a.Incarnation)}}
--- a/consensus/config.go
+++ b/consensus/config.go
@@ -6,7 +6,8 @@
 	"maps"
 )
 
-// Bounds of a configuration: 1,024 hosts and 1,024 zones with names as long as may be fit. All active revisions go into one message.
+// Bounds of a configuration: 1,024 hosts and 1,024 zones with names as long as may be fit. All active revisions go
+// into one message.
 const (
 	maxNames       = 4096      // hosts; zones
 	maxLimits      = 4096      // stated limits
@@ -14,7 +15,8 @@
 	maxConfigBytes = 640 << 10 // of a configuration
 )
 
-// ReplicatedConfig is what all processes of a fleet agree on. Slices and maps are shared between revisions and are never changed in place.
+// ReplicatedConfig is what all processes of a fleet agree on. Slices and maps are shared between revisions and are
+// never changed in place.
 type ReplicatedConfig struct {
 	// EjectedEndpoints are the hosts that operators ejected, sorted.
 	EjectedEndpoints []string `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
@@ -76,19 +78,23 @@
 	ReplicatedConfig
 }
 
-// strictest puts revisions in a row together: what any of them forbids is forbidden, and what is neither stricter nor looser is as the first
-// has it.
+// strictest puts revisions in a row together: what any of them forbids is forbidden, and what is neither stricter nor
+// looser is as the first has it.
 func strictest(revisions []Revision) ReplicatedConfig {
 	if len(revisions) == 0 {
 		return ReplicatedConfig{}
 	}
 	first := revisions[0].Config
-	config := ReplicatedConfig{SettingsDigest: first.SettingsDigest, DiscoverySource: first.DiscoverySource, MinListIndex: first.MinListIndex}
+	config := ReplicatedConfig{
+		SettingsDigest:  first.SettingsDigest,
+		DiscoverySource: first.DiscoverySource,
+		MinListIndex:    first.MinListIndex,
+	}
 	return config.tightenedBy(revisions)
 }
 
-// tightenedBy is a configuration with all that later revisions make stricter: more ejected hosts and evacuated zones, lower limits, a higher
-// first index of lists.
+// tightenedBy is a configuration with all that later revisions make stricter: more ejected hosts and evacuated zones,
+// lower limits, a higher first index of lists.
 func (c ReplicatedConfig) tightenedBy(revisions []Revision) ReplicatedConfig {
 	limits := map[string]int64{}
 	maps.Copy(limits, c.Limits)
--- a/consensus/endpointlists.go
+++ b/consensus/endpointlists.go
@@ -20,14 +20,19 @@
 
 // ListComparison is what the lists of others tell about one's own.
 type ListComparison struct {
-	DrainedEndpoints []string // hosts that a later list, or another under the same index, calls draining or gone; sorted
-	PeerAhead        string   // a process that has a later list; empty: none has
-	LatestIndex      uint64   // the highest index of these; 0: none is later
-	ConflictingPeer  string   // a process that has another list under the same index; empty: none has
+	// DrainedEndpoints are hosts that a later list, or another under the same index, calls draining or gone; sorted.
+	DrainedEndpoints []string
+	// PeerAhead is a process that has a later list, and LatestIndex the highest index of these lists; empty and 0:
+	// none is later.
+	PeerAhead   string
+	LatestIndex uint64
+	// ConflictingPeer is a process that has another list under the same index; empty: none has.
+	ConflictingPeer string
 }
 
-// CompareLists compares one's own list with others'. Drains beyond the own index count, and so do those of another list under the same index;
-// that a host is ready never does. A process whose discovery is late would else go on sending to a host that is shutting down.
+// CompareLists compares one's own list with others'. Drains beyond the own index count, and so do those of another
+// list under the same index; that a host is ready never does. A process whose discovery is late would else go on
+// sending to a host that is shutting down.
 func CompareLists(index, digest uint64, others []EndpointListState) (c ListComparison) {
 	for _, other := range others {
 		isConflicting := other.Index == index && other.Digest != digest
@@ -48,19 +53,19 @@
 	return c
 }
 
-// rollbackWindow is how long a list of a lower index than before has to stay until it is taken for a discovery that began anew: a stale replica
-// of discovery that answers now and then is over sooner.
+// rollbackWindow is how long a list of a lower index than before has to stay until it is taken for a discovery that
+// began anew: a stale replica of discovery that answers now and then is over sooner.
 const rollbackWindow = int64(time.Minute)
 
-// ListRollbackGuard holds one's own list against an earlier one of a higher index. A discovery that answers from a stale copy would else call
-// hosts ready that drain. The zero value is ready for use.
+// ListRollbackGuard holds one's own list against an earlier one of a higher index. A discovery that answers from a
+// stale copy would else call hosts ready that drain. The zero value is ready for use.
 type ListRollbackGuard struct {
 	highest         EndpointListState
 	rolledBackSince int64 // nanoseconds; 0: the list did not go back
 }
 
-// Observe takes one's own list at a time in nanoseconds. While the list is rolled back, it gives what the list was before, which counts like
-// another process's; isNew tells that it just went back.
+// Observe takes one's own list at a time in nanoseconds. While the list is rolled back, it gives what the list was
+// before, which counts like another process's; isNew tells that it just went back.
 func (g *ListRollbackGuard) Observe(now int64, list EndpointListState) (before []EndpointListState, isNew bool) {
 	switch {
 	case list.Index >= g.highest.Index || g.rolledBackSince != 0 && now-g.rolledBackSince >= rollbackWindow:
@@ -72,16 +77,16 @@
 	return []EndpointListState{g.highest}, isNew
 }
 
-// PersistentCondition tells once when a condition has held for a while, so that a log line is written for what stays and not for what passes.
-// The zero value is ready for use.
+// PersistentCondition tells once when a condition has held for a while, so that a log line is written for what stays
+// and not for what passes. The zero value is ready for use.
 type PersistentCondition struct {
 	since      int64 // nanoseconds
 	holds      bool
 	isReported bool
 }
 
-// Observe takes whether the condition holds at a time in nanoseconds. It returns true once each time that the condition has held for the window
-// without a break.
+// Observe takes whether the condition holds at a time in nanoseconds. It returns true once each time that the
+// condition has held for the window without a break.
 func (c *PersistentCondition) Observe(now int64, holds bool, window time.Duration) bool {
 	if !holds || !c.holds {
 		*c = PersistentCondition{since: now, holds: holds}
--- a/consensus/golden_answers_test.go
+++ b/consensus/golden_answers_test.go
@@ -25,11 +25,12 @@
 	o.lines = append(o.lines, "# "+fmt.Sprintf(format, with...))
 }
 
-// An operator who reads another answer than the one that a proposal had, or none, does the wrong thing next. Each answer is played, with its
-// exact text.
+// An operator who reads another answer than the one that a proposal had, or none, does the wrong thing next. Each
+// answer is played, with its exact text.
 func TestGoldenAnswers(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
+		func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
 		sim.advance()
 	}
 	at := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
@@ -45,9 +46,10 @@
 	propose("another base", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("the same again", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("changes nothing", Proposal{ID: "empty", UnejectEndpoints: []string{"h"}})
-	r.state.History[len(r.state.History)-1].Config.EjectedEndpoints = slices.Sorted(slices.Values(slices.Concat(thousandNames("a"), thousandNames("b"))))
+	latest := &r.state.History[len(r.state.History)-1].Config
+	latest.EjectedEndpoints = slices.Concat(thousandNames("a"), thousandNames("b")) // In order.
 	propose("too large", Proposal{ID: "large", EjectEndpoints: append(thousandNames("c"), "x")})
-	r.state.History[len(r.state.History)-1].Config.EjectedEndpoints = nil
+	latest.EjectedEndpoints = nil
 	propose("already a version", Proposal{ID: r.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
 	for n := range maxPendingProposals {
 		propose("written", Proposal{ID: fmt.Sprint("w", n), EjectEndpoints: []string{fmt.Sprint("h", n)}})
@@ -65,7 +67,8 @@
 		r.HandleMessage(now, &Message{From: other.Name, Raft: marshalProto(m)})
 	}
 	out.note("another leads")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 1)})
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation),
+		Term: new(r.term + 1)})
 	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "other", EjectEndpoints: []string{"h"}}})
 	r.HandleMessage(now, &Message{From: "op", LeaseRequest: &LeaseRequest{Seq: 1, Incarnation: 1}})
 	out.note("leads %t, broken %t", r.IsLeader(), r.Err() != nil)
@@ -74,12 +77,14 @@
 	r.Tick(now)
 	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "nobody", EjectEndpoints: []string{"h"}}})
 	out.note("a message that cannot be: silent from then on")
-	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 1), Commit: new(uint64(1 << 40))})
+	step(&pb.Message{Type: pb.MsgHeartbeat.Enum(), To: new(r.incarnation), From: new(other.incarnation),
+		Term: new(r.term + 1), Commit: new(uint64(1 << 40))})
 	r.Tick(now + ms)
 	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "broken", EjectEndpoints: []string{"h"}}})
 	out.note("broken %t", r.Err() != nil)
 	for name, full := range map[string]Storage{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
-		_, err := NewReplica(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name], full, out, func(int) int { return 0 })
+		_, err := NewReplica(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name],
+			full, out, func(int) int { return 0 })
 		if err == nil {
 			t.Errorf("%s: a replica begins", name)
 		}
@@ -93,7 +98,8 @@
 func (failingStorage) Append([][]byte) error  { return errors.New("full") }
 func (failingStorage) Replace([][]byte) error { return errors.New("full") }
 
-// A replica that says what it could not write may vote twice after it starts again: with a full disk it says nothing more.
+// A replica that says what it could not write may vote twice after it starts again: with a full disk it says nothing
+// more.
 func TestStopsWhenStorageFails(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
 	for n := 0; n < 20_000 && !sim.processes[0].replica.IsBootstrapped(); n++ {
@@ -101,7 +107,8 @@
 	}
 	r, other, sent := sim.processes[0].replica, sim.processes[1].replica, 0
 	r.sender, r.log.storage = countingSender{&sent}, failingStorage{}
-	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(r.incarnation), From: new(other.incarnation), Term: new(r.term + 9), Index: new(uint64(99)), LogTerm: new(r.term + 8)}
+	vote := &pb.Message{Type: pb.MsgVote.Enum(), To: new(r.incarnation), From: new(other.incarnation),
+		Term: new(r.term + 9), Index: new(uint64(99)), LogTerm: new(r.term + 8)}
 	r.HandleMessage(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
 	if r.Err() == nil || sent > 0 {
 		t.Errorf("with a full disk: broken %v, %d messages sent", r.Err(), sent)
@@ -112,7 +119,8 @@
 
 func (c countingSender) Send(string, *Message) { *c.sent++ }
 
-// What a change may be is said to its proposer, and a message out of bounds is dropped: the texts and the bounds stay.
+// What a change may be is said to its proposer, and a message out of bounds is dropped: the texts and the bounds
+// stay.
 func TestGoldenBounds(t *testing.T) {
 	out := &outbox{}
 	long, both := strings.Repeat("n", maxNameBytes+1), []string{"h"}
@@ -121,19 +129,25 @@
 		many[n] = fmt.Sprint(n)
 	}
 	big := Proposal{ID: "i", EjectEndpoints: append(thousandNames("o"), thousandNames("p")...)}
-	for _, c := range []Proposal{{}, {ID: long}, {ID: "i", Author: "\x7f"}, {ID: "i", Reason: "a\nb"}, {ID: "i", EjectEndpoints: many}, {ID: "i", EjectEndpoints: []string{""}},
-		{ID: "i", EjectEndpoints: both, UnejectEndpoints: both}, {ID: "i", EvacuateZones: both, RestoreZones: both}, {ID: "i", Limits: map[string]int64{"\x00": 1}}, {ID: "i", DiscoverySource: &long},
-		{ID: "i", SettingsDigest: &long}, {ID: "i", EvacuateZones: many}, {ID: "i", RestoreZones: many}, big, {ID: "i"}, {ID: "i", EjectEndpoints: many[:maxNames]}} {
+	for _, c := range []Proposal{{}, {ID: long}, {ID: "i", Author: "\x7f"}, {ID: "i", Reason: "a\nb"},
+		{ID: "i", EjectEndpoints: many}, {ID: "i", EjectEndpoints: []string{""}},
+		{ID: "i", EjectEndpoints: both, UnejectEndpoints: both}, {ID: "i", EvacuateZones: both, RestoreZones: both},
+		{ID: "i", Limits: map[string]int64{"\x00": 1}}, {ID: "i", DiscoverySource: &long},
+		{ID: "i", SettingsDigest: &long}, {ID: "i", EvacuateZones: many}, {ID: "i", RestoreZones: many}, big,
+		{ID: "i"}, {ID: "i", EjectEndpoints: many[:maxNames]}} {
 		_, err := UnmarshalMessage((&Message{From: "a", Proposal: &c}).Marshal())
 		out.note("%v; taken %t", c.Validate(), err == nil)
 	}
 	ask := &LeaseRequest{Seq: 1}
-	for _, m := range []Message{{}, {From: "a"}, {LeaseRequest: ask}, {From: "a", LeaseRequest: ask, ProposalResult: &ProposalResult{}}, {From: long, LeaseRequest: ask}, {From: "a", LeaseRequest: ask},
+	for _, m := range []Message{{}, {From: "a"}, {LeaseRequest: ask}, {From: "a", LeaseRequest: ask,
+		ProposalResult: &ProposalResult{}}, {From: long, LeaseRequest: ask}, {From: "a", LeaseRequest: ask},
 		{From: "a", Raft: make([]byte, maxMessageBytes)}} {
 		_, err := UnmarshalMessage(m.Marshal())
 		out.note("taken %t", err == nil)
 	}
-	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}), encode(revisionChain{First: Revision{Number: 1}, Deltas: make([]Proposal, maxShownRevisions+maxActiveRevisions+1)}),
+	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}),
+		encode(revisionChain{First: Revision{Number: 1}, Deltas: make([]Proposal,
+			maxShownRevisions+maxActiveRevisions+1)}),
 		encode(revisionChain{First: Revision{Number: 1}, Deltas: slices.Repeat([]Proposal{big}, 400)})} {
 		revisions, err := UnmarshalRevisions(bytes)
 		out.note("%d versions, refused %t", len(revisions), err != nil)
@@ -141,16 +155,17 @@
 	checkGolden(t, "bounds.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
 }
 
-// A process that takes up a revision too much, or misses one, acts on what the others do not: what a lease holder makes of responses out of
-// order, with gaps, of another history, is the same, response for response.
+// A process that takes up a revision too much, or misses one, acts on what the others do not: what a lease holder
+// makes of responses out of order, with gaps, of another history, is the same, response for response.
 func TestGoldenGrants(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(5, 5)), newTraceHash()
 	histories := [2][]Revision{}
 	for h := range histories {
 		histories[h] = []Revision{{Number: 1}}
 		for n := range 60 {
-			c := Proposal{ID: fmt.Sprint(h*n, "v", n), EjectEndpoints: []string{fmt.Sprint("h", draw.IntN(9))}, UnejectEndpoints: []string{fmt.Sprint("i", draw.IntN(9))},
-				Limits: map[string]int64{"held": draw.Int64N(50) - 1}}
+			c := Proposal{ID: fmt.Sprint(h*n, "v", n), EjectEndpoints: []string{fmt.Sprint("h", draw.IntN(9))},
+				UnejectEndpoints: []string{fmt.Sprint("i", draw.IntN(9))},
+				Limits:           map[string]int64{"held": draw.Int64N(50) - 1}}
 			histories[h] = append(histories[h], c.next(histories[h][n]))
 		}
 	}
@@ -164,14 +179,16 @@
 			reached = min(60, reached+draw.IntN(3))
 			of := histories[max(0, draw.IntN(12)-10)]
 			from := max(0, reached-draw.IntN(6)-1)
-			g := &LeaseResponse{Seq: h.requests.seq - min(h.requests.seq, draw.Uint64N(3)), Leader: []string{"k", "l", ""}[draw.IntN(3)], MinRevision: of[draw.IntN(reached)].Number,
+			g := &LeaseResponse{Seq: h.requests.seq - min(h.requests.seq, draw.Uint64N(3)), Leader: []string{"k", "l",
+				""}[draw.IntN(3)], MinRevision: of[draw.IntN(reached)].Number,
 				HistoryID: uint64(draw.IntN(30)/29 + 7), BudgetShare: draw.Float64()}
 			if g.Revisions = of[from:reached]; draw.IntN(2) == 0 && from > 0 {
 				g.Revisions, g.BaseRevision, g.Deltas = nil, of[from-1].Number, deltasOf(of[from-1], of[from:reached])
 			}
 			h.HandleLeaseResponse(now, g)
 			a := h.EffectiveConfig(now)
-			tr.add(a.MinRevision, a.LatestRevision, a.IsLeased, a.BudgetShare, a.ReplicatedConfig, h.ConflictingResponses, h.LeaseExpiry(), h.Leader(), h.TimeUntilTick(now), h.Revisions())
+			tr.add(a.MinRevision, a.LatestRevision, a.IsLeased, a.BudgetShare, a.ReplicatedConfig,
+				h.ConflictingResponses, h.LeaseExpiry(), h.Leader(), h.TimeUntilTick(now), h.Revisions())
 		}
 	}
 	checkGolden(t, "grants.golden", []byte(tr.sum()+"\n"))
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// traceHash hashes what a run does: bytes on the wire, stored records, numbers. No identifier of the code may get into it.
+// traceHash hashes what a run does: bytes on the wire, stored records, numbers. No identifier of the code may get
+// into it.
 type traceHash struct{ hash.Hash }
 
 func newTraceHash() *traceHash { return &traceHash{sha256.New()} }
@@ -47,8 +48,9 @@
 	}
 }
 
-// withoutBudgetShare encodes a message but for its budget share: with four holders and more, the last digit of that depends on the order in which the
-// ledger of the budgets adds up a map, so it differs from run to run. Shares are in the recorded session, where two others are added.
+// withoutBudgetShare encodes a message but for its budget share: with four holders and more, the last digit of that
+// depends on the order in which the ledger of the budgets adds up a map, so it differs from run to run. Shares are in
+// the recorded session, where two others are added.
 func withoutBudgetShare(m *Message) []byte {
 	if m.LeaseResponse == nil || m.LeaseResponse.BudgetShare == 0 {
 		return m.Marshal()
@@ -60,8 +62,8 @@
 
 func (tr *traceHash) sum() string { return hex.EncodeToString(tr.Sum(nil)) }
 
-// A rename or a split of a function that moves one draw, one message or one record is seen by no rule of a seeded run, and two processes of
-// different builds, or one that starts again from its log, would then decide differently.
+// A rename or a split of a function that moves one draw, one message or one record is seen by no rule of a seeded
+// run, and two processes of different builds, or one that starts again from its log, would then decide differently.
 func TestGoldenTraces(t *testing.T) {
 	var lines []string
 	for _, replicas := range []int{3, 5, 7} {
@@ -77,7 +79,8 @@
 				t.Fatalf("%d replicas, seed %d: %s", replicas, seed, sim.violation)
 			}
 			tr.add(sim.sent, len(sim.accepted), len(sim.refused), sim.longestContradiction)
-			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", replicas, seed, len(sim.digests), sim.sent, tr.sum()))
+			lines = append(lines, fmt.Sprintf("replicas=%d seed=%d versions=%d sent=%d sha256=%s\n", replicas, seed,
+				len(sim.digests), sim.sent, tr.sum()))
 		}
 	}
 	checkGolden(t, "traces.golden", []byte(strings.Join(lines, "")))
@@ -86,13 +89,17 @@
 // examples are messages and records of every kind, each field filled.
 func examples() (names []string, packed map[string][]byte) {
 	digest, source, from := "d2", "127.0.0.1:7", uint64(9)
-	change := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a", "b"}, UnejectEndpoints: []string{"c"},
-		Limits: map[string]int64{"held": 5, "quota.t": -1}, SettingsDigest: &digest, DiscoverySource: &source, MinListIndex: &from, EvacuateZones: []string{"z"}, RestoreZones: []string{"y"}}
-	one := Revision{Number: 3, Config: ReplicatedConfig{EjectedEndpoints: []string{"c"}, Limits: map[string]int64{"quota.t": 1}, EvacuatedZones: []string{"y"}}}
+	change := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a",
+		"b"}, UnejectEndpoints: []string{"c"},
+		Limits: map[string]int64{"held": 5, "quota.t": -1}, SettingsDigest: &digest, DiscoverySource: &source,
+		MinListIndex: &from, EvacuateZones: []string{"z"}, RestoreZones: []string{"y"}}
+	one := Revision{Number: 3, Config: ReplicatedConfig{EjectedEndpoints: []string{"c"},
+		Limits: map[string]int64{"quota.t": 1}, EvacuatedZones: []string{"y"}}}
 	two := change.next(one)
 	later := Proposal{ID: "p2", EjectEndpoints: []string{"c"}, Limits: map[string]int64{}}
 	members := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
-	st := replicatedState{History: []Revision{one, two}, MinRevision: 3, Voters: members, Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
+	st := replicatedState{History: []Revision{one, two}, MinRevision: 3, Voters: members,
+		Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
 	long := initialState(7, members)
 	for n := range 20 { // So large that it is written as a chain.
 		c := Proposal{ID: fmt.Sprint("l", n), EjectEndpoints: slices.Repeat([]string{""}, 200)}
@@ -103,21 +110,27 @@
 	}
 	sum := sha256.Sum256(long.marshal())
 	packed = map[string][]byte{
-		"raft":            (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Marshal(),
-		"lease request":   (&Message{From: "b0", LeaseRequest: &LeaseRequest{Seq: 5, Incarnation: 2, KnownRevision: 4, MinRevision: 3, ShareSeq: 1, RequestRate: 2.5, AcceptsDeltas: true}}).Marshal(),
-		"grant, versions": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3, Revisions: []Revision{one, two}, HistoryID: 7, BudgetShare: 0.25}}).Marshal(),
-		"grant, steps":    (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3, Deltas: []Proposal{change, later}, BaseRevision: 3, HistoryID: 7}}).Marshal(),
-		"grant, leader":   (&Message{From: "b1", LeaseResponse: &LeaseResponse{Leader: "b0"}}).Marshal(),
-		"announcement":    (&Message{From: "b0", Announcement: &Announcement{Incarnation: 2, Voters: members, IsBootstrap: true}}).Marshal(),
-		"proposal":        (&Message{From: "b0", Proposal: &change, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1e12}}).Marshal(),
-		"result":          (&Message{From: "b0", ProposalResult: &ProposalResult{ID: "p1", Revision: 4, Reason: "no", IsFinal: true, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1}}}).Marshal(),
-		"record":          encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
-		"entry":           encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
-		"state":           st.marshal(),
-		"state, chain":    sum[:],
-		"chain":           MarshalRevisions([]Revision{one, two, later.next(two)}),
-		"digest":          []byte(two.Digest()),
-		"strictest":       encode(strictest([]Revision{one, two, later.next(two)})),
+		"raft": (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Marshal(),
+		"lease request": (&Message{From: "b0", LeaseRequest: &LeaseRequest{Seq: 5, Incarnation: 2, KnownRevision: 4,
+			MinRevision: 3, ShareSeq: 1, RequestRate: 2.5, AcceptsDeltas: true}}).Marshal(),
+		"grant, versions": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3,
+			Revisions: []Revision{one, two}, HistoryID: 7, BudgetShare: 0.25}}).Marshal(),
+		"grant, steps": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3,
+			Deltas: []Proposal{change, later}, BaseRevision: 3, HistoryID: 7}}).Marshal(),
+		"grant, leader": (&Message{From: "b1", LeaseResponse: &LeaseResponse{Leader: "b0"}}).Marshal(),
+		"announcement": (&Message{From: "b0", Announcement: &Announcement{Incarnation: 2, Voters: members,
+			IsBootstrap: true}}).Marshal(),
+		"proposal": (&Message{From: "b0", Proposal: &change, Ticket: &ProposalTicket{Term: 3,
+			IssuedAt: 1e12}}).Marshal(),
+		"result": (&Message{From: "b0", ProposalResult: &ProposalResult{ID: "p1", Revision: 4, Reason: "no",
+			IsFinal: true, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1}}}).Marshal(),
+		"record":       encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
+		"entry":        encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
+		"state":        st.marshal(),
+		"state, chain": sum[:],
+		"chain":        MarshalRevisions([]Revision{one, two, later.next(two)}),
+		"digest":       []byte(two.Digest()),
+		"strictest":    encode(strictest([]Revision{one, two, later.next(two)})),
 	}
 	for name := range packed {
 		names = append(names, name)
@@ -126,7 +139,8 @@
 	return names, packed
 }
 
-// While a fleet is upgraded, processes of two builds speak to each other, and a new build reads what an old one stored: the bytes stay.
+// While a fleet is upgraded, processes of two builds speak to each other, and a new build reads what an old one
+// stored: the bytes stay.
 func TestGoldenBytes(t *testing.T) {
 	names, packed := examples()
 	var lines []byte
@@ -139,7 +153,8 @@
 	checkGolden(t, "bytes.golden", lines)
 }
 
-// What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same, call for call.
+// What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same,
+// call for call.
 func TestGoldenLists(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(3, 3)), newTraceHash()
 	var own ListRollbackGuard
@@ -148,7 +163,8 @@
 	for range 20_000 {
 		now += draw.Int64N(20_000 * ms)
 		listed := func() EndpointListState {
-			l := EndpointListState{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12), Digest: draw.Uint64N(3)}
+			l := EndpointListState{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12),
+				Digest: draw.Uint64N(3)}
 			for range draw.IntN(4) {
 				l.Drained = append(l.Drained, DrainedEndpoint{fmt.Sprint("h", draw.IntN(9)), draw.Uint64N(12)})
 			}
@@ -158,7 +174,8 @@
 		before, went := own.Observe(now, listed())
 		tr.add(len(before), went)
 		c := CompareLists(draw.Uint64N(12), draw.Uint64N(3), append(others, before...))
-		tr.add(c.DrainedEndpoints, c.PeerAhead, c.LatestIndex, c.ConflictingPeer, late.Observe(now, c.PeerAhead != "", 30*time.Second))
+		tr.add(c.DrainedEndpoints, c.PeerAhead, c.LatestIndex, c.ConflictingPeer, late.Observe(now, c.PeerAhead != "",
+			30*time.Second))
 	}
 	checkGolden(t, "lists.golden", []byte(tr.sum()+"\n"))
 }
--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Two operators act on two histories, or a host gets requests that another process must not send any more: that is what faults of the network,
-// of processes and of disks may never lead to. Random faults are played; no invariant breaks, and when the faults end, all processes act on
-// the latest revision under leases.
+// Two operators act on two histories, or a host gets requests that another process must not send any more: that is
+// what faults of the network, of processes and of disks may never lead to. Random faults are played; no invariant
+// breaks, and when the faults end, all processes act on the latest revision under leases.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for _, replicas := range []int{3, 5, 7} {
 		t.Run(fmt.Sprint(replicas), func(t *testing.T) {
@@ -26,7 +26,8 @@
 				if sim.violation != "" {
 					t.Fatalf("seed %d: %s", seed, sim.violation)
 				}
-				t.Logf("seed %d: %d revisions, %d accepted, %d refused for good, longest contradiction %v of %v", seed, len(sim.digests), len(sim.accepted),
+				t.Logf("seed %d: %d revisions, %d accepted, %d refused for good, longest contradiction %v of %v",
+					seed, len(sim.digests), len(sim.accepted),
 					len(sim.refused), time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
 				if sim.healAndCheck(replicas); sim.violation != "" {
 					t.Fatalf("seed %d: %s", seed, sim.violation)
@@ -36,7 +37,8 @@
 	}
 }
 
-// A fault plan that breaks an invariant can be one in thousands. HOLLYLEVER_PLANS short runs, each from its seed, by hand; not for CI.
+// A fault plan that breaks an invariant can be one in thousands. HOLLYLEVER_PLANS short runs, each from its seed, by
+// hand; not for CI.
 func TestInvariantsHoldUnderManyFaultPlans(t *testing.T) {
 	plans, err := strconv.Atoi(os.Getenv("HOLLYLEVER_PLANS"))
 	if err != nil {
@@ -54,16 +56,19 @@
 					t.Errorf("seed %d: %s", seed, sim.violation)
 				}
 				revisions.Add(int64(len(sim.digests)))
-				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at, sim.longestContradiction); at = worst.Load() {
+				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at,
+					sim.longestContradiction); at = worst.Load() {
 				}
 			}
 		}()
 	}
 	wait.Wait()
-	t.Logf("%d plans, %d revisions, longest contradiction %v of %v", plans, revisions.Load(), time.Duration(worst.Load()), testTiming.MaxDisagreement())
+	t.Logf("%d plans, %d revisions, longest contradiction %v of %v", plans, revisions.Load(),
+		time.Duration(worst.Load()), testTiming.MaxDisagreement())
 }
 
-// A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time an invariant is seen broken.
+// A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time
+// an invariant is seen broken.
 func TestInvariantChecksDetectRemovedGuards(t *testing.T) {
 	for part, c := range map[string]struct {
 		without func(sim *simulation)
@@ -76,7 +81,8 @@
 				}
 			}
 		}, "is loose already"},
-		"the look at a lease after a pause": {func(sim *simulation) { sim.ignoresLeaseExpiry = true }, "is loose already|over T"},
+		"the look at a lease after a pause": {func(sim *simulation) { sim.ignoresLeaseExpiry = true },
+			"is loose already|over T"},
 		"what is written of votes": {func(sim *simulation) {
 			for sim.dropsVotes = true; len(sim.queue) > 0; {
 				heap.Pop(&sim.queue)
@@ -109,8 +115,8 @@
 	}
 }
 
-// With many lease holders the leader could spend its time on leases alone. This measures what agreement costs, in simulated time, for the numbers
-// of processes that HOLLYLEVER_SIZES names, by hand; not for CI.
+// With many lease holders the leader could spend its time on leases alone. This measures what agreement costs, in
+// simulated time, for the numbers of processes that HOLLYLEVER_SIZES names, by hand; not for CI.
 func TestMessageCostBySize(t *testing.T) {
 	if os.Getenv("HOLLYLEVER_SIZES") == "" {
 		t.Skip("only where it is asked for")
@@ -138,9 +144,14 @@
 		for sim.now < began+int64(10*time.Second) {
 			sim.advance()
 		}
-		leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.IsLeader() })
-		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; who leads sends %.0f bytes a second", n,
-			float64(sim.bytes-bytes)/10/float64(n), float64(sim.sent-sent)/10/float64(n), float64(sim.bytesBySender[leads])/10)
+		leads := slices.IndexFunc(sim.processes, func(p *process) bool {
+			return p.replica != nil &&
+				p.replica.IsLeader()
+		})
+		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; the leader sends %.0f bytes a second",
+			n,
+			float64(sim.bytes-bytes)/10/float64(n), float64(sim.sent-sent)/10/float64(n),
+			float64(sim.bytesBySender[leads])/10)
 		var strict, loose []int64
 		for v := uint64(2); v < 12; v++ {
 			began := sim.now
@@ -156,7 +167,8 @@
 		}
 		slices.Sort(strict)
 		slices.Sort(loose)
-		t.Logf("%d processes: what is strict counts at the last after a median of %v, most %v; what is loose after %v, most %v", n, time.Duration(strict[5]),
+		t.Logf("%d processes: last acts on a tightening after a median of %v, max %v; on a loosening after %v, max %v",
+			n, time.Duration(strict[5]),
 			time.Duration(strict[9]), time.Duration(loose[5]), time.Duration(loose[9]))
 		if sim.violation != "" {
 			t.Error(sim.violation)
--- a/consensus/knownrevisions.go
+++ b/consensus/knownrevisions.go
@@ -7,10 +7,11 @@
 
 // Why a holder does not take the revisions of a response.
 var (
-	// errConflictingHistory: the response is of another history, or has another revision under a known number. A fleet that lost its history
-	// began another, and a process that took up both would act on what nobody decided.
+	// errConflictingHistory: the response is of another history, or has another revision under a known number. A
+	// fleet that lost its history began another, and a process that took up both would act on what nobody decided.
 	errConflictingHistory = errors.New("revisions of another history")
-	// errRevisionsMissing: something lies between what is known and what was told; a response that has it follows a later request.
+	// errRevisionsMissing: something lies between what is known and what was told; a response that has it follows a
+	// later request.
 	errRevisionsMissing = errors.New("revisions are missing between")
 )
 
@@ -30,8 +31,8 @@
 	return k.active[len(k.active)-1].Number
 }
 
-// take takes up the revisions and the min revision of a response. Without an error, all that the response speaks of is known now; with one,
-// nothing has changed.
+// take takes up the revisions and the min revision of a response. Without an error, all that the response speaks of
+// is known now; with one, nothing has changed.
 func (k *knownRevisions) take(response *LeaseResponse) error {
 	if response.HistoryID != 0 && k.historyID != 0 && response.HistoryID != k.historyID {
 		return errConflictingHistory
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// revisionsOf gives the revisions that a response brings. Deltas follow its last whole revision or, where it has none, a known one.
+// revisionsOf gives the revisions that a response brings. Deltas follow its last whole revision or, where it has
+// none, a known one.
 func (k *knownRevisions) revisionsOf(response *LeaseResponse) ([]Revision, error) {
 	if len(response.Deltas) == 0 {
 		return response.Revisions, nil
@@ -73,8 +75,8 @@
 	return applyDeltas(k.active[at], response.Deltas)
 }
 
-// merge puts told revisions behind the known ones. isExtension tells that all known ones are still there. Where the told ones begin with the min
-// revision and leave a gap, all that was known is older than that and gives way.
+// merge puts told revisions behind the known ones. isExtension tells that all known ones are still there. Where the
+// told ones begin with the min revision and leave a gap, all that was known is older than that and gives way.
 func (k *knownRevisions) merge(told []Revision, minRevision uint64) (next []Revision, isExtension bool, err error) {
 	next, isExtension = slices.Clone(k.active), true
 	for _, v := range told {
@@ -93,13 +95,14 @@
 		}
 	}
 	if len(next) > maxActiveRevisions+1 {
-		return nil, false, errRevisionsMissing // No honest leader has so many active: it bounds what a forged one can fill.
+		return nil, false, errRevisionsMissing // No leader has so many active: this bounds what a forged one can fill.
 	}
 	return next, isExtension, nil
 }
 
-// replace acts on other revisions, less those that are older than the min revision. An extension is added to the configuration in place of
-// putting all together again, which for a thousand revisions in a row would take a million steps.
+// replace acts on other revisions, less those that are older than the min revision. An extension is added to the
+// configuration in place of putting all together again, which for a thousand revisions in a row would take a million
+// steps.
 func (k *knownRevisions) replace(next []Revision, minRevision uint64, isExtension bool) {
 	known := len(k.active)
 	k.active = next
--- a/consensus/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -9,23 +9,28 @@
 )
 
 const (
-	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost before the lease expires.
+	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost before
+	// the lease expires.
 	requestsPerLease = 3
-	// retriesPerLease is how often a holder without an answer asks at most; a random wait of up to as much again is added each time. That
-	// is soon enough to find another leader before the lease expires, and spreads the requests of all holders when a leader dies.
+	// retriesPerLease is how often a holder without an answer asks at most; a random wait of up to as much again is
+	// added each time. That is soon enough to find another leader before the lease expires, and spreads the requests
+	// of all holders when a leader dies.
 	retriesPerLease = 16
-	// rememberedRequests is how many of the last requests can still be answered: with more on their way, a response comes so late that its
-	// lease has expired or nearly so.
+	// rememberedRequests is how many of the last requests can still be answered: with more on their way, a response
+	// comes so late that its lease has expired or nearly so.
 	rememberedRequests = 8
 )
 
-// LeaseHolder keeps what one process acts on: it asks the leader of the replicas for leases. It does not lock: one goroutine calls all methods.
-// All times are nanoseconds of the process's own clock, which goes on while the process or its machine stands still.
+// LeaseHolder keeps what one process acts on: it asks the leader of the replicas for leases. It does not lock: one
+// goroutine calls all methods. All times are nanoseconds of the process's own clock, which goes on while the process
+// or its machine stands still.
 type LeaseHolder struct {
 	Name string
-	// RequestRate is how many requests a second come to this process. The driver sets it before Tick; the next lease request has it.
+	// RequestRate is how many requests a second come to this process. The driver sets it before Tick; the next lease
+	// request has it.
 	RequestRate float64
-	// ConflictingResponses counts responses of another history, or of other revisions under the same numbers. They are not taken.
+	// ConflictingResponses counts responses of another history, or of other revisions under the same numbers. They
+	// are not taken.
 	ConflictingResponses int
 
 	incarnation uint64
@@ -54,7 +59,8 @@
 	at  int64
 }
 
-// NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name; random draws below n.
+// NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name;
+// random draws below n.
 func NewLeaseHolder(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, sender Sender,
 	random func(n int) int) *LeaseHolder {
 	return &LeaseHolder{
@@ -68,8 +74,8 @@
 	}
 }
 
-// EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that stood still finds its
-// lease expired before it acts.
+// EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that
+// stood still finds its lease expired before it acts.
 func (h *LeaseHolder) EffectiveConfig(now int64) EffectiveConfig {
 	isLeased := now < h.expiresAt
 	return EffectiveConfig{
@@ -81,8 +87,8 @@
 	}
 }
 
-// budgetShare is the share that came with the lease; without a lease, the one that every process may take alone; 0 where budgets are not
-// divided.
+// budgetShare is the share that came with the lease; without a lease, the one that every process may take alone; 0
+// where budgets are not divided.
 func (h *LeaseHolder) budgetShare(isLeased bool) float64 {
 	switch {
 	case h.timing.MaxMembers <= 0:
@@ -108,7 +114,8 @@
 	return time.Duration(max(0, h.requests.nextAt-now))
 }
 
-// Tick sends a lease request if one is due: to the leader, or, after two without an answer, to any replica, as the leader may be gone.
+// Tick sends a lease request if one is due: to the leader, or, after two without an answer, to any replica, as the
+// leader may be gone.
 func (h *LeaseHolder) Tick(now int64) {
 	if now < h.requests.nextAt {
 		return
@@ -173,8 +180,8 @@
 		return
 	}
 	h.share.Accept(response.Seq, response.BudgetShare)
-	// The lease runs from the request, not from the response: the leader was confirmed at some time between the two, and a response that
-	// was long on its way must not prolong it.
+	// The lease runs from the request, not from the response: the leader was confirmed at some time between the two,
+	// and a response that was long on its way must not prolong it.
 	if expiry := sentAt + int64(h.timing.LeaseDuration); expiry > h.expiresAt && now < expiry {
 		h.expiresAt = expiry
 	}
@@ -191,8 +198,8 @@
 	return err == nil
 }
 
-// Restore gives a holder that knows nothing yet what an earlier process knew: it acts on that, without a lease, until it has one. Where the
-// holder knows revisions, or these are too many, it does nothing.
+// Restore gives a holder that knows nothing yet what an earlier process knew: it acts on that, without a lease, until
+// it has one. Where the holder knows revisions, or these are too many, it does nothing.
 func (h *LeaseHolder) Restore(minRevision uint64, revisions []Revision) {
 	if len(h.known.active) > 0 || len(revisions) == 0 || len(revisions) > maxActiveRevisions+1 {
 		return
--- a/consensus/leases.go
+++ b/consensus/leases.go
@@ -12,18 +12,21 @@
 )
 
 const (
-	// maxWaitingRequests and maxLeaseHolders bound the leader's memory. Over an upgrade there are two processes of each member.
+	// maxWaitingRequests and maxLeaseHolders bound the leader's memory. Over an upgrade there are two processes of
+	// each member.
 	maxWaitingRequests = 2 * fleetconfig.MaxMembers
 	maxLeaseHolders    = 2 * fleetconfig.MaxMembers
-	// expiredLeaseRetention is how long a lease that is over is kept: its holder, when it asks again, is not sent again what it has.
+	// expiredLeaseRetention is how long a lease that is over is kept: its holder, when it asks again, is not sent
+	// again what it has.
 	expiredLeaseRetention = int64(time.Minute)
 )
 
-// holderID is one incarnation of a process: one that came back under the same name, or the second over an upgrade, is another.
+// holderID is one incarnation of a process: one that came back under the same name, or the second over an upgrade, is
+// another.
 type holderID = budgets.Holder
 
-// leaseTable is the leader's side of leases: who asked, who was granted one, and the round in which a majority confirms that this replica
-// still leads (raft's read index).
+// leaseTable is the leader's side of leases: who asked, who was granted one, and the round in which a majority
+// confirms that this replica still leads (raft's read index).
 type leaseTable struct {
 	waiting      []waitingRequest
 	requestCount uint64 // requests ever: it numbers them over all terms
@@ -59,8 +62,9 @@
 	return n
 }
 
-// handleLeaseRequest takes a request for a lease. A follower answers who leads; the leader has a majority confirm that it leads before it
-// grants. Without that, a leader that was cut off could go on granting leases while another moves on.
+// handleLeaseRequest takes a request for a lease. A follower answers who leads; the leader has a majority confirm
+// that it leads before it grants. Without that, a leader that was cut off could go on granting leases while another
+// moves on.
 func (r *Replica) handleLeaseRequest(now int64, from string, request LeaseRequest) {
 	if !r.IsLeader() {
 		if leader := r.knownLeader(); leader != "" {
@@ -76,8 +80,8 @@
 	r.confirmLeadership(now)
 }
 
-// confirmLeadership asks a majority whether this replica still leads, once for all requests so far. A round without an answer is repeated after
-// a heartbeat.
+// confirmLeadership asks a majority whether this replica still leads, once for all requests so far. A round without
+// an answer is repeated after a heartbeat.
 func (r *Replica) confirmLeadership(now int64) {
 	leases := &r.leader.leases
 	if len(leases.waiting) == 0 || leases.confirming != 0 && now-leases.confirmingAt < r.heartbeatInterval() {
@@ -96,8 +100,8 @@
 	return number
 }
 
-// grantConfirmedLeases grants all requests up to a number: after they came, a majority confirmed this leader, with all that was committed up to
-// this log index. Where that is not applied yet, the requests wait for the next round.
+// grantConfirmedLeases grants all requests up to a number: after they came, a majority confirmed this leader, with
+// all that was committed up to this log index. Where that is not applied yet, the requests wait for the next round.
 func (r *Replica) grantConfirmedLeases(now int64, upTo, index uint64) {
 	if !r.IsLeader() || r.log.applied < index {
 		return
@@ -117,7 +121,8 @@
 	leases.waiting = unconfirmed
 }
 
-// grantLease answers a confirmed request with a lease, the revisions that its holder lacks, and its share of the budgets.
+// grantLease answers a confirmed request with a lease, the revisions that its holder lacks, and its share of the
+// budgets.
 func (r *Replica) grantLease(now int64, w waitingRequest) {
 	leases := &r.leader.leases
 	id := holderID{Name: w.from, Incarnation: w.request.Incarnation}
@@ -144,7 +149,8 @@
 	r.sender.Send(w.from, &Message{From: r.Name, LeaseResponse: response})
 }
 
-// leaseResponse has the active revisions after a known one; as deltas, where the holder takes these. With seq 0 it is news and no lease.
+// leaseResponse has the active revisions after a known one; as deltas, where the holder takes these. With seq 0 it is
+// news and no lease.
 func (r *Replica) leaseResponse(seq, known uint64, acceptsDeltas bool) *LeaseResponse {
 	response := &LeaseResponse{Seq: seq, Leader: r.Name, MinRevision: r.state.MinRevision, HistoryID: r.state.HistoryID}
 	active := r.state.active()
@@ -176,10 +182,10 @@
 	})
 }
 
-// advanceMinRevision proposes the latest revision as the lowest that a lease can be under, once no process is under a lease that was granted
-// without it: neither one of this leader's nor, for as long as these can last, one of an earlier leader's. From then on what the latest
-// revision loosens is in force. Without the wait, a process that has not heard of a tightening yet would meet one that acts on the loosening
-// after it.
+// advanceMinRevision proposes the latest revision as the lowest that a lease can be under, once no process is under a
+// lease that was granted without it: neither one of this leader's nor, for as long as these can last, one of an
+// earlier leader's. From then on what the latest revision loosens is in force. Without the wait, a process that has
+// not heard of a tightening yet would meet one that acts on the loosening after it.
 func (r *Replica) advanceMinRevision(now int64) {
 	latest := r.state.latest().Number
 	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest {
@@ -193,7 +199,8 @@
 	}
 }
 
-// allHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over long ago.
+// allHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over
+// long ago.
 func (r *Replica) allHoldersKnow(now int64, revision uint64) bool {
 	all := true
 	for id, lease := range r.leader.leases.granted {
@@ -205,8 +212,8 @@
 	return all
 }
 
-// notifyHolders sends the latest revisions to all that were granted a lease: what is strict is in force as soon as it is heard. What is lost on
-// the way comes with the next lease.
+// notifyHolders sends the latest revisions to all that were granted a lease: what is strict is in force as soon as it
+// is heard. What is lost on the way comes with the next lease.
 func (r *Replica) notifyHolders() {
 	ids := slices.SortedFunc(maps.Keys(r.leader.leases.granted), func(a, b holderID) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -11,7 +11,8 @@
 // errNotMessage refuses bytes that no process of a fleet sends.
 var errNotMessage = errors.New("not a message of the fleet")
 
-// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its own process.
+// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its
+// own process.
 type Sender interface{ Send(to string, m *Message) }
 
 // Message is what processes tell each other. One of the fields is there, besides From and Ticket.
@@ -26,7 +27,8 @@
 	Ticket         *ProposalTicket `cbor:"8,keyasint,omitempty"` // of a proposal
 }
 
-// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer to it is owed.
+// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer
+// to it is owed.
 type ProposalTicket struct {
 	Term     uint64 `cbor:"1,keyasint"`
 	IssuedAt int64  `cbor:"2,keyasint"` // nanoseconds of the leader's clock
@@ -34,27 +36,40 @@
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	Seq           uint64 `cbor:"1,keyasint"` // counts this holder's requests
-	Incarnation   uint64 `cbor:"2,keyasint"` // of the process: it may have come back under the same name
-	KnownRevision uint64 `cbor:"3,keyasint"` // the latest revision that it knows; 0: none
-	MinRevision   uint64 `cbor:"4,keyasint"` // the min revision that it knows; 0: none
-
-	ShareSeq    uint64  `cbor:"5,keyasint,omitempty"` // the request for which the budget share that it acts on was granted
-	RequestRate float64 `cbor:"6,keyasint,omitempty"` // requests a second that come to it
-
-	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"` // it takes deltas in place of whole revisions; builds before deltas do not
+	// Seq counts the requests of this holder, from 1.
+	Seq uint64 `cbor:"1,keyasint"`
+	// Incarnation is that of the process: it may have come back under the same name.
+	Incarnation uint64 `cbor:"2,keyasint"`
+	// KnownRevision and MinRevision are the latest and the min revision that it knows; 0: none.
+	KnownRevision uint64 `cbor:"3,keyasint"`
+	MinRevision   uint64 `cbor:"4,keyasint"`
+	// ShareSeq is the request for which the budget share was granted that it acts on; 0: none.
+	ShareSeq uint64 `cbor:"5,keyasint,omitempty"`
+	// RequestRate is how many requests a second come to it from clients.
+	RequestRate float64 `cbor:"6,keyasint,omitempty"`
+	// AcceptsDeltas tells that it takes deltas in place of whole revisions; builds before deltas do not.
+	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"`
 }
 
-// LeaseResponse is a lease if Seq is not 0; else it only has news of revisions, or of who leads.
+// LeaseResponse is a lease if Seq is not 0; else it only tells later revisions, or who leads.
 type LeaseResponse struct {
-	Seq          uint64     `cbor:"1,keyasint,omitempty"` // of the request
-	Leader       string     `cbor:"2,keyasint,omitempty"`
-	MinRevision  uint64     `cbor:"3,keyasint,omitempty"` // no lease under an older revision is left
-	Revisions    []Revision `cbor:"4,keyasint,omitempty"` // from the min revision on, those that the holder lacks
-	HistoryID    uint64     `cbor:"5,keyasint,omitempty"` // which history: a fleet that lost one begins another
-	BudgetShare  float64    `cbor:"6,keyasint,omitempty"` // of the fleet's budgets, 0 to 1, for as long as the lease
-	Deltas       []Proposal `cbor:"7,keyasint,omitempty"` // what later revisions changed, one after the other
-	BaseRevision uint64     `cbor:"8,keyasint,omitempty"` // the revision that the first delta changed, where none is whole here
+	// Seq is that of the request.
+	Seq uint64 `cbor:"1,keyasint,omitempty"`
+	// Leader is who leads, by its name.
+	Leader string `cbor:"2,keyasint,omitempty"`
+	// MinRevision is the revision under which, or a later one, all leases are.
+	MinRevision uint64 `cbor:"3,keyasint,omitempty"`
+	// Revisions are those from the min revision on that the holder lacks.
+	Revisions []Revision `cbor:"4,keyasint,omitempty"`
+	// HistoryID tells histories apart: a fleet that lost one begins another.
+	HistoryID uint64 `cbor:"5,keyasint,omitempty"`
+	// BudgetShare is the holder's share of the fleet's budgets, 0 to 1, for as long as the lease; 0: they are not
+	// divided.
+	BudgetShare float64 `cbor:"6,keyasint,omitempty"`
+	// Deltas are what later revisions changed, one after the other. The first of them follows the last of Revisions
+	// or, where there is none, the revision BaseRevision, which the holder said that it knows.
+	Deltas       []Proposal `cbor:"7,keyasint,omitempty"`
+	BaseRevision uint64     `cbor:"8,keyasint,omitempty"`
 }
 
 // Announcement tells what a replica has: the incarnation of its state, and the voters that it knows of.
@@ -98,9 +113,15 @@
 
 // contents is how many of the fields that a message has one of are there.
 func (m *Message) contents() (n int) {
-	isPresent := []bool{len(m.Raft) > 0, m.LeaseRequest != nil, m.LeaseResponse != nil, m.Announcement != nil, m.Proposal != nil, m.ProposalResult != nil}
-	for _, is := range isPresent {
-		if is {
+	for _, isPresent := range []bool{
+		len(m.Raft) > 0,
+		m.LeaseRequest != nil,
+		m.LeaseResponse != nil,
+		m.Announcement != nil,
+		m.Proposal != nil,
+		m.ProposalResult != nil,
+	} {
+		if isPresent {
 			n++
 		}
 	}
--- a/consensus/messages_test.go
+++ b/consensus/messages_test.go
@@ -4,12 +4,15 @@
 	"testing"
 )
 
-// A forged or damaged message ends the process, or fills its memory: no bytes lead a replica or a lease holder astray or out of its bounds.
+// A forged or damaged message ends the process, or fills its memory: no bytes lead a replica or a lease holder astray
+// or out of its bounds.
 func FuzzUnmarshalMessage(f *testing.F) {
 	f.Add((&Message{From: "a", LeaseRequest: &LeaseRequest{Seq: 1}}).Marshal())
 	f.Add((&Message{From: "a", Raft: []byte{8, 3, 16, 1}}).Marshal())
-	f.Add((&Message{From: "a", LeaseResponse: &LeaseResponse{MinRevision: 9, Revisions: []Revision{{Number: 3}, {Number: 9}}}}).Marshal())
-	f.Add((&Message{From: "b1", Announcement: &Announcement{Incarnation: 2, Voters: map[string]uint64{"b0": 1}}}).Marshal())
+	f.Add((&Message{From: "a", LeaseResponse: &LeaseResponse{MinRevision: 9, Revisions: []Revision{{Number: 3},
+		{Number: 9}}}}).Marshal())
+	f.Add((&Message{From: "b1", Announcement: &Announcement{Incarnation: 2,
+		Voters: map[string]uint64{"b0": 1}}}).Marshal())
 	f.Add((&Message{From: "b1", Proposal: &Proposal{ID: "x", EjectEndpoints: []string{"h"}}}).Marshal())
 	f.Fuzz(func(t *testing.T, bytes []byte) {
 		m, err := UnmarshalMessage(bytes)
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -36,7 +36,8 @@
 	UnejectEndpoints []string `cbor:"6,keyasint,omitempty"`
 	// Limits are limits to state; one under 0 is taken back.
 	Limits map[string]int64 `cbor:"7,keyasint,omitempty"`
-	// SettingsDigest, DiscoverySource and MinListIndex are new values of the fields of the same names; nil: as before.
+	// SettingsDigest, DiscoverySource and MinListIndex are new values of the fields of the same names; nil: as
+	// before.
 	SettingsDigest  *string `cbor:"8,keyasint,omitempty"`
 	DiscoverySource *string `cbor:"9,keyasint,omitempty"`
 	MinListIndex    *uint64 `cbor:"10,keyasint,omitempty"`
@@ -45,8 +46,9 @@
 	RestoreZones  []string `cbor:"12,keyasint,omitempty"`
 }
 
-// Validate checks what can be checked without the configuration that the proposal meets: texts, names, sizes. The error begins with the field, by
-// the name that operators write. Proposers call it, and replicas for each proposal that comes over the network.
+// Validate checks what can be checked without the configuration that the proposal meets: texts, names, sizes. The
+// error begins with the field, by the name that operators write. Proposers call it, and replicas for each proposal
+// that comes over the network.
 func (p *Proposal) Validate() error {
 	if p.ID == "" {
 		return errNoID
@@ -61,7 +63,8 @@
 		return err
 	}
 	if size := len(encode(p)); size > maxProposalBytes {
-		return fmt.Errorf("out: %d bytes in all are over the %d of one proposal; propose in parts", size, maxProposalBytes)
+		return fmt.Errorf("out: %d bytes in all are over the %d of one proposal; propose in parts",
+			size, maxProposalBytes)
 	}
 	return nil
 }
@@ -123,8 +126,8 @@
 	return []string{*s}
 }
 
-// apply makes the next revision. It depends on nothing but its arguments, as each replica does it for itself; an error has the revision
-// unchanged beside it.
+// apply makes the next revision. It depends on nothing but its arguments, as each replica does it for itself; an
+// error has the revision unchanged beside it.
 func (p *Proposal) apply(before Revision) (Revision, error) {
 	if p.BaseRevision != 0 && p.BaseRevision != before.Number {
 		return before, fmt.Errorf("%w: %d, not %d", ErrBaseRevision, before.Number, p.BaseRevision)
--- a/consensus/proposals.go
+++ b/consensus/proposals.go
@@ -8,10 +8,11 @@
 const (
 	// proposalTimeout is how long an operator waits for a majority before the answer is no.
 	proposalTimeout = 5 * time.Second
-	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: until its ticket is no longer valid, with as
-	// much again in reserve.
+	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: until its ticket is no
+	// longer valid, with as much again in reserve.
 	refusalRetention = 2 * proposalTimeout
-	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority: they are a part of the replicated state.
+	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority: they are a part of the
+	// replicated state.
 	maxPendingProposals = 64
 	maxPendingBytes     = 2 * maxProposalBytes
 	// maxRefusals bounds the final refusals that are remembered.
@@ -69,16 +70,22 @@
 	})
 }
 
-// isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a proposal that the network
-// repeats late would be written after its proposer was told a final no, and be in force against that.
+// isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a
+// proposal that the network repeats late would be written after its proposer was told a final no, and be in force
+// against that.
 func (t *ProposalTicket) isValid(now int64, term uint64) bool {
 	return t != nil && t.Term == term && t.IssuedAt <= now && now-t.IssuedAt <= int64(proposalTimeout)
 }
 
-// handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else when a majority has
-// written it, or proposalTimeout has passed.
+// handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else
+// when a majority has written it, or proposalTimeout has passed.
 func (r *Replica) handleProposal(now int64, from string, proposal Proposal, ticket *ProposalTicket) {
-	p := pendingProposal{proposal: proposal, from: from, deadline: now + int64(proposalTimeout), bytes: len(encode(proposal))}
+	p := pendingProposal{
+		proposal: proposal,
+		from:     from,
+		deadline: now + int64(proposalTimeout),
+		bytes:    len(encode(proposal)),
+	}
 	table := &r.leader.proposals
 	table.dropOldRefusals(now)
 	if !r.IsLeader() {
@@ -97,8 +104,8 @@
 	}
 }
 
-// immediateResult is the result of a proposal that needs no majority: it was decided before, lacks a ticket, or cannot be taken. It is nil for
-// one that is to be written.
+// immediateResult is the result of a proposal that needs no majority: it was decided before, lacks a ticket, or
+// cannot be taken. It is nil for one that is to be written.
 func (r *Replica) immediateResult(now int64, p pendingProposal, ticket *ProposalTicket) *ProposalResult {
 	id, table := p.proposal.ID, &r.leader.proposals
 	if revision := r.state.revisionOf(id); revision != 0 {
@@ -129,7 +136,8 @@
 	r.sender.Send(p.from, &Message{From: r.Name, LeaseResponse: &LeaseResponse{Leader: leader}})
 }
 
-// answerProposal sends a result. A leader remembers a final no, so that whatever the network repeats gets the same answer.
+// answerProposal sends a result. A leader remembers a final no, so that whatever the network repeats gets the same
+// answer.
 func (r *Replica) answerProposal(p pendingProposal, result *ProposalResult) {
 	table := &r.leader.proposals
 	isRefusal := result.IsFinal && result.Revision == 0
@@ -139,8 +147,9 @@
 	r.sender.Send(p.from, &Message{From: r.Name, ProposalResult: result})
 }
 
-// expireProposals answers the proposals whose time is over. One whose acceptance is not written is withdrawn, and the no is final: an entry of
-// the log says so, and no later leader can accept it. One whose acceptance is written may be in force.
+// expireProposals answers the proposals whose time is over. One whose acceptance is not written is withdrawn, and the
+// no is final: an entry of the log says so, and no later leader can accept it. One whose acceptance is written may be
+// in force.
 func (r *Replica) expireProposals(now int64) {
 	table := &r.leader.proposals
 	waiting := table.pending[:0]
@@ -159,7 +168,8 @@
 	table.pending = waiting
 }
 
-// applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer still waits.
+// applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer
+// still waits.
 func (r *Replica) applyProposal(now int64, proposal *Proposal, term uint64, isOwn bool) {
 	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*proposal, term})
 	table := &r.leader.proposals
--- a/consensus/proposals_test.go
+++ b/consensus/proposals_test.go
@@ -26,21 +26,25 @@
 	}
 }
 
-// The network repeats a proposal late, after its proposer was told a final no, and it comes into force against that. Without a ticket of the
-// leader's term, at most as old as an answer is waited for, nothing is written.
+// The network repeats a proposal late, after its proposer was told a final no, and it comes into force against that.
+// Without a ticket of the leader's term, at most as old as an answer is waited for, nothing is written.
 func TestProposalNeedsValidTicket(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
-	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
+		func(p *process) bool { return p.replica.IsLeader() && p.holder.expiresAt != 0 }); n++ {
 		sim.advance()
 	}
 	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })]
 	r := p.replica
 	written := func(id string, t *ProposalTicket) bool {
-		r.HandleMessage(p.clock(), &Message{From: p.name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{id}}, Ticket: t})
-		return slices.ContainsFunc(r.leader.proposals.pending, func(o pendingProposal) bool { return o.proposal.ID == id })
+		r.HandleMessage(p.clock(), &Message{From: p.name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{id}},
+			Ticket: t})
+		return slices.ContainsFunc(r.leader.proposals.pending,
+			func(o pendingProposal) bool { return o.proposal.ID == id })
 	}
 	fresh := &ProposalTicket{r.term, p.clock()}
-	for why, ticket := range map[string]*ProposalTicket{"none": nil, "of another term": {r.term - 1, p.clock()}, "old": {r.term, p.clock() - int64(proposalTimeout) - 1},
+	for why, ticket := range map[string]*ProposalTicket{"none": nil, "of another term": {r.term - 1, p.clock()},
+		"old":           {r.term, p.clock() - int64(proposalTimeout) - 1},
 		"of the future": {r.term, p.clock() + int64(time.Second)}} {
 		if written(why, ticket) {
 			t.Errorf("written with a ticket: %s", why)
@@ -49,7 +53,8 @@
 	if !written("good", fresh) {
 		t.Error("not written with a good ticket")
 	}
-	r.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name, deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
+	r.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name,
+		deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
 	if written("no", fresh) {
 		t.Error("written after a sure no")
 	}
--- a/consensus/raftlog.go
+++ b/consensus/raftlog.go
@@ -9,16 +9,17 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Storage is where a replica's records go, in order. What Append was given is there after any crash once it has returned without an error;
-// Replace puts records in the place of all that were there, or changes nothing. A replica whose storage returns an error stops.
+// Storage is where a replica's records go, in order. What Append was given is there after any crash once it has
+// returned without an error; Replace puts records in the place of all that were there, or changes nothing. A replica
+// whose storage returns an error stops.
 type Storage interface {
 	Append(records [][]byte) error
 	Replace(records [][]byte) error
 }
 
 const (
-	// maxLogEntries and maxLogBytes are how much of the log is kept before a snapshot takes its place: they bound the time of a start and
-	// the file, and keep the cost of a snapshot away from most proposals.
+	// maxLogEntries and maxLogBytes are how much of the log is kept before a snapshot takes its place: they bound the
+	// time of a start and the file, and keep the cost of a snapshot away from most proposals.
 	maxLogEntries = 512
 	maxLogBytes   = 4 << 20
 )
@@ -132,7 +133,10 @@
 // writeBootstrap writes the snapshot with which a history begins.
 func (l *raftLog) writeBootstrap(snapshot *pb.Snapshot, hard *pb.HardState) error {
 	l.hard = hard
-	return l.storage.Append([][]byte{encode(record{Snapshot: marshalProto(snapshot)}), encode(record{HardState: marshalProto(hard)})})
+	return l.storage.Append([][]byte{
+		encode(record{Snapshot: marshalProto(snapshot)}),
+		encode(record{HardState: marshalProto(hard)}),
+	})
 }
 
 // write makes what raft has ready last: a snapshot, entries, and the hard state with the vote.
@@ -218,8 +222,9 @@
 	return bytes
 }
 
-// discardLogger drops raft's log lines: what matters shows in the replica's own figures. Raft calls Fatal and Panic where it finds its own
-// state impossible; that stays a panic, and HandleMessage recovers from those that a peer can cause.
+// discardLogger drops raft's log lines: what matters shows in the replica's own figures. Raft calls Fatal and Panic
+// where it finds its own state impossible; that stays a panic, and HandleMessage recovers from those that a peer can
+// cause.
 type discardLogger struct{}
 
 // Debug drops a line.
--- a/consensus/recorded_test.go
+++ b/consensus/recorded_test.go
@@ -35,8 +35,10 @@
 	m.sent = append(m.sent, recordedMessage{m.now + ms, m.n, int(to[1] - '0'), msg.Marshal()})
 }
 
-// runSession runs the live ones of three replicas for some seconds; what the others say is recorded. It gives all that was said.
-func runSession(t *testing.T, live []int, recorded []recordedMessage) (all []recordedMessage, members map[int]*sessionMember) {
+// runSession runs the live ones of three replicas for some seconds; what the others say is recorded. It gives all
+// that was said.
+func runSession(t *testing.T, live []int, recorded []recordedMessage) (all []recordedMessage,
+	members map[int]*sessionMember) {
 	members = map[int]*sessionMember{}
 	names := []string{"b0", "b1", "b2"}
 	for _, n := range live {
@@ -49,7 +51,10 @@
 		}
 		m.replica, members[n] = r, m
 	}
-	queue := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool { return slices.Contains(live, f.From) })
+	queue := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool {
+		return slices.Contains(live,
+			f.From)
+	})
 	for now := int64(0); now < 2500*ms; now += ms {
 		for at := 0; at < len(queue); at++ {
 			if m := members[queue[at].To]; m != nil && queue[at].At == now {
@@ -69,7 +74,8 @@
 			m := members[n]
 			m.now, m.holder.RequestRate = now, float64(100*(n+1))
 			if m.replica.Tick(now); n == 1 && now == 1500*ms {
-				m.Send(m.holder.Leader(), &Message{From: "b1", Proposal: &Proposal{ID: "p", EjectEndpoints: []string{"h"}}, Ticket: &ProposalTicket{m.replica.term, now}})
+				m.Send(m.holder.Leader(), &Message{From: "b1", Proposal: &Proposal{ID: "p",
+					EjectEndpoints: []string{"h"}}, Ticket: &ProposalTicket{m.replica.term, now}})
 			}
 			m.holder.Tick(now)
 			all, queue, m.sent = append(all, m.sent...), append(queue, m.sent...), nil
@@ -79,8 +85,8 @@
 	return all, members
 }
 
-// Members of the recorded build say what they said; one of this build joins them, leads or follows as then, and comes to the same lease: a
-// fleet that is upgraded one process at a time goes on agreeing.
+// Members of the recorded build say what they said; one of this build joins them, leads or follows as then, and comes
+// to the same lease: a fleet that is upgraded one process at a time goes on agreeing.
 func TestReplicatesWithRecordedBuild(t *testing.T) {
 	said, _ := runSession(t, []int{0, 1, 2}, nil)
 	checkGolden(t, "session.cbor", encode(said))
@@ -100,7 +106,8 @@
 			t.Errorf("b%d among recorded members says something else than then", n)
 		}
 		a := members[n].holder.EffectiveConfig(2500 * ms)
-		if !a.IsLeased || a.LatestRevision != 2 || !slices.Equal(a.EjectedEndpoints, []string{"h"}) || a.BudgetShare <= 0 {
+		if !a.IsLeased || a.LatestRevision != 2 || !slices.Equal(a.EjectedEndpoints, []string{"h"}) ||
+			a.BudgetShare <= 0 {
 			t.Errorf("b%d comes to no lease on revision 2 with the recorded members", n)
 		}
 		if members[n].replica.IsLeader() {
@@ -112,7 +119,8 @@
 	}
 }
 
-// A replica that cannot read the log that its earlier build wrote has lost its vote; one that reads it otherwise begins a second history.
+// A replica that cannot read the log that its earlier build wrote has lost its vote; one that reads it otherwise
+// begins a second history.
 func TestOpensRecordedReplicaLog(t *testing.T) {
 	const file = "testdata/replica.log"
 	if *update {
@@ -131,12 +139,14 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	r, err := NewReplica(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{}, func(int) int { return 0 })
+	r, err := NewReplica(0, "b0", 99, testTiming, []string{"b0", "b1", "b2"}, records, log, discardSender{},
+		func(int) int { return 0 })
 	if err != nil {
 		t.Fatal(err)
 	}
 	revisions, minRevision := r.History()
-	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n", len(records), r.incarnation, r.IsBootstrapped(), minRevision,
+	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n",
+		len(records), r.incarnation, r.IsBootstrapped(), minRevision,
 		r.log.applied, marshalProto(r.log.hard), encode(r.state.Voters), encode(r.state.Unaccepted), encode(revisions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
@@ -165,7 +175,8 @@
 	}
 	run(10 * time.Second)
 	digest := "d1"
-	change(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 7}})
+	change(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"},
+		Limits: map[string]int64{"held": 7}})
 	change(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
 	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
 	lost := 1 + leads%2 // b0 stays; a new incarnation takes the place of one that lost its state.
--- a/consensus/replica.go
+++ b/consensus/replica.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// heartbeatsPerLease is how often a leader is heard within the length of a lease: often enough that a follower misses several in a row
-	// before it campaigns.
+	// heartbeatsPerLease is how often a leader is heard within the length of a lease: often enough that a follower
+	// misses several in a row before it campaigns.
 	heartbeatsPerLease = 16
-	// electionTimeoutsPerLease makes a follower campaign after a quarter to half of a lease without a leader. That leaves holders the rest
-	// of their leases to hear of the next leader.
+	// electionTimeoutsPerLease makes a follower campaign after a quarter to half of a lease without a leader. That
+	// leaves holders the rest of their leases to hear of the next leader.
 	electionTimeoutsPerLease = 4
-	// raftElectionTicks is never reached: raft's own election timer draws from the system's chance, and no run could be repeated from its
-	// seed. electionTimer takes its place.
+	// raftElectionTicks is never reached: raft's own election timer draws from the system's chance, and no run could
+	// be repeated from its seed. electionTimer takes its place.
 	raftElectionTicks = 1 << 30
-	// maxRaftMessageBytes bounds the entries in one raft message: a follower that is far behind is not sent all of them at once. A single
-	// larger entry goes alone.
+	// maxRaftMessageBytes bounds the entries in one raft message: a follower that is far behind is not sent all of
+	// them at once. A single larger entry goes alone.
 	maxRaftMessageBytes = 64 << 10
 	// maxRaftMessagesInFlight bounds what is sent to a follower that does not answer.
 	maxRaftMessagesInFlight = 64
 )
 
-// Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated state and, while it leads,
-// the leases and the proposals that it answers for. It never blocks but in its Storage, and it does not lock: one goroutine calls all
-// methods. All times are nanoseconds of that process's own clock.
+// Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated
+// state and, while it leads, the leases and the proposals that it answers for. It never blocks but in its Storage,
+// and it does not lock: one goroutine calls all methods. All times are nanoseconds of that process's own clock.
 type Replica struct {
 	Name        string
-	incarnation uint64   // raft's ID: it belongs to the stored state, and a replica that lost that comes back with another
+	incarnation uint64   // raft's ID, which goes with the stored state: a replica that lost that has another
 	replicas    []string // names of all replicas, in the order of the settings: the first bootstraps the fleet
 	timing      LeaseTiming
 	sender      Sender
@@ -57,8 +57,8 @@
 	leaderHeardAt int64 // 0: never
 }
 
-// leadership is what only a leader has. becomeLeader and becomeFollower begin it anew, so nothing that an earlier leader of this replica was
-// asked is answered in a later term.
+// leadership is what only a leader has. becomeLeader and becomeFollower begin it anew, so nothing that an earlier
+// leader of this replica was asked is answered in a later term.
 type leadership struct {
 	since               int64 // 0: this replica does not take itself for the leader
 	leases              leaseTable
@@ -67,11 +67,12 @@
 	memberChangeAt      int64  // when a change of the voters was proposed last; 0: not in this term
 }
 
-// NewReplica opens a replica with the records that its storage has, in their order. Without records it bootstraps a fleet or joins one, under the
-// given incarnation; with records it has theirs. replicas are the names of all replicas, the same in the same order at each; random draws below
-// n. An error tells which record cannot be read, or that the first one cannot be written.
-func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte, storage Storage,
-	sender Sender, random func(n int) int) (*Replica, error) {
+// NewReplica opens a replica with the records that its storage has, in their order. Without records it bootstraps a
+// fleet or joins one, under the given incarnation; with records it has theirs. replicas are the names of all
+// replicas, the same in the same order at each; random draws below n. An error tells which record cannot be read, or
+// that the first one cannot be written.
+func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte,
+	storage Storage, sender Sender, random func(n int) int) (*Replica, error) {
 	r := &Replica{
 		Name:        name,
 		incarnation: incarnation,
@@ -138,21 +139,21 @@
 	return int64(r.timing.LeaseDuration) / heartbeatsPerLease
 }
 
-// IsLeader tells whether this replica takes itself for the leader. Another may lead already; a lease is only granted once a majority has
-// confirmed this one.
+// IsLeader tells whether this replica takes itself for the leader. Another may lead already; a lease is only granted
+// once a majority has confirmed this one.
 func (r *Replica) IsLeader() bool { return r.leader.since != 0 }
 
 // IsBootstrapped tells whether this replica knows a history.
 func (r *Replica) IsBootstrapped() bool { return r.node != nil && len(r.state.History) > 0 }
 
-// History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under. The caller does not change
-// them.
+// History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under.
+// The caller does not change them.
 func (r *Replica) History() (revisions []Revision, minRevision uint64) {
 	return r.state.History, r.state.MinRevision
 }
 
-// Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it neither sends nor answers.
-// It is nil while the replica runs.
+// Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it
+// neither sends nor answers. It is nil while the replica runs.
 func (r *Replica) Err() error { return r.err }
 
 // TimeUntilTick is how long Tick has nothing to do.
@@ -160,8 +161,8 @@
 	return time.Duration(max(0, r.nextTick-now))
 }
 
-// Tick does what is due at this time: heartbeats, campaigns, announcements, time-outs. The driver calls it once TimeUntilTick has passed;
-// earlier calls do nothing.
+// Tick does what is due at this time: heartbeats, campaigns, announcements, time-outs. The driver calls it once
+// TimeUntilTick has passed; earlier calls do nothing.
 func (r *Replica) Tick(now int64) {
 	if r.err != nil || now < r.nextTick {
 		return
@@ -197,8 +198,9 @@
 
 // HandleMessage takes a message of another process, or of this one's lease holder.
 //
-// Raft panics at messages that its own code never sends. A peer that is faulty or forged can send one, and without the guard it would end
-// this process, which serves requests too. So the replica stops alone, and Err tells which peer sent it.
+// Raft panics at messages that its own code never sends. A peer that is faulty or forged can send one, and without
+// the guard it would end this process, which serves requests too. So the replica stops alone, and Err tells which
+// peer sent it.
 func (r *Replica) HandleMessage(now int64, m *Message) {
 	if r.err != nil {
 		return
@@ -237,8 +239,8 @@
 			r.election.leaderHeardAt = now
 		}
 	case pb.MsgPreVote:
-		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again and again: those
-		// who hear the leader ignore it.
+		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again
+		// and again: those who hear the leader ignore it.
 		hearsLeader := r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < r.electionTimeout()
 		if r.IsLeader() || hearsLeader {
 			return
@@ -250,8 +252,9 @@
 // knownLeader is the name of the leader as raft has it; "" where there is none or its name is not known.
 func (r *Replica) knownLeader() string { return r.peers.names[r.node.BasicStatus().Lead] }
 
-// processReady carries out all that raft has ready. What has to last is written before anything is sent: a vote or an acknowledgement that
-// leaves before it is on disk can be given a second time after a crash, and then two leaders have a majority in one term.
+// processReady carries out all that raft has ready. What has to last is written before anything is sent: a vote or an
+// acknowledgement that leaves before it is on disk can be given a second time after a crash, and then two leaders
+// have a majority in one term.
 func (r *Replica) processReady(now int64) {
 	for r.err == nil && r.node != nil && r.node.HasReady() {
 		ready := r.node.Ready()
@@ -303,7 +306,8 @@
 		}
 		r.sender.Send(name, &Message{From: r.Name, Raft: marshalProto(m)})
 		if m.GetType() == pb.MsgSnap {
-			// Whether it arrives is not known here; raft sends it again if the follower's answers show that it did not.
+			// Whether it arrives is not known here; raft sends it again if the follower's answers show that it did
+			// not.
 			r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
@@ -320,8 +324,8 @@
 	}
 }
 
-// becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier leaders have expired, and
-// budget shares do not grow until then.
+// becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier
+// leaders have expired, and budget shares do not grow until then.
 func (r *Replica) becomeLeader(now int64) {
 	r.leader = newLeadership(r.leader.leases.requestCount)
 	r.leader.since = now
@@ -330,8 +334,8 @@
 	}
 }
 
-// becomeFollower tells the proposers who wait that their proposals' fate is open: a later leader may still commit what was written. Tickets of
-// the term are void from here on.
+// becomeFollower tells the proposers who wait that their proposals' fate is open: a later leader may still commit
+// what was written. Tickets of the term are void from here on.
 func (r *Replica) becomeFollower() {
 	for _, p := range r.leader.proposals.pending {
 		r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonLeaderChanged})
@@ -339,7 +343,8 @@
 	r.leader = newLeadership(r.leader.leases.requestCount)
 }
 
-// newLeadership is empty, but the numbers of lease requests go on: a late confirmation of an earlier term is then not taken for one of this.
+// newLeadership is empty, but the numbers of lease requests go on: a late confirmation of an earlier term is then not
+// taken for one of this.
 func newLeadership(requestCount uint64) leadership {
 	return leadership{leases: leaseTable{requestCount: requestCount, granted: map[holderID]*grantedLease{}}}
 }
--- a/consensus/revisions.go
+++ b/consensus/revisions.go
@@ -35,7 +35,8 @@
 // MarshalRevisions encodes revisions in a row, for a process that hands them over to its successor.
 func MarshalRevisions(revisions []Revision) []byte { return encode(newRevisionChain(revisions)) }
 
-// UnmarshalRevisions reads what MarshalRevisions wrote. The error is not nil for all else; the revisions before the fault come with it.
+// UnmarshalRevisions reads what MarshalRevisions wrote. The error is not nil for all else; the revisions before the
+// fault come with it.
 func UnmarshalRevisions(bytes []byte) ([]Revision, error) {
 	var c revisionChain
 	if err := strictDecoding.Unmarshal(bytes, &c); err != nil {
@@ -58,8 +59,8 @@
 	return deltas
 }
 
-// applyDeltas gives the revisions that deltas make, one after the other, from the one before them. It bounds them in number and in names:
-// without that, a message of few bytes could make configurations of gigabytes.
+// applyDeltas gives the revisions that deltas make, one after the other, from the one before them. It bounds them in
+// number and in names: without that, a message of few bytes could make configurations of gigabytes.
 func applyDeltas(before Revision, deltas []Proposal) ([]Revision, error) {
 	if len(deltas) > maxShownRevisions+maxActiveRevisions {
 		return nil, fmt.Errorf("%w: %d of them", errRevisions, len(deltas))
@@ -129,7 +130,8 @@
 	r.deltaBytes = len(encode(r.delta))
 }
 
-// next is the revision that a proposal makes of the one before, whatever its size. It shares with that what it does not change.
+// next is the revision that a proposal makes of the one before, whatever its size. It shares with that what it does
+// not change.
 func (p *Proposal) next(before Revision) Revision {
 	config := before.Config
 	config.EjectedEndpoints = withChanges(config.EjectedEndpoints, p.EjectEndpoints, p.UnejectEndpoints)
--- a/consensus/revisions_test.go
+++ b/consensus/revisions_test.go
@@ -18,13 +18,15 @@
 	return names
 }
 
-// An operator ejects hosts one by one while a paused process holds a lease under the first revision: 1,024 revisions can wait for it. All go in
-// one message and in one snapshot, a holder that knows any of them has the rest as deltas, and one more is refused.
+// An operator ejects hosts one by one while a paused process holds a lease under the first revision: 1,024 revisions
+// can wait for it. All go in one message and in one snapshot, a holder that knows any of them has the rest as deltas,
+// and one more is refused.
 func TestThousandRevisionsCanBeActive(t *testing.T) {
 	s := initialState(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxActiveRevisions; n++ {
 		id := fmt.Sprint("p", n)
-		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Proposal{ID: id, Author: "op", Reason: "a test", EjectEndpoints: []string{fmt.Sprintf("host-%04d", n)}}, 1})
+		s.Unaccepted = append(s.Unaccepted, unacceptedProposal{Proposal{ID: id, Author: "op", Reason: "a test",
+			EjectEndpoints: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
 			t.Fatalf("revision %d: %v", n+1, err)
 		}
@@ -35,7 +37,8 @@
 	}
 	bytes := s.marshal()
 	back, err := unmarshalState(bytes)
-	if err != nil || len(back.History) != maxActiveRevisions || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessageBytes {
+	if err != nil || len(back.History) != maxActiveRevisions || back.latest().Digest() != s.latest().Digest() ||
+		len(bytes) > maxMessageBytes {
 		t.Fatalf("%v: %d revisions of %d, in %d bytes", err, len(back.History), maxActiveRevisions, len(bytes))
 	}
 	r := &Replica{Name: "b0", state: back}
@@ -53,9 +56,11 @@
 				t.Errorf("%d bytes for the last %d revisions", len(packed), uint64(maxActiveRevisions)-known)
 			}
 		}
-		if !h.learn(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions || len(h.known.config.EjectedEndpoints) != maxActiveRevisions-1 ||
+		if !h.learn(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions ||
+			len(h.known.config.EjectedEndpoints) != maxActiveRevisions-1 ||
 			h.known.active[maxActiveRevisions-1].Digest() != s.latest().Digest() {
-			t.Errorf("knowing %d: %d revisions, %d ejected", known, len(h.known.active), len(h.known.config.EjectedEndpoints))
+			t.Errorf("knowing %d: %d revisions, %d ejected", known, len(h.known.active),
+				len(h.known.config.EjectedEndpoints))
 		}
 	}
 	unknowing := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
@@ -71,14 +76,16 @@
 	}
 }
 
-// A delta that misses a field gives a holder another configuration under the same number. Changes of every kind are found again from the
-// revisions and give the same digests.
+// A delta that misses a field gives a holder another configuration under the same number. Changes of every kind are
+// found again from the revisions and give the same digests.
 func TestDeltasReproduceRevisions(t *testing.T) {
 	d1, s1, f1 := "d1", "127.0.0.1:1", uint64(9)
 	v := Revision{Number: 1}
 	var all []Revision
-	for n, c := range []Proposal{{EjectEndpoints: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5, "quota.t": 7}}, {UnejectEndpoints: []string{"b"}, EvacuateZones: []string{"z"}, SettingsDigest: &d1},
-		{Limits: map[string]int64{"held": -1, "quota.t": 0}, DiscoverySource: &s1}, {RestoreZones: []string{"z"}, MinListIndex: &f1, EjectEndpoints: []string{"b"}}} {
+	for n, c := range []Proposal{{EjectEndpoints: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5,
+		"quota.t": 7}}, {UnejectEndpoints: []string{"b"}, EvacuateZones: []string{"z"}, SettingsDigest: &d1},
+		{Limits: map[string]int64{"held": -1, "quota.t": 0}, DiscoverySource: &s1}, {RestoreZones: []string{"z"},
+			MinListIndex: &f1, EjectEndpoints: []string{"b"}}} {
 		c.ID, c.Author, c.Reason = fmt.Sprint("p", n), "op", "w"
 		next, err := c.apply(v)
 		if err != nil {
@@ -97,8 +104,8 @@
 	}
 }
 
-// A fleet of 1,024 hosts and 1,024 zones with the longest names outgrows a message or a snapshot. It agrees on all of them, on many revisions in
-// the time of one lease, and lets a replica in that lost its state.
+// A fleet of 1,024 hosts and 1,024 zones with the longest names outgrows a message or a snapshot. It agrees on all of
+// them, on many revisions in the time of one lease, and lets a replica in that lost its state.
 func TestThousandEndpointsAndZonesReplicate(t *testing.T) {
 	sim := newSimulation(t, 5, 3, 3, true)
 	until := func(what string, come func() bool) {
@@ -118,7 +125,10 @@
 		return true
 	}
 	leads := func() int {
-		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica != nil && p.replica.IsLeader() })
+		return slices.IndexFunc(sim.processes, func(p *process) bool {
+			return p.replica != nil &&
+				p.replica.IsLeader()
+		})
 	}
 	until("a lease everywhere", func() bool { return all(1, -1) })
 	sim.processes[5].isPaused = true // Its lease keeps the min revision back.
@@ -138,7 +148,8 @@
 	sim.propose(4, leads(), Proposal{EvacuateZones: thousandNames("zone")})
 	until("all acting on the long ones", func() bool { return all(many+3, -1) })
 	for _, p := range sim.processes {
-		if a := p.holder.EffectiveConfig(p.clock()); len(a.EjectedEndpoints) != thousand+many || len(a.EvacuatedZones) != thousand {
+		if a := p.holder.EffectiveConfig(p.clock()); len(a.EjectedEndpoints) != thousand+many ||
+			len(a.EvacuatedZones) != thousand {
 			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.EjectedEndpoints), len(a.EvacuatedZones))
 		}
 	}
--- a/consensus/simulation_test.go
+++ b/consensus/simulation_test.go
@@ -17,8 +17,8 @@
 // testTiming has a bound on the processes that holds for all simulations but those of TestMessageCostBySize.
 var testTiming = LeaseTiming{LeaseDuration: 1800 * time.Millisecond, ClockRateError: 0.01, MaxPause: 0, MaxMembers: 12}
 
-// simulation is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays, repeats and cuts, and the
-// invariants checked after every step. All chance comes from one seed.
+// simulation is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays,
+// repeats and cuts, and the invariants checked after every step. All chance comes from one seed.
 type simulation struct {
 	t                    testing.TB
 	random               *rand.Rand
@@ -129,12 +129,16 @@
 
 func (discardSender) Send(string, *Message) {}
 
-// newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back with no state.
+// newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back
+// with no state.
 func newSimulation(t testing.TB, seed uint64, replicas, others int, disks bool) *simulation {
-	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12, cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
-		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Proposal{}, digests: map[uint64]string{}}
+	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12,
+		cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
+		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Proposal{},
+		digests: map[uint64]string{}}
 	for n := range replicas + others {
-		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n), clockRate: 1 + testTiming.ClockRateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
+		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n),
+			clockRate: 1 + testTiming.ClockRateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
 			hasDisk: disks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
 		sim.processes = append(sim.processes, p)
 	}
@@ -160,7 +164,8 @@
 			p.disk = &memoryStorage{dropsVotes: sim.dropsVotes}
 		}
 		p.disk.trace = sim.trace
-		r, err := NewReplica(p.clock(), p.name, incarnation, testTiming, names, p.disk.records, p.disk, p, sim.random.IntN)
+		r, err := NewReplica(p.clock(), p.name, incarnation, testTiming, names, p.disk.records, p.disk, p,
+			sim.random.IntN)
 		if err != nil {
 			sim.t.Fatalf("step %d: %v", sim.step, err)
 		}
@@ -344,7 +349,8 @@
 	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(replicas), c)
 }
 
-// injectFault changes by chance what the network and the processes do: cuts, loss, repeats, delays, crashes, pauses, and their ends.
+// injectFault changes by chance what the network and the processes do: cuts, loss, repeats, delays, crashes, pauses,
+// and their ends.
 func (sim *simulation) injectFault(replicas int) {
 	n, m := sim.random.IntN(len(sim.processes)), sim.random.IntN(len(sim.processes))
 	p := sim.processes[n]
@@ -364,7 +370,8 @@
 	case 2, 3, 4:
 		clear(sim.cutLinks)
 	case 5:
-		sim.lossRate, sim.repeatRate, sim.maxDelay = sim.random.Float64()*0.3, sim.random.Float64()*0.3, ms+sim.random.Int64N(300*ms)
+		sim.lossRate, sim.repeatRate, sim.maxDelay = sim.random.Float64()*0.3, sim.random.Float64()*0.3,
+			ms+sim.random.Int64N(300*ms)
 	case 6:
 		sim.lossRate, sim.repeatRate, sim.maxDelay = 0, 0, 3*ms
 	case 7, 8:
@@ -383,7 +390,8 @@
 	}
 }
 
-// keepMajorityAlive undoes a crash that would take the history along: replicas without disks lose it when a majority dies at once, as is stated.
+// keepMajorityAlive undoes a crash that would take the history along: replicas without disks lose it when a majority
+// dies at once, as is stated.
 func (sim *simulation) keepMajorityAlive(replicas int) {
 	if sim.processes[0].hasDisk {
 		return
@@ -421,22 +429,26 @@
 		if sim.advance(); n%500 == 499 && sim.accepted[id] == 0 {
 			for to := range replicas {
 				sim.processes[0].waiting[id] = true
-				sim.processes[0].Send(sim.processes[to].name, &Message{From: sim.processes[0].name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{"last"}}})
+				sim.processes[0].Send(sim.processes[to].name, &Message{From: sim.processes[0].name,
+					Proposal: &Proposal{ID: id, EjectEndpoints: []string{"last"}}})
 			}
 		}
 	}
 	number := sim.accepted[id]
 	for _, p := range sim.processes {
-		if a := p.holder.EffectiveConfig(p.clock()); !a.IsLeased || a.LatestRevision < number || number == 0 || a.MinRevision != a.LatestRevision || !slices.Contains(a.EjectedEndpoints, "last") {
+		if a := p.holder.EffectiveConfig(p.clock()); !a.IsLeased || a.LatestRevision < number || number == 0 ||
+			a.MinRevision != a.LatestRevision || !slices.Contains(a.EjectedEndpoints, "last") {
 			if sim.violation == "" {
-				sim.violation = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d", p.name, a.MinRevision, a.LatestRevision, a.IsLeased, number)
+				sim.violation = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d",
+					p.name, a.MinRevision, a.LatestRevision, a.IsLeased, number)
 			}
 		}
 	}
 }
 
-// checkInvariants looks at what all act on: one history, nothing in force that was refused for good, nothing loose while a lease under an older
-// revision is left, no contradiction for longer than stated, and no budget over the whole.
+// checkInvariants looks at what all act on: one history, nothing in force that was refused for good, nothing loose
+// while a lease under an older revision is left, no contradiction for longer than stated, and no budget over the
+// whole.
 func (sim *simulation) checkInvariants() {
 	fail := func(format string, with ...any) {
 		if sim.violation == "" {
@@ -449,9 +461,11 @@
 			continue
 		}
 		a := p.holder.EffectiveConfig(p.clock())
-		sim.trace.add(4, p.index, a.MinRevision, a.LatestRevision, a.IsLeased, a.ReplicatedConfig, p.holder.LeaseExpiry(), p.holder.Leader(), p.holder.ConflictingResponses, p.holder.TimeUntilTick(p.clock()))
+		sim.trace.add(4, p.index, a.MinRevision, a.LatestRevision, a.IsLeased, a.ReplicatedConfig,
+			p.holder.LeaseExpiry(), p.holder.Leader(), p.holder.ConflictingResponses, p.holder.TimeUntilTick(p.clock()))
 		if r := p.replica; r != nil {
-			sim.trace.add(5, r.IsLeader(), r.IsBootstrapped(), r.ActiveLeases(p.clock()), r.state.MinRevision, r.log.applied, r.TimeUntilTick(p.clock()))
+			sim.trace.add(5, r.IsLeader(), r.IsBootstrapped(), r.ActiveLeases(p.clock()), r.state.MinRevision,
+				r.log.applied, r.TimeUntilTick(p.clock()))
 		}
 		if !p.isPaused && len(sim.processes) <= testTiming.MaxMembers {
 			shares += a.BudgetShare
@@ -496,6 +510,7 @@
 		fail("the budget shares that all act on are %v of the whole", shares)
 	}
 	if sim.longestContradiction > int64(testTiming.MaxDisagreement()) {
-		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction), testTiming.MaxDisagreement())
+		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction),
+			testTiming.MaxDisagreement())
 	}
 }
--- a/consensus/statemachine.go
+++ b/consensus/statemachine.go
@@ -9,13 +9,14 @@
 const (
 	// maxShownRevisions is how many revisions are kept for operators to look at, where no more are active.
 	maxShownRevisions = 256
-	// maxActiveRevisions, maxActiveBytes and maxActiveNames bound the revisions from the min revision to the latest, which a lease response
-	// for a new holder has in one message. Bytes are those of the first in full and of each later one's delta; names are those of all
-	// configurations, which is what they take in memory.
+	// maxActiveRevisions, maxActiveBytes and maxActiveNames bound the revisions from the min revision to the latest,
+	// which a lease response for a new holder has in one message. Bytes are those of the first in full and of each
+	// later one's delta; names are those of all configurations, which is what they take in memory.
 	maxActiveRevisions = 1024
 	maxActiveBytes     = 960 << 10
 	maxActiveNames     = 640 << 10
-	// maxPlainStateBytes is up to which size a state is written in the form that builds before deltas read, so that a fleet can go back.
+	// maxPlainStateBytes is up to which size a state is written in the form that builds before deltas read, so that a
+	// fleet can go back.
 	maxPlainStateBytes = 512 << 10
 	// minNameBytes is what the shortest name takes, encoded.
 	minNameBytes = 3
@@ -24,14 +25,14 @@
 // errNotProposed refuses the acceptance of a proposal that is not among those written in this term.
 var errNotProposed = errors.New("not among what was written")
 
-// replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock, on chance or on the order
-// of a map.
+// replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock,
+// on chance or on the order of a map.
 type replicatedState struct {
 	History     []Revision           `cbor:"1,keyasint"` // up to the latest
 	MinRevision uint64               `cbor:"2,keyasint"` // no lease under an older revision is left
 	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the replicas that vote
 	Unaccepted  []unacceptedProposal `cbor:"4,keyasint,omitempty"`
-	HistoryID   uint64               `cbor:"5,keyasint"`           // the incarnation of the replica that bootstrapped this history
+	HistoryID   uint64               `cbor:"5,keyasint"`           // the incarnation that bootstrapped the history
 	Chain       *revisionChain       `cbor:"6,keyasint,omitempty"` // in the place of the history, where that is long
 }
 
@@ -41,9 +42,9 @@
 	Term     uint64   `cbor:"2,keyasint"`
 }
 
-// command is an entry of the replicated log. One field is there. A proposal takes two commands: Propose has a majority write it, and Accept, which
-// only the leader that proposed it sends, makes it the next revision. Between the two the leader can still withdraw it, so that "no majority"
-// is a final answer to its proposer.
+// command is an entry of the replicated log. One field is there. A proposal takes two commands: Propose has a
+// majority write it, and Accept, which only the leader that proposed it sends, makes it the next revision. Between
+// the two the leader can still withdraw it, so that "no majority" is a final answer to its proposer.
 type command struct {
 	Propose     *Proposal `cbor:"1,keyasint,omitempty"`
 	Accept      string    `cbor:"2,keyasint,omitempty"` // the ID of an unaccepted proposal
@@ -56,13 +57,14 @@
 	return replicatedState{History: []Revision{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: founder}
 }
 
-// isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the latest.
+// isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the
+// latest.
 func (s *replicatedState) isConsistent() bool {
 	return len(s.History) > 0 && s.History[0].Number <= s.MinRevision && s.MinRevision <= s.latest().Number
 }
 
-// marshal is the state as it is stored and sent. A long history goes as a chain, which builds that do not know it refuse, as they see no
-// history.
+// marshal is the state as it is stored and sent. A long history goes as a chain, which builds that do not know it
+// refuse, as they see no history.
 func (s *replicatedState) marshal() []byte {
 	names := 0
 	for n := range s.History {
@@ -111,14 +113,14 @@
 	return 0
 }
 
-// beginTerm drops what was proposed and not accepted in earlier terms: the leader that could have accepted it may have told its proposer that
-// it never will be in force.
+// beginTerm drops what was proposed and not accepted in earlier terms: the leader that could have accepted it may
+// have told its proposer that it never will be in force.
 func (s *replicatedState) beginTerm(term uint64) {
 	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Term < term })
 }
 
-// accept makes an unaccepted proposal the next revision and returns its number. A proposal that was accepted before has the number of then: sent twice, it
-// counts once. The error is what its proposer is told.
+// accept makes an unaccepted proposal the next revision and returns its number. A proposal that was accepted before
+// has the number of then: sent twice, it counts once. The error is what its proposer is told.
 func (s *replicatedState) accept(id string) (uint64, error) {
 	if revision := s.revisionOf(id); revision != 0 {
 		return revision, nil
@@ -146,7 +148,8 @@
 	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Proposal.ID == id })
 }
 
-// checkRoomFor tells whether one more revision can be active: in number, in bytes of a message, and in names of all configurations.
+// checkRoomFor tells whether one more revision can be active: in number, in bytes of a message, and in names of all
+// configurations.
 func (s *replicatedState) checkRoomFor(next Revision) error {
 	active := s.active()
 	bytes, names := len(encode(active[0]))+next.deltaBytes, next.Config.nameCount()
@@ -165,7 +168,8 @@
 	return nil
 }
 
-// dropOldRevisions forgets the oldest revisions that are only shown, beyond their number or half the bytes of a message.
+// dropOldRevisions forgets the oldest revisions that are only shown, beyond their number or half the bytes of a
+// message.
 func (s *replicatedState) dropOldRevisions() {
 	bytes, names, from := 0, 0, len(s.History)-1
 	for ; from > 0 && len(s.History)-from < maxShownRevisions; from-- {
