--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -14,10 +14,10 @@
 	maxUnknownPeers = 64
 	// maxAnnouncedVoters bounds the voters in an announcement that is looked at: more than any fleet has.
 	maxAnnouncedVoters = 256
-	// bootstrapWindow and joinWindow, in heartbeats, are how old an announcement may be to count as said by a replica
-	// that runs now: a bootstrap needs all replicas at once, a join can wait for a few that were lost.
-	bootstrapWindow = 4
-	joinWindow      = 8
+	// bootstrapWindowHeartbeats and joinWindowHeartbeats are how old an announcement may be to count as said by a
+	// replica that runs now: a bootstrap needs all replicas at once, a join can wait for a few that were lost.
+	bootstrapWindowHeartbeats = 4
+	joinWindowHeartbeats      = 8
 )
 
 // peerTable is what a replica knows of the other replicas. It outlasts terms.
@@ -98,7 +98,7 @@
 	voters := map[string]uint64{r.Name: r.incarnation}
 	for _, name := range r.replicas[1:] {
 		a, isAnnounced := r.peers.announcements[name]
-		if !isAnnounced || len(a.Voters) > 0 || now-a.at > bootstrapWindow*r.heartbeatInterval() {
+		if !isAnnounced || len(a.Voters) > 0 || now-a.at > bootstrapWindowHeartbeats*r.heartbeatInterval() {
 			return
 		}
 		voters[name] = a.Incarnation
@@ -106,7 +106,7 @@
 	r.bootstrap(now, voters)
 }
 
-// bootstrap writes the first snapshot, with which all other replicas begin too, and says so.
+// bootstrap writes the first snapshot and announces its voters. The others, voters too, get the snapshot by raft.
 func (r *Replica) bootstrap(now int64, voters map[string]uint64) {
 	first := initialState(r.incarnation, voters)
 	snapshot := &pb.Snapshot{
@@ -136,7 +136,7 @@
 	for _, name := range r.replicas {
 		a, isAnnounced := r.peers.announcements[name]
 		old := r.state.Voters[name]
-		if !isAnnounced || a.Incarnation == old || now-a.at > joinWindow*r.heartbeatInterval() {
+		if !isAnnounced || a.Incarnation == old || now-a.at > joinWindowHeartbeats*r.heartbeatInterval() {
 			continue
 		}
 		quietSince := max(r.peers.lastHeard[old], r.leader.since, r.leader.memberChangeAt)
--- a/consensus/raftlog.go
+++ b/consensus/raftlog.go
@@ -42,9 +42,9 @@
 type raftLog struct {
 	storage Storage
 	entries *raft.MemoryStorage
-	conf    *pb.ConfState
-	hard    *pb.HardState
-	applied uint64
+	conf    *pb.ConfState // the voters, by incarnation
+	hard    *pb.HardState // term, vote and commit index as they were written last
+	applied uint64        // index of the last entry that the state has
 
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
@@ -54,7 +54,8 @@
 	return raftLog{storage: storage, entries: raft.NewMemoryStorage(), hard: &pb.HardState{}, conf: &pb.ConfState{}}
 }
 
-// load takes up the records that a storage has, and tells whether there was more than an incarnation.
+// load takes up the records that a storage has, and tells whether there was more than an incarnation. The state is
+// that of the snapshot; raft hands out the committed entries after it once more.
 func (r *Replica) load(records [][]byte) (hasState bool, err error) {
 	for n, bytes := range records {
 		var rec record
