--- /dev/null
+++ b/consensus/golden_longrun_test.go
@@ -0,0 +1,57 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// A replica whose log grows without end takes minutes to start, and one that puts a snapshot in its place at another
+// entry than its peers is sent snapshots in place of entries. Enough is proposed that the log is compacted for its
+// length; records, messages and what all act on are hashed.
+func TestGoldenLongRun(t *testing.T) {
+	sim := newSimulation(t, 7, 3, 2, true)
+	sim.trace = newTraceHash()
+	for _, p := range sim.processes[:3] {
+		p.disk.trace = sim.trace
+	}
+	for span := sim.now + int64(5*time.Second); sim.now < span; {
+		sim.advance()
+	}
+	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
+	for n := range 300 {
+		sim.propose(4, leads, Proposal{Author: "op", EjectEndpoints: []string{fmt.Sprint("h", n%50)},
+			Limits: map[string]int64{"held": int64(n)}})
+		for span := sim.now + int64(50*time.Millisecond); sim.now < span; {
+			sim.advance()
+		}
+	}
+	line := fmt.Sprintf("revisions=%d sent=%d records=%d sha256=%s\n", len(sim.digests), sim.sent,
+		len(sim.processes[0].disk.records),
+		sim.trace.sum())
+	if sim.violation != "" || len(sim.accepted) != 300 {
+		t.Errorf("%d accepted; %s", len(sim.accepted), sim.violation)
+	}
+	checkGolden(t, "longrun.golden", []byte(line))
+}
+
+// The network repeats a proposal that was refused for good; the leader says the same until the ticket that it can come
+// with is void, and only then forgets.
+func TestRefusalIsRepeatedForTenSeconds(t *testing.T) {
+	sim := newSimulation(t, 1, 3, 0, true)
+	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
+		func(p *process) bool { return p.replica.IsLeader() }); n++ {
+		sim.advance()
+	}
+	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })]
+	r, out, start := p.replica, &outbox{}, p.clock()
+	r.sender = out
+	ticket := &ProposalTicket{r.term, start}
+	for _, after := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 10*time.Second + 1} {
+		out.note("after %v", after)
+		r.HandleMessage(start+int64(after), &Message{From: "op", Proposal: &Proposal{ID: "no", BaseRevision: 9,
+			EjectEndpoints: []string{"h"}}, Ticket: ticket})
+	}
+	checkGolden(t, "refusals.golden", []byte(fmt.Sprintln(out.lines)))
+}
