--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Skip("only where it is asked for")
 	}
-	var worst, revisions, told atomic.Int64
+	var worst, revisions, reported atomic.Int64
 	var wait sync.WaitGroup
 	for lane := range 6 {
 		wait.Add(1)
@@ -52,12 +52,15 @@
 			defer wait.Done()
 			for seed := uint64(lane); seed < uint64(plans); seed += 6 {
 				sim := runSimulation(t, seed, []int{3, 5, 7}[seed/3%3], 2500)
-				if sim.violation != "" && told.Add(1) < 5 {
+				if sim.violation != "" && reported.Add(1) < 5 {
 					t.Errorf("seed %d: %s", seed, sim.violation)
 				}
 				revisions.Add(int64(len(sim.digests)))
-				for at := worst.Load(); sim.longestContradiction > at && !worst.CompareAndSwap(at,
-					sim.longestContradiction); at = worst.Load() {
+				for {
+					at := worst.Load()
+					if sim.longestContradiction <= at || worst.CompareAndSwap(at, sim.longestContradiction) {
+						break
+					}
 				}
 			}
 		}()
@@ -70,7 +73,7 @@
 // A check that cannot fail guards nothing. Each guard that the invariants rest on is taken out in turn, and each time
 // an invariant is seen broken.
 func TestInvariantChecksDetectRemovedGuards(t *testing.T) {
-	for part, c := range map[string]struct {
+	for guard, c := range map[string]struct {
 		without func(sim *simulation)
 		want    string
 	}{
@@ -100,7 +103,7 @@
 			}
 		}, "over T|is loose already|of the whole"},
 	} {
-		t.Run(part, func(t *testing.T) {
+		t.Run(guard, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(0); seed < 60; seed += 3 { // With disks.
 				if sim := runSimulation(t, seed, 3, 25_000, c.without); sim.violation != "" {
@@ -110,7 +113,7 @@
 					return
 				}
 			}
-			t.Error("no rule was broken without it")
+			t.Error("no invariant was broken without it")
 		})
 	}
 }
@@ -145,8 +148,7 @@
 			sim.advance()
 		}
 		leads := slices.IndexFunc(sim.processes, func(p *process) bool {
-			return p.replica != nil &&
-				p.replica.IsLeader()
+			return p.replica != nil && p.replica.IsLeader()
 		})
 		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; the leader sends %.0f bytes a second",
 			n,
