--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -70,7 +70,7 @@
 		LeaseMS: 321, Alone: 1, Under: 2, Lost: 3, Members: []Stands{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, AgoMS: 44, Gone: true}}, News: []string{"h9"},
 		Keeper: &KeeperStands{Leads: true, Founded: true, Holders: 6}, Versions: versions,
 		Signals: &SignalsStand{Told: 1, Took: 2, Late: 3, Odd: 4, Lost: 5, Miss: true, Hosts: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
-			OwnConsecutiveFailures: 5, Ejected: true, Turn: true, Part: 0.75, ForMS: 66}, {Endpoint: "h2", Ejected: true, Part: 0.5, ForMS: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
+			OwnConsecutiveFailures: 5, Ejected: true, HoldsProbeLease: true, Penalty: 0.75, EjectedMillis: 66}, {Endpoint: "h2", Ejected: true, Penalty: 0.5, EjectedMillis: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Tends: []string{"h1", "h2"}, Zones: []ZoneStands{{Zone: "z1", Hosts: 4, Failing: 1, Own: true, ByHand: true, Part: 0.5},
 			{Zone: "z2", Hosts: 4, Failing: 4, Fails: true, Part: 1}, {Zone: "z3", Hosts: 5, Part: 0.25}, {Zone: "z4", Hosts: 2, ByHand: true, Fails: true, Part: 1}}}
 	w := httptest.NewRecorder()
