--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -109,3 +109,66 @@
 		}
 	}
 }
+
+// One attempt of all is slow, or latency has risen for good. The base latency follows a lower mean at once; a higher one
+// it follows slowly, as it may be that attempts are queued.
+func TestBaseLatencyFallsAtOnceAndRisesSlowly(t *testing.T) {
+	a := admissionLimiter{baseLatency: float64(second)}
+	a.recordAnswer(0, 10*ms)
+	if a.baseLatency != float64(10*ms) {
+		t.Errorf("a base latency of %g ns after one answer of 10 ms", a.baseLatency)
+	}
+	a.recordAnswer(0, 90*ms)
+	if want := float64(10*ms) * baseLatencyGrowth; a.baseLatency != want {
+		t.Errorf("a base latency of %g ns after a slow answer, not %g", a.baseLatency, want)
+	}
+	for range 10_000 {
+		a.recordAnswer(0, 90*ms)
+	}
+	if a.baseLatency < float64(89*ms) || a.baseLatency > float64(90*ms) {
+		t.Errorf("a base latency of %g ns once answers take 90 ms for good", a.baseLatency)
+	}
+}
+
+// Endpoints restart one after the other, as load may have brought them down. Restarts that come together count once, the
+// tolerance keeps a floor, and it recovers with time.
+func TestOverloadToleranceFallsAndRecovers(t *testing.T) {
+	a := admissionLimiter{tolerance: 1}
+	now := second
+	a.lowerTolerance(now)
+	a.lowerTolerance(now + restartSpacing)
+	if a.tolerance != restartTolerance {
+		t.Errorf("a tolerance of %g after two restarts at once, not %g", a.tolerance, restartTolerance)
+	}
+	for range 20 {
+		now += restartSpacing + 1
+		a.lowerTolerance(now)
+	}
+	if a.tolerance != minOverloadTolerance {
+		t.Errorf("a tolerance of %g after many restarts, not %g", a.tolerance, minOverloadTolerance)
+	}
+	a.recover(toleranceRecovery / 2)
+	if want := minOverloadTolerance + 0.5; a.tolerance != want {
+		t.Errorf("a tolerance of %g after half of the recovery, not %g", a.tolerance, want)
+	}
+	if a.recover(toleranceRecovery); a.tolerance != 1 {
+		t.Errorf("a tolerance of %g after the recovery", a.tolerance)
+	}
+}
+
+// A few endpoints hang, and what is in flight there would look like overload. It counts for nothing while most endpoints
+// answer; where most hang, nothing tells that it is not load, and it counts.
+func TestUnresponsiveEndpointsAreAMinority(t *testing.T) {
+	for _, c := range []struct{ hanging, attempts, endpoints int }{{0, 0, 0}, {2, 10, 2}, {3, 0, 0}, {5, 0, 0}} {
+		b, _ := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
+		for index := range b.endpoints {
+			b.endpoints[index].load.inFlight = 5
+			if index < c.hanging {
+				b.endpoints[index].outlier.connectFailedAt = unixStart
+			}
+		}
+		if attempts, endpoints := b.unresponsive(); attempts != c.attempts || endpoints != c.endpoints {
+			t.Errorf("%d of 5 hang: %d attempts at %d endpoints, not %d at %d", c.hanging, attempts, endpoints, c.attempts, c.endpoints)
+		}
+	}
+}
--- a/policy/cacheaside_test.go
+++ b/policy/cacheaside_test.go
@@ -78,3 +78,49 @@
 		h.endAttempt(i, 1, OK)
 	}
 }
+
+// The origin slows down, and comes back. How many reads may be in flight there falls with each late answer or failure,
+// and rises by one for each round of timely answers. Under one, some reads still find out whether it is back.
+func TestOriginLimitIncreasesAdditivelyAndDecreasesMultiplicatively(t *testing.T) {
+	limiter := newOriginLimiter(20)
+	if want := initialOriginReads + initialOriginLimit/20; limiter.limit != want {
+		t.Errorf("a limit of %g at first, not %g", limiter.limit, want)
+	}
+	limiter.decrease()
+	if want := 4 * originDecrease; limiter.limit != want {
+		t.Errorf("a limit of %g after a late answer, not %g", limiter.limit, want)
+	}
+	for range 100 {
+		limiter.decrease()
+	}
+	if limiter.limit != minOriginLimit {
+		t.Errorf("a limit of %g after many late answers, not %g", limiter.limit, minOriginLimit)
+	}
+	if limiter.increase(); limiter.limit != minOriginLimit+1 {
+		t.Errorf("a limit of %g after one timely answer", limiter.limit)
+	}
+	limiter.limit = 10
+	for range 10 {
+		limiter.increase()
+	}
+	if limiter.limit < 10.9 || limiter.limit > 11 {
+		t.Errorf("a limit of %g after ten timely answers at 10", limiter.limit)
+	}
+}
+
+// Reads miss now and then, and a few fail: keys keep to one order only while many do, by the share of the reads and not
+// by a single miss in a thin view.
+func TestMissRateIsAShareOfReads(t *testing.T) {
+	for _, c := range []struct {
+		reads, missed, failed  float64
+		areFrequent, isFailing bool
+	}{{0, 0, 0, false, false}, {0, 0.1, 0, false, false}, {100, 10, 10, false, false}, {100, 20, 10, true, false}, {100, 20, 20, true, true}} {
+		rate := missRate{reads: sum{Value: c.reads}, missed: sum{Value: c.missed}, failed: sum{Value: c.failed}}
+		if got := rate.areFrequent(0); got != c.areFrequent {
+			t.Errorf("%+v: misses are frequent %t", c, got)
+		}
+		if got := rate.isOriginFailing(0, 1); got != c.isFailing {
+			t.Errorf("%+v: the origin is failing %t", c, got)
+		}
+	}
+}
--- a/policy/dispatch_test.go
+++ b/policy/dispatch_test.go
@@ -144,3 +144,19 @@
 		})
 	}
 }
+
+// BenchmarkDecision is one decision: a request arrives, an endpoint is selected among 200, and its answer comes.
+func BenchmarkDecision(b *testing.B) {
+	balancer, executor := newSnapshotBalancer(unixStart, make([]int64, 200)...)
+	now := driveTraffic(balancer, executor, unixStart, 2000)
+	b.ReportAllocs()
+	b.ResetTimer()
+	for n := range b.N {
+		now += ms
+		executor.sentTo = executor.sentTo[:0]
+		balancer.HandleRequest(now, 0, RequestInfo{Remaining: 1500 * ms, Key: uint64(n + 1), HasKey: true})
+		for attempt, endpoint := range executor.sentTo {
+			balancer.HandleAttemptEnded(now, 0, AttemptResult{Attempt: attempt, Endpoint: endpoint, CacheResult: 1, Outcome: OK, Latency: 20 * ms, IsAnswered: true})
+		}
+	}
+}
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -141,3 +141,42 @@
 		t.Error("a key that recovered is throttled")
 	}
 }
+
+// Each turn of a key takes long. A request that comes now is told a turn after those of all that are ahead of it, as
+// many at a time as the key's concurrency, and not before the key has rested.
+func TestExpectedTurnCountsThoseAhead(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		queue keyQueue
+		want  int64
+	}{
+		{"nobody ahead", keyQueue{concurrency: 1, meanTurn: float64(30 * ms)}, second},
+		{"the key rests", keyQueue{concurrency: 1, restsUntil: second + 5*ms}, second + 5*ms},
+		{"three ahead", keyQueue{waiting: []int{1, 2}, active: 1, concurrency: 1, meanTurn: float64(30 * ms)}, second + 90*ms},
+		{"two at a time", keyQueue{waiting: []int{1, 2}, active: 2, concurrency: 2, meanTurn: float64(30 * ms)}, second + 60*ms},
+		{"a key that rests between turns", keyQueue{waiting: []int{1}, concurrency: 0.5, meanTurn: float64(30 * ms)}, second + 60*ms},
+	} {
+		if got := c.queue.expectedTurn(second); got != c.want {
+			t.Errorf("%s: a turn after %d ms, not %d ms", c.name, (got-second)/ms, (c.want-second)/ms)
+		}
+	}
+}
+
+// Queues of keys that come once would pile up. One is idle, and may go, once nobody waits, nothing is active and the key
+// has rested.
+func TestQueueIsIdleOnceItsKeyHasRested(t *testing.T) {
+	for _, c := range []struct {
+		queue keyQueue
+		want  bool
+	}{
+		{keyQueue{}, true},
+		{keyQueue{restsUntil: second}, true},
+		{keyQueue{restsUntil: second + 1}, false},
+		{keyQueue{active: 1}, false},
+		{keyQueue{waiting: []int{3}}, false},
+	} {
+		if got := c.queue.isIdle(second); got != c.want {
+			t.Errorf("%+v: idle %t", c.queue, got)
+		}
+	}
+}
--- /dev/null
+++ b/policy/observations_test.go
@@ -0,0 +1,47 @@
+package policy
+
+import (
+	"math"
+	"testing"
+)
+
+// Load reports lack figures, and endpoints leave the list. The sum over endpoints holds the last figure of each that has
+// reported, once, and a figure that a report lacks stays as it was.
+func TestLoadReportsSumTheLastOfEach(t *testing.T) {
+	fields := []string{reportServedRate, "other", reportCPUShare, reportPending}
+	missing := math.NaN()
+	var reports loadReports
+	first, second := loadReport{servedRate: notReported}, loadReport{servedRate: notReported}
+	for n, c := range []struct {
+		report  *loadReport
+		figures []float64
+		want    loadReports
+	}{
+		{&first, []float64{100, 7, 0.5, missing}, loadReports{servedRate: 100, strain: 0.5, reporting: 1}},
+		{&second, []float64{40, 7, 1.5, missing}, loadReports{servedRate: 140, strain: 1.5, reporting: 2}},
+		{&first, []float64{missing, missing, 0.25, missing}, loadReports{servedRate: 140, strain: 1.25, reporting: 2}},
+		{&second, []float64{60, missing, missing, 3}, loadReports{servedRate: 160, strain: 1, reporting: 2}},
+	} {
+		if reports.replace(c.report, c.figures, fields); reports != c.want {
+			t.Errorf("report %d: %+v, not %+v", n, reports, c.want)
+		}
+	}
+	reports.reset()
+	reports.add(second)
+	reports.add(loadReport{servedRate: notReported})
+	if want := (loadReports{servedRate: 60, strain: 0.75, reporting: 1}); reports != want {
+		t.Errorf("after a list without the first: %+v, not %+v", reports, want)
+	}
+}
+
+// Each outcome counts in one place. Those that prove that an attempt never ran do so alone, since a retry rests on it.
+func TestOutcomeProvesExecution(t *testing.T) {
+	for outcome, want := range map[Outcome]executionState{
+		OK: completed, Errored: mayHaveRun, Rejected: neverRan, TimedOut: mayHaveRun, ConnectFailed: neverRan,
+		Reset: mayHaveRun, Cancelled: mayHaveRun, NotSent: neverRan, CacheMiss: neverRan,
+	} {
+		if got := outcome.executionState(); got != want {
+			t.Errorf("outcome %d: state %d, not %d", outcome, got, want)
+		}
+	}
+}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -82,3 +82,49 @@
 		t.Error("nothing probes it")
 	}
 }
+
+// The chance that an endpoint is passed over, by what speaks against it: its failures against those of all, a failed
+// connection that fades, the verdict of the other balancers. Each draw is set here, so that the chances stand by
+// themselves. An endpoint of which little is known, or for which the probe lease is held, is not passed over.
+func TestIsOutlierFollowsEvidence(t *testing.T) {
+	const index = 1
+	for name, c := range map[string]struct {
+		prepare func(b *Balancer, state *outlierState)
+		draw    float64 // each one
+		want    bool
+	}{
+		"nothing known": {func(*Balancer, *outlierState) {}, 0, false},
+		"half a failure": {func(_ *Balancer, s *outlierState) {
+			s.outcomes.failures.Value = 0.4
+		}, 0, false},
+		"failures while others succeed": {func(b *Balancer, s *outlierState) {
+			b.outcomes.successes.Value, s.outcomes.failures.Value = 100, 20
+		}, likelyDraw, true},
+		"failures while all fail": {func(b *Balancer, s *outlierState) {
+			b.outcomes.failures.Value, s.outcomes.failures.Value = 100, 20
+		}, likelyDraw, false},
+		"few failures among successes": {func(b *Balancer, s *outlierState) {
+			b.outcomes.successes.Value, s.outcomes.successes.Value, s.outcomes.failures.Value = 100, 20, 2
+		}, likelyDraw, false},
+		"failures, with the probe lease": {func(b *Balancer, s *outlierState) {
+			b.outcomes.successes.Value, s.outcomes.failures.Value, s.peerVerdict = 100, 20, -1
+		}, likelyDraw, false},
+		"a connection just failed": {func(b *Balancer, s *outlierState) {
+			s.connectFailedAt = b.clock.now
+		}, 0.99, true},
+		"a connection failed a time constant ago, a low draw": {func(b *Balancer, s *outlierState) {
+			s.connectFailedAt = b.clock.now - timeConstant
+		}, 0.36, true},
+		"a connection failed a time constant ago, a high draw": {func(b *Balancer, s *outlierState) {
+			s.connectFailedAt = b.clock.now - timeConstant
+		}, 0.37, false},
+		"a verdict of 0.4, a low draw":  {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.39, true},
+		"a verdict of 0.4, a high draw": {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.41, false},
+	} {
+		b, _ := newSnapshotBalancer(unixStart, 0, 0, 0)
+		c.prepare(b, &b.endpoints[index].outlier)
+		if got := b.isOutlier(index, func() float64 { return c.draw }); got != c.want {
+			t.Errorf("%s: an outlier %t", name, got)
+		}
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -54,3 +54,28 @@
 		t.Fatalf("a retry after %d to %d ns, of an objective of 600 ms", first, last)
 	}
 }
+
+// Much fails at once, after a long time in which all went well. What successes saved up pays for some retries and no
+// more, so that retries do not multiply the load of endpoints that are failing.
+func TestRetryBudgetIsBounded(t *testing.T) {
+	var budget retryBudget
+	for n := range 5 {
+		if budget.canPay() {
+			t.Errorf("%d successes pay for a retry", n)
+		}
+		budget.earn()
+	}
+	if !budget.canPay() {
+		t.Error("five successes do not pay for a retry")
+	}
+	for range 1000 {
+		budget.earn()
+	}
+	retries := 0
+	for ; budget.canPay(); retries++ {
+		budget.spend()
+	}
+	if retries != maxRetryTokens {
+		t.Errorf("%d retries in a row, not %g", retries, maxRetryTokens)
+	}
+}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // Nine requests of one key come at once, and chance alone would give one of its three endpoints more than its share.
 // Each gets three.
@@ -168,3 +171,40 @@
 		t.Errorf("it has %.3f of the attempts while it fills, %.3f otherwise", with, without)
 	}
 }
+
+// The load of an endpoint is an average over time: what was in flight for long counts, what came a moment ago hardly
+// does.
+func TestLoadMeterAveragesOverTime(t *testing.T) {
+	var meter loadMeter
+	meter.settle(0)
+	meter.inFlight = 10
+	meter.settle(timeConstant)
+	meter.inFlight = 0
+	want := 10 * (1 - 1/math.E)
+	if got := meter.average.Update(timeConstant, 0); math.Abs(got-want) > 1e-9 {
+		t.Errorf("an average of %g after one time constant at 10, not %g", got, want)
+	}
+	if got := meter.average.Update(2*timeConstant, 0); math.Abs(got-want/math.E) > 1e-9 {
+		t.Errorf("an average of %g after one more at 0, not %g", got, want/math.E)
+	}
+}
+
+// A machine type has answered little. It is taken for one like all others until its own answers tell, and each rejection
+// counts as taking long, as one that rejects is full.
+func TestMeanLatencyLeansOnOthersWhileLittleIsKnown(t *testing.T) {
+	others := float64(50 * ms)
+	for _, c := range []struct {
+		name              string
+		answers, rejected float64
+		latency, want     float64
+	}{
+		{"nothing known", 0, 0, 0, others},
+		{"as many answers as the prior", priorAttempts, 0, float64(150 * ms), float64(100 * ms)},
+		{"as many rejections as the prior", 0, priorAttempts, 0, (others + float64(timeConstant)) / 2},
+	} {
+		record := latencyRecord{answers: sum{Value: c.answers}, time: sum{Value: c.answers * c.latency}, rejected: sum{Value: c.rejected}}
+		if got := record.mean(0, others); math.Abs(got-c.want) > 1 {
+			t.Errorf("%s: a mean of %g ns, not %g", c.name, got, c.want)
+		}
+	}
+}
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -162,3 +162,69 @@
 		t.Error("the tolerance does not recover")
 	}
 }
+
+// The list repeats the start of an endpoint in each update, and its stamp may be off by some error. A start counts once;
+// where stamps may be off, a stamp that differs at all is a new one, and the latest start that it allows counts.
+func TestStartCountsOnce(t *testing.T) {
+	for _, c := range []struct {
+		name                   string
+		known, stamp, now, off int64
+		isNew                  bool
+		startedAt              int64
+	}{
+		{"never stated", 0, 0, 100, 0, false, 0},
+		{"a first start", 0, 60, 100, 0, true, 60},
+		{"the same start", 60, 60, 100, 0, false, 60},
+		{"an earlier start", 60, 50, 100, 0, false, 60},
+		{"an earlier start, stamps off", 60, 50, 100, 20, true, 70},
+		{"a start in the future", 60, 150, 100, 0, true, 100},
+		{"the latest start is in the future", 60, 95, 100, 20, true, 100},
+		{"no start stated any more, stamps off", 60, 0, 100, 20, false, 60},
+	} {
+		state := slowStartState{stamp: c.known, startedAt: c.known, tokens: 3, updatedAt: 90}
+		if isNew := state.restarted(c.now, c.stamp, c.off); isNew != c.isNew || state.startedAt != c.startedAt {
+			t.Errorf("%s: new %t, started at %d", c.name, isNew, state.startedAt)
+		}
+		if wasReset := state.tokens == 0 && state.updatedAt == 0; wasReset != c.isNew {
+			t.Errorf("%s: tokens reset %t", c.name, wasReset)
+		}
+	}
+}
+
+// No warm endpoint is left, and nothing tells what one answers. The most of late counts for some time, and fades.
+func TestWarmThroughputRemembersItsPeak(t *testing.T) {
+	throughput := warmThroughput{answers: sum{Value: 30}}
+	if got := throughput.update(0, 0, 2); got != 60 {
+		t.Errorf("%g a second, not 60", got)
+	}
+	throughput.answers = sum{}
+	if got, want := throughput.update(peakWindow*timeConstant, 0, 2), 60/math.E; math.Abs(got-want) > 1e-9 {
+		t.Errorf("%g a second after a window without answers, not %g", got, want)
+	}
+	throughput.answers = sum{Value: 50}
+	if got := throughput.update(peakWindow*timeConstant, 0, 2); got != 100 {
+		t.Errorf("%g a second, not 100: a new peak counts at once", got)
+	}
+}
+
+// Attempts at an endpoint break, and connections to it fail. Only both, without an answer between, tell of a restart.
+func TestRestartDetectorCountsFailuresInARow(t *testing.T) {
+	for _, c := range []struct {
+		outcomes []Outcome
+		want     bool
+	}{
+		{[]Outcome{Reset, Reset, Reset, Reset}, false},
+		{[]Outcome{ConnectFailed, ConnectFailed, ConnectFailed}, false},
+		{[]Outcome{Reset, ConnectFailed}, false},
+		{[]Outcome{Reset, ConnectFailed, ConnectFailed}, true},
+		{[]Outcome{Reset, ConnectFailed, Reset, ConnectFailed}, true},
+	} {
+		b, _ := newSnapshotBalancer(unixStart, 0, 0)
+		for _, outcome := range c.outcomes {
+			b.detectRestart(unixStart+second, AttemptResult{Endpoint: 1, Outcome: outcome})
+		}
+		if got := b.isWarmingUp(unixStart+second, 1); got != c.want {
+			t.Errorf("%v: restarted %t", c.outcomes, got)
+		}
+	}
+}
