--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,49 +6,63 @@
 	"hollylever/quota"
 )
 
-// When a request is rejected at once. Two rules, in this order:
+// When a request is rejected at once. Two rules, in this order.
 //
-// A tenant's quota (package quota): while the fleet answers poorly, a growing part of what a tenant asks beyond its quota is rejected.
+// A tenant's quota (package quota). While too many attempts end late or with an error, a growing part of what a tenant
+// asks beyond its quota is rejected, so that tenants within their quotas are served.
 //
-// Overload, by Little's law: a request is rejected when what is in flight, at the present rate of answers, would take longer than an attempt takes while nothing is
-// queued, and queueingShare of what the objective leaves beyond that. This guards against queues that make all answers late: once full they stay full of work that nobody
-// wants any more. It shows as late answers at all endpoints alike. Rejecting at once costs nothing and lets the client come back.
+// Overload, by Little's law: what is in flight is the rate of answers times the time that each takes. Inputs are the
+// attempts in flight at caches, the rate at which these answer, and the base latency, which is how long an attempt
+// takes while nothing is queued. A new request would wait for what is in flight over the rate. It is rejected where
+// that is longer than the base latency and queueingShare of what its objective leaves beyond it:
+//
+// inFlight > room + sqrt(room), room = accepted x tolerance x (free + accepted x rate x queueing)
+//
+// accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go), free is
+// what may be in flight whatever the rate, and the root is slack for chance.
+//
+// This guards against queues that make all answers late: once full they stay full of work that nobody waits for any
+// more. It shows as late answers at all endpoints alike. The guard holds since a rate that falls shrinks the room at
+// once, while a rejected request takes no endpoint's capacity, and its client may come back.
 
 const (
 	// queueingShare is the part of a request's objective, beyond the base latency, that may be spent queueing.
 	queueingShare = 0.15
 
-	// startupAttempts is how many attempts all balancers together may add at each endpoint while they know no rate of answers.
+	// startupAttempts is how many attempts all balancers together may add at each endpoint while they know no rate of
+	// answers.
 	startupAttempts = 4.0
 
-	// idleStrain is the mean of what endpoints report as strain, 0 to 1, under which nothing is overloaded: attempts that hang at dead ones take nobody's capacity.
+	// idleStrain is the mean of what endpoints report as strain, 0 to 1, up to which nothing is overloaded: attempts
+	// that hang at dead endpoints look like load and take nobody's capacity.
 	idleStrain = 0.3
 
-	// minUnknownKeyShare is the least part of the room that is left to keys not read lately: they would most likely miss and go first, but if all
-	// were rejected no key would ever become known.
+	// minUnknownKeyShare is the least part of queueingShare that is left to keys not read lately. They would most
+	// likely miss, so they are rejected first; but if all of them were, no key would ever become known.
 	minUnknownKeyShare = 0.5
 
-	// baseLatencyGrowth is by how much the base latency may rise with each answer, so that it is found again when it has risen for good.
+	// baseLatencyGrowth is the most by which an answer multiplies the base latency. A few slow answers hardly move it,
+	// and it is found again when latency has risen for good.
 	baseLatencyGrowth = 1.0005
 
-	// rateSettling is the least time over which the rate of answers is taken right after the start.
+	// rateSettling is the least time over which the rate of answers is taken right after the start, in nanoseconds.
 	rateSettling = second / 4
 )
 
-// admissionLimiter is what the rule of overload rests on.
+// admissionLimiter is what the rule of overload rests on. Sums fade by the clock of evidence.
 type admissionLimiter struct {
 	arrivals       sum     // requests
 	shed           sum     // of these, rejected for overload
 	cacheMisses    sum     // answers that were misses: they come at once and make no room
 	answers        sum     // attempts that caches answered with a value
-	answerTime     sum     // and how long these took
-	baseLatency    float64 // how long an attempt takes while nothing is queued: the least mean of late
-	tolerance      float64 // part of the room that endpoints are taken to bear, after restarts that load may have brought on
-	loweredAt      int64   // when that was lowered last
-	lastDispatchAt int64
+	answerTime     sum     // nanoseconds that these took
+	baseLatency    float64 // nanoseconds that an attempt takes while nothing is queued: the least mean of late
+	tolerance      float64 // part of the room that endpoints are taken to bear, after restarts that load may have caused
+	loweredAt      int64   // when the tolerance was lowered last
+	lastDispatchAt int64   // when an attempt was sent last
 }
 
-// recordAnswer takes how long an attempt took that a cache answered with a value.
+// recordAnswer takes how long an attempt took that a cache answered with a value, in nanoseconds.
 func (a *admissionLimiter) recordAnswer(evidence, latency int64) {
 	a.answers.Add(evidence, 1)
 	a.answerTime.Add(evidence, float64(latency))
@@ -76,12 +90,16 @@
 	}
 }
 
-// areEndpointsBusy tells whether caches are, as far as they report it.
+// areEndpointsBusy tells whether caches report that they are busy. Where none reports it, they may be.
 func (b *Balancer) areEndpointsBusy() bool {
-	return !b.settings.reportsStrain || b.reports.reporting == 0 || b.reports.strain > idleStrain*b.reports.reporting
+	if !b.settings.reportsStrain || b.reports.reporting == 0 {
+		return true
+	}
+	return b.reports.strain > idleStrain*b.reports.reporting
 }
 
-// isOverloaded tells whether a new attempt would wait too long for what is in flight.
+// isOverloaded tells whether a new attempt would wait too long for what is in flight. Where nothing was sent for as
+// long as the objective, one is sent whatever is in flight, as its end tells how things are.
 func (b *Balancer) isOverloaded(now int64, request *requestState) bool {
 	class, evidence, a := &b.settings.classes[request.class], b.clock.evidence, &b.admission
 	unresponsiveInFlight, unresponsive := b.unresponsive()
@@ -92,18 +110,19 @@
 	rejectedRatio := rejected / (b.fleetwide.latency.answers.Value + rejected + 1)
 	queueing := a.baseLatency + share*max(0, float64(class.objective)-a.baseLatency)
 	room := (1 - rejectedRatio) * a.tolerance * (free + (1-rejectedRatio)*rate*queueing)
-	// The root is slack for chance: small counts vary most. Where nothing was sent for long, one attempt tells how things are.
-	return float64(b.load.inFlight-unresponsiveInFlight) > room+math.Sqrt(room) && now < a.lastDispatchAt+class.objective
+	slack := math.Sqrt(room) // Counts vary by their root.
+	return float64(b.load.inFlight-unresponsiveInFlight) > room+slack && now < a.lastDispatchAt+class.objective
 }
 
-// freeAttempts is how many attempts may be in flight whatever the rate of answers: one, and this balancer's share of one at each endpoint,
-// or of some more while it is young and knows no rate.
+// freeAttempts is how many attempts may be in flight whatever the rate of answers: one, and this balancer's share of
+// one at each endpoint, or of startupAttempts more right after the start, while it knows no rate.
 func (b *Balancer) freeAttempts(now int64, unresponsive int) float64 {
 	young := math.Exp(-float64(now-b.clock.startedAt) / float64(timeConstant))
 	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttempts*young)/b.fleetSize
 }
 
-// answerRate is how many attempts caches answer this balancer in a nanosecond, misses left out.
+// answerRate is how many attempts caches answer this balancer in a nanosecond, misses left out. While less than a time
+// constant has been observed, the rate is taken over what has been.
 func (b *Balancer) answerRate() float64 {
 	evidence := b.clock.evidence
 	observed := 1 - math.Exp(-float64(evidence+rateSettling)/float64(timeConstant)) // of the time constant, since the start
@@ -111,7 +130,8 @@
 	return answers / observed / float64(timeConstant) * b.clock.pace
 }
 
-// queueingShare is the part of its objective that a request may spend queueing. A key not read lately gets less as more is being shed.
+// queueingShare is the part of its objective, beyond the base latency, that a request may spend queueing. A read of a
+// key not read lately gets less as more is being shed.
 func (b *Balancer) queueingShare(request *requestState) float64 {
 	share := queueingShare
 	if !request.isWrite && b.recentKeys[request.key%maxRecentKeys].key != request.key {
@@ -121,8 +141,9 @@
 	return share
 }
 
-// unresponsive counts the endpoints of zones that seem lost, and others that do not answer while most do, and what is in flight there: that takes no
-// capacity.
+// unresponsive counts the endpoints of zones that seem lost, and others that do not answer while most do, and the
+// attempts in flight there. These take no capacity from others, and would else look like overload. Where most endpoints
+// do not answer, that may itself be overload: only those of lost zones count then.
 func (b *Balancer) unresponsive() (attempts, endpoints int) {
 	unreachedAttempts, unreached := 0, 0
 	for _, index := range b.ready {
@@ -143,7 +164,8 @@
 	return attempts, endpoints
 }
 
-// traffic is what is known of this balancer's share of all traffic; load reports tell more than it could see itself.
+// traffic is what is known of this balancer's share of all traffic, by which it enforces its share of quotas. Load
+// reports state what endpoints serve for all balancers; without them only the even share is known.
 func (b *Balancer) traffic() quota.Traffic {
 	traffic := quota.Traffic{
 		Now:           b.clock.evidence,
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// One attempt of all is slow, or latency has risen for good. The base latency follows a lower mean at once; a higher one
-// it follows slowly, as it may be that attempts are queued.
+// One attempt of all is slow, or latency has risen for good. The base latency follows a lower mean at once; a higher
+// one it follows slowly, as it may be that attempts are queued.
 func TestBaseLatencyFallsAtOnceAndRisesSlowly(t *testing.T) {
 	a := admissionLimiter{baseLatency: float64(second)}
 	a.recordAnswer(0, 10*ms)
@@ -130,8 +130,8 @@
 	}
 }
 
-// Endpoints restart one after the other, as load may have brought them down. Restarts that come together count once, the
-// tolerance keeps a floor, and it recovers with time.
+// Endpoints restart one after the other, as load may have brought them down. Restarts that come together count once,
+// the tolerance keeps a floor, and it recovers with time.
 func TestOverloadToleranceFallsAndRecovers(t *testing.T) {
 	a := admissionLimiter{tolerance: 1}
 	now := second
@@ -156,8 +156,8 @@
 	}
 }
 
-// A few endpoints hang, and what is in flight there would look like overload. It counts for nothing while most endpoints
-// answer; where most hang, nothing tells that it is not load, and it counts.
+// A few endpoints hang, and what is in flight there would look like overload. It counts for nothing while most
+// endpoints answer; where most hang, nothing tells that it is not load, and it counts.
 func TestUnresponsiveEndpointsAreAMinority(t *testing.T) {
 	for _, c := range []struct{ hanging, attempts, endpoints int }{{0, 0, 0}, {2, 10, 2}, {3, 0, 0}, {5, 0, 0}} {
 		b, _ := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,8 +1,8 @@
-// Package policy is the decision module: which endpoint a request goes to, whether it may be sent at all, whether it is retried, and when it is
-// rejected. One Balancer decides for one balancer and shares nothing with others.
+// Package policy is the decision module: which endpoint a request goes to, whether it may be sent at all, whether it is
+// retried, and when it is rejected. One Balancer decides for one balancer and shares nothing with others.
 //
-// The module is pure. It is handed the clock, its random seed, the settings and every event, and acts through an Executor. Equal events give equal
-// actions, down to the order of random draws, so that a day can be replayed.
+// The module is pure. It is handed the clock, its random seed, the settings and every event, and acts through an
+// Executor. Equal events give equal actions, down to the order of random draws, so that a day can be replayed.
 //
 // Each rule has a file that opens with the rule in plain words:
 //
@@ -21,8 +21,9 @@
 //	snapshot.go      learned state out and in, over a restart
 //	settings.go      the settings, typed, read once
 //
-// Times and durations are whole nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and zones are small indices; those of
-// classes, tenants, machine types and zones are their places in the settings. A Balancer does not lock: it has one caller at a time.
+// Times and durations are whole nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and
+// zones are small indices; those of classes, tenants, machine types and zones are their places in the settings. A
+// Balancer does not lock: it has one caller at a time.
 package policy
 
 import (
@@ -36,13 +37,17 @@
 	second      = int64(1e9)
 )
 
-// What a timer is for: the endpoint list, or, with its index added, a request.
-const timerList, timerRequest = 0, 1
+// The tags of timers. timerRequest has the index of the request added.
+const (
+	timerList = iota
+	timerRequest
+)
 
 // noEndpoint stands for the index of an endpoint where there is none.
 const noEndpoint = -1
 
-// Balancer is what one balancer knows, by the rule that owns it. Each part is written by the methods of its own file.
+// Balancer is what one balancer knows, by the rule that owns it. Each part is written by the methods of its own file. A
+// Balancer is not safe for concurrent use.
 type Balancer struct {
 	executor Executor
 	settings settings
@@ -65,12 +70,12 @@
 	keyQueues    map[keyQueueID]*keyQueue
 
 	// What is known of this balancer's place among all.
-	fleetSize        float64 // balancers that share what the whole may do
+	fleetSize        float64 // balancers that share what all may do together
 	processShare     float64 // of this balancer's attempts that this process sends
 	widespreadMisses bool    // all balancers agree that reads miss
 
 	// What was observed, by the rule that decides by it.
-	candidates      []candidate              // of the request that is being dispatched; used again
+	candidates      []candidate              // of the request that is being dispatched; reused
 	load            loadMeter                // at ready caches (selection.go)
 	fleetwide       machineType              // latency of all caches (selection.go)
 	outcomes        outcomeCounts            // of all caches (outlier.go)
@@ -88,8 +93,10 @@
 	recentKeys      [maxRecentKeys]keyRecord // by key (observations.go)
 }
 
-// New begins a balancer with nothing known. settings is the plain map of dotted names to values that the operators state; each
-// missing value counts as 0, "" or false.
+// New begins a balancer with nothing known. values are the operators' settings as a plain map of dotted names to
+// float64, string or bool; one that is missing counts as 0, "" or false. seed is the instance's own, so that balancers
+// that see the same do not act in step. New calls executor.WatchEndpoints where changes of the list are told only to
+// who watches.
 func New(now int64, seed uint64, values map[string]any, executor Executor) *Balancer {
 	s := readSettings(values)
 	b := &Balancer{
@@ -113,24 +120,25 @@
 	return b
 }
 
-// advanceClock moves the clocks. Callers call it first in each event that counts evidence.
+// advanceClock moves the clocks. Each event that counts evidence calls it first.
 func (b *Balancer) advanceClock(now int64) {
 	b.admission.recover(now - b.clock.now)
 	b.clock.advance(now, &b.admission.arrivals)
 }
 
-// RequestInfo is what is known of a request when it arrives.
+// RequestInfo is what is known of a request when it arrives. Durations are nanoseconds.
 type RequestInfo struct {
-	Remaining     int64  // until the client waits no longer
-	Class         int    // its request class
-	Tenant        int    // -1: none stated
-	Key           uint64 // requests of one key go to the same candidates
-	HasKey        bool   // else any candidates are as good
+	Remaining     int64 // until the client waits no longer
+	Class         int   // its request class
+	Tenant        int   // -1: none stated
+	Key           uint64
+	HasKey        bool // requests of one key go to the same candidates; without a key any will do
 	IsWrite       bool
-	PredictedWork int64 // time on a standard core; 0: not stated
+	PredictedWork int64 // on a standard core; 0: not stated
 }
 
-// HandleRequest takes a request. index is its place until its final answer and the end of its last attempt.
+// HandleRequest takes a request that has arrived. index is its own until it has its final answer and its last attempt
+// has ended; then another request may have it.
 func (b *Balancer) HandleRequest(now int64, index int, info RequestInfo) {
 	b.advanceClock(now)
 	b.requests = append(b.requests, make([]requestState, max(0, index+1-len(b.requests)))...)
@@ -146,16 +154,16 @@
 	b.admit(now, index, info)
 }
 
-// HandleResponseStarted says that the answer of a streamed request has begun: it is the client's now and has no deadline.
+// HandleResponseStarted says that the answer of a streamed request has begun. From then on the request has no deadline
+// and is not hedged, and it counts as load at no endpoint: how long it takes is up to its client.
 func (b *Balancer) HandleResponseStarted(index, attempt int) {
 	request := &b.requests[index]
 	request.start()
 	request.attempts[attempt].state = completed
-	// It is hedged no more, and what still comes of it takes no endpoint's capacity.
 	b.addInFlight(request, request.attempts[attempt].endpoint, -1)
 }
 
-// AttemptResult is how an attempt ended.
+// AttemptResult is how an attempt ended. Latency is in nanoseconds.
 type AttemptResult struct {
 	Attempt     int // its number: the order of the request's Sends, from 0
 	Endpoint    int
@@ -165,7 +173,8 @@
 	IsAnswered  bool  // the request has its final answer, by this attempt or before
 }
 
-// HandleAttemptEnded takes how an attempt ended, once for each Send. A request that has its final answer may still have attempts that end.
+// HandleAttemptEnded takes how an attempt ended, once for each Send. It also comes for attempts of a request that
+// already has its final answer.
 func (b *Balancer) HandleAttemptEnded(now int64, index int, result AttemptResult) {
 	b.advanceClock(now)
 	request := &b.requests[index]
@@ -185,7 +194,7 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// HandleClientCancelled says that the client has gone.
+// HandleClientCancelled says that the client has gone: the request needs no answer.
 func (b *Balancer) HandleClientCancelled(now int64, index int) {
 	if b.requests[index].isOpen {
 		b.closeRequest(now, index, noEndpoint)
@@ -193,7 +202,8 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// ExpireRequest gives a request its final answer now, whatever it waits for, as the process ends. One whose answer has begun goes on.
+// ExpireRequest gives a request its final answer now, whatever it waits for, as the process ends. One whose answer has
+// begun goes on.
 func (b *Balancer) ExpireRequest(now int64, index int) {
 	b.advanceClock(now)
 	if request := &b.requests[index]; request.isOpen && !request.hasStarted() {
@@ -201,7 +211,8 @@
 	}
 }
 
-// HandleTimer says that a timer which SetTimer asked for has come due. Timers are not cancelled: one that nothing waits for any more is ignored.
+// HandleTimer says that a timer that SetTimer asked for has come due. Timers are not cancelled: one that nothing waits
+// for any more is ignored.
 func (b *Balancer) HandleTimer(now int64, tag int) {
 	b.advanceClock(now)
 	switch index := tag - timerRequest; {
@@ -212,7 +223,8 @@
 	}
 }
 
-// HandleLoadReport takes an endpoint's load report, its figures in the order of the settings; NaN for those that it lacks.
+// HandleLoadReport takes an endpoint's load report: its figures in the order of the settings, NaN for one that it
+// lacks.
 func (b *Balancer) HandleLoadReport(index int, figures []float64) {
 	endpoint := &b.endpoints[index]
 	if b.isListed(endpoint) && index != b.origin {
@@ -220,8 +232,8 @@
 	}
 }
 
-// UpdatePeerVerdict sets what other balancers' reports take from an endpoint's chance to be selected, from 0 to 1. Under 0: this balancer holds
-// the probe lease and is to try the endpoint.
+// UpdatePeerVerdict sets by how much other balancers' reports lower an endpoint's chance to be selected, from 0 to 1.
+// Under 0, this balancer holds the probe lease of the endpoint and is to try it.
 func (b *Balancer) UpdatePeerVerdict(index int, verdict float64) {
 	b.endpoints[index].outlier.peerVerdict = verdict
 }
@@ -231,15 +243,17 @@
 	b.quotas.SetQuota(tenant, requestsPerSecond)
 }
 
-// SetFleetShare sets which share of what all balancers may do is this one's, in place of an even one of those that the settings state.
+// SetFleetShare sets this balancer's share of what all balancers may do together, from 0 to 1. It replaces the even
+// share by the number of balancers that the settings state.
 func (b *Balancer) SetFleetShare(share float64) { b.fleetSize = 1 / min(1, max(share, minFleetShare)) }
 
-// minFleetShare keeps the fleet's size finite: a millionth is less than one of the most balancers there may be.
+// minFleetShare keeps the fleet's size finite. A millionth is less than the even share in any fleet there may be.
 const minFleetShare = 1e-6
 
-// SetProcessShare sets which share of the balancer's attempts this process sends, where two processes of it run over an upgrade: its share
-// of what endpoints may be sent while they warm up.
+// SetProcessShare sets this process's share of the balancer's attempts, from 0 to 1, while two processes of it run over
+// an upgrade. It is its share of the slow-start budget, too.
 func (b *Balancer) SetProcessShare(share float64) { b.processShare = share }
 
-// SetWidespreadMisses sets whether all balancers agree that reads miss: a key keeps to one order for all then, to be fetched once.
+// SetWidespreadMisses sets whether all balancers agree that many reads miss. While they do, a key's candidates are
+// tried in one order by all balancers, so that the key is fetched once.
 func (b *Balancer) SetWidespreadMisses(areWidespread bool) { b.widespreadMisses = areWidespread }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,11 +5,14 @@
 	"slices"
 )
 
-// The ordinary path of a request, from the scan server dispatcher of "Eventually Consistent scans / ScanServer feature (Apache Accumulo PR #2665)": a hash maps its key to
-// the same few candidates out of many, the attempt goes to one of them at random, a rejection makes it choose from a quickly growing set (3, 21, 147, all),
-// and once the set is everything it waits exponentially longer, as many rejections tell that the whole fleet is busy. docs/design.md lists what differs and why.
+// The ordinary path of a request, from the scan server dispatcher of "Eventually Consistent scans / ScanServer feature
+// (Apache Accumulo PR #2665)": a hash maps its key to the same few candidates out of many, and the attempt goes to one
+// of them at random. A rejection tells that these are full: the request chooses from a quickly growing set (3, 21, 147,
+// all). Once the set is everything, many rejections tell that the whole fleet is busy: the request waits, exponentially
+// longer, and ends while an answer still has value. docs/design.md lists what differs and why.
 
-// answerMargin is how long before its deadline a queued or waiting request gets its final answer, so that the answer still reaches the client.
+// answerMargin is how long before its deadline a request that waits gets its final answer, in nanoseconds, so that the
+// answer still reaches the client.
 const answerMargin = 25 * millisecond
 
 // attempt is one request sent to one endpoint.
@@ -28,7 +31,7 @@
 
 	usefulUntil int64 // an answer after it has no value
 	deadline    int64 // attempts end by then
-	answerBy    int64 // with nothing in flight its final answer is due by then, whatever clocks say
+	answerBy    int64 // while nothing is in flight, its final answer is due by then
 
 	attempts  []attempt
 	inFlight  int // attempts
@@ -36,21 +39,22 @@
 	openIndex int // its place in Balancer.openRequests
 
 	candidateCount int   // among how many candidates it chooses
-	backoff        int64 // its last wait; 0: none yet
+	backoff        int64 // its last wait, nanoseconds; 0: none yet
 	timerAt        int64 // when its timer counts; 0: none
 
-	queue      *keyQueue // that it stands in; nil: none
-	isDequeued bool      // its turn has come
+	queue      *keyQueue // of its key; nil: none
+	isDequeued bool      // it no longer waits in that
 
 	// Cache-aside (cacheaside.go).
-	missedAt       int  // the cache that lacked the key first; noEndpoint
+	missedAt       int  // the first cache that lacked its key; noEndpoint
 	bypassesCaches bool // it asks the origin, as the caches are overloaded
 	isFetching     bool // it asks the origin for its key
-	awaitsFetch    bool // another request does
+	awaitsFetch    bool // another request does, and it waits for that
 }
 
-// newRequest begins a request. Where clocks differ (deadlineDrift) its client may wait longer than stated: attempts end when it goes, and what waits ends in
-// time whatever the clocks say.
+// newRequest begins a request. Where the clocks of clients may be off, by deadlineDrift, the client may wait so much
+// longer than stated: attempts may take until then. A request that waits gets its final answer by the stated time, or
+// after deadlineDrift if that is later.
 func newRequest(now int64, info RequestInfo, key uint64, class *requestClass, deadlineDrift int64, attempts []attempt) requestState {
 	r := requestState{
 		class:          info.Class,
@@ -71,7 +75,7 @@
 	return r
 }
 
-// start frees a request of its deadline, as its answer has begun.
+// start removes the deadline of a request whose answer has begun.
 func (r *requestState) start() {
 	r.usefulUntil, r.deadline, r.timerAt = math.MaxInt64, math.MaxInt64, 0
 }
@@ -84,7 +88,7 @@
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == endpoint })
 }
 
-// dispatch sends a request to an endpoint, has it wait, or gives it its final answer.
+// dispatch sends a request to an endpoint, has it wait, or gives it its final answer. Nothing of it is in flight.
 func (b *Balancer) dispatch(now int64, index int) {
 	request := &b.requests[index]
 	if request.bypassesCaches && !request.isFetching {
@@ -109,7 +113,8 @@
 	}
 }
 
-// chooseTarget is the endpoint that a request goes to next. The set of candidates grows until one of them may be sent to.
+// chooseTarget returns the endpoint that a request goes to next, or noEndpoint. The set of candidates grows until one
+// of them may be sent to.
 func (b *Balancer) chooseTarget(now int64, request *requestState) (target int, isOriginFull bool) {
 	if b.goesToOrigin(request) {
 		return b.origin, b.isOriginFull(request)
@@ -141,7 +146,8 @@
 	b.addInFlight(request, target, 1)
 	until := request.deadline
 	if request.isKeyThrottled() || b.settings.hasFewBuffers {
-		until = request.usefulUntil // What it would still hold after that is dearer than its answer.
+		// The concurrency or the buffer that it would hold after that is worth more than a late answer.
+		until = request.usefulUntil
 	}
 	b.executor.Send(index, target, until)
 	overdueAt := b.overdueAt(now, request)
@@ -155,7 +161,7 @@
 	}
 }
 
-// addInFlight counts an attempt that began or ended.
+// addInFlight counts an attempt that began (change is 1) or ended (-1).
 func (b *Balancer) addInFlight(request *requestState, target, change int) {
 	endpoint := &b.endpoints[target]
 	endpoint.load.settle(b.clock.evidence)
@@ -171,19 +177,29 @@
 func (b *Balancer) continueRequest(now int64, index int, result AttemptResult) {
 	request := &b.requests[index]
 	outcome := result.Outcome
+	if !request.isOpen {
+		return
+	}
+	if result.IsAnswered {
+		storedAt := noEndpoint
+		if outcome == OK {
+			storedAt = request.missedAt
+		}
+		b.closeRequest(now, index, storedAt)
+		return
+	}
+	if request.inFlight > 0 || request.hasStarted() {
+		return // Another attempt may still answer, or does.
+	}
 	switch {
-	case !request.isOpen:
-	case result.IsAnswered && outcome == OK:
-		b.closeRequest(now, index, request.missedAt)
-	case result.IsAnswered:
-		b.closeRequest(now, index, noEndpoint)
-	case request.inFlight > 0 || request.hasStarted(): // Another attempt may still answer, or does.
 	case b.isFinalFailure(now, request, result):
 		b.finish(now, index, AttemptFailed)
 	case outcome == CacheMiss:
 		b.coalesceOriginFetch(now, index)
-	case result.Endpoint == b.origin, outcome == Rejected && request.candidateCount >= len(b.ready):
-		b.backOff(now, index, EndpointsBusy) // An origin that takes no connection is taken for busy.
+	case result.Endpoint == b.origin:
+		b.backOff(now, index, EndpointsBusy) // It rejected, or took no connection, as one that is busy does.
+	case outcome == Rejected && request.candidateCount >= len(b.ready):
+		b.backOff(now, index, EndpointsBusy)
 	case outcome == Rejected:
 		request.candidateCount *= expansionFactor
 		b.dispatch(now, index)
@@ -192,22 +208,26 @@
 	}
 }
 
-// isFinalFailure tells whether a retry would not mend what an attempt ended with.
+// isFinalFailure tells whether a retry could not succeed after what an attempt ended with.
 func (b *Balancer) isFinalFailure(now int64, request *requestState, result AttemptResult) bool {
 	outcome := result.Outcome
 	switch {
-	case outcome == TimedOut || outcome == NotSent && b.settings.deadlineDrift > 0:
-		return true // The client has gone, whatever was stated.
 	case now >= request.deadline:
 		return true
+	case outcome == TimedOut:
+		return true // The client has gone, whatever remaining time it stated.
+	case outcome == NotSent && b.settings.deadlineDrift > 0:
+		return true // So it has.
 	case result.Endpoint == b.origin && outcome != Rejected && outcome != ConnectFailed:
-		return true
+		return true // The origin has answered, and there is only one.
+	case outcome != Errored:
+		return false
 	}
-	// While the key or the origin is in trouble the next endpoint would answer the same.
-	return outcome == Errored && (request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.evidence, 0))
+	// While a key or the origin is failing, the next endpoint would answer the same.
+	return request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.evidence, 0)
 }
 
-// finish gives a request that no endpoint answered its final answer, at once.
+// finish gives a request that no endpoint answered its final answer: it is rejected if that is true, else it fails.
 func (b *Balancer) finish(now int64, index int, reason Reason) {
 	request := &b.requests[index]
 	canReject, retryAfter := b.canReject(request), b.retryAfter(request)
@@ -220,7 +240,8 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// closeRequest forgets a request that has its final answer. storedAt is the cache that holds its key now, if its fetch succeeded.
+// closeRequest ends a request that has its final answer: it cancels what is in flight, and has the requests that wait
+// for its fetch go on. storedAt is the cache that holds its key now, if it has fetched that; else noEndpoint.
 func (b *Balancer) closeRequest(now int64, index, storedAt int) {
 	request := &b.requests[index]
 	request.isOpen = false
@@ -237,18 +258,19 @@
 	}
 }
 
-// handleRequestTimer acts on a request whose timer has come due: its turn in a queue, the end of a backoff, a fetch that did not come, or an attempt that is
-// overdue.
+// handleRequestTimer acts on a request whose timer has come due: its turn in a queue, the end of a backoff, a fetch
+// that did not come, or an attempt that is overdue.
 func (b *Balancer) handleRequestTimer(now int64, index int) {
 	request := &b.requests[index]
-	switch {
-	case !request.isOpen:
+	if !request.isOpen {
 		return
-	case request.queue != nil && !request.isDequeued:
+	}
+	if request.queue != nil && !request.isDequeued {
 		b.handleQueueTimer(now, index)
 		return
-	case request.timerAt == 0 || request.timerAt > now:
-		return // A later one counts.
+	}
+	if request.timerAt == 0 || request.timerAt > now {
+		return // This one was set before the last that counts.
 	}
 	request.timerAt = 0
 	switch {
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,22 +1,30 @@
 package policy
 
-// The endpoint list: what discovery tells of each endpoint, and which endpoints may be sent to by it. An update is told entry by entry between
-// BeginEndpointUpdate and CommitEndpointUpdate; an entry keeps its index for as long as it is known.
+// The endpoint list: what discovery tells of each endpoint, and which endpoints may be sent to by it. An update is told
+// entry by entry between BeginEndpointUpdate and CommitEndpointUpdate; an endpoint keeps its index for as long as it is
+// known.
+//
+// A call for the list that fails is repeated after a wait that doubles and is spread by chance (exponential backoff
+// with jitter). This guards discovery against all balancers that call again at once, which shows as failures that go on
+// after their cause has gone. Meanwhile endpoints are judged by their answers.
 
 const (
-	// maxListBackoff bounds the wait after failed calls for the list: half of the time after which changes count as told, so that one more call may fail.
-	// The wait doubles from listBackoff, at most maxListDoublings times.
+	// listBackoff is the wait after failed calls for the list, in nanoseconds: it doubles with each, maxListDoublings
+	// times at most. That comes to 3 s with jitter, half of the time after which a change counts as told, so that one
+	// more call may fail.
 	listBackoff      = second / 4
 	maxListDoublings = 3
 
-	// pushedDrainPart is the part of the drains' grace in which a pushed list is looked for: what is pushed counts as told once it can be heard.
+	// pushedDrainPart: a pushed list is called for within one in so many parts of the grace of a drain, as what is
+	// pushed counts as told whether it is heard or not.
 	pushedDrainPart = 8
 )
 
-// machineType is what endpoints of one type, or of all, have answered. An endpoint is taken for one of its type until its own answers tell otherwise.
+// machineType is what endpoints of one type, or all, have answered. An endpoint is taken for one of its type until its
+// own answers tell otherwise.
 type machineType struct {
 	latency latencyRecord
-	weight  float64 // the largest that a list stated of one of them
+	weight  float64 // the largest that a list has stated for one of them
 }
 
 // endpointState is what is known of one endpoint, by the rule that owns it.
@@ -30,7 +38,7 @@
 	machineType  int
 	zone         int
 	replicaGroup int
-	isListed     bool // by the update that is being told
+	isListed     bool // it has an entry in the update that is being told
 	hasDrained   bool // and has not been ready since
 
 	load      loadMeter
@@ -72,8 +80,7 @@
 	}
 }
 
-// scheduleListCall guards discovery against all balancers that call it at once after a failure: the wait grows, is spread by chance, and stays near
-// the time after which changes count as told.
+// scheduleListCall sets the timer for the next call for the list after one that failed.
 func (b *Balancer) scheduleListCall() {
 	b.listFailures = min(b.listFailures+1, maxListDoublings)
 	wait := float64(listBackoff) * float64(int(1)<<b.listFailures)
@@ -84,16 +91,16 @@
 	if longest > 0 {
 		wait = min(wait, longest)
 	}
-	b.executor.SetTimer(timerList, int64((0.5+b.random.float64())*wait))
+	b.executor.SetTimer(timerList, int64(b.random.jitter()*wait))
 }
 
-// UpdateEndpoint takes one entry. index is the endpoint's place: a known one, or the next.
+// UpdateEndpoint takes one entry of an update. index is that of a known endpoint, a free one, or the next.
 func (b *Balancer) UpdateEndpoint(now int64, index int, info EndpointInfo) {
 	if index == len(b.endpoints) {
 		b.endpoints = append(b.endpoints, endpointState{})
 	}
 	endpoint := &b.endpoints[index]
-	if !endpoint.isKnown() { // Its place is new, or was another's.
+	if !endpoint.isKnown() { // Its index is new, or was another's.
 		*endpoint = endpointState{hash: hashAddress(info.Address), retries: retryBudget{tokens: 1}}
 		endpoint.slowStart.updatedAt = now
 		endpoint.report.servedRate = notReported
@@ -104,15 +111,17 @@
 	endpoint.hasDrained = info.Health == Draining || endpoint.hasDrained && info.Health == Removed
 	endpoint.health, endpoint.isListed = info.Health, true
 	endpoint.machineType, endpoint.zone, endpoint.replicaGroup = info.MachineType+1, info.Zone, info.ReplicaGroup
-	// Also of endpoints that are not ready: an attempt may end at one never called ready.
+	// Types of endpoints that are not ready count, too: an attempt may end at an endpoint of a type that was never
+	// ready.
 	for len(b.machineTypes) <= endpoint.machineType {
 		b.machineTypes = append(b.machineTypes, machineType{})
 	}
 	endpoint.weight = b.stableWeight(endpoint.machineType, info.Weight)
 }
 
-// stableWeight guards keys against stated weights that move with load, as each move takes keys from one endpoint to another: what stays is
-// the largest that any endpoint of the machine type had. Without a stated weight all count the same.
+// stableWeight returns the weight that an endpoint is ranked by. Stated weights that move with load would take keys
+// from one endpoint to another with each list; where the settings say that they do, the largest that any endpoint of
+// the machine type has had counts. Where none is stated all endpoints count the same.
 func (b *Balancer) stableWeight(machineType int, stated float64) float64 {
 	switch known := &b.machineTypes[machineType]; {
 	case stated <= 0:
@@ -124,7 +133,8 @@
 	return stated
 }
 
-// RemoveEndpoint frees the place of an endpoint that is gone, once no request has an attempt there.
+// RemoveEndpoint frees the index of an endpoint that the list has removed. No request may have an attempt there any
+// more.
 func (b *Balancer) RemoveEndpoint(index int) { b.endpoints[index] = endpointState{health: Removed} }
 
 // CommitEndpointUpdate ends an update: from now on the list is as told.
@@ -163,8 +173,8 @@
 	b.reports.add(endpoint.report)
 }
 
-// isListed tells whether the list lets an endpoint be sent to. Where only draining binds, the list does not prove what is up: one that is gone
-// without having drained stays, and its answers decide.
+// isListed tells whether the list lets an endpoint be sent to. Where only draining binds, the list does not prove what
+// is up: an endpoint that is removed without having drained may still be sent to, and its answers decide.
 func (b *Balancer) isListed(endpoint *endpointState) bool {
 	if endpoint.health == Ready {
 		return true
@@ -172,11 +182,17 @@
 	return b.settings.onlyDrainingBinds && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
 }
 
-// hashAddress is FNV-1a of 64 bits.
+// The parameters of FNV-1a with 64 bits (Fowler, Noll and Vo).
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// hashAddress is FNV-1a of an address.
 func hashAddress(address string) uint64 {
-	hash := uint64(14695981039346656037)
+	hash := uint64(fnvOffset)
 	for i := range len(address) {
-		hash = (hash ^ uint64(address[i])) * 1099511628211
+		hash = (hash ^ uint64(address[i])) * fnvPrime
 	}
 	return hash
 }
--- a/policy/executor.go
+++ b/policy/executor.go
@@ -1,14 +1,16 @@
 package policy
 
-// Executor carries out what the module decides. Its methods do not call back. An attempt's number is its place in the order of a request's Sends.
+// Executor carries out what the module decides. Its methods do not call the Balancer back. Requests and endpoints are
+// known by their index, attempts by their number: the place in the order of a request's Sends, from 0. Times are
+// nanoseconds.
 type Executor interface {
-	// Send starts an attempt; it is over at the time until at the latest.
+	// Send starts an attempt, which ends by the time until. HandleAttemptEnded is called for each Send.
 	Send(request, endpoint int, until int64)
-	// Reject gives the final answer that the request had no effect and may be tried again, after retryAfter if that is not 0.
+	// Reject gives the final answer that the request may be sent again without harm, after retryAfter if that is not 0.
 	Reject(request int, reason Reason, retryAfter int64)
 	// Fail gives the final answer that the request failed; it may have had its effect.
 	Fail(request int, reason Reason)
-	// Cancel ends an attempt whose answer nobody needs. It still gets its end.
+	// Cancel ends an attempt whose answer nobody needs. HandleAttemptEnded is still called for it.
 	Cancel(request, attempt int)
 	// SetTimer has HandleTimer called with the tag after so long. Timers are not cancelled.
 	SetTimer(tag int, after int64)
@@ -24,17 +26,25 @@
 	OK            Outcome = iota
 	Errored               // the endpoint answered with an error
 	Rejected              // the endpoint answered that it is full
-	TimedOut              // no answer by its deadline
+	TimedOut              // no answer came until its deadline
 	ConnectFailed         // no connection came about
 	Reset                 // the connection broke after the request was sent
 	Cancelled             // the balancer ended it
 	NotSent               // withdrawn, or no connection was free here
 	CacheMiss             // cache-aside: the cache lacks the key
+	outcomes
 )
 
+// outcomeNames are for people who read logs or failed tests.
+var outcomeNames = [outcomes]string{"ok", "errored", "rejected", "timed out", "connect failed", "reset", "cancelled", "not sent", "cache miss"}
+
+// String names an outcome.
+func (o Outcome) String() string { return outcomeNames[o] }
+
 // executionState is what is known of whether an attempt ran at its endpoint.
 type executionState int8
 
+// The states of execution.
 const (
 	inFlight executionState = iota
 	mayHaveRun
@@ -42,7 +52,7 @@
 	completed
 )
 
-// executionState is what an outcome proves.
+// executionState is what an outcome proves of whether its attempt ran.
 func (o Outcome) executionState() executionState {
 	switch o {
 	case OK:
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -5,14 +5,19 @@
 	"slices"
 )
 
-// Requests of one key that go one at a time, or a few. Two reasons for a queue, each with its own queue of a key:
+// Requests of one key that go one at a time, or a few. There are two reasons for a queue, and a key may have one for
+// each:
 //
-// Order: the class asks for it (keepOrder). Requests with one key go in the order in which they came; the next goes when all before it have their final answer and each
-// of their attempts its outcome, and after an attempt that may still run, when the key has rested for orderSettle.
+// Order: the class asks for it (keepOrder). Requests with one key go in the order in which they came. The next one goes
+// when all before it have their final answer and each of their attempts its outcome, and, after an attempt that may
+// still run, when the key has rested for orderSettle. This guards writes of one key against running in another order
+// than they were sent.
 //
-// A throttled key: attempts of a key fail at one endpoint after the other, which a sequential probability ratio test holds against how many attempts of all are poor. What
-// holds such a key up is behind all endpoints, and each attempt that waits there keeps capacity from other keys. Its concurrency grows with timely answers
-// and shrinks with failures; what its attempts do is not held against endpoints. This guards all other keys against one lock or one dear key.
+// A throttled key: its attempts fail at one endpoint after the other, by the odds of a sequential probability ratio
+// test (Wald, 1945) against the part of all attempts that are poor. What holds such a key up is behind all endpoints,
+// as a lock or a dear computation is, and each attempt that waits there keeps capacity from other keys. Its concurrency
+// grows with timely answers and shrinks with failures, and what its attempts do is not held against endpoints. This
+// guards all other keys; else the endpoints would look like outliers one after the other.
 //
 // No queue holds a request whose turn would come too late to have value: it is rejected at once.
 
@@ -20,72 +25,80 @@
 	// maxQueueLength bounds one queue, however quick it is.
 	maxQueueLength = 256
 
-	// throttleOdds are the odds, as a logarithm, by which a key counts as held up: a hundred to one.
+	// throttleOdds are the odds, as a natural logarithm, at which a key is throttled: a hundred to one.
 	throttleOdds = 4.6
 
-	// throttledFailureRatio is the part of a held-up key's attempts that fail.
+	// throttledFailureRatio is the part of the attempts that fail where something behind all endpoints holds a key up.
 	throttledFailureRatio = 0.9
 
-	// maxFailureOdds bounds what one failure tells: it takes two endpoints at least.
+	// maxFailureOdds bounds what one failure tells, so that it takes failures at two endpoints at least.
 	maxFailureOdds = throttleOdds / 2
 
 	// poorPrior keeps the ratio of poor attempts off 0 and 1 while few are known.
 	poorPrior = 0.1
 
-	// Concurrency of a throttled key: it grows by one for each round of timely answers and shrinks to concurrencyDecrease with each other end. Under one, the key
-	// rests between turns.
+	// concurrencyDecrease is the part of a throttled key's concurrency that a late answer or a failure leaves. A timely
+	// answer adds one for each round of answers.
 	concurrencyDecrease = 0.7
-	minConcurrency      = 1.0 / 16
 
-	// dissolveConcurrency is the concurrency at which an empty queue of a throttled key is given up.
+	// minConcurrency is the least concurrency of a throttled key. Under one, the key rests between turns.
+	minConcurrency = 1.0 / 16
+
+	// dissolveConcurrency is the concurrency from which on a key whose queue is empty is throttled no more.
 	dissolveConcurrency = 4.0
 
-	// idleWindows is after how many time constants without a request a throttled key is one like others again.
+	// idleWindows is after how many time constants without a request a key is throttled no more.
 	idleWindows = 10
 
-	// turnSmoothing is the weight of what is known of the length of a turn against a new one.
+	// turnSmoothing: a new turn counts for one in so many parts of the mean length of a turn.
 	turnSmoothing = 4
 
-	// Idle queues are removed when there are more than freeQueues and two for each open request.
+	// Idle queues are removed when there are more than freeQueues, and queuesPerRequest for each open request.
 	freeQueues       = 64
 	queuesPerRequest = 2
 )
 
-// keyQueueID names a queue: a key may have one for order and one as it is throttled.
+// keyQueueID names a queue: a key may have one for order, and one while it is throttled.
 type keyQueueID struct {
 	key     uint64
 	inOrder bool
 }
 
-// keyQueue is the queue of one key. Requests that wait have had no attempt.
+// keyQueue is the queue of one key. A request that waits in it has had no attempt.
 type keyQueue struct {
 	inOrder     bool
-	waiting     []int   // requests, first come first
-	active      int     // dequeued and not over, or with an attempt that has no outcome
+	waiting     []int   // requests, in the order in which they came
+	active      int     // requests that were dequeued and are not over, or have an attempt without an outcome
 	concurrency float64 // how many may be active
-	restsUntil  int64   // nobody is dequeued before
-	meanTurn    float64 // nanoseconds
-	isDequeuing bool    // guards against a request that ends at once and calls back
+	restsUntil  int64   // none is dequeued before
+	meanTurn    float64 // how long one is active, nanoseconds
+	isDequeuing bool    // a request that ends as it is dequeued does not dequeue the next by itself
 }
 
-// isIdle tells whether a queue has nothing to do at a time.
+// isIdle tells whether nothing waits or is active in a queue, and its key has rested by a time.
 func (q *keyQueue) isIdle(at int64) bool {
 	return q.active == 0 && len(q.waiting) == 0 && at >= q.restsUntil
 }
 
+// isForgotten tells whether a throttled key has had no request for so long that it is one like others again.
+func (q *keyQueue) isForgotten(now int64) bool {
+	return !q.inOrder && q.isIdle(now-idleWindows*timeConstant)
+}
+
 // expectedTurn is when a request that comes now would be dequeued.
 func (q *keyQueue) expectedTurn(now int64) int64 {
 	ahead := float64(len(q.waiting) + q.active)
 	return max(now, q.restsUntil) + int64(ahead*q.meanTurn/q.concurrency)
 }
 
-// isKeyThrottled tells whether a request's key is held up wherever it goes.
+// isKeyThrottled tells whether a request goes through the queue of a throttled key.
 func (r *requestState) isKeyThrottled() bool { return r.queue != nil && !r.queue.inOrder }
 
-// lastTurn is until when a request can be dequeued.
+// lastTurn is until when a request can be dequeued with time left for an answer.
 func (r *requestState) lastTurn() int64 { return min(r.usefulUntil, r.answerBy) - answerMargin }
 
-// enqueue dispatches a request or puts it into the queue of its key; false if its turn would come too late.
+// enqueue dispatches a request, or puts it into the queue of its key. It returns false, and does neither, if the queue
+// is full or the request's turn would come too late.
 func (b *Balancer) enqueue(now int64, index int, hasKey bool) bool {
 	request := &b.requests[index]
 	id := keyQueueID{request.key, hasKey && b.settings.classes[request.class].inOrder}
@@ -93,7 +106,7 @@
 	if queue == nil && id.inOrder {
 		queue = b.newKeyQueue(now, id)
 	}
-	if queue == nil || !queue.inOrder && queue.isIdle(now-idleWindows*timeConstant) {
+	if queue == nil || queue.isForgotten(now) {
 		b.dispatch(now, index)
 		return true
 	}
@@ -107,7 +120,7 @@
 	return true
 }
 
-// newKeyQueue begins a queue, and makes room first: of idle ones none is kept for long.
+// newKeyQueue begins a queue. It first removes idle ones where there are many.
 func (b *Balancer) newKeyQueue(now int64, id keyQueueID) *keyQueue {
 	for other, queue := range b.keyQueues {
 		if len(b.keyQueues) > freeQueues+queuesPerRequest*len(b.openRequests) && queue.isIdle(now) {
@@ -118,7 +131,7 @@
 	return b.keyQueues[id]
 }
 
-// dequeue dispatches those whose turn has come. One that ends at once makes room for the next.
+// dequeue dispatches the requests whose turn has come. One that ends at once leaves its turn to the next.
 func (b *Balancer) dequeue(now int64, queue *keyQueue) {
 	for !queue.isDequeuing && len(queue.waiting) > 0 && float64(queue.active) < queue.concurrency {
 		index := queue.waiting[0]
@@ -134,7 +147,8 @@
 	}
 }
 
-// handleQueueTimer acts on the timer of a request in a queue: its turn may have come, or its time be over.
+// handleQueueTimer acts on the timer of a request that waits in a queue: its turn may have come, or its time may be
+// over.
 func (b *Balancer) handleQueueTimer(now int64, index int) {
 	request := &b.requests[index]
 	b.dequeue(now, request.queue)
@@ -143,50 +157,67 @@
 	}
 }
 
-// recordKeyFailure gathers what speaks for a key that is held up behind all endpoints: the logarithm of the odds of its outcomes, if nine in ten fail, against the part of all
-// attempts that are poor. Only failures at another endpoint than the last count.
+// recordKeyFailure gathers the odds that something behind all endpoints holds a request's key up: that
+// throttledFailureRatio of its attempts fail, against the part of all attempts that are poor. A key whose odds reach
+// throttleOdds is throttled. A failure at the endpoint of the last one tells nothing new.
 func (b *Balancer) recordKeyFailure(now int64, request *requestState, result AttemptResult) {
-	record, poor := &b.recentKeys[request.key%maxRecentKeys], b.quality.late.ValueAt(b.clock.evidence)
-	poor = (poor + poorPrior) / (poor + b.quality.timely.ValueAt(b.clock.evidence) + 1)
+	record, late := &b.recentKeys[request.key%maxRecentKeys], b.quality.late.ValueAt(b.clock.evidence)
+	poor := (late + poorPrior) / (late + b.quality.timely.ValueAt(b.clock.evidence) + 1)
 	isKnown := record.key == request.key
-	switch outcome := result.Outcome; {
-	case outcome == OK && isKnown:
-		record.suspicion = max(0, record.suspicion+math.Log((1-throttledFailureRatio)/(1-poor)))
-	case outcome != Errored && outcome != TimedOut:
-	case !isKnown:
-		*record = keyRecord{key: request.key, endpoint: noEndpoint, failedAt: result.Endpoint, suspicion: failureOdds(poor)}
-	case record.failedAt != result.Endpoint:
-		record.failedAt = result.Endpoint
-		record.suspicion += failureOdds(poor)
-		id := keyQueueID{key: request.key}
-		if record.suspicion >= throttleOdds && b.keyQueues[id] == nil {
-			record.suspicion = 0
-			b.newKeyQueue(now, id)
+	if result.Outcome == OK {
+		if isKnown {
+			record.suspicion = max(0, record.suspicion+math.Log((1-throttledFailureRatio)/(1-poor)))
 		}
+		return
+	}
+	if result.Outcome != Errored && result.Outcome != TimedOut {
+		return
+	}
+	if !isKnown {
+		*record = keyRecord{key: request.key, endpoint: noEndpoint, failedAt: result.Endpoint, suspicion: failureOdds(poor)}
+		return
+	}
+	if record.failedAt == result.Endpoint {
+		return
+	}
+	record.failedAt = result.Endpoint
+	record.suspicion += failureOdds(poor)
+	id := keyQueueID{key: request.key}
+	if record.suspicion >= throttleOdds && b.keyQueues[id] == nil {
+		record.suspicion = 0
+		b.newKeyQueue(now, id)
 	}
 }
 
-// failureOdds is what one failure of a key tells, where a part of all attempts is poor.
+// failureOdds is what one failure of a key adds to the odds, as a natural logarithm, where poor is the part of all
+// attempts that are.
 func failureOdds(poor float64) float64 {
 	return min(maxFailureOdds, math.Log(throttledFailureRatio/poor))
 }
 
-// adjustKeyConcurrency has the key of an attempt that may still run rest for orderSettle, and a throttled one take as many turns as are answered soon.
+// adjustKeyConcurrency takes the end of an attempt whose request is in a queue. A key in order rests after an attempt
+// that may still run; a throttled one gets more turns with each timely answer, and fewer with each other.
 func (b *Balancer) adjustKeyConcurrency(now int64, request *requestState, result AttemptResult) {
 	queue, outcome := request.queue, result.Outcome
+	if queue == nil {
+		return
+	}
+	if queue.inOrder {
+		if outcome == TimedOut || outcome == Reset || outcome == Cancelled {
+			queue.restsUntil = max(queue.restsUntil, now+b.settings.orderSettle)
+		}
+		return
+	}
 	switch {
-	case queue == nil:
-	case queue.inOrder && (outcome == TimedOut || outcome == Reset || outcome == Cancelled):
-		queue.restsUntil = max(queue.restsUntil, now+b.settings.orderSettle)
-	case queue.inOrder || outcome != OK && outcome != Errored && outcome != TimedOut:
 	case outcome == OK && result.Latency < b.settings.classes[request.class].objective/timelyShare:
 		queue.concurrency += 1 / max(1, queue.concurrency)
-	default:
+	case outcome == OK || outcome == Errored || outcome == TimedOut:
 		queue.concurrency = max(minConcurrency, queue.concurrency*concurrencyDecrease)
 	}
 }
 
-// leaveKeyQueue takes a request that is over out of its queue, once each of its attempts has ended.
+// leaveKeyQueue takes a request that has its final answer out of its queue, once each of its attempts has ended, and
+// has the next one go.
 func (b *Balancer) leaveKeyQueue(now int64, index int) {
 	request := &b.requests[index]
 	queue := request.queue
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Queues of keys that come once would pile up. One is idle, and may go, once nobody waits, nothing is active and the key
-// has rested.
+// Queues of keys that come once would pile up. One is idle, and may go, once nobody waits, nothing is active and the
+// key has rested.
 func TestQueueIsIdleOnceItsKeyHasRested(t *testing.T) {
 	for _, c := range []struct {
 		queue keyQueue
--- a/policy/observations.go
+++ b/policy/observations.go
@@ -2,17 +2,19 @@
 
 import "math"
 
-// What the end of an attempt teaches, and what load reports tell. Each count belongs to the rule that decides by it; this file says which outcomes go
-// where. All of it is this balancer's own and fades by the clock of evidence.
+// What the end of an attempt teaches, and what load reports tell. Each count belongs to the rule that decides by it;
+// this file says which outcomes go where. All of it is this balancer's own, and the sums fade by the clock of evidence.
 
 const (
-	// lateRatio is the part of the objective after which an answer counts as late: queues are seen before answers lose their value.
+	// lateRatio is the part of the objective after which an answer counts as late, so that queues show before answers
+	// lose their value.
 	lateRatio = 0.75
 
-	// timelyShare: an answer within one in so many parts of the objective shows room for more.
+	// timelyShare: an answer within one in so many parts of the objective shows that more could be answered in time.
 	timelyShare = 2
 
-	// maxRecentKeys is for how many keys it is remembered where they were read last: a prime, as a key's place is its remainder.
+	// maxRecentKeys is for how many keys at most it is remembered where they were read last. A key's place is its
+	// remainder, so it is a prime.
 	maxRecentKeys = 8191
 
 	// notReported is the rate of an endpoint that has sent no load report.
@@ -26,32 +28,34 @@
 	reportPending    = "pending"   // requests queued
 )
 
-// attemptQuality counts attempts that ended in time, and others, late or failed. They fade.
+// attemptQuality counts attempts that ended in time, and those that came late or failed.
 type attemptQuality struct{ timely, late sum }
 
-// keyRecord is where a key was read last, and how much speaks for its attempts failing wherever they go (keyqueue.go).
+// keyRecord is what is remembered of a key.
 type keyRecord struct {
 	key       uint64
-	endpoint  int
-	failedAt  int
-	suspicion float64
+	endpoint  int     // that answered it last; noEndpoint
+	failedAt  int     // the endpoint at which it failed last
+	suspicion float64 // odds, as a natural logarithm, that it fails wherever it goes (keyqueue.go)
 }
 
 // loadReport is what an endpoint reported last.
 type loadReport struct {
 	servedRate float64 // requests a second, of all balancers; notReported
-	strain     float64 // how busy it is, 0 to 1
+	strain     float64 // how busy the endpoint is, 0 to 1
 }
 
 // loadReports sums the last reports of ready caches.
 type loadReports struct {
 	servedRate float64
 	strain     float64
-	reporting  float64 // endpoints
+	reporting  float64 // caches that have sent one
 }
 
+// reset begins the sum anew, for an update of the endpoint list.
 func (l *loadReports) reset() { *l = loadReports{} }
 
+// add counts an endpoint's last report, if it has sent one.
 func (l *loadReports) add(report loadReport) {
 	if report.servedRate >= 0 {
 		l.servedRate += report.servedRate
@@ -60,7 +64,9 @@
 	}
 }
 
-// replace puts the figures of a new report in the place of an endpoint's last one. NaN: the report lacks it, and the last one holds.
+// replace puts the figures of a new report in the place of an endpoint's last one. The last one's figure holds where
+// the new one's is NaN, as the report lacks it. fields names the figures; those that the module does not read are
+// passed over.
 func (l *loadReports) replace(report *loadReport, figures []float64, fields []string) {
 	if report.servedRate < 0 {
 		report.servedRate = 0
@@ -84,12 +90,16 @@
 // recordOutcome takes what the end of an attempt tells of its endpoint, of the fleet and of the origin.
 func (b *Balancer) recordOutcome(now int64, request *requestState, result AttemptResult) {
 	outcome := result.Outcome
-	if outcome == Cancelled && !request.isOpen || request.isKeyThrottled() {
+	if outcome == Cancelled && !request.isOpen {
+		return // It was cancelled as another attempt answered, or the client had gone: that tells nothing.
+	}
+	if request.isKeyThrottled() {
 		return // What holds its key up is no endpoint's fault.
 	}
 	class := &b.settings.classes[request.class]
 	isSuccess := outcome == OK || outcome == CacheMiss
-	isPoor := !isSuccess || outcome == OK && float64(result.Latency) > lateRatio*float64(class.objective)
+	isLate := outcome == OK && float64(result.Latency) > lateRatio*float64(class.objective)
+	isPoor := !isSuccess || isLate
 	b.recordKeyFailure(now, request, result)
 	b.recordOutage(now, result)
 	b.recordEndpointOutcome(result, isSuccess)
@@ -104,16 +114,18 @@
 	}
 }
 
-// isSilent tells whether an outcome tells of an endpoint or its zone, not of load.
+// isSilent tells whether an endpoint gave no sign of life. That tells of the endpoint or its zone, not of load.
 func (o Outcome) isSilent() bool { return o == ConnectFailed || o == TimedOut }
 
-// recordOutage takes whether an endpoint's zone answers.
+// recordOutage takes whether an endpoint's zone answers. An answer of the origin tells nothing of the caches in its
+// zone.
 func (b *Balancer) recordOutage(now int64, result AttemptResult) {
 	zone := b.endpoints[result.Endpoint].zone
 	switch result.Outcome {
 	case ConnectFailed, TimedOut:
 		b.outages.RecordFailure(zone, result.Endpoint, now)
 	case Cancelled, NotSent, Reset:
+		// Neither an answer nor silence.
 	default:
 		if result.Endpoint != b.origin {
 			b.outages.RecordResponse(zone, now)
@@ -121,7 +133,8 @@
 	}
 }
 
-// recordEndpointOutcome counts for and against an endpoint. Quick errors count, too: an endpoint that fails fast never looks busy.
+// recordEndpointOutcome counts for and against an endpoint. Quick errors count against it, too: an endpoint that fails
+// fast never looks busy. Rejections do not: they tell of load.
 func (b *Balancer) recordEndpointOutcome(result AttemptResult, isSuccess bool) {
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
@@ -135,7 +148,8 @@
 	}
 }
 
-// recordQuality counts attempts that were timely or not, by which quotas are enforced.
+// recordQuality counts timely and poor attempts, by which quotas are enforced. Silence is not counted: a dead endpoint
+// is no reason to reject a tenant's requests.
 func (b *Balancer) recordQuality(outcome Outcome, isPoor bool) {
 	switch {
 	case isPoor && !outcome.isSilent():
@@ -147,19 +161,20 @@
 	b.quotas.RecordOutcomes(b.quality.timely.ValueAt(evidence), b.quality.late.ValueAt(evidence))
 }
 
-// recordOriginOutcome moves the limit of reads at the origin. It guards writes, which have nowhere else to go, against reads that crowd a short origin.
+// recordOriginOutcome moves the limit of reads at the origin. Writes have nowhere else to go: they move nothing.
 func (b *Balancer) recordOriginOutcome(request *requestState, result AttemptResult, objective int64) {
-	switch {
-	case request.isWrite:
-	case result.Outcome == OK && result.Latency < objective/timelyShare:
+	if request.isWrite {
+		return
+	}
+	if result.Outcome == OK && result.Latency < objective/timelyShare {
 		b.originReads.increase()
-	default:
-		b.originReads.decrease()
-		b.count(&b.misses.missed)
+		return
 	}
+	b.originReads.decrease()
+	b.count(&b.misses.missed)
 }
 
-// recordCacheOutcome counts what all caches do.
+// recordCacheOutcome counts what all caches do, and rejections by endpoint and machine type, too.
 func (b *Balancer) recordCacheOutcome(result AttemptResult, isSuccess bool) {
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
@@ -175,7 +190,8 @@
 	}
 }
 
-// recordCacheAnswer takes an answer of a cache, an error too: how long it took, and whether reads miss.
+// recordCacheAnswer takes an answer of a cache, be it a value, a miss or an error: how long it took, and whether reads
+// miss.
 func (b *Balancer) recordCacheAnswer(request *requestState, result AttemptResult, isPoor bool) {
 	evidence, outcome := b.clock.evidence, result.Outcome
 	if outcome == OK {
@@ -203,10 +219,10 @@
 	}
 }
 
-// cacheHit is the AttemptResult.CacheResult of a value that was in the cache; 0: not told.
+// cacheHit is the AttemptResult.CacheResult of a value that was in the cache. 0, not told, is taken for one.
 const cacheHit = 1
 
-// rememberKey notes where a key was answered last.
+// rememberKey notes which endpoint answered a key last.
 func (b *Balancer) rememberKey(key uint64, endpoint int) {
 	record := &b.recentKeys[key%maxRecentKeys]
 	if record.key != key {
--- a/policy/observations_test.go
+++ b/policy/observations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Load reports lack figures, and endpoints leave the list. The sum over endpoints holds the last figure of each that has
-// reported, once, and a figure that a report lacks stays as it was.
+// Load reports lack figures, and endpoints leave the list. The sum over endpoints holds the last figure of each that
+// has reported, once, and a figure that a report lacks stays as it was.
 func TestLoadReportsSumTheLastOfEach(t *testing.T) {
 	fields := []string{reportServedRate, "other", reportCPUShare, reportPending}
 	missing := math.NaN()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,40 +2,55 @@
 
 import "math"
 
-// Which endpoints are passed over because their attempts fail. Each time a candidate is looked at, a chance of success is drawn from the beta posterior of its successes and
-// failures (Thompson sampling, by a normal approximation) and held against a part of the chance that all endpoints have: where all fail alike, as when the origin is in
-// trouble, nobody is passed over. Being a draw, a suspected endpoint is tried now and then, and balancers do not act in step. This guards against endpoints that the list
-// still shows and that are dead, or that fail fast and so never look busy.
+// Which endpoints are passed over because their attempts fail. Inputs are the successes and failures of an endpoint and
+// of all, which fade.
+//
+// Each time a candidate is looked at, a chance of success is drawn from the beta posterior of its successes and
+// failures (Thompson sampling, 1933, by a normal approximation). The endpoint is passed over if that is under
+// successRatioFloor of the chance that all endpoints have: where all fail alike, as when the origin is failing, none is
+// passed over. A failed connection, the verdict of other balancers and the outage of a zone tell more than an error,
+// and are drawn for first.
+//
+// This guards against endpoints that the list still shows and that are dead, or that fail fast and so never look busy,
+// which shows as errors from one endpoint or zone while the others are well. The guard holds since a failing endpoint
+// is picked ever more rarely; being a draw, it is still tried now and then, so that it is found again, and balancers do
+// not act in step.
 
 const (
-	// successRatioFloor is the part of the chance of success of all endpoints under which one is passed over.
+	// successRatioFloor is the part of all endpoints' chance of success under which one is passed over.
 	successRatioFloor = 0.6
 
-	// priorSuccesses and priorFailures are what is taken of an endpoint before it is known.
+	// priorSuccesses and priorFailures are taken for an endpoint's before it has any: it is most likely well.
 	priorSuccesses = 2.0
 	priorFailures  = 0.1
 
-	// minFailures is how many failures it takes, the prior's with them, before an endpoint is looked at: half a failure of late is none.
+	// minFailures is how many failures, the prior's among them, it takes before an endpoint may be passed over: what
+	// half a failure is left of is forgotten.
 	minFailures = 0.6
 
-	// likelyDraw stands for each draw where nothing may be drawn.
+	// A normal variable is approximated by the sum of four uniform ones (Irwin-Hall), whose mean is uniformSumMean and
+	// whose variance is one over uniformSumPrecision.
+	uniformSumMean      = 2
+	uniformSumPrecision = 3
+
+	// likelyDraw stands for each draw where nothing may be drawn: it is the median.
 	likelyDraw = 0.5
 )
 
-// outcomeCounts are attempts that succeeded, and those that failed in a way that tells of the endpoint. They fade.
+// outcomeCounts are attempts that succeeded, and those that failed in a way that tells of the endpoint.
 type outcomeCounts struct{ successes, failures sum }
 
 // outlierState is what speaks against an endpoint.
 type outlierState struct {
 	outcomes        outcomeCounts
-	connectFailedAt int64   // when a connection did not come about or an attempt was overdue, if nothing was answered since; 0
-	peerVerdict     float64 // what others' reports take from its chance to be selected; under 0: the probe lease is here
+	connectFailedAt int64   // when a connection failed or an attempt was overdue last, if nothing was answered since; 0
+	peerVerdict     float64 // by how much others' reports lower its chance, 0 to 1; under 0: this balancer has the probe lease
 }
 
 // isProbe tells whether this balancer holds the probe lease for an endpoint that others eject.
 func (o *outlierState) isProbe() bool { return o.peerVerdict < 0 }
 
-// isOutlier draws whether an endpoint is passed over.
+// isOutlier draws whether an endpoint is passed over. draw returns a random number from 0 up to 1.
 func (b *Balancer) isOutlier(index int, draw func() float64) bool {
 	endpoint := &b.endpoints[index]
 	state, evidence := &endpoint.outlier, b.clock.evidence
@@ -49,13 +64,14 @@
 	}
 	n := successes + failures
 	all := b.outcomes.successes.ValueAt(evidence) + priorSuccesses
-	normal := draw() + draw() + draw() + draw() - 2 // of variance 1/3
-	chance := successes/n + normal*math.Sqrt(3*successes*failures/(n+1))/n
+	deviation := draw() + draw() + draw() + draw() - uniformSumMean
+	chance := successes/n + deviation*math.Sqrt(uniformSumPrecision*successes*failures/(n+1))/n
 	return chance < successRatioFloor*all/(all+b.outcomes.failures.ValueAt(evidence)+priorFailures)
 }
 
-// isUnreachable draws whether an endpoint is passed over for what tells more than an error: a connection that failed, which fades over the time constant; the reports
-// of others; a zone that stopped answering.
+// isUnreachable draws whether an endpoint is passed over for what tells more than an error: a connection that failed,
+// which fades over the time constant; the verdict of other balancers; a zone that stopped answering. With the probe
+// lease the outage of its zone does not keep the endpoint from being tried.
 func (b *Balancer) isUnreachable(endpoint *endpointState, draw func() float64) bool {
 	state := &endpoint.outlier
 	age := float64(b.clock.now-state.connectFailedAt) / float64(timeConstant)
@@ -68,7 +84,8 @@
 	return !state.isProbe() && b.outages.ShouldAvoid(endpoint.zone, b.clock.now, draw())
 }
 
-// IsLikelyOutlier tells whether an endpoint would sooner be passed over than not. It draws nothing.
+// IsLikelyOutlier tells whether an endpoint is more likely to be passed over than not. It draws nothing, so that asking
+// changes no decision.
 func (b *Balancer) IsLikelyOutlier(index int) bool {
 	return b.isOutlier(index, func() float64 { return likelyDraw })
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -2,22 +2,25 @@
 
 import "math"
 
-// Which of a key's candidates gets the attempt: one at random, passing over those that are well above the mean load or latency. Inputs are the attempts in flight now and on average,
-// per unit of weight, and how long an attempt takes (Little's law: what is in flight for each that was sent). With hundreds of balancers hardly anything of one
-// is in flight at an endpoint when the next request comes, so the average over time and the latency show what the moment does not. This guards against a slow
-// endpoint that would still take its third of the keys; the random pass-over keeps balancers that see the same from acting in step.
+// Which of a key's candidates gets the attempt: one at random, passing over those that are well above the mean load or
+// latency. Inputs are the attempts in flight now and on average, per unit of weight, and how long an attempt takes
+// (Little's law: what is in flight for each that was sent). With hundreds of balancers hardly anything of one is in
+// flight at an endpoint when the next request comes, so the average over time and the latency show what the moment does
+// not. This guards against a slow endpoint that would still take its third of the keys; the random pass-over keeps
+// balancers that see the same from acting in step.
 
 const (
-	// overloadRatio and overloadSlack: an endpoint is passed over above so many times the mean in flight, and so much more for chance.
+	// overloadRatio and overloadSlack: an endpoint is passed over above so many times the mean in flight, and so much
+	// more for chance.
 	overloadRatio = 1.1
 	overloadSlack = 0.3
 
-	// latencyExponent turns a uniform draw into one near 1, so that an endpoint is passed over the more surely the further its latency is above the mean:
-	// by the fifth power of the ratio.
+	// latencyExponent turns a uniform draw into one near 1, so that an endpoint is passed over the more surely the
+	// further its latency is above the mean: by the fifth power of the ratio.
 	latencyExponent = 0.2
 
-	// jammedRatio is how many times the mean latency marks an endpoint as jammed: it is left out until all are candidates, as after a rejection, since
-	// a key can be more than its candidates can take.
+	// jammedRatio is how many times the mean latency marks an endpoint as jammed: it is left out until all are
+	// candidates, as after a rejection, since a key can be more than its candidates can take.
 	jammedRatio = 3.0
 
 	// priorAttempts is as how many attempts of its own counts what all endpoints of its machine type tell.
@@ -26,8 +29,8 @@
 	// rejectionWeight is as how many attempts in flight counts a rejection: it tells of others' attempts.
 	rejectionWeight = 2.0
 
-	// maxConnectFailureRatio is the part of the attempts without a connection above which the own zone does not go first: a lost zone is found out endpoint by
-	// endpoint, and the own one may be it.
+	// maxConnectFailureRatio is the part of the attempts without a connection above which the own zone does not go
+	// first: a lost zone is found out endpoint by endpoint, and the own one may be it.
 	maxConnectFailureRatio = 0.05
 )
 
@@ -57,8 +60,8 @@
 // meanLatency is how long an attempt takes at all caches.
 func (b *Balancer) meanLatency() float64 { return b.fleetwide.latency.mean(b.clock.evidence, 0) }
 
-// loadAndLatency is how many attempts are in flight at an endpoint on average, per unit of weight, and how long each takes. While few tell of it, its machine
-// type tells more, by answers, as silence is its own.
+// loadAndLatency is how many attempts are in flight at an endpoint on average, per unit of weight, and how long each
+// takes. While few tell of it, its machine type tells more, by answers, as silence is its own.
 func (b *Balancer) loadAndLatency(index int) (load, latency float64) {
 	endpoint := &b.endpoints[index]
 	evidence := b.clock.evidence
@@ -85,8 +88,9 @@
 	return selectionOrder{ordered, strict}
 }
 
-// selectEndpoint picks a candidate and passes over one well above the mean; all of them over: the least loaded. If all that may be sent to are suspected, the
-// least loaded of those, once all endpoints are candidates: still better than nothing.
+// selectEndpoint picks a candidate and passes over one well above the mean; all of them over: the least loaded. If all
+// that may be sent to are suspected, the least loaded of those, once all endpoints are candidates: still better than
+// nothing.
 func (b *Balancer) selectEndpoint(now int64, request *requestState) int {
 	order := b.selectionOrder()
 	n := b.rankCandidates(request.key, request.candidateCount, order.ordered)
@@ -132,7 +136,8 @@
 	return leastLoaded
 }
 
-// moveLastReadFirst guards a short origin: while many reads miss, a key keeps to the cache that answered it last, so that it is fetched for one.
+// moveLastReadFirst guards a short origin: while many reads miss, a key keeps to the cache that answered it last, so
+// that it is fetched for one.
 func (b *Balancer) moveLastReadFirst(key uint64, n int) {
 	last := b.recentKeys[key%maxRecentKeys]
 	if last.key != key {
@@ -145,8 +150,9 @@
 	}
 }
 
-// moveLocalFirst puts the candidates of this balancer's zone before the others, as crossing zones costs, and those that it holds the probe lease for. It
-// returns how many these are. Not while the origin fails, as keys need one order for all then, nor while connects fail.
+// moveLocalFirst puts the candidates of this balancer's zone before the others, as crossing zones costs, and those that
+// it holds the probe lease for. It returns how many these are. Not while the origin fails, as keys need one order for
+// all then, nor while connects fail.
 func (b *Balancer) moveLocalFirst(n int, isStrict bool) (local int) {
 	connectFailures := b.connectFailures.ValueAt(b.clock.evidence)
 	if isStrict || n == 0 || connectFailures >= maxConnectFailureRatio*(b.outcomes.successes.ValueAt(b.clock.evidence)+1) {
@@ -164,7 +170,8 @@
 	return local
 }
 
-// drawCandidate takes the next of the first n candidates: the first in order, or one at random, of the local ones while there are any.
+// drawCandidate takes the next of the first n candidates: the first in order, or one at random, of the local ones while
+// there are any.
 func (b *Balancer) drawCandidate(n, local int, ordered bool) int {
 	place := 0
 	if !ordered {
@@ -178,7 +185,8 @@
 	return index
 }
 
-// mayTry tells whether a candidate may get the next attempt: the rules allow it, retry tokens pay for it, and it was not tried while others are left.
+// mayTry tells whether a candidate may get the next attempt: the rules allow it, retry tokens pay for it, and it was
+// not tried while others are left.
 func (b *Balancer) mayTry(now int64, request *requestState, index int) bool {
 	if !b.isEligible(now, request, index) {
 		return false
@@ -189,7 +197,8 @@
 	return !request.hasTried(index) || len(b.ready) <= len(request.attempts)
 }
 
-// isSuspected tells whether a candidate is passed over as an outlier. A probe of one that others eject is no matter for a request that may run only once.
+// isSuspected tells whether a candidate is passed over as an outlier. A probe of one that others eject is no matter for
+// a request that may run only once.
 func (b *Balancer) isSuspected(request *requestState, index int) bool {
 	if b.endpoints[index].outlier.isProbe() && b.settings.classes[request.class].effect == NonIdempotent {
 		return true
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// A machine type has answered little. It is taken for one like all others until its own answers tell, and each rejection
-// counts as taking long, as one that rejects is full.
+// A machine type has answered little. It is taken for one like all others until its own answers tell, and each
+// rejection counts as taking long, as one that rejects is full.
 func TestMeanLatencyLeansOnOthersWhileLittleIsKnown(t *testing.T) {
 	others := float64(50 * ms)
 	for _, c := range []struct {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -10,18 +10,18 @@
 
 	fleetSize     float64 // balancers, at least 1
 	maxAttempts   int     // of a request, at least 1
-	mayHedge      bool    // two attempts of a request may be in flight together
+	mayHedge      bool    // two attempts of a request may be in flight at the same time
 	mayCancel     bool    // attempts may be cancelled
 	maxRetryAfter int64   // the longest wait that a rejected client honours; 0: none may be stated
-	dialTimeout   int64   // a connection that is not up by then has failed
-	hasFewBuffers bool    // an attempt's end frees a buffer that a slow reader's answer keeps
+	dialTimeout   int64   // a connection that is not up after it has failed
+	hasFewBuffers bool    // an answer that a client reads slowly keeps one of a few buffers until its attempt ends
 
-	startCapacity    float64 // of its usual, that an endpoint has at its start
-	warmUp           int64   // in which it climbs to the whole
-	overloadMultiple float64 // of its present capacity, above which a warming endpoint falls over,
+	startCapacity    float64 // part of its usual capacity that an endpoint has at its start
+	warmUp           int64   // time in which its capacity climbs to the whole
+	overloadMultiple float64 // a warming endpoint that is sent more than so many times its capacity falls over,
 	overloadAfter    int64   // when that lasts for so long
 
-	deadlineDrift  int64 // by so much longer than stated a client may wait, as clocks differ
+	deadlineDrift  int64 // a client may wait by so much longer than stated, as clocks differ
 	bootStampError int64 // by which a stated start may be off
 	orderSettle    int64 // how long a key in order rests after an attempt that may still run
 
@@ -39,30 +39,37 @@
 	reportsStrain bool     // one of them tells how busy an endpoint is
 }
 
-// requestClass is what the operators state of one class of requests.
+// The groups of endpoints that drop a repeat of an idempotent request, as the operators name them.
+const (
+	dedupAll          = "all"
+	dedupZone         = "zone"
+	dedupReplicaGroup = "cell"
+)
+
+// requestClass is what the operators state of one class of requests. Durations are nanoseconds.
 type requestClass struct {
 	effect           Effect
 	inOrder          bool    // requests of one key go one at a time, in the order in which they came
-	dedupGroup       string  // Idempotent: "all", "zone" or "cell": which endpoints drop a repeat
+	dedupGroup       string  // Idempotent: dedupAll, dedupZone or dedupReplicaGroup: which endpoints drop a repeat
 	dedupWindow      int64   // and for how long from the first attempt that may have run
 	objective        int64   // an answer by then has its whole value
 	objectiveStretch float64 // it grows by so many times the predicted work
 	lateValue        float64 // part of the value of an answer after that; 0: none
 }
 
-// settingValues are the settings as a plain map of dotted names to values. One that is not there is 0, "" or false.
+// settingValues are the settings as a plain map of dotted names to values. One that is missing is 0, "" or false.
 type settingValues map[string]any
 
 func (v settingValues) number(name string) float64 { x, _ := v[name].(float64); return x }
 func (v settingValues) text(name string) string    { s, _ := v[name].(string); return s }
 func (v settingValues) yes(name string) bool       { y, _ := v[name].(bool); return y }
 
-// duration is a number of milliseconds.
+// duration is a number of milliseconds, as nanoseconds.
 func (v settingValues) duration(name string) int64 {
 	return int64(v.number(name) * float64(millisecond))
 }
 
-// list gives the names of a list's entries, "NAME.0" and on.
+// list returns the names of a list's entries: "NAME.0", "NAME.1" and so on.
 func (v settingValues) list(name string) []string {
 	names := make([]string, int(v.number(name)))
 	for i := range names {
@@ -71,7 +78,7 @@
 	return names
 }
 
-// readSettings translates the operators' names, once.
+// readSettings translates the operators' settings into typed ones. Nothing behind it uses the operators' names.
 func readSettings(values map[string]any) settings {
 	v := settingValues(values)
 	s := settings{
@@ -120,6 +127,7 @@
 	return s
 }
 
+// requestClass reads one entry of the list of request classes.
 func (v settingValues) requestClass(name string) requestClass {
 	class := requestClass{
 		inOrder:          v.yes(name + ".keepOrder"),
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// A name that is read wrongly leaves a rule without its setting, and nothing fails. Each setting is read by the name that
-// the operators use, in its unit.
+// A name that is read wrongly leaves a rule without its setting, and nothing fails. Each setting is read by the name
+// that the operators use, in its unit.
 func TestEachSettingIsRead(t *testing.T) {
 	got := readSettings(map[string]any{
 		"zones": 2.0, "zones.0": "a", "zones.1": "b", "zone": "b",
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,33 +2,40 @@
 
 import "math"
 
-// What an endpoint that has just started may be sent. An endpoint states its start; for the time of the warm-up it can do startCapacity of its usual, climbing to the
-// whole. Its budget at this balancer is a token bucket: what a warm endpoint answers here, per unit of weight, times what it can do by then. This guards cold endpoints
-// against the sum of all balancers, each of which sends little: pushed over, they fall, and start cold again. It shows as endpoints that come and go.
+// What an endpoint that has just started may be sent. An endpoint states its start; for the time of the warm-up it can
+// do startCapacity of its usual, climbing to the whole. Its budget at this balancer is a token bucket: what a warm
+// endpoint answers here, per unit of weight, times what it can do by then. This guards cold endpoints against the sum
+// of all balancers, each of which sends little: pushed over, they fall, and start cold again. It shows as endpoints
+// that come and go.
 //
-// Shares are far below one request where the fleet is large, and whole ones saved up would come from all balancers at once. So a request is let in by chance, with the
-// tokens that there are as its probability, and the tokens are spent either way: what all let in together is in the mean what all shares come to.
-// docs/design.md, exception 9; coldfleet_test.go plays 5 to 300 balancers against the rule.
+// Shares are far below one request where the fleet is large, and whole ones saved up would come from all balancers at
+// once. So a request is let in by chance, with the tokens that there are as its probability, and the tokens are spent
+// either way: what all let in together is in the mean what all shares come to. docs/design.md, exception 9;
+// coldfleet_test.go plays 5 to 300 balancers against the rule.
 
 const (
-	// slowStartMargin is the most of what the overload multiple allows: machines differ, and so do balancers' shares of the traffic.
+	// slowStartMargin is the most of what the overload multiple allows: machines differ, and so do balancers' shares of
+	// the traffic.
 	slowStartMargin = 0.9
 
-	// provenHalfAt is how many answers prove half of what answers can prove of a warming endpoint. What it is sent beyond its stated
-	// capacity rests on these.
+	// provenHalfAt is how many answers prove half of what answers can prove of a warming endpoint. What it is sent
+	// beyond its stated capacity rests on these.
 	provenHalfAt = 8.0
 
-	// slowStartBurst is how much may be saved up: so many times what falls due between two requests that could go there. Less, and a balancer that sees few requests would
-	// let hardly any in; more, and an endpoint that was asked for nothing for a while would get all that was saved at once.
+	// slowStartBurst is how much may be saved up: so many times what falls due between two requests that could go
+	// there. Less, and a balancer that sees few requests would let hardly any in; more, and an endpoint that was asked
+	// for nothing for a while would get all that was saved at once.
 	slowStartBurst = 1.5
 
 	// burstWindows is in how many parts of the time after which an overload tips an endpoint savings may be spent.
 	burstWindows = 4
 
-	// peakWindow is over how many time constants the most that warm endpoints answered is remembered, as there may be no warm one left.
+	// peakWindow is over how many time constants the most that warm endpoints answered is remembered, as there may be
+	// no warm one left.
 	peakWindow = 10
 
-	// minThroughput is what a warm endpoint is taken to answer all balancers together, in requests a second, before one has answered.
+	// minThroughput is what a warm endpoint is taken to answer all balancers together, in requests a second, before one
+	// has answered.
 	minThroughput = 0.5
 )
 
@@ -41,8 +48,8 @@
 	updatedAt int64   // of the tokens
 }
 
-// restarted takes the start that the list states and tells whether it is a new one. It guards against stamps that are off: the latest start that the stamp and
-// the time at which it is told allow counts.
+// restarted takes the start that the list states and tells whether it is a new one. It guards against stamps that are
+// off: the latest start that the stamp and the time at which it is told allow counts.
 func (s *slowStartState) restarted(now, stamp, stampError int64) bool {
 	isNew := stamp > s.stamp || stampError > 0 && stamp > 0 && stamp != s.stamp
 	if isNew {
@@ -77,7 +84,8 @@
 	return startedAt > 0 && now < startedAt+b.settings.warmUp
 }
 
-// hasSlowStartBudget tells whether a warming endpoint may be sent a request now. Less than one token lets it in by chance, once a moment, and is spent.
+// hasSlowStartBudget tells whether a warming endpoint may be sent a request now. Less than one token lets it in by
+// chance, once a moment, and is spent.
 func (b *Balancer) hasSlowStartBudget(now int64, index int) bool {
 	state := &b.endpoints[index].slowStart
 	if state.updatedAt < now && b.refillSlowStart(now, index) < 1 {
@@ -106,8 +114,8 @@
 	return state.tokens
 }
 
-// warmingCapacity is the part of its usual that a warming endpoint may be sent: what is stated, and as much more, within the overload multiple, as its
-// answers have proved. What it rejects or fails counts against that.
+// warmingCapacity is the part of its usual that a warming endpoint may be sent: what is stated, and as much more,
+// within the overload multiple, as its answers have proved. What it rejects or fails counts against that.
 func (b *Balancer) warmingCapacity(now int64, endpoint *endpointState) float64 {
 	s, evidence := &b.settings, b.clock.evidence
 	stated := s.startCapacity + (1-s.startCapacity)*max(0, float64(now-endpoint.slowStart.startedAt)/float64(s.warmUp))
@@ -117,17 +125,20 @@
 	return stated * (min(1, most) + max(0, most-1)*proved/(proved+provenHalfAt*(1+rejected+failed)))
 }
 
-// restartDetector finds a restart that no list shows: attempts broke and then no connection came about, with no answer between.
+// restartDetector finds a restart that no list shows: attempts broke and then no connection came about, with no answer
+// between.
 type restartDetector struct {
 	failures int // in a row: 1 for attempts that broke, and one for each connection since
 }
 
 const (
-	// restartConnectFailures is after how many connections that did not come about a broken endpoint counts as restarted: one alone may be the network.
+	// restartConnectFailures is after how many connections that did not come about a broken endpoint counts as
+	// restarted: one alone may be the network.
 	restartConnectFailures = 2
 
-	// Each restart lowers how much may be in flight before requests are shed, as what made it fall may have been more than it bears
-	// (health checks restart whoever holds too much): by restartTolerance, to minOverloadTolerance, once in restartSpacing, and back in toleranceRecovery.
+	// Each restart lowers how much may be in flight before requests are shed, as what made it fall may have been more
+	// than it bears (health checks restart whoever holds too much): by restartTolerance, to minOverloadTolerance, once
+	// in restartSpacing, and back in toleranceRecovery.
 	restartTolerance     = 0.7
 	minOverloadTolerance = 0.3
 	restartSpacing       = second / 2
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// The list repeats the start of an endpoint in each update, and its stamp may be off by some error. A start counts once;
-// where stamps may be off, a stamp that differs at all is a new one, and the latest start that it allows counts.
+// The list repeats the start of an endpoint in each update, and its stamp may be off by some error. A start counts
+// once; where stamps may be off, a stamp that differs at all is a new one, and the latest start that it allows counts.
 func TestStartCountsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,8 +6,9 @@
 	"math"
 )
 
-// Learned state out and in, so that a process that follows another one over an upgrade or a restart does not begin with nothing known. Nothing is decided here. Requests and attempts
-// are not part of it, and so nothing in it can prove that an attempt may go again. State is stored as CBOR arrays: the order of its fields is the format.
+// Learned state out and in, so that a process that follows another one over an upgrade or a restart does not begin with
+// nothing known. Nothing is decided here. Requests and attempts are not part of it, and so nothing in it can prove that
+// an attempt may go again. State is stored as CBOR arrays: the order of its fields is the format.
 
 // Bounds of what is taken.
 const (
@@ -116,8 +117,8 @@
 	}
 }
 
-// decodeEndpoint lays what was learnt into an endpoint. at brings a time of the earlier process to this one's clock. Slow-start tokens are not taken: the process that
-// saved them may spend them.
+// decodeEndpoint lays what was learnt into an endpoint. at brings a time of the earlier process to this one's clock.
+// Slow-start tokens are not taken: the process that saved them may spend them.
 func (b *Balancer) decodeEndpoint(now int64, e *endpointState, from *EndpointState, at func(int64) int64) {
 	e.slowStart.startedAt = from.StartedAt // The list may be the older news.
 	e.load.average = average(b.decodeSum(from.InFlight))
@@ -252,8 +253,8 @@
 	return isValid
 }
 
-// RestoreState lays what was learnt, so long ago, into a module that has just been told its list and has decided nothing. state has been checked. It tells how
-// many endpoints of the list were known.
+// RestoreState lays what was learnt, so long ago, into a module that has just been told its list and has decided
+// nothing. state has been checked. It tells how many endpoints of the list were known.
 func (b *Balancer) RestoreState(now int64, state *State, age int64) (known int) {
 	shift := now - age - state.Now // Guards against a system's clock that stepped between the two.
 	at := func(then int64) int64 { return min(now, then+shift) }
@@ -285,8 +286,8 @@
 	return known
 }
 
-// restoreEndpoints lays what was learnt of endpoints into those of the list, and gives the place of each here; noEndpoint for one that is gone, or that has restarted since
-// and is cold: nothing that was learnt of it holds.
+// restoreEndpoints lays what was learnt of endpoints into those of the list, and gives the place of each here;
+// noEndpoint for one that is gone, or that has restarted since and is cold: nothing that was learnt of it holds.
 func (b *Balancer) restoreEndpoints(now int64, state *State, at func(int64) int64) (places []int, known int) {
 	byHash := make(map[uint64]int, len(b.endpoints))
 	for index := range b.endpoints {
