--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -24,8 +24,8 @@
 	priorSuccesses = 2.0
 	priorFailures  = 0.1
 
-	// minFailures is how many failures, the prior's among them, it takes before an endpoint may be passed over: what
-	// half a failure is left of is forgotten.
+	// minFailures is how many failures, the prior's among them, it takes before an endpoint may be passed over. One
+	// with less than half a failure of its own left is not.
 	minFailures = 0.6
 
 	// A normal variable is approximated by the sum of four uniform ones (Irwin-Hall), whose mean is uniformSumMean and
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -8,29 +8,33 @@
 
 // Learned state out and in, so that a process that follows another one over an upgrade or a restart does not begin with
 // nothing known. Nothing is decided here. Requests and attempts are not part of it, and so nothing in it can prove that
-// an attempt may go again. State is stored as CBOR arrays: the order of its fields is the format.
+// an attempt may be repeated. State is stored as CBOR arrays: the order of its fields is the format, and may not
+// change.
 
-// Bounds of what is taken.
 const (
-	maxEndpoints    = 1 << 16
+	// maxEndpoints bounds the endpoints of a state, as a file may be damaged. As a place it stands for none.
+	maxEndpoints = 1 << 16
+
+	// maxMachineTypes bounds the machine types of a state.
 	maxMachineTypes = 1 << 12
 )
 
-// Sum is one that decays: its value, and how long before the clock of evidence read Seen it was brought up to date.
+// Sum is one that decays: its value, and how long before State.Evidence, by the clock of evidence, it was brought up to
+// date.
 type Sum struct {
 	_     struct{} `cbor:",toarray"`
 	Value float32
 	Age   int64
 }
 
-// MachineTypeState is what was learnt of the endpoints of one machine type, or of all.
+// MachineTypeState is what was learned of the endpoints of one machine type, or of all.
 type MachineTypeState struct {
 	_                             struct{} `cbor:",toarray"`
 	Answers, AnswerTime, Rejected Sum
 	Weight                        float64
 }
 
-// EndpointState is what was learnt of an endpoint, known by the hash of its address.
+// EndpointState is what was learned of an endpoint. The hash of its address identifies it.
 type EndpointState struct {
 	_                                                 struct{} `cbor:",toarray"`
 	Hash                                              uint64
@@ -41,7 +45,8 @@
 	ServedRate, Strain                                float32
 }
 
-// State is what a balancer learnt. Times are of its clock at Now; ages are of its clock of evidence at Evidence.
+// State is what a balancer has learned. Times are those of its clock, which read Now; ages are those of its clock of
+// evidence, which read Evidence.
 type State struct {
 	_                                                               struct{} `cbor:",toarray"`
 	Now, StartedAt, Evidence                                        int64
@@ -56,11 +61,11 @@
 	MachineTypes                                                    []MachineTypeState
 	Tenants                                                         []Sum
 	Endpoints                                                       []EndpointState
-	Keys                                                            []uint64 // read lately
-	Places                                                          []uint32 // and where, in Endpoints
+	Keys                                                            []uint64 // answered lately
+	Places                                                          []uint32 // and by which of Endpoints
 }
 
-// sums are the sums that stand alone, in the order of State's.
+// sums returns the sums that belong to no endpoint or machine type, in the order of State.sums.
 func (b *Balancer) sums() [15]*sum {
 	return [15]*sum{
 		&b.outcomes.successes, &b.outcomes.failures, &b.warmThroughput.answers,
@@ -70,6 +75,7 @@
 	}
 }
 
+// sums returns the sums that belong to no endpoint or machine type.
 func (s *State) sums() [15]*Sum {
 	return [15]*Sum{
 		&s.Successes, &s.Failures, &s.WarmAnswers,
@@ -117,10 +123,10 @@
 	}
 }
 
-// decodeEndpoint lays what was learnt into an endpoint. at brings a time of the earlier process to this one's clock.
-// Slow-start tokens are not taken: the process that saved them may spend them.
+// decodeEndpoint restores what was learned of an endpoint. at turns a time of the earlier process into one of this
+// one's clock. Slow-start tokens are not restored: the process that saved them up may spend them.
 func (b *Balancer) decodeEndpoint(now int64, e *endpointState, from *EndpointState, at func(int64) int64) {
-	e.slowStart.startedAt = from.StartedAt // The list may be the older news.
+	e.slowStart.startedAt = from.StartedAt // The list may be older.
 	e.load.average = average(b.decodeSum(from.InFlight))
 	e.attempts = b.decodeSum(from.Attempts)
 	e.outlier.outcomes.successes = b.decodeSum(from.Successes)
@@ -135,7 +141,7 @@
 	e.slowStart.tokens, e.slowStart.updatedAt = 0, now
 }
 
-// SaveState puts what the module knows into state, whose slices are used again.
+// SaveState puts what the module has learned into state, whose slices are reused.
 func (b *Balancer) SaveState(now int64, state *State) {
 	b.advanceClock(now)
 	endpoints, keys, places := state.Endpoints[:0], state.Keys[:0], state.Places[:0]
@@ -181,10 +187,10 @@
 	state.Endpoints, state.Keys, state.Places, state.MachineTypes, state.Tenants = endpoints, keys, places, machineTypes, tenants
 }
 
-// errMalformedState: the state is not what a module writes.
+// errMalformedState is returned for a state that SaveState cannot have written.
 var errMalformedState = errors.New("not what a module writes")
 
-// areFinite tells whether all are finite and none under 0.
+// areFinite tells whether all values are finite and none is under 0.
 func areFinite(values ...float64) bool {
 	for _, x := range values {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
@@ -211,7 +217,8 @@
 		e.RetryTokens <= maxRetryTokens
 }
 
-// Check tells whether this can be what a module wrote: nothing of it may lead the module astray or out of bounds.
+// Check returns an error unless SaveState can have written the state. RestoreState relies on it: a damaged file must
+// not lead the module out of bounds, nor to decisions by figures that cannot be.
 func (s *State) Check() error {
 	switch {
 	case !s.hasValidScalars() || !s.hasValidParts():
@@ -227,7 +234,7 @@
 	return nil
 }
 
-// hasValidScalars checks what stands alone.
+// hasValidScalars checks the figures that are no sums.
 func (s *State) hasValidScalars() bool {
 	areInRange := s.Pace > 0 && s.Pace <= 1 && s.BaseLatency > 0 && s.Admitted <= 1 && s.RetryTokens <= maxRetryTokens
 	areTimes := s.Evidence >= 0 && s.StartedAt > 0 && s.StartedAt <= s.Now && s.PeakAt <= s.Now
@@ -253,10 +260,10 @@
 	return isValid
 }
 
-// RestoreState lays what was learnt, so long ago, into a module that has just been told its list and has decided
-// nothing. state has been checked. It tells how many endpoints of the list were known.
+// RestoreState restores what was learned, age nanoseconds ago, into a module that has just been told its list and has
+// decided nothing. state has been checked. It returns how many endpoints of the list were known.
 func (b *Balancer) RestoreState(now int64, state *State, age int64) (known int) {
-	shift := now - age - state.Now // Guards against a system's clock that stepped between the two.
+	shift := now - age - state.Now // Not 0 where the system's clock was set between the two processes.
 	at := func(then int64) int64 { return min(now, then+shift) }
 	b.clock = evidenceClock{startedAt: at(state.StartedAt), now: now, evidence: state.Evidence, pace: state.Pace}
 	b.load.average = average(b.decodeSum(state.InFlight))
@@ -280,14 +287,15 @@
 			b.recentKeys[key%maxRecentKeys] = keyRecord{key: key, endpoint: place}
 		}
 	}
-	b.clock.evidence += int64(float64(age) * state.Pace) // All that was learnt has faded over the gap as it would have.
+	b.clock.evidence += int64(float64(age) * state.Pace) // All that was learned fades over the gap as it would have.
 	b.BeginEndpointUpdate(IncrementalList)
 	b.CommitEndpointUpdate(now)
 	return known
 }
 
-// restoreEndpoints lays what was learnt of endpoints into those of the list, and gives the place of each here;
-// noEndpoint for one that is gone, or that has restarted since and is cold: nothing that was learnt of it holds.
+// restoreEndpoints restores what was learned of the endpoints that are in the list, and returns the index here of each
+// endpoint of the state: noEndpoint for one that has left the list, or that has restarted since, as nothing that was
+// learned of it holds.
 func (b *Balancer) restoreEndpoints(now int64, state *State, at func(int64) int64) (places []int, known int) {
 	byHash := make(map[uint64]int, len(b.endpoints))
 	for index := range b.endpoints {
