--- a/policy/admission.go
+++ b/policy/admission.go
@@ -57,7 +57,7 @@
 	answers        sum     // attempts that caches answered with a value
 	answerTime     sum     // nanoseconds that these took
 	baseLatency    float64 // nanoseconds that an attempt takes while nothing is queued: the least mean of late
-	tolerance      float64 // part of the room that endpoints are taken to bear, after restarts that load may have caused
+	tolerance      float64 // part of the room that endpoints bear, lowered by restarts
 	loweredAt      int64   // when the tolerance was lowered last
 	lastDispatchAt int64   // when an attempt was sent last
 }
@@ -125,7 +125,8 @@
 // constant has been observed, the rate is taken over what has been.
 func (b *Balancer) answerRate() float64 {
 	evidence := b.clock.evidence
-	observed := 1 - math.Exp(-float64(evidence+rateSettling)/float64(timeConstant)) // of the time constant, since the start
+	// The part of the time constant that has been observed since the start.
+	observed := 1 - math.Exp(-float64(evidence+rateSettling)/float64(timeConstant))
 	answers := b.fleetwide.latency.answers.ValueAt(evidence) - b.admission.cacheMisses.ValueAt(evidence)
 	return answers / observed / float64(timeConstant) * b.clock.pace
 }
--- a/policy/golden_test.go
+++ b/policy/golden_test.go
@@ -21,13 +21,17 @@
 
 // goldenEvent is a timer or the end of an attempt that comes due.
 type goldenEvent struct {
-	at                           int64
-	order, tag, request, attempt int // tried is under 0 for a timer
-	endpoint                     int
-	outcome                      Outcome
-	latency                      int64
+	at       int64
+	order    int // of events at the same time
+	tag      int // of a timer
+	request  int
+	attempt  int // under 0 for a timer
+	endpoint int
+	outcome  Outcome
+	latency  int64
 }
 
+// goldenQueue is a heap of events by time and order.
 type goldenQueue []goldenEvent
 
 func (q goldenQueue) Len() int      { return len(q) }
@@ -42,17 +46,26 @@
 	return last
 }
 
-// goldenScript is the load and the faults of one run, as chances per millisecond, request or attempt.
+// goldenScript is the load and the faults of one run.
 type goldenScript struct {
-	name                                                            string
-	endpoints, arrivals                                             int // arrivals a millisecond, in tenths
-	errored, rejected, timedOut, connectFailed, reset, missing      float64
-	lists, reports, verdicts, evacuations, cancellations, streaming float64
-	slowFactor, keys                                                int  // slow: times that server 0 is slower; keys in use
-	allWarmingUp                                                    bool // all have just started when the run begins
-	settings                                                        map[string]any
+	name      string
+	endpoints int
+	arrivals  int // requests in ten milliseconds
+	keys      int // that requests are of
+
+	// The chances that an attempt ends so.
+	errored, rejected, timedOut, connectFailed, reset, missing float64
+
+	// The chances of each in a millisecond.
+	lists, reports, verdicts, evacuations, cancellations float64
+
+	streaming    float64 // the chance that a request's answer is streamed
+	slowFactor   int     // how many times slower endpoint 0 is; 0: it is not
+	allWarmingUp bool    // all endpoints have just started when the run begins
+	settings     map[string]any
 }
 
+// goldenRequest is a request as its client sees it.
 type goldenRequest struct {
 	isOpen, isStreaming bool
 	sent, ended         int
@@ -70,7 +83,7 @@
 	requests              []goldenRequest
 	health                []Health
 	inFlight              []int
-	order, actions, moved int // moved: 1 once server 1 has another address
+	order, actions, moved int // moved: 1 once endpoints of odd index have other addresses
 	counts                [5]int
 }
 
@@ -87,25 +100,25 @@
 	heap.Push(&g.events, event)
 }
 
-func (g *goldenRun) Send(request, server int, until int64) {
-	g.note(1, int64(request), int64(server), until)
+func (g *goldenRun) Send(request, endpoint int, until int64) {
+	g.note(1, int64(request), int64(endpoint), until)
 	g.counts[0]++
-	g.inFlight[server]++
+	g.inFlight[endpoint]++
 	r := &g.requests[request]
-	event := goldenEvent{request: request, attempt: r.sent, endpoint: server, outcome: OK, latency: ms + int64(g.random.ExpFloat64()*30e6)}
+	event := goldenEvent{request: request, attempt: r.sent, endpoint: endpoint, outcome: OK, latency: ms + int64(g.random.ExpFloat64()*30e6)}
 	r.sent++
-	if server == 0 && g.slowFactor > 0 {
+	if endpoint == 0 && g.slowFactor > 0 {
 		event.latency *= int64(g.slowFactor)
 	}
-	draw, health := g.random.Float64(), g.health[server]
-	for _, outcome := range []struct {
-		how    Outcome
-		chance float64
-		took   int64
+	draw, health := g.random.Float64(), g.health[endpoint]
+	for _, end := range []struct {
+		outcome Outcome
+		chance  float64
+		latency int64
 	}{{Errored, g.errored, 2 * ms}, {Rejected, g.rejected, ms}, {TimedOut, g.timedOut, max(ms, until-g.now)}, {ConnectFailed, g.connectFailed, 3 * ms},
 		{Reset, g.reset, event.latency}, {CacheMiss, g.missing, event.latency}, {NotSent, g.reset / 4, ms}} {
-		if draw -= outcome.chance; draw < 0 {
-			event.outcome, event.latency = outcome.how, outcome.took
+		if draw -= end.chance; draw < 0 {
+			event.outcome, event.latency = end.outcome, end.latency
 			break
 		}
 	}
@@ -119,18 +132,18 @@
 }
 
 func (g *goldenRun) finish(request int) { g.requests[request].isOpen = false }
-func (g *goldenRun) Reject(request int, why Reason, comeBack int64) {
-	g.note(2, int64(request), int64(why), comeBack)
+func (g *goldenRun) Reject(request int, reason Reason, retryAfter int64) {
+	g.note(2, int64(request), int64(reason), retryAfter)
 	g.counts[1]++
 	g.finish(request)
 }
-func (g *goldenRun) Fail(request int, why Reason) {
-	g.note(3, int64(request), int64(why))
+func (g *goldenRun) Fail(request int, reason Reason) {
+	g.note(3, int64(request), int64(reason))
 	g.counts[2]++
 	g.finish(request)
 }
-func (g *goldenRun) Cancel(request, tried int) {
-	g.note(4, int64(request), int64(tried))
+func (g *goldenRun) Cancel(request, attempt int) {
+	g.note(4, int64(request), int64(attempt))
 	g.counts[3]++
 }
 func (g *goldenRun) WatchEndpoints() { g.note(5) }
@@ -140,37 +153,37 @@
 	g.schedule(after, goldenEvent{tag: tag, attempt: -1})
 }
 
-// list tells a list in which servers change their state by chance.
-func (g *goldenRun) updateList(scope UpdateKind) {
-	g.b.BeginEndpointUpdate(scope)
-	if scope == UpdateFailed {
+// updateList tells a list in which endpoints change their state by chance.
+func (g *goldenRun) updateList(kind UpdateKind) {
+	g.b.BeginEndpointUpdate(kind)
+	if kind == UpdateFailed {
 		return
 	}
-	for s := range g.health {
+	for index := range g.health {
 		started := int64(0)
 		switch draw := g.random.IntN(12); {
-		case scope == SavedList && g.allWarmingUp:
+		case kind == SavedList && g.allWarmingUp:
 			started = g.now
-		case scope == SavedList:
+		case kind == SavedList:
 		case draw == 0:
-			g.health[s] = Draining
+			g.health[index] = Draining
 		case draw == 1:
-			g.health[s] = Removed
-		case draw < 6 && g.health[s] != Ready:
-			g.health[s], started = Ready, g.now-int64(g.random.IntN(2000))*ms
-		case draw == 7 && scope == FullList:
+			g.health[index] = Removed
+		case draw < 6 && g.health[index] != Ready:
+			g.health[index], started = Ready, g.now-int64(g.random.IntN(2000))*ms
+		case draw == 7 && kind == FullList:
 			continue // It is left out.
 		}
-		if scope == IncrementalList && g.health[s] == Removed && g.inFlight[s] == 0 && g.random.IntN(4) == 0 {
-			g.b.RemoveEndpoint(s)
+		if kind == IncrementalList && g.health[index] == Removed && g.inFlight[index] == 0 && g.random.IntN(4) == 0 {
+			g.b.RemoveEndpoint(index)
 			continue
 		}
-		g.b.UpdateEndpoint(g.now, s, EndpointInfo{Address: fmt.Sprintf("10.%d.0.%d:80", g.moved*(s%2), s), Health: g.health[s], StartedAt: started, MachineType: s % 3, Zone: s % 3, ReplicaGroup: s % 4, Weight: float64(1 + s%2)})
+		g.b.UpdateEndpoint(g.now, index, EndpointInfo{Address: fmt.Sprintf("10.%d.0.%d:80", g.moved*(index%2), index), Health: g.health[index], StartedAt: started, MachineType: index % 3, Zone: index % 3, ReplicaGroup: index % 4, Weight: float64(1 + index%2)})
 	}
 	g.b.CommitEndpointUpdate(g.now)
 }
 
-// ask begins a request in a free place.
+// request begins a request in a free place.
 func (g *goldenRun) request() {
 	i := 0
 	for i < len(g.requests) && (g.requests[i].isOpen || g.requests[i].ended < g.requests[i].sent) {
@@ -185,7 +198,7 @@
 	g.b.HandleRequest(g.now, i, RequestInfo{Remaining: patience, Class: class, Tenant: g.random.IntN(4) - 1, Key: key * 0x9e3779b97f4a7c15, HasKey: g.random.IntN(10) > 0, IsWrite: g.random.IntN(5) == 0, PredictedWork: int64(g.random.IntN(3)) * 10 * ms})
 }
 
-// end tells how an attempt ended. A streamed answer begins first and ends some time after.
+// endAttempt tells how an attempt ended. A streamed answer begins first and ends some time after.
 func (g *goldenRun) endAttempt(e goldenEvent) {
 	r := &g.requests[e.request]
 	if r.isStreaming && r.isOpen && e.outcome == OK {
@@ -204,7 +217,7 @@
 	g.b.HandleAttemptEnded(g.now, e.request, AttemptResult{Attempt: e.attempt, Endpoint: e.endpoint, CacheResult: 1 + g.random.IntN(3)/2, Outcome: e.outcome, Latency: e.latency, IsAnswered: !r.isOpen})
 }
 
-// snapshot hashes what was learnt; the run goes on in a new Balancer that is given it, as after a restart.
+// snapshot hashes the learned state; the run goes on in a new Balancer that restores it, as after a restart.
 func (g *goldenRun) snapshot(t *testing.T) {
 	var state State
 	g.b.SaveState(g.now, &state)
@@ -224,27 +237,27 @@
 	g.note(7, int64(g.b.RestoreState(g.now, &state, 500*ms)))
 }
 
-// chanced does what others do to a balancer: reports, verdicts, shares, zones that are left, clients that go.
+// injectFaults does what others do to a balancer: reports, verdicts, shares, evacuations, clients that go.
 func (g *goldenRun) injectFaults() {
-	hit := func(chance float64) bool { return chance > 0 && g.random.Float64() < chance }
-	server := g.random.IntN(len(g.health))
-	if hit(g.lists) {
+	happens := func(chance float64) bool { return chance > 0 && g.random.Float64() < chance }
+	endpoint := g.random.IntN(len(g.health))
+	if happens(g.lists) {
 		g.updateList([]UpdateKind{IncrementalList, FullList, SavedList, UpdateFailed, IncrementalList}[g.random.IntN(5)])
 	}
-	if hit(g.reports) {
-		g.b.HandleLoadReport(server, []float64{g.random.Float64() * 200, math.NaN(), g.random.Float64() * 1.2, g.random.Float64() * 4})
+	if happens(g.reports) {
+		g.b.HandleLoadReport(endpoint, []float64{g.random.Float64() * 200, math.NaN(), g.random.Float64() * 1.2, g.random.Float64() * 4})
 	}
-	if hit(g.verdicts) {
-		g.b.UpdatePeerVerdict(server, []float64{0, -1, 0.5, 0.9}[g.random.IntN(4)])
+	if happens(g.verdicts) {
+		g.b.UpdatePeerVerdict(endpoint, []float64{0, -1, 0.5, 0.9}[g.random.IntN(4)])
 		g.b.SetWidespreadMisses(g.random.IntN(3) == 0)
 		g.b.SetFleetShare(0.2 + g.random.Float64()/2)
 		g.b.SetProcessShare(0.5 + g.random.Float64()/2)
 		g.b.SetQuota(g.random.IntN(3), float64(20+g.random.IntN(400)))
 	}
-	if hit(g.evacuations) {
+	if happens(g.evacuations) {
 		g.b.SetEvacuation(g.random.IntN(3), []float64{0, 0.25, 0.5, 1}[g.random.IntN(4)], 300*ms)
 	}
-	if hit(g.cancellations) && len(g.requests) > 0 {
+	if happens(g.cancellations) && len(g.requests) > 0 {
 		if i := g.random.IntN(len(g.requests)); g.requests[i].isOpen {
 			g.requests[i].isOpen = g.random.IntN(2) == 0
 			if g.requests[i].isOpen {
@@ -277,9 +290,9 @@
 		}
 		g.injectFaults()
 		if step%500 == 499 {
-			for s := range g.health {
-				if g.b.IsLikelyOutlier(s) {
-					g.note(10, int64(s))
+			for index := range g.health {
+				if g.b.IsLikelyOutlier(index) {
+					g.note(10, int64(index))
 				}
 			}
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -44,7 +44,7 @@
 type outlierState struct {
 	outcomes        outcomeCounts
 	connectFailedAt int64   // when a connection failed or an attempt was overdue last, if nothing was answered since; 0
-	peerVerdict     float64 // by how much others' reports lower its chance, 0 to 1; under 0: this balancer has the probe lease
+	peerVerdict     float64 // of other balancers, 0 to 1; under 0: this one has the probe lease
 }
 
 // isProbe tells whether this balancer holds the probe lease for an endpoint that others eject.
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -10,7 +10,7 @@
 	QueueFull                   // its key's queue is full, or its turn would come too late
 	NoEndpoint                  // the rules allow no attempt at any endpoint
 	NoRetryTokens               // no tokens pay for a retry, and none would in time
-	EndpointsBusy               // all endpoints reject, or the origin may get no more, for longer than an answer has value
+	EndpointsBusy               // all endpoints reject, or the origin is full, too long for an answer to have value
 	AttemptsSpent               // it has had all the attempts that the settings allow
 	DeadlineNear                // no further attempt could be answered in time
 	AttemptFailed               // its last attempt failed in a way that a retry does not mend
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -95,7 +95,8 @@
 	now := driveTraffic(old, executor, unixStart, 2000)
 	again := now - second
 	old.BeginEndpointUpdate(IncrementalList)
-	old.UpdateEndpoint(now, 2, EndpointInfo{Address: "s-2", Health: Ready, StartedAt: again, Weight: 1}) // The snapshot knows that 2 has restarted.
+	// The snapshot knows that 2 has restarted.
+	old.UpdateEndpoint(now, 2, EndpointInfo{Address: "s-2", Health: Ready, StartedAt: again, Weight: 1})
 	old.CommitEndpointUpdate(now)
 	var state State
 	old.SaveState(now, &state)
