--- a/policy/admission.go
+++ b/policy/admission.go
@@ -16,7 +16,7 @@
 // takes while nothing is queued. A new request would wait for what is in flight over the rate. It is rejected where
 // that is longer than the base latency and queueingShare of what its objective leaves beyond it:
 //
-// inFlight > room + sqrt(room), room = accepted x tolerance x (free + accepted x rate x queueing)
+//	inFlight > room + sqrt(room), room = accepted x tolerance x (free + accepted x rate x queueing)
 //
 // accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go), free is
 // what may be in flight whatever the rate, and the root is slack for chance.
@@ -72,7 +72,8 @@
 // countArrival counts a request that came.
 func (b *Balancer) countArrival() { b.count(&b.admission.arrivals) }
 
-// admit decides whether a new request is taken on, and has it dispatched or queued.
+// admit decides whether a new request is taken on, and has it dispatched or queued. A read that is rejected for overload
+// of the caches may ask the origin instead (cacheaside.go).
 func (b *Balancer) admit(now int64, index int, info RequestInfo) {
 	request := &b.requests[index]
 	goesToOrigin := b.settings.cacheAside && request.isWrite // The rule of overload is about caches.
@@ -166,7 +167,7 @@
 }
 
 // traffic is what is known of this balancer's share of all traffic, by which it enforces its share of quotas. Load
-// reports state what endpoints serve for all balancers; without them only the even share is known.
+// reports state what endpoints serve for all balancers; without them package quota estimates the share.
 func (b *Balancer) traffic() quota.Traffic {
 	traffic := quota.Traffic{
 		Now:           b.clock.evidence,
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -43,7 +43,7 @@
 	timerAt        int64 // when its timer counts; 0: none
 
 	queue      *keyQueue // of its key; nil: none
-	isDequeued bool      // it no longer waits in that
+	isDequeued bool      // it no longer waits in its queue
 
 	// Cache-aside (cacheaside.go).
 	missedAt       int  // the first cache that lacked its key; noEndpoint
@@ -227,7 +227,8 @@
 	return request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.evidence, 0)
 }
 
-// finish gives a request that no endpoint answered its final answer: it is rejected if that is true, else it fails.
+// finish gives a request that no endpoint answered its final answer: it is rejected if it may be sent again without
+// harm, else it fails.
 func (b *Balancer) finish(now int64, index int, reason Reason) {
 	request := &b.requests[index]
 	canReject, retryAfter := b.canReject(request), b.retryAfter(request)
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -75,6 +75,7 @@
 	case UpdateFailed:
 		b.scheduleListCall()
 	case SavedList:
+		// It tells nothing of discovery.
 	default:
 		b.listFailures = 0
 	}
@@ -108,7 +109,14 @@
 	if endpoint.slowStart.restarted(now, info.StartedAt, b.settings.bootStampError) {
 		endpoint.report = loadReport{servedRate: notReported}
 	}
-	endpoint.hasDrained = info.Health == Draining || endpoint.hasDrained && info.Health == Removed
+	switch info.Health {
+	case Draining:
+		endpoint.hasDrained = true
+	case Removed:
+		// It has drained if it had before.
+	default:
+		endpoint.hasDrained = false
+	}
 	endpoint.health, endpoint.isListed = info.Health, true
 	endpoint.machineType, endpoint.zone, endpoint.replicaGroup = info.MachineType+1, info.Zone, info.ReplicaGroup
 	// Types of endpoints that are not ready count, too: an attempt may end at an endpoint of a type that was never
@@ -141,7 +149,8 @@
 func (b *Balancer) CommitEndpointUpdate(now int64) {
 	b.advanceClock(now)
 	b.load.settle(b.clock.evidence)
-	b.ready, b.load.inFlight, b.origin, b.totalWeight, b.warmWeight = b.ready[:0], 0, noEndpoint, 0, 0
+	b.ready, b.origin = b.ready[:0], noEndpoint
+	b.load.inFlight, b.totalWeight, b.warmWeight = 0, 0, 0
 	b.reports.reset()
 	isWhole := b.updateKind == FullList || b.updateKind == SavedList
 	for index := range b.endpoints {
@@ -149,13 +158,14 @@
 		if isWhole && !endpoint.isListed {
 			endpoint.health = Removed
 		}
-		switch {
-		case !b.isListed(endpoint):
-		case b.settings.cacheAside && endpoint.machineType == b.settings.originMachineType+1:
+		if !b.isListed(endpoint) {
+			continue
+		}
+		if b.settings.cacheAside && endpoint.machineType == b.settings.originMachineType+1 {
 			b.origin = index
-		default:
-			b.addReady(now, index)
+			continue
 		}
+		b.addReady(now, index)
 	}
 	b.candidates = append(b.candidates, make([]candidate, max(0, len(b.ready)-len(b.candidates)))...)
 }
--- a/policy/observations_test.go
+++ b/policy/observations_test.go
@@ -41,7 +41,7 @@
 		Reset: mayHaveRun, Cancelled: mayHaveRun, NotSent: neverRan, CacheMiss: neverRan,
 	} {
 		if got := outcome.executionState(); got != want {
-			t.Errorf("outcome %d: state %d, not %d", outcome, got, want)
+			t.Errorf("%v: state %d, not %d", outcome, got, want)
 		}
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -22,8 +22,8 @@
 	// overloadSlack is how much more may be, as slack for chance.
 	overloadSlack = 0.3
 
-	// latencyExponent turns a uniform draw into one near 1. An endpoint is not passed over with a chance that is the
-	// ratio of the mean latency to its own, to the fifth power.
+	// latencyExponent turns a uniform draw into one near 1, so that an endpoint that is slower than the mean is kept with
+	// a probability of (mean latency / its latency) to the fifth power.
 	latencyExponent = 0.2
 
 	// jammedRatio is over how many times the mean latency an endpoint is left out until all are candidates, as it is
@@ -168,7 +168,8 @@
 	return latency > jammedRatio*b.meanLatency()
 }
 
-// isNearMean draws whether an endpoint's latency is near the mean. One whose load is not is not drawn for.
+// isNearMean tells whether an endpoint's load is not well above the mean, nor, by a draw, its latency. Nothing is drawn
+// where its load is.
 func (b *Balancer) isNearMean(load, maxLoad, latency, maxLatency float64) bool {
 	if load <= maxLoad {
 		return math.Pow(b.random.float64(), latencyExponent)*latency <= maxLatency
@@ -176,8 +177,8 @@
 	return false
 }
 
-// moveLastReadFirst puts the cache that answered a key last before the first n candidates' others, so that while many
-// reads miss the key is fetched for one cache only.
+// moveLastReadFirst puts the cache that answered a key last first among n candidates, so that while many reads miss the
+// key is fetched for one cache only.
 func (b *Balancer) moveLastReadFirst(key uint64, n int) {
 	last := b.recentKeys[key%maxRecentKeys]
 	if last.key != key {
@@ -190,9 +191,9 @@
 	}
 }
 
-// moveLocalFirst puts those of the first n candidates before the others that are in this balancer's zone, as crossing
-// zones costs, or for which it holds the probe lease, and returns how many these are. It moves none where the order is
-// strict, as all balancers need one order then, nor while many connections fail.
+// moveLocalFirst puts those of n candidates that are in this balancer's zone, as crossing zones costs, or for which it
+// holds the probe lease, before the others, and returns how many they are. It moves none where the order is strict, as
+// all balancers need one order then, nor while many connections fail.
 func (b *Balancer) moveLocalFirst(n int, isStrict bool) (local int) {
 	connectFailures := b.connectFailures.ValueAt(b.clock.evidence)
 	if isStrict || n == 0 {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -54,12 +54,14 @@
 // stampError, the endpoint counts as started at the latest time that the stamp and the present allow: it is not taken
 // for warm too soon.
 func (s *slowStartState) restarted(now, stamp, stampError int64) bool {
-	isNew := stamp > s.stamp || stampError > 0 && stamp > 0 && stamp != s.stamp
-	if isNew {
-		s.stamp, s.startedAt = stamp, max(1, min(now, stamp+stampError))
-		s.tokens, s.updatedAt = 0, 0
+	isLater := stamp > s.stamp
+	isEarlier := stamp > 0 && stamp < s.stamp
+	if !isLater && !(isEarlier && stampError > 0) {
+		return false
 	}
-	return isNew
+	s.stamp, s.startedAt = stamp, max(1, min(now, stamp+stampError))
+	s.tokens, s.updatedAt = 0, 0
+	return true
 }
 
 // begin has the endpoint count as started now, where a restart was seen that the list has not told.
