--- a/policy/admission.go
+++ b/policy/admission.go
@@ -16,14 +16,14 @@
 // takes while nothing is queued. A new request would wait for what is in flight over the rate. It is rejected where
 // that is longer than the base latency and queueingShare of what its objective leaves beyond it:
 //
-//	inFlight > room + sqrt(room), room = accepted x tolerance x (free + accepted x rate x queueing)
+//	inFlight > capacity + sqrt(capacity), capacity = accepted x tolerance x (free + accepted x rate x queueing)
 //
 // accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go), free is
 // what may be in flight whatever the rate, and the root is slack for chance.
 //
 // This guards against queues that make all answers late: once full they stay full of work that nobody waits for any
-// more. It shows as late answers at all endpoints alike. The guard holds since a rate that falls shrinks the room at
-// once, while a rejected request takes no endpoint's capacity, and its client may come back.
+// more. It shows as late answers at all endpoints alike. The guard holds since a rate that falls shrinks the capacity
+// at once, while a rejected request takes no endpoint's capacity, and its client may come back.
 
 const (
 	// queueingShare is the part of a request's objective, beyond the base latency, that may be spent queueing.
@@ -53,11 +53,11 @@
 type admissionLimiter struct {
 	arrivals       sum     // requests
 	shed           sum     // of these, rejected for overload
-	cacheMisses    sum     // answers that were misses: they come at once and make no room
+	cacheMisses    sum     // answers that were misses: they come at once and add no capacity
 	answers        sum     // attempts that caches answered with a value
 	answerTime     sum     // nanoseconds that these took
 	baseLatency    float64 // nanoseconds that an attempt takes while nothing is queued: the least mean of late
-	tolerance      float64 // part of the room that endpoints bear, lowered by restarts
+	tolerance      float64 // part of the capacity that endpoints bear, lowered by restarts
 	loweredAt      int64   // when the tolerance was lowered last
 	lastDispatchAt int64   // when an attempt was sent last
 }
@@ -72,8 +72,8 @@
 // countArrival counts a request that came.
 func (b *Balancer) countArrival() { b.count(&b.admission.arrivals) }
 
-// admit decides whether a new request is taken on, and has it dispatched or queued. A read that is rejected for overload
-// of the caches may ask the origin instead (cacheaside.go).
+// admit decides whether a new request is taken on, and has it dispatched or queued. A read that is rejected for
+// overload of the caches may ask the origin instead (cacheaside.go).
 func (b *Balancer) admit(now int64, index int, info RequestInfo) {
 	request := &b.requests[index]
 	goesToOrigin := b.settings.cacheAside && request.isWrite // The rule of overload is about caches.
@@ -110,16 +110,16 @@
 	rejected := b.fleetwide.latency.rejected.ValueAt(evidence)
 	rejectedRatio := rejected / (b.fleetwide.latency.answers.Value + rejected + 1)
 	queueing := a.baseLatency + share*max(0, float64(class.objective)-a.baseLatency)
-	room := (1 - rejectedRatio) * a.tolerance * (free + (1-rejectedRatio)*rate*queueing)
-	slack := math.Sqrt(room) // Counts vary by their root.
-	return float64(b.load.inFlight-unresponsiveInFlight) > room+slack && now < a.lastDispatchAt+class.objective
+	capacity := (1 - rejectedRatio) * a.tolerance * (free + (1-rejectedRatio)*rate*queueing)
+	slack := math.Sqrt(capacity) // Counts vary by their root.
+	return float64(b.load.inFlight-unresponsiveInFlight) > capacity+slack && now < a.lastDispatchAt+class.objective
 }
 
 // freeAttempts is how many attempts may be in flight whatever the rate of answers: one, and this balancer's share of
 // one at each endpoint, or of startupAttempts more right after the start, while it knows no rate.
 func (b *Balancer) freeAttempts(now int64, unresponsive int) float64 {
-	young := math.Exp(-float64(now-b.clock.startedAt) / float64(timeConstant))
-	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttempts*young)/b.fleetSize
+	startup := math.Exp(-float64(now-b.clock.startedAt) / float64(timeConstant))
+	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttempts*startup)/b.fleetSize
 }
 
 // answerRate is how many attempts caches answer this balancer in a nanosecond, misses left out. While less than a time
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Endpoints are full and reject half of what they get. Rejections come fast, and taken for answers they would make room
-// for more of the same: they shrink what may be in flight.
+// Endpoints are full and reject half of what they get. Rejections come fast, and taken for answers they would add
+// capacity for more of the same: they shrink what may be in flight.
 func TestRejectionsShrinkCapacity(t *testing.T) {
 	h := newHarness(t, 1, 0, nil)
 	answerWeightedTraffic(h)
@@ -59,7 +59,7 @@
 }
 
 // Cache-aside, incident i762552: caches slow down while they answer misses as fast as ever. Misses counted as answers
-// made room for ever more attempts, which piled up unanswered. They make none.
+// added capacity for ever more attempts, which piled up unanswered. They add none.
 func TestCacheMissesAddNoCapacity(t *testing.T) {
 	h := newHarness(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "balancers": 20.0})
 	h.updateOriginList(8)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -95,8 +95,8 @@
 
 // New begins a balancer with nothing known. values are the operators' settings as a plain map of dotted names to
 // float64, string or bool; one that is missing counts as 0, "" or false. seed is the instance's own, so that balancers
-// that see the same do not act in step. New calls executor.WatchEndpoints where changes of the list are told only to
-// who watches.
+// that see the same do not act in step. New calls executor.WatchEndpoints where changes of the list are sent only to
+// balancers that watch.
 func New(now int64, seed uint64, values map[string]any, executor Executor) *Balancer {
 	s := readSettings(values)
 	b := &Balancer{
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -63,9 +63,9 @@
 	})
 }
 
-// FuzzCold sends all it can past an endpoint that has just started. Were the budget of the slow start too large in any
-// second, it would fall over: no second may bring it over what the settings allow.
-func FuzzCold(f *testing.F) {
+// FuzzSlowStartBudget sends all it can past an endpoint that has just started. Were the budget of the slow start too
+// large in any second, it would fall over: no second may bring it over what the settings allow.
+func FuzzSlowStartBudget(f *testing.F) {
 	f.Add(uint64(1), 8)
 	f.Add(uint64(2), 20)
 	f.Add(uint64(3), 3)
@@ -143,7 +143,7 @@
 			members[i] = begin(i, second)
 			list(members[i])
 		}
-		var cold []int64 // when the warming cache was sent something
+		var sentToWarming []int64 // when the warming cache was sent something
 		reads, slow := 0, false
 		for step := range 900 { // of 20 ms
 			now := second + int64(step)*20*ms
@@ -176,7 +176,7 @@
 							h.endAttempt(i, attempt, OK)
 						default:
 							if sent.endpoint == 0 && started <= sent.sentAt {
-								cold = append(cold, sent.sentAt)
+								sentToWarming = append(sentToWarming, sent.sentAt)
 							}
 							h.endAttempt(i, attempt, CacheMiss)
 						}
@@ -189,7 +189,7 @@
 			}
 			capacity := 200.0 / caches * (0.2 + 0.8*float64(now-started)/float64(8*second))
 			inSecond := 0
-			for _, at := range cold {
+			for _, at := range sentToWarming {
 				if at > now-second {
 					inSecond++
 				}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -22,8 +22,8 @@
 	// overloadSlack is how much more may be, as slack for chance.
 	overloadSlack = 0.3
 
-	// latencyExponent turns a uniform draw into one near 1, so that an endpoint that is slower than the mean is kept with
-	// a probability of (mean latency / its latency) to the fifth power.
+	// latencyExponent turns a uniform draw into one near 1, so that an endpoint that is slower than the mean is kept
+	// with a probability of (mean latency / its latency) to the fifth power.
 	latencyExponent = 0.2
 
 	// jammedRatio is over how many times the mean latency an endpoint is left out until all are candidates, as it is
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -29,11 +29,11 @@
 	originMachineType int  // of the endpoint that is the origin; -1: none
 	weightsFollowLoad bool // stated weights fall as load rises
 
-	onlyDrainingBinds bool  // an endpoint that is gone without having drained may be sent to
-	mustSubscribe     bool  // changes of the list are told only to who watches
+	onlyDrainingBinds bool  // an endpoint that is removed without having drained may be sent to
+	mustSubscribe     bool  // changes of the list are sent only to balancers that watch it
 	isListPushed      bool  // changes come unasked
-	pollInterval      int64 // after so long without a call or watch the list counts as told
-	drainGrace        int64 // after a drain is told, attempts may begin for so long
+	pollInterval      int64 // time after which a list that was not called for counts as known
+	drainGrace        int64 // time for which attempts may begin after a drain is known
 
 	reportFields  []string // of a load report, in its order
 	reportsStrain bool     // one of them tells how busy an endpoint is
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -241,11 +241,11 @@
 // slowStartLoads is what a fleet goes through from the moment on at which endpoints that have just started, the first
 // so many, are listed.
 var slowStartLoads = []struct {
-	name   string
-	cold   int  // endpoints that have just started
-	uneven bool // one balancer in five has five times the load of the others
-	warms  bool // the load goes on to the end of the warm-up: enough of it has to reach the cold ones
-	play   func(f *slowStartFleet, rate float64)
+	name     string
+	starting int  // endpoints that have just started
+	uneven   bool // one balancer in five has five times the load of the others
+	warms    bool // the load goes on to the end of the warm-up: enough of it has to reach the starting ones
+	play     func(f *slowStartFleet, rate float64)
 }{
 	{"usual", 1, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
 	{"uneven", 1, true, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
@@ -291,9 +291,9 @@
 					f := newSlowStartFleet(d, uint64(members+n), members, fleetEndpoints, load.uneven)
 					rate := d.perEndpoint * fleetEndpoints
 					f.run(10*second, rate)
-					f.restart(load.cold)
+					f.restart(load.starting)
 					load.play(f, rate)
-					for index := range load.cold {
+					for index := range load.starting {
 						if worst, sum, budget := f.worstExcess(index); worst > 1 {
 							t.Errorf("%d balancers, %s: %d requests to warming endpoint %d within %v, of %.1f allowed", members, load.name,
 								sum, index, time.Duration(d.overloadAfter), budget)
@@ -318,7 +318,7 @@
 			}
 			f.updateList()
 		},
-		"cold": func(f *slowStartFleet) { f.restart(fleetEndpoints - 1) },
+		"restarted": func(f *slowStartFleet) { f.restart(fleetEndpoints - 1) },
 	} {
 		f := newSlowStartFleet(slowStartDeployments[0], 1, 1, fleetEndpoints, false)
 		f.run(15*second, slowStartDeployments[0].perEndpoint*fleetEndpoints)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -224,7 +224,7 @@
 	case !s.hasValidScalars() || !s.hasValidParts():
 		return errMalformedState
 	case len(s.Endpoints) > maxEndpoints, len(s.MachineTypes) > maxMachineTypes, len(s.Keys) > maxRecentKeys, len(s.Keys) != len(s.Places):
-		return fmt.Errorf("%w: %d hosts, %d kinds, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.Places))
+		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.Places))
 	}
 	for _, place := range s.Places {
 		if int(place) >= len(s.Endpoints) {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -89,7 +89,7 @@
 }
 
 // An endpoint restarts around the time at which a process does, and either the snapshot or the list knows of it. It is
-// not taken for warm, nothing that was learnt of it before counts, and no key is known to be there.
+// not taken for warm, nothing that was learned of it before counts, and no key is known to be there.
 func TestRestoreKeepsRestartedEndpointsCold(t *testing.T) {
 	old, executor := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
 	now := driveTraffic(old, executor, unixStart, 2000)
@@ -106,7 +106,7 @@
 		t.Errorf("warming up: %t, %t, and one that never restarted %t", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
 	}
 	if endpoint := &b.endpoints[1]; endpoint.outlier.outcomes.successes.Value > 0 || endpoint.attempts.Value > 0 || endpoint.retries.tokens != 1 {
-		t.Errorf("what was learnt of it before it restarted counts: %+v", endpoint)
+		t.Errorf("what was learned of it before it restarted counts: %+v", endpoint)
 	}
 	for _, record := range b.recentKeys {
 		if record.key != 0 && record.endpoint == 1 {
@@ -114,7 +114,7 @@
 		}
 	}
 	if warm := b.endpoints[3].outlier.outcomes.successes.Value; warm == 0 {
-		t.Error("nothing was learnt of the others")
+		t.Error("nothing was learned of the others")
 	}
 }
 
