--- a/cmd/hollyfleet/district_test.go
+++ b/cmd/hollyfleet/district_test.go
@@ -265,7 +265,7 @@
 		for _, p := range d.procs {
 			text, _ := os.ReadFile(p.log)
 			for _, line := range strings.Split(string(text), "\n") {
-				if strings.Contains(line, "reads miss for all") {
+				if strings.Contains(line, "widespread cache misses") {
 					t.Log(line)
 				}
 			}
--- a/fleet/decides_test.go
+++ b/fleet/decides_test.go
@@ -5,7 +5,7 @@
 // What a decision pays for its look at the lease.
 func BenchmarkDecides(b *testing.B) {
 	f := &Fleet{}
-	f.until.Store(1 << 62)
+	f.lease.expiry.Store(1 << 62)
 	b.ReportAllocs()
 	for b.Loop() {
 		f.Decides()
@@ -14,12 +14,12 @@
 
 func TestDecidesAllocatesNothing(t *testing.T) {
 	f := &Fleet{}
-	f.until.Store(1 << 62)
-	if n := testing.AllocsPerRun(100, func() { f.Decides() }); n != 0 || f.under.Load() == 0 || f.alone.Load() != 0 {
-		t.Errorf("%v allocations; %d under a lease, %d alone", n, f.under.Load(), f.alone.Load())
+	f.lease.expiry.Store(1 << 62)
+	if n := testing.AllocsPerRun(100, func() { f.Decides() }); n != 0 || f.lease.decisionsUnder.Load() == 0 || f.lease.decisionsWithout.Load() != 0 {
+		t.Errorf("%v allocations; %d under a lease, %d alone", n, f.lease.decisionsUnder.Load(), f.lease.decisionsWithout.Load())
 	}
-	f.until.Store(1)
-	if f.Decides() || f.alone.Load() != 1 {
+	f.lease.expiry.Store(1)
+	if f.Decides() || f.lease.decisionsWithout.Load() != 1 {
 		t.Error("a lease that is over counts")
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,20 +1,20 @@
-// Package fleet runs what a process does as one of many: the exchange, its lease, and its part as a keeper if it is one. It brings
-// clocks, sockets and the disk to agreed and members, and tells the balancer what to act on. One lock stands round what is agreed; nothing
-// blocks under it but a keeper's disk.
+// Package fleet drives a process's part in a fleet of balancers. It gives the pure packages (lease and replica, outlier detection, zone evacuation,
+// connection subsets) their clock, sockets and disk, and tells the balancer what follows from them; it decides nothing itself.
+//
+// One goroutine, Run, handles all messages and timers. Other goroutines only put messages into the inbox (the exchange), look at the lease
+// (CheckLease, by the balancer), report attempts (OutlierExchange, by the balancer), propose changes and read the status (the admin endpoint).
+//
+// Lock order: the balancer's lock, then Fleet.mu, then OutlierExchange.mu. The balancer is therefore never called with either of the latter held.
 package fleet
 
 import (
-	"context"
 	crand "crypto/rand"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
-	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -22,518 +22,165 @@
 
 	"hollylever/agreed"
 	"hollylever/bootclock"
-	"hollylever/budgets"
 	"hollylever/fields"
 	"hollylever/joining"
 	"hollylever/members"
 	"hollylever/store"
 	"hollylever/subset"
-	"hollylever/zones"
 )
 
-// Acts is what is told what to act on: the balancer. Heeds is called under no lock, whenever it changes.
+// Acts is the balancer as the fleet sees it. All methods are called without any lock of this package held.
 type Acts interface {
+	// Heeds takes the configuration in effect, each time that its revisions change.
 	Heeds(agreed.Acting)
-	Drained(names []string) // hosts that other processes' later lists call draining or gone
+	// Drained takes the endpoints that peers' later lists call draining or gone.
+	Drained(names []string)
+	// List gives the index of the endpoint list in use, a digest of it, and the drains that it told last.
 	List() (index, digest uint64, drains []members.Drain)
+	// Servers gives the endpoints of that list.
 	Servers() []subset.Host
-	Tends(names map[string]bool, all bool)                // to which hosts idle connections are kept
-	Heard(parts map[string]float64)                       // what others' word takes from hosts' chances
-	Portion(part float64)                                 // of the fleet's budgets; 0: they are not divided
-	Came() int                                            // retrievals since the start
-	Leaves(parts map[string]float64, fills time.Duration) // which part of the keys does not go to each zone
+	// Tends sets to which endpoints idle connections are kept: the named ones, or all.
+	Tends(names map[string]bool, all bool)
+	// Heard takes, for each endpoint with a peer verdict, the share of its traffic that is suppressed.
+	Heard(shares map[string]float64)
+	// Portion sets this process's share of the fleet's budgets; 0: they are not divided.
+	Portion(share float64)
+	// Came gives how many requests have come since the start.
+	Came() int
+	// Leaves sets, for each zone, the share of the keys that is not sent there, and how long its caches may take to fill.
+	Leaves(shares map[string]float64, fillTime time.Duration)
+	// WarmUp gives how long a cold endpoint takes until it is warm.
 	WarmUp() time.Duration
-	Missed() (reads, misses int) // since the start
-	Scarce(is bool)              // reads miss for all
+	// Missed gives how many reads have settled since the start, and how many of these missed the cache.
+	Missed() (reads, misses int)
+	// Scarce tells whether reads miss at many processes of the fleet at once.
+	Scarce(widespread bool)
 }
 
-// Fleet is one process's part in the fleet.
+// Fleet is one process's part in the fleet. It is safe for use by several goroutines; the comments below say who may touch what.
 type Fleet struct {
-	name, zone string
-	settings   string // a digest of them
-	own        agreed.Own
-	odd        bool // its settings are not those in force, and it said so
-	terms      agreed.Terms
-	keepers    []string
-	acts       Acts
-	log        zerolog.Logger
-	exchange   members.Exchange
-	came       chan []byte
-	changed    chan struct{}
-	life       uint64
-	lost       atomic.Int64 // messages that came while too many waited
-	until      atomic.Int64 // the lease's end, for who looks at each decision
-	alone      atomic.Int64 // decisions without a lease
-	under      atomic.Int64 // and under one
-	trace      *os.File
-	left       string // where the next process finds what this one acts on; "": nowhere
-	join       func() error
-	keeps      func() error
-	seen       *seen // nil: no signals
-	tends      tending
-	zones      leaving
-	gossips    gossips
-
-	mu     sync.Mutex
-	holder *agreed.Holder
-	keeper *agreed.Keeper
-	last   *store.Log
-
-	again         *time.Ticker // what could not be begun yet is tried again
-	isReplicaLost bool         // its folder was damaged meanwhile: only a restart helps
-	isReplicaDown bool         // its folder has failed and it has not been begun again
-	acting        agreed.Acting
-	waiting       map[string]chan said
-	cards         uint64
-	portion       float64 // that the balancer was told
-	came0         int     // retrievals, and when they were counted
-	cameAt        int64
-	news          []string
-	late          agreed.Late // its list is behind
-	behind        time.Duration
-	differs       bool
-	contrary      int
-}
-
-const (
-	minQueue     = 256 // messages that wait
-	maxQueue     = 4 * joining.MaxMembers
-	replicaEvery = 250 * time.Millisecond // a replica whose folder has failed is begun again so often
-	joinEvery    = 50 * time.Millisecond
-)
-
-// rate is 1 but where a test has clocks that are off.
-var rate = 1.0
-
-// ClockOff is for tests' processes: this one's clock runs at so many times the true rate.
-func ClockOff(by float64) { rate = by }
-
-// Now is the clock that leases run on: it goes on while the process, or the machine, stands still.
+	// Set by Start, constant after it.
+	name, zone     string
+	settingsDigest string
+	incarnation    uint64
+	terms          agreed.Terms
+	voters         []string // names of the processes that may have a replica
+	acts           Acts
+	log            zerolog.Logger
+	trace          *os.File     // nil: decisions are not traced
+	handover       handoverFile // for the next process of this name
+	openExchange   func() (members.Exchange, error)
+	openReplica    func() error
+
+	// Safe for any goroutine without mu.
+	inbox    inbox
+	lease    leaseView
+	outliers *OutlierExchange // nil: outliers are not shared
+
+	// Used by the goroutine of Run alone, but for what their own comments say.
+	peerLists   peerLists
+	connections connectionSubset
+	evacuation  evacuationState
+	applied     appliedState
+	load        loadMeter
+	startRetry  *time.Ticker // of the exchange and the replica, while either could not be started
+
+	mu           sync.Mutex       // guards what follows; nothing blocks under it but a replica's writes to its log
+	exchange     members.Exchange // nil: not joined yet; set once, by Start or Run
+	holder       *agreed.Holder
+	replica      replica
+	effective    agreed.Acting         // the configuration in effect
+	proposals    map[string]chan reply // where the answers to this process's own proposals go, by the proposal's id
+	cardsSent    uint64
+	peerDrains   []string     // endpoints that peers' later lists call draining or gone
+	zoneStatuses []ZoneStatus // as of the last look at zones
+	subset       []string     // endpoints of the connection subset; nil: all
+}
+
+// startRetryInterval is how often the exchange and the replica are tried again while the process that had their address or log, before an
+// upgrade, has not gone: short against the second or so that the new process serves without a lease.
+const startRetryInterval = 50 * time.Millisecond
+
+// clockRate is 1 but where a test has clocks that are off.
+var clockRate = 1.0
+
+// ClockOff makes the clock of this process run at so many times the true rate. Tests call it before Start; nothing else may.
+func ClockOff(rate float64) { clockRate = rate }
+
+// Now is the clock that leases run on, in nanoseconds since the machine's start. It goes on while the process or the machine is suspended, so
+// that a lease cannot outlast its time by that.
 func Now() int64 {
 	now := bootclock.Now()
-	if rate != 1 {
-		return int64(float64(now) * rate)
+	if clockRate != 1 {
+		return int64(float64(now) * clockRate)
 	}
 	return now
 }
 
-// Start joins the fleet, as the checked table says. name is the balancer's, of whose processes each is a life.
-func Start(own fields.Values, name, zone, settings string, acts Acts, log zerolog.Logger) (*Fleet, error) {
+// Start joins the fleet as the own settings say, for the balancer of this name, and recalls what the process before left. settingsDigest is
+// of the operators' settings file. The caller then calls Run, once. Errors name the setting at fault.
+func Start(own fields.Values, name, zone, settingsDigest string, acts Acts, log zerolog.Logger) (*Fleet, error) {
 	if err := joining.Check(own, name); err != nil {
 		return nil, err
 	}
-	peers, _ := joining.Peers(own.Word("fleet.peers"))
-	f := &Fleet{name: name, zone: zone, settings: settings, terms: joining.Of(own), keepers: joining.Names(own.Word("fleet.keepers")), acts: acts, log: log,
-		behind: own.Duration("fleet.behind"), came: make(chan []byte, queueFor(peers, own)), changed: make(chan struct{}, 1), waiting: map[string]chan said{}}
-	var seed [16]byte
-	crand.Read(seed[:])
-	f.life = nextIncarnation(os.Getenv("TMPDIR"), time.Now(), binary.LittleEndian.Uint32(seed[:4]))
-	if own.Yes("fleet.signals") {
-		f.seen = newSeen(name, zone, f.life, own.Duration("fleet.signal_delay"), queueFor(peers, own))
-	}
-	f.zones = leaving{itself: own.Yes("fleet.zones"), terms: zones.Terms{Leaves: int64(leavesOver), Returns: int64(acts.WarmUp() * 3 / 2)}, paths: map[string]*zones.Path{}}
-	f.tends = tending{rule: subset.Rule{Hosts: int(own.Count("fleet.tends")), Balancers: subset.Usual.Balancers, Near: own.Yes("fleet.tends_near")}}
-	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	chance := source.IntN // Only called under the lock.
-	if path := own.Word("fleet.trace"); path != "" {
-		var err error
-		if f.trace, err = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
-			return nil, fmt.Errorf("fleet.trace: %w", err)
-		}
-	}
-	if place := os.Getenv("TMPDIR"); place != "" {
-		f.left = filepath.Join(place, "hollylever.fleet")
+	peers, err := joining.Peers(own.Word("fleet.peers"))
+	if err != nil {
+		return nil, fmt.Errorf("fleet.peers: %w", err)
 	}
-	f.holder = agreed.NewHolder(Now(), name, f.life, f.terms, f.keepers, f, chance)
-	f.recall()
-	f.join = func() error {
-		if f.exchange != nil {
-			return nil
-		}
-		open := func() (members.Exchange, error) {
-			return members.OpenPlain(name, own.Word("fleet.listen"), peers, joining.Rate(own, len(peers)), f)
-		}
-		if own.Word("fleet.way") == "gossip" {
-			open = func() (members.Exchange, error) {
-				return members.OpenGossip(name, own.Word("fleet.listen"), peers, joining.Rate(own, len(peers)), f)
-			}
-		}
-		exchange, err := open()
-		if err != nil {
-			return fmt.Errorf("fleet.listen: %w", err)
-		}
-		f.mu.Lock()
-		f.exchange = exchange
-		f.mu.Unlock()
-		return nil
+	folder := os.Getenv("TMPDIR")
+	seed := drawSeed()
+	incarnation := nextIncarnation(folder, time.Now(), binary.LittleEndian.Uint32(seed[:4]))
+	trace, err := openTrace(own.Word("fleet.trace"))
+	if err != nil {
+		return nil, err
 	}
-	f.keeps = func() error {
-		if f.keeper != nil || f.isReplicaLost || !slices.Contains(f.keepers, name) {
-			return nil
-		}
-		return f.keep(own.Word("fleet.state"), chance)
+	queue := queueSize(len(peers), int(own.Count("fleet.most")))
+	f := &Fleet{
+		name: name, zone: zone, settingsDigest: settingsDigest, incarnation: incarnation,
+		terms: joining.Of(own), voters: joining.Names(own.Word("fleet.keepers")), acts: acts, log: log, trace: trace, handover: handoverIn(folder),
+		inbox: newInbox(queue), peerLists: peerLists{maxBehind: own.Duration("fleet.behind")}, connections: newConnectionSubset(own),
+		evacuation: newEvacuationState(own.Yes("fleet.zones"), acts.WarmUp()), proposals: map[string]chan reply{},
 	}
-	// Over an upgrade the process before this one still has the place, and may keep: the two are one member. This one acts alone, on
-	// what the other left, until it has gone.
-	switch err := f.join(); {
-	case errors.Is(err, unix.EADDRINUSE):
-		log.Info().Msg("another process of this name is in the fleet; this one joins when it has gone")
-	case err != nil:
-		return nil, err
+	if own.Yes("fleet.signals") {
+		f.outliers = newOutlierExchange(name, zone, f.incarnation, own.Duration("fleet.signal_delay"), queue)
 	}
-	if err := f.keeps(); err != nil && !errors.Is(err, store.ErrHeld) {
+	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
+	f.holder = agreed.NewHolder(Now(), name, f.incarnation, f.terms, f.voters, f, source.IntN) // The source is drawn from under mu alone.
+	f.recallHandover()
+	f.openExchange = func() (members.Exchange, error) { return openExchange(own, name, peers, f) }
+	f.openReplica = func() error { return f.startReplica(own.Word("fleet.state"), source.IntN) }
+	if err := f.startFirst(); err != nil {
 		return nil, err
 	}
-	log.Info().Str("listen", own.Word("fleet.listen")).Bool("keeper", f.keeper != nil).Dur("t_ms", f.terms.T()).Msg("fleet joined")
+	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).Dur("staleness_bound_ms", f.terms.T()).Msg("fleet joined")
 	return f, nil
 }
 
-// queueFor is how many messages may wait here: a few of each process that the settings name or allow.
-func queueFor(peers []members.Peer, own fields.Values) int {
-	return min(maxQueue, max(minQueue, 4*len(peers), 4*int(own.Count("fleet.most"))))
+// drawSeed draws what numbers this incarnation and seeds the source of its random choices.
+func drawSeed() (seed [16]byte) {
+	_, _ = crand.Read(seed[:]) // It does not fail; crypto/rand ends the program instead.
+	return seed
 }
 
-// keep begins a keeper, with what lasts of it.
-func (f *Fleet) keep(path string, chance func(int) int) (err error) {
-	var records [][]byte
-	var lasting agreed.Lasting = forgets{}
-	if path != "" {
-		f.last, records, err = store.Open(path)
-		switch {
-		case errors.Is(err, store.ErrHeld):
-			return err // Another process of this balancer keeps, over an upgrade: one keeps at a time.
-		case errors.Is(err, store.ErrDamaged) && f.isReplicaDown:
-			// What this process has voted for is lost, and it may not begin anew under the same incarnation: a restart may.
-			f.log.Error().Str("file", path).Msg("replica stopped for good: its folder is damaged; restart the process")
-			f.isReplicaLost = true
-			f.last.Close()
-			f.last = nil
-			return nil
-		case errors.Is(err, store.ErrDamaged):
-			f.log.Error().Str("file", path).Msg("what lasted is damaged and was put aside: this keeper learns anew")
-		case err != nil:
-			return fmt.Errorf("fleet.state: %w", err)
-		}
-		lasting = f.last
+// startFirst opens the exchange and the replica as the process starts. Over an upgrade the process before may have both still: the two are one
+// member, so this one serves without a lease, on the handover file, until Run gets hold of them.
+func (f *Fleet) startFirst() error {
+	switch err := f.join(); {
+	case errors.Is(err, unix.EADDRINUSE):
+		f.log.Info().Msg("join deferred: another process of this name is in the fleet")
+	case err != nil:
+		return err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.keeper, err = agreed.NewKeeper(Now(), f.name, f.life, f.terms, f.keepers, records, lasting, f, chance); err != nil {
-		f.keeper = nil
-		if f.last != nil {
-			f.last.Close()
-			f.last = nil
-		}
-		return fmt.Errorf("fleet.state: %w", err)
+	if err := f.openReplica(); err != nil && !errors.Is(err, store.ErrHeld) {
+		return err
 	}
 	return nil
 }
 
-// forgets is where a keeper without a disk writes: its life is its state's.
-type forgets struct{}
-
-func (forgets) Add([][]byte) error  { return nil }
-func (forgets) Swap([][]byte) error { return nil }
-
-// Send is how holder and keeper send: to itself by the way that all messages come.
-func (f *Fleet) Send(to string, m *agreed.Message) {
-	bytes := m.Pack()
-	if to == f.name {
-		f.Message(bytes)
-		return
-	}
-	if f.exchange != nil {
-		f.exchange.Send(to, bytes)
-	}
-}
-
-// Message takes what the exchange hears. It does not wait.
-func (f *Fleet) Message(bytes []byte) {
-	select {
-	case f.came <- bytes:
-	default:
-		f.lost.Add(1)
-	}
-}
-
-// Card takes a member's card: what later lists say of drains is news.
-func (f *Fleet) Card(members.Card) {
-	select {
-	case f.changed <- struct{}{}:
-	default:
-	}
-}
-
-// Run plays the process's part until the context ends.
-func (f *Fleet) Run(ctx context.Context) {
-	timer := time.NewTimer(0)
-	f.gossips.timer = time.NewTimer(time.Hour)
-	defer f.gossips.timer.Stop()
-	tell := time.NewTicker(time.Second)
-	defer tell.Stop()
-	f.again = time.NewTicker(joinEvery)
-	defer f.again.Stop()
-	f.fellows() // Hosts and their zones are known before anybody is heard: what is left is not gone to.
-	var looks <-chan time.Time
-	var signals chan []byte
-	if f.seen != nil {
-		often := time.NewTicker(looksEvery)
-		defer often.Stop()
-		looks, signals = often.C, f.seen.came
-	}
-	for {
-		select {
-		case <-ctx.Done():
-			f.mu.Lock()
-			if f.exchange != nil {
-				f.exchange.Close()
-			}
-			f.keeper = nil
-			if f.last != nil {
-				f.last.Close()
-			}
-			f.mu.Unlock()
-			return
-		case bytes := <-f.came:
-			f.hear(bytes)
-		case bytes := <-signals:
-			if f.seen.hear(bytes) {
-				f.signals()
-			}
-		case <-looks:
-			f.signals()
-			f.leaves(ctx)
-		case <-timer.C:
-		case <-f.changed:
-			f.gossips.due(Now())
-		case <-f.gossips.timer.C:
-			f.gossip()
-		case <-f.again.C:
-			if f.join() == nil && f.keeps() == nil {
-				f.again.Stop()
-				f.saysReplicaIsBack()
-			}
-		case <-tell.C:
-			if f.exchange != nil {
-				f.exchange.Tell(f.card())
-				f.gossip()
-				f.counts()
-			}
-			f.fellows()
-		}
-		timer.Reset(f.look())
-	}
-}
-
-func (f *Fleet) hear(bytes []byte) {
-	m, err := agreed.Unpack(bytes)
-	if err != nil {
-		f.log.Warn().Err(err).Msg("not a message of the fleet")
-		return
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	switch now := Now(); {
-	case m.Grant != nil:
-		f.holder.Heard(now, m.Grant)
-	case m.Outcome != nil:
-		if wait := f.waiting[m.Outcome.ID]; wait != nil {
-			select {
-			case wait <- said{*m.Outcome, m.From}:
-			default:
-			}
-		}
-	case f.keeper != nil:
-		f.keeper.Heard(now, m)
-	}
-}
-
-// endReplica ends this process's replica, whose folder has failed, and has it begun again from what is on the disk, as a restart would: a
-// folder that fails for a while must not cost the replica, and three such the majority. Under the lock.
-func (f *Fleet) endReplica(err error) {
-	if !f.isReplicaDown {
-		f.log.Error().Err(err).Msg("replica stopped: it is begun again from its folder")
-	}
-	f.keeper, f.isReplicaDown = nil, true
-	if f.last != nil {
-		f.last.Close()
-		f.last = nil
-	}
-	f.again.Reset(replicaEvery)
-}
-
-// saysReplicaIsBack logs that a replica that was stopped runs again.
-func (f *Fleet) saysReplicaIsBack() {
-	f.mu.Lock()
-	isBack := f.isReplicaDown && !f.isReplicaLost
-	f.isReplicaDown = false
-	f.mu.Unlock()
-	if isBack {
-		f.log.Info().Msg("replica runs again")
-	}
-}
-
-// look does what is due, and tells the balancer what to act on if that has changed.
-func (f *Fleet) look() time.Duration {
-	f.mu.Lock()
-	now := Now()
-	f.holder.Look(now)
-	wait := f.holder.Wait(now)
-	if f.keeper != nil {
-		f.keeper.Look(now)
-		wait = min(wait, f.keeper.Wait(now))
-		if err := f.keeper.Broken(); err != nil {
-			f.endReplica(err)
-		}
-	}
-	was := f.acting
-	f.acting = f.holder.Acting(now)
-	f.until.Store(f.holder.Until())
-	if f.acting.Leased {
-		wait = min(wait, time.Duration(f.holder.Until()-now))
-	}
-	acting, contrary := f.acting, f.holder.Contrary
-	f.mu.Unlock()
-	if contrary > f.contrary {
-		f.contrary = contrary
-		f.log.Error().Msg("there are two histories: what this process acts on is another's")
-	}
-	if was.Floor != acting.Floor || was.Latest != acting.Latest {
-		f.log.Info().Uint64("floor", acting.Floor).Uint64("latest", acting.Latest).Int("bans", len(acting.Bans)).Msg("acts on")
-		f.acts.Heeds(acting)
-		f.leave()
-	}
-	if d := acting.Part - f.portion; d > 0.01*f.portion || d < 0 {
-		f.portion = acting.Part
-		f.acts.Portion(acting.Part)
-	}
-	if odd := acting.Leased && acting.Digest != "" && acting.Digest != f.settings; odd != f.odd {
-		if f.odd = odd; odd {
-			f.log.Warn().Str("own", f.settings).Str("in_force", acting.Digest).Msg("settings are not those in force")
-		}
-	}
-	if was.Leased != acting.Leased {
-		if acting.Leased {
-			f.log.Info().Uint64("latest", acting.Latest).Msg("under a lease")
-		} else {
-			f.log.Warn().Uint64("latest", acting.Latest).Msg("alone: cut off from the majority, acts on the strictest that it knows")
-		}
-	}
-	return max(wait, time.Millisecond)
-}
-
-// counts takes how many retrievals come, for the part that is asked for.
-func (f *Fleet) counts() {
-	came, now := f.acts.Came(), Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.cameAt != 0 && now > f.cameAt {
-		rate := float64(came-f.came0) / float64(now-f.cameAt) * 1e9
-		f.holder.Rate += (rate - f.holder.Rate) / 2
-	}
-	f.came0, f.cameAt = came, now
-}
-
-// Decides is called before each decision: it looks at the lease. It allocates nothing.
-func (f *Fleet) Decides() (leased bool) {
-	now := Now()
-	if leased = now < f.until.Load(); leased {
-		f.under.Add(1)
-	} else {
-		f.alone.Add(1)
-	}
-	if f.trace != nil {
-		f.traced(now, leased)
-	}
-	return leased
-}
-
-// traced writes on what was decided, for the checker of merged traces.
-func (f *Fleet) traced(now int64, leased bool) {
-	f.mu.Lock()
-	a := f.acting
-	digest := ""
-	if v := f.holder.Versions(); len(v) > 0 {
-		digest = v[len(v)-1].Digest()
-	}
-	f.mu.Unlock()
-	var t unix.Timespec
-	unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
-	if !leased && f.terms.Most > 0 {
-		a.Part = budgets.Alone(f.terms.Most)
-	}
-	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", t.Nano(), f.name, a.Floor, a.Latest, leased, a.Part, digest)
-}
-
-// Status is what the door shows.
-type Status struct {
-	Name     string           `json:"name"`
-	Zone     string           `json:"zone,omitempty"`
-	Leads    string           `json:"leads,omitempty"`
-	Acting   agreed.Acting    `json:"acting"`
-	T        string           `json:"t"`
-	LeaseMS  int64            `json:"lease_left_ms"`
-	Alone    int64            `json:"decisions_alone"`
-	Under    int64            `json:"decisions_under_lease"`
-	Lost     int64            `json:"messages_lost"`
-	Members  []Stands         `json:"members"`
-	News     []string         `json:"drains_by_others,omitempty"`
-	Keeper   *KeeperStands    `json:"keeper,omitempty"`
-	Versions []agreed.Version `json:"versions_that_count"`
-	Signals  *SignalsStand    `json:"signals,omitempty"`
-	Tends    []string         `json:"tends,omitempty"`
-	Zones    []ZoneStands     `json:"zones,omitempty"`
-}
-
-// Stands is a member as this process heard of it.
-type Stands struct {
-	members.Card
-	AgoMS int64 `json:"heard_ms_ago"`
-	Gone  bool  `json:"gone"`
-}
-
-// KeeperStands is a keeper's own view.
-type KeeperStands struct {
-	Leads   bool `json:"leads"`
-	Founded bool `json:"founded"`
-	Holders int  `json:"holders"`
-}
-
-// Status tells how things stand.
-func (f *Fleet) Status() Status {
-	own := f.card()
-	var list []members.Member
-	f.mu.Lock()
-	if f.exchange != nil {
-		list = f.exchange.Members()
-	}
-	f.mu.Unlock()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now := Now()
-	s := Status{Name: f.name, Zone: f.zone, Leads: f.holder.Leader(), Acting: f.holder.Acting(now), T: f.terms.T().Round(time.Millisecond).String(),
-		LeaseMS: max(0, f.holder.Until()-now) / 1e6, Alone: f.alone.Load(), Under: f.under.Load(), Lost: f.lost.Load(), News: f.news,
-		Versions: slices.Clone(f.holder.Versions()), Members: []Stands{{Card: own}}}
-	for _, m := range list {
-		s.Members = append(s.Members, Stands{m.Card, time.Since(m.Heard).Milliseconds(), m.Gone(time.Now())})
-	}
-	if f.seen != nil {
-		s.Signals = f.seen.stand()
-	}
-	s.Tends, s.Zones = f.tends.has, f.zones.stands
-	if f.keeper != nil {
-		s.Keeper = &KeeperStands{Leads: f.keeper.Leads(), Founded: f.keeper.Founded(), Holders: f.keeper.Holders(now)}
-	}
-	return s
-}
-
-// History is what this process knows of it: a keeper more than others.
-func (f *Fleet) History() []agreed.Version {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.keeper != nil && f.keeper.Founded() {
-		all, _ := f.keeper.History()
-		return slices.Clone(all)
+// retryStart tries the exchange and the replica again, until both run.
+func (f *Fleet) retryStart() {
+	if f.join() == nil && f.openReplica() == nil {
+		f.startRetry.Stop()
+		f.logReplicaRestarted()
 	}
-	return slices.Clone(f.holder.Versions())
 }
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -66,21 +66,21 @@
 	card := members.Card{Name: "b1", Zone: "z1", Life: 5, Keeper: true, Leads: true, Leased: true, Floor: 3, Latest: 4, Index: 9, Digest: 10,
 		Drains: []members.Drain{{Host: "h3", Index: 8}}, Version: "0123456789abcdef", Ways: []members.Way{{Zone: "z1", Part: 0.5}}, Seq: 11, More: 12}
 	versions := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4}}
-	full := Status{Name: "b1", Zone: "z1", Leads: "b2", Acting: agreed.Acting{Floor: 3, Latest: 4, Leased: true, Part: 0.25, Document: document}, T: "1.986s",
-		LeaseMS: 321, Alone: 1, Under: 2, Lost: 3, Members: []Stands{{Card: card}, {Card: members.Card{Name: "b2"}, AgoMS: 44, Gone: true}}, News: []string{"h9"},
-		Keeper: &KeeperStands{Leads: true, Founded: true, Holders: 6}, Versions: versions,
-		Signals: &SignalsStand{Told: 1, Took: 2, Late: 3, Odd: 4, Lost: 5, Miss: true, Hosts: []signals.Stands{{Host: 1, Name: "h1", Witnesses: 2, Zones: 3, Runs: 4,
+	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: agreed.Acting{Floor: 3, Latest: 4, Leased: true, Part: 0.25, Document: document}, StalenessBound: "1.986s",
+		LeaseLeftMS: 321, DecisionsWithout: 1, DecisionsUnder: 2, MessagesDropped: 3, Members: []MemberStatus{{Card: card}, {Card: members.Card{Name: "b2"}, HeardMSAgo: 44, Gone: true}}, PeerDrains: []string{"h9"},
+		Replica: &ReplicaStatus{Leads: true, Bootstrapped: true, LeaseHolders: 6}, Versions: versions,
+		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, IsMissing: true, Endpoints: []signals.Stands{{Host: 1, Name: "h1", Witnesses: 2, Zones: 3, Runs: 4,
 			Own: 5, Heeded: true, Turn: true, Part: 0.75, ForMS: 66}, {Name: "h2", Heeded: true, Part: 0.5, ForMS: 7}, {Name: "h4", Heeded: true}, {Name: "h5"}}},
-		Tends: []string{"h1", "h2"}, Zones: []ZoneStands{{Zone: "z1", Hosts: 4, Failing: 1, Own: true, ByHand: true, Part: 0.5},
-			{Zone: "z2", Hosts: 4, Failing: 4, Fails: true, Part: 1}, {Zone: "z3", Hosts: 5, Part: 0.25}, {Zone: "z4", Hosts: 2, ByHand: true, Fails: true, Part: 1}}}
+		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
+			{Zone: "z2", Endpoints: 4, Failing: 4, EvacuatedAutomatically: true, Share: 1}, {Zone: "z3", Endpoints: 5, Share: 0.25}, {Zone: "z4", Endpoints: 2, EvacuatedByOperator: true, EvacuatedAutomatically: true, Share: 1}}}
 	w := httptest.NewRecorder()
-	answer(w, full)
+	writeJSON(w, full)
 	golden(t, "status.json", w.Body.Bytes())
 	w = httptest.NewRecorder()
-	answer(w, Status{})
+	writeJSON(w, Status{})
 	golden(t, "status_empty.json", w.Body.Bytes())
 	w = httptest.NewRecorder()
-	answer(w, versions)
+	writeJSON(w, versions)
 	golden(t, "history.json", w.Body.Bytes())
 }
 
@@ -110,9 +110,9 @@
 func fleetAt(t *testing.T, left string, acts Acts) *Fleet {
 	t.Helper()
 	terms := agreed.Terms{Lease: 1500 * time.Millisecond, RateError: 0.001, Pause: 300 * time.Millisecond}
-	f := &Fleet{name: "b1", zone: "z1", settings: "0123456789abcdef", terms: terms, keepers: []string{"b1"}, acts: acts, log: zerolog.Nop(), left: left,
-		waiting: map[string]chan said{}, zones: leaving{paths: map[string]*zones.Path{}}}
-	f.holder = agreed.NewHolder(Now(), f.name, 1, terms, f.keepers, f, func(n int) int { return n - 1 })
+	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", terms: terms, voters: []string{"b1"}, acts: acts, log: zerolog.Nop(), handover: handoverFile(left),
+		proposals: map[string]chan reply{}, evacuation: evacuationState{paths: map[string]*zones.Path{}}}
+	f.holder = agreed.NewHolder(Now(), f.name, 1, terms, f.voters, f, func(n int) int { return n - 1 })
 	return f
 }
 
@@ -120,17 +120,17 @@
 func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
 	plain := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4, ID: "p4", Document: agreed.Document{Bans: []string{"h1"}}}}
 	var many []agreed.Version
-	for n := range uint64(plainVersion + 1) {
+	for n := range uint64(maxPlainVersions + 1) {
 		many = append(many, agreed.Version{Number: n + 3, ID: fmt.Sprint("p", n), Document: agreed.Document{Bans: []string{fmt.Sprint("h", n)}, From: n}})
 	}
 	for name, versions := range map[string][]agreed.Version{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
 			f := fleetAt(t, filepath.Join("testdata", name), &idle{})
 			f.holder.Recall(3, versions)
-			f.acting = f.holder.Acting(Now())
-			f.zones.paths["z2"] = &zones.Path{}
-			f.zones.paths["z2"].Recall(0.25, 1, 2)
-			f.leave()
+			f.effective = f.holder.Acting(Now())
+			f.evacuation.paths["z2"] = &zones.Path{}
+			f.evacuation.paths["z2"].Recall(0.25, 1, 2)
+			f.writeHandover()
 		}
 		text, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		f := fleetAt(t, left, acts)
-		f.recall()
+		f.recallHandover()
 		latest := versions[len(versions)-1].Number
 		if a := acts.last; acts.heeds != 1 || a.Floor != 3 || a.Latest != latest || a.Leased || len(a.Bans) == 0 {
 			t.Errorf("%s: %d times, %+v", name, acts.heeds, a)
@@ -151,10 +151,10 @@
 				t.Errorf("%s: version %d is another", name, v.Number)
 			}
 		}
-		if part, at := f.zones.paths["z2"].Stands(); part != 0.25 || at != 1 {
+		if part, at := f.evacuation.paths["z2"].Stands(); part != 0.25 || at != 1 {
 			t.Errorf("%s: %v of z2 at %d", name, part, at)
 		}
-		f.leave()
+		f.writeHandover()
 		if again, err := os.ReadFile(left); err != nil || !bytes.Equal(again, text) {
 			t.Errorf("%s: written again it is another, %v:\n%s", name, err, again)
 		}
@@ -165,7 +165,7 @@
 			t.Fatal(err)
 		}
 		if f := fleetAt(t, left, acts); true {
-			if f.recall(); acts.heeds != 0 || f.acting.Latest != 0 {
+			if f.recallHandover(); acts.heeds != 0 || f.effective.Latest != 0 {
 				t.Errorf("%q is acted on", spoilt)
 			}
 		}
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -8,21 +8,44 @@
 )
 
 const (
-	incarnationFile = "hollylever.incarnation"
-	chanceBits      = 22 // of an incarnation: drawn, so that no two processes of one millisecond have the same
+	incarnationName     = "hollylever.incarnation"
+	incarnationBytes    = 8  // of the file: one number, little-endian
+	incarnationDrawBits = 22 // the low bits are drawn, so that no two processes of one millisecond have the same; 42 bits of milliseconds last until 2109
 )
 
-// nextIncarnation numbers a process of a balancer above all before it, also of one that was killed within the same second: by the wall
-// clock, and where that was stepped back by the last number, which is kept in the folder. Without a folder the clock alone counts.
-func nextIncarnation(folder string, now time.Time, chance uint32) uint64 {
+// nextIncarnation numbers a process of a balancer above all before it, also above one that was killed within the same second: by the wall clock, or,
+// where that was stepped back, by the last number, which is kept in folder. Without a folder the clock alone counts. draw gives the low bits.
+//
+// Peers take what has a lower incarnation for the past. A process with a number at or under the last one's would be ignored until its clock had
+// passed that.
+func nextIncarnation(folder string, now time.Time, draw uint32) uint64 {
 	millisecond := uint64(now.UnixMilli())
-	path := filepath.Join(folder, incarnationFile)
-	if text, err := os.ReadFile(path); folder != "" && err == nil && len(text) == 8 {
-		millisecond = max(millisecond, binary.LittleEndian.Uint64(text)>>chanceBits+1)
-	}
-	incarnation := millisecond<<chanceBits | uint64(chance)&(1<<chanceBits-1)
-	if folder != "" && os.WriteFile(path+".new", binary.LittleEndian.AppendUint64(nil, incarnation), 0o600) == nil {
-		os.Rename(path+".new", path) // Whoever can't write it goes by the clock.
+	if last, ok := readIncarnation(folder); ok {
+		millisecond = max(millisecond, last>>incarnationDrawBits+1)
 	}
+	incarnation := millisecond<<incarnationDrawBits | uint64(draw)&(1<<incarnationDrawBits-1)
+	writeIncarnation(folder, incarnation)
 	return incarnation
 }
+
+func readIncarnation(folder string) (incarnation uint64, ok bool) {
+	if folder == "" {
+		return 0, false
+	}
+	content, err := os.ReadFile(filepath.Join(folder, incarnationName))
+	if err != nil || len(content) != incarnationBytes {
+		return 0, false
+	}
+	return binary.LittleEndian.Uint64(content), true
+}
+
+// writeIncarnation keeps the number for the next process. Where it cannot be written the next one goes by its clock, as without a folder.
+func writeIncarnation(folder string, incarnation uint64) {
+	if folder == "" {
+		return
+	}
+	path := filepath.Join(folder, incarnationName)
+	if os.WriteFile(path+".new", binary.LittleEndian.AppendUint64(nil, incarnation), 0o600) == nil {
+		_ = os.Rename(path+".new", path)
+	}
+}
--- /dev/null
+++ b/fleet/lease.go
@@ -0,0 +1,149 @@
+package fleet
+
+import (
+	"sync/atomic"
+	"time"
+
+	"hollylever/agreed"
+)
+
+const (
+	minTickInterval = time.Millisecond // Run wakes up no more often, whatever is due, so that it cannot take a core
+
+	// minShareChange is by what part a share of the budgets has to grow before the balancer is told: each change has it compute its quotas anew.
+	// One that shrinks is told at once, as the sum of all shares must never be over the whole.
+	minShareChange = 0.01
+)
+
+// leaseView is what the balancer's decisions read of the lease, without a lock.
+type leaseView struct {
+	expiry           atomic.Int64 // on Now's clock; 0: no lease yet
+	decisionsUnder   atomic.Int64 // under a lease, since the start
+	decisionsWithout atomic.Int64
+}
+
+// appliedState is what the balancer and the log were told last. It is Run's own.
+type appliedState struct {
+	share              float64 // of the fleet's budgets
+	settingsDiffer     bool
+	rejectedAsConflict int // grants of another history, as counted by the lease holder
+}
+
+// Decides is called by the balancer before each decision, under its lock: it tells whether the lease lasts. It takes no lock, unless decisions are
+// traced, and allocates nothing.
+func (f *Fleet) Decides() (leased bool) {
+	if leased = Now() < f.lease.expiry.Load(); leased {
+		f.lease.decisionsUnder.Add(1)
+	} else {
+		f.lease.decisionsWithout.Add(1)
+	}
+	if f.trace != nil {
+		f.writeTrace(leased)
+	}
+	return leased
+}
+
+// tick has the lease holder and the replica do what is due, and tells the balancer what has changed. It gives the time until something is due again.
+func (f *Fleet) tick() (wait time.Duration) {
+	f.mu.Lock()
+	now := Now()
+	wait = f.tickConsensus(now)
+	before := f.effective
+	f.effective = f.holder.Acting(now)
+	f.lease.expiry.Store(f.holder.Until())
+	if f.effective.Leased {
+		wait = min(wait, time.Duration(f.holder.Until()-now))
+	}
+	after, conflicts := f.effective, f.holder.Contrary
+	f.mu.Unlock()
+
+	f.reportConflicts(conflicts)
+	f.applyRevisions(before, after)
+	f.applyShare(after.Part)
+	f.reportSettings(after)
+	f.reportLease(before, after)
+	return max(wait, minTickInterval)
+}
+
+// tickConsensus ticks the lease holder and the replica, and stops a replica whose log has failed. The caller holds mu.
+func (f *Fleet) tickConsensus(now int64) (wait time.Duration) {
+	f.holder.Look(now)
+	wait = f.holder.Wait(now)
+	if f.replica.state == nil {
+		return wait
+	}
+	f.replica.state.Look(now)
+	wait = min(wait, f.replica.state.Wait(now))
+	if err := f.replica.state.Broken(); err != nil {
+		f.stopReplica(err)
+	}
+	return wait
+}
+
+// reportConflicts logs grants of another history. They are rejected: a voter's log was lost and a new history begun, whose revisions say nothing of
+// the bans and limits that are in effect here.
+func (f *Fleet) reportConflicts(conflicts int) {
+	if conflicts <= f.applied.rejectedAsConflict {
+		return
+	}
+	f.applied.rejectedAsConflict = conflicts
+	f.log.Error().Msg("conflicting history rejected: this process acts on another's")
+}
+
+// applyRevisions has the balancer act on another configuration, and leaves it to the next process.
+func (f *Fleet) applyRevisions(before, after agreed.Acting) {
+	if before.Floor == after.Floor && before.Latest == after.Latest {
+		return
+	}
+	f.log.Info().Uint64("min_revision", after.Floor).Uint64("revision", after.Latest).Int("disabled", len(after.Bans)).Msg("effective configuration changed")
+	f.acts.Heeds(after)
+	f.writeHandover()
+}
+
+// applyShare sets the balancer's share of the fleet's budgets, if it has changed by enough.
+func (f *Fleet) applyShare(share float64) {
+	change := share - f.applied.share
+	if change > minShareChange*f.applied.share || change < 0 {
+		f.applied.share = share
+		f.acts.Portion(share)
+	}
+}
+
+// reportSettings logs when this process's settings begin to differ from those that the fleet agreed on.
+func (f *Fleet) reportSettings(now agreed.Acting) {
+	differ := now.Leased && now.Digest != "" && now.Digest != f.settingsDigest
+	if differ && !f.applied.settingsDiffer {
+		f.log.Warn().Str("own_digest", f.settingsDigest).Str("fleet_digest", now.Digest).Msg("settings differ from the fleet's")
+	}
+	f.applied.settingsDiffer = differ
+}
+
+// reportLease logs when a lease is acquired or lost.
+func (f *Fleet) reportLease(before, after agreed.Acting) {
+	switch {
+	case before.Leased == after.Leased:
+	case after.Leased:
+		f.log.Info().Uint64("revision", after.Latest).Msg("lease acquired")
+	default:
+		f.log.Warn().Uint64("revision", after.Latest).Msg("lease expired: acting on the strictest known configuration")
+	}
+}
+
+// loadMeter measures the rate of requests between two looks. It is Run's own.
+type loadMeter struct {
+	requests int
+	at       int64 // 0: not looked yet
+}
+
+// measureLoad updates the rate of requests that goes with the next request for a lease: the budgets are divided by it. The rate is the mean of the last one
+// and of what came since, so that a burst of a second does not move the shares of all.
+func (f *Fleet) measureLoad() {
+	requests, now := f.acts.Came(), Now()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.load.at != 0 && now > f.load.at {
+		rate := float64(requests-f.load.requests) / float64(now-f.load.at) * 1e9
+		f.holder.Rate += (rate - f.holder.Rate) / 2
+	}
+	f.load = loadMeter{requests, now}
+}
--- /dev/null
+++ b/fleet/replica.go
@@ -0,0 +1,114 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"hollylever/agreed"
+	"hollylever/store"
+)
+
+// replicaRestartInterval is how often a replica whose log has failed is started again: a full disk or a lost mount is over within seconds, and
+// until then the fleet has one voter less.
+const replicaRestartInterval = 250 * time.Millisecond
+
+// replica is this process's replica and the log that it writes. Run alone changes it, under Fleet.mu.
+type replica struct {
+	state *agreed.Keeper // nil: this process has none, or it does not run now
+	log   *store.Log     // nil: it has no log, or it does not run now
+
+	hasFailed bool // its log has failed, and it has not been started again
+	isLost    bool // its log was found corrupt after such a failure: only a restart of the process helps
+}
+
+// closeLog gives the log's lock back. What it could not write was never acknowledged to anybody, so the error changes nothing.
+func (r *replica) closeLog() {
+	if r.log != nil {
+		r.log.Close()
+		r.log = nil
+	}
+}
+
+// volatileStorage is where a replica without a log writes: what it voted for lasts as long as its process, and its incarnation tells the other
+// voters that a later process knows nothing of it.
+type volatileStorage struct{}
+
+// Add implements agreed.Lasting.
+func (volatileStorage) Add([][]byte) error { return nil }
+
+// Swap implements agreed.Lasting.
+func (volatileStorage) Swap([][]byte) error { return nil }
+
+// startReplica starts this process's replica from its log, if it is to have one that does not run. path is the log's; "": no log. draw draws below n,
+// under mu. The error is store.ErrHeld while the process before, over an upgrade, still runs the replica.
+func (f *Fleet) startReplica(path string, draw func(n int) int) error {
+	r := &f.replica
+	if r.state != nil || r.isLost || !slices.Contains(f.voters, f.name) {
+		return nil
+	}
+	storage, records, err := f.openReplicaLog(path)
+	if err != nil || r.isLost {
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	state, err := agreed.NewKeeper(Now(), f.name, f.incarnation, f.terms, f.voters, records, storage, f, draw)
+	if err != nil {
+		r.closeLog()
+		return fmt.Errorf("fleet.state: %w", err)
+	}
+	r.state = state
+	return nil
+}
+
+// openReplicaLog opens the log and gives what it holds.
+//
+// A corrupt log is put aside and the replica starts empty, which is safe as the process has a new incarnation: the others do not count the votes
+// of the one before. After a failure within this process's own life it is not safe: the replica would vote again under an incarnation whose
+// votes are lost, and two leaders could be elected. It then stays down (isLost) until the process is restarted.
+func (f *Fleet) openReplicaLog(path string) (agreed.Lasting, [][]byte, error) {
+	if path == "" {
+		return volatileStorage{}, nil, nil
+	}
+	log, records, err := store.Open(path)
+	switch {
+	case errors.Is(err, store.ErrHeld):
+		return nil, nil, err
+	case errors.Is(err, store.ErrDamaged) && f.replica.hasFailed:
+		f.log.Error().Str("file", path).Msg("replica stopped for good: its log is corrupt, restart the process")
+		f.replica.isLost = true
+		log.Close()
+		return nil, nil, nil
+	case errors.Is(err, store.ErrDamaged):
+		f.log.Error().Str("file", path).Msg("replica log corrupt: put aside, the replica starts empty")
+	case err != nil:
+		return nil, nil, fmt.Errorf("fleet.state: %w", err)
+	}
+	f.replica.log = log
+	return log, records, nil
+}
+
+// stopReplica stops the replica, whose log has failed with err, and has it started again from what is on the disk, as a restart of the process would.
+// Without this, disks that fill up for a moment cost the fleet its majority until somebody restarts each voter. The caller holds mu.
+func (f *Fleet) stopReplica(err error) {
+	r := &f.replica
+	if !r.hasFailed {
+		f.log.Error().Err(err).Msg("replica stopped: restarting from its log")
+	}
+	r.state, r.hasFailed = nil, true
+	r.closeLog()
+	f.startRetry.Reset(replicaRestartInterval)
+}
+
+// logReplicaRestarted logs once that a replica that had failed runs again.
+func (f *Fleet) logReplicaRestarted() {
+	f.mu.Lock()
+	hasRestarted := f.replica.hasFailed && !f.replica.isLost
+	f.replica.hasFailed = false
+	f.mu.Unlock()
+	if hasRestarted {
+		f.log.Info().Msg("replica restarted")
+	}
+}
