--- a/cmd/hollyfleet/lists_test.go
+++ b/cmd/hollyfleet/lists_test.go
@@ -53,14 +53,14 @@
 	}
 	drains(0, "h1") // Index 6; the others have 5.
 	until(t, "a drain of a later list", func() bool { return out(1, "h1") && out(2, "h1") })
-	until(t, "saying that it is behind", func() bool { return w.procs[1].logged("list behind another's") })
+	until(t, "saying that it is behind", func() bool { return w.procs[1].logged("endpoint list behind a peer's") })
 	drains(1, "h2") // Index 6 too, and another list.
 	until(t, "drains of both lists", func() bool { return out(0, "h2") && out(1, "h1") && out(2, "h1", "h2") })
-	until(t, "saying that they contradict", func() bool { return w.procs[0].logged("another list under the same index") })
+	until(t, "saying that they contradict", func() bool { return w.procs[0].logged("endpoint list differs from a peer's of the same index") })
 	drains(2, "h3")
 	lists[0].Count(1) // It begins anew, and knows of no drain.
 	lists[0].Tell(entries)
-	until(t, "saying that it went back", func() bool { return w.procs[0].logged("list went back") })
+	until(t, "saying that it went back", func() bool { return w.procs[0].logged("endpoint list index went back") })
 	until(t, "what it had drained staying out", func() bool { s, _ := w.procs[0].status(); return slices.Contains(s.News, "h1") })
 }
 
