--- a/agreed/terms.go
+++ /dev/null
@@ -1,6 +0,0 @@
-package agreed
-
-import "hollylever/joining"
-
-// Terms are the stated times.
-type Terms = joining.Terms
--- a/benchlink/peers.go
+++ b/benchlink/peers.go
@@ -4,8 +4,8 @@
 	"encoding/base64"
 	"strconv"
 
+	"hollylever/outlier"
 	"hollylever/policy"
-	"hollylever/signals"
 )
 
 // Speaks is whether balancers use what the settings let them tell each other. Off: on the deployments where they may, it gains nothing
@@ -14,7 +14,7 @@
 
 // peers is what one balancer sees, tells and hears of hosts, where the settings let balancers talk.
 type peers struct {
-	board    *signals.Board
+	board    *outlier.Detector
 	expected []int64  // by workload
 	ids      []uint32 // of hosts, by index
 	at       map[uint32]int
@@ -27,7 +27,7 @@
 const (
 	looksEvery = 20 * int64(1e6)
 	bytesEach  = 8.0 // of the 256 whose price is a point for each first try
-	mostSaved  = 4 * signals.MostBytes
+	mostSaved  = 4 * outlier.MaxMessageBytes
 )
 
 func newPeers(now int64, settings map[string]any) *peers {
@@ -36,21 +36,21 @@
 		return nil
 	}
 	p := &peers{at: map[uint32]int{}}
-	zone := uint16(signals.NoZone)
+	zone := uint16(outlier.UnknownZone)
 	for z := range int(number("zones")) {
 		if settings["zones."+strconv.Itoa(z)] == settings["zone"] {
-			if zone = uint16(z); z >= signals.NoZone {
+			if zone = uint16(z); z >= outlier.UnknownZone {
 				zone++ // That number says that there is none.
 			}
 		}
 	}
 	// A balancer that begins anew has the number of the one before: later lives have higher numbers.
-	p.board = signals.New(signals.Member{ID: uint32(number("me")), Zone: zone}, uint64(now))
-	var all []signals.Member
-	for m := range int(min(number("balancers"), signals.MaxMembers)) {
-		all = append(all, signals.Member{ID: uint32(m), Zone: signals.NoZone})
+	p.board = outlier.New(outlier.Member{ID: uint32(number("me")), Zone: zone}, uint64(now))
+	var all []outlier.Member
+	for m := range int(min(number("balancers"), outlier.MaxMembers)) {
+		all = append(all, outlier.Member{ID: uint32(m), Zone: outlier.UnknownZone})
 	}
-	p.board.Members(all)
+	p.board.SetMembers(all)
 	p.others = max(1, len(all)-1)
 	for w := range int(number("workloads")) {
 		p.expected = append(p.expected, int64(number("workloads."+strconv.Itoa(w)+".expectedTime")*1e6))
@@ -64,17 +64,17 @@
 		return
 	}
 	for s := len(p.ids); s < len(addresses); s++ {
-		p.ids = append(p.ids, signals.ID(addresses[s]))
+		p.ids = append(p.ids, outlier.HashName(addresses[s]))
 		p.at[p.ids[s]] = s
 	}
-	p.board.Hosts(p.ids)
+	p.board.SetEndpoints(p.ids)
 }
 
 // saw takes how a trip ended.
 func (n *instance) saw(now int64, server, workload int, how policy.Outcome, took int64) {
 	if p := n.peers; p != nil {
 		p.saved = min(mostSaved, p.saved+bytesEach)
-		p.board.Saw(now, p.ids[server], signals.Of(how, took, p.expected[workload]))
+		p.board.Observe(now, p.ids[server], outlier.Classify(how, took, p.expected[workload]))
 		n.talks(now)
 	}
 }
@@ -82,7 +82,7 @@
 // tries tells that a trip goes to a server.
 func (n *instance) tries(server int) {
 	if p := n.peers; p != nil {
-		if part, heeded := p.board.Sent(p.now, p.ids[server]); heeded {
+		if part, heeded := p.board.RecordAttempt(p.now, p.ids[server]); heeded {
 			n.module.Heard(server, part)
 		}
 	}
@@ -93,8 +93,8 @@
 	if n.peers == nil {
 		return
 	}
-	if m, err := signals.Unpack(data); err == nil && uint64(m.From) == from {
-		n.peers.board.Hear(now, m)
+	if m, err := outlier.DecodeMessage(data); err == nil && uint64(m.From) == from {
+		n.peers.board.HandleMessage(now, m)
 		n.peers.next = now
 		n.talks(now)
 	}
@@ -112,13 +112,13 @@
 	p.next = now + looksEvery
 	// Guards the price of messages, which all are paid for by their retrievals: in a large fleet few balancers speak, and seldom.
 	may := p.saved >= 0
-	p.board.Look(now)
-	p.board.Heeded(now, func(id uint32, part float64) { n.module.Heard(p.at[id], part) })
+	p.board.Tick(now)
+	p.board.EachEjection(now, func(id uint32, part float64) { n.module.Heard(p.at[id], part) })
 	if !may {
 		return
 	}
-	if m := p.board.Tell(now); m != nil {
-		bytes := m.Pack()
+	if m := p.board.NextMessage(now); m != nil {
+		bytes := m.Encode()
 		p.saved -= float64(len(bytes) * p.others)
 		n.reply.start("memo_to", n.name)
 		n.reply.text("to", "all")
--- a/budgets/budgets.go
+++ b/budgets/budgets.go
@@ -11,15 +11,15 @@
 
 // Holder is one life of a process.
 type Holder struct {
-	Name string
-	Life uint64
+	Name        string
+	Incarnation uint64
 }
 
 // Told is what a process says with its ask for a lease.
-type Told struct {
-	Seq  uint64  // of the ask, of this life
-	From uint64  // the ask that the part it acts on was granted for
-	Rate float64 // retrievals a second that come to it
+type ShareRequest struct {
+	Seq         uint64  // of the ask, of this life
+	GrantSeq    uint64  // the ask that the part it acts on was granted for
+	RequestRate float64 // retrievals a second that come to it
 }
 
 // Ledger is what the one that leads has promised.
@@ -49,7 +49,7 @@
 )
 
 // Alone is the part of a process without a lease: half of an even one. The other half is what is divided by use.
-func Alone(most int) float64 { return 0.5 / float64(max(1, most)) }
+func ShareWithoutLease(most int) float64 { return 0.5 / float64(max(1, most)) }
 
 // New begins a ledger for one that has just come to lead.
 func New(now int64, most int, outlast int64) *Ledger {
@@ -67,10 +67,10 @@
 }
 
 // Grant says which part goes with a lease that is granted now for this ask.
-func (l *Ledger) Grant(now int64, who Holder, t Told) float64 {
-	alone := Alone(l.most)
-	if !(t.Rate >= 0) || t.Rate > 1e9 {
-		t.Rate = 0 // What cannot be is nothing: a liar gets the least.
+func (l *Ledger) Grant(now int64, who Holder, t ShareRequest) float64 {
+	alone := ShareWithoutLease(l.most)
+	if !(t.RequestRate >= 0) || t.RequestRate > 1e9 {
+		t.RequestRate = 0 // What cannot be is nothing: a liar gets the least.
 	}
 	others, rates, leased := 0.0, 0.0, 1
 	for h, a := range l.holders {
@@ -94,10 +94,10 @@
 		a = &account{}
 		l.holders[who] = a
 	}
-	a.rate = max(leastRate, t.Rate)
+	a.rate = max(leastRate, t.RequestRate)
 	kept := a.promises[:0]
 	for _, p := range a.promises { // It acts on what it was granted for a later ask: earlier promises can't be taken any more.
-		if now < p.ends && p.seq >= t.From {
+		if now < p.ends && p.seq >= t.GrantSeq {
 			kept = append(kept, p)
 		}
 	}
@@ -131,14 +131,14 @@
 }
 
 // Held is a process's own side: which part it acts on.
-type Held struct {
-	Part float64
-	From uint64
+type HeldShare struct {
+	Share    float64
+	GrantSeq uint64
 }
 
 // Take takes a part that came with a lease; one that was granted for an earlier ask than the part held counts for nothing.
-func (h *Held) Take(seq uint64, part float64) {
-	if part > 0 && part <= 1 && seq > h.From {
-		h.Part, h.From = part, seq
+func (h *HeldShare) Accept(seq uint64, part float64) {
+	if part > 0 && part <= 1 && seq > h.GrantSeq {
+		h.Share, h.GrantSeq = part, seq
 	}
 }
--- a/budgets/budgets_test.go
+++ b/budgets/budgets_test.go
@@ -14,7 +14,7 @@
 type proc struct {
 	life  uint64
 	seq   uint64
-	held  Held
+	held  HeldShare
 	until int64
 	sent  map[uint64]int64
 	down  bool
@@ -26,7 +26,7 @@
 	to    int
 	life  uint64
 	ask   bool
-	told  Told
+	told  ShareRequest
 	part  float64
 	grant uint64
 }
@@ -98,7 +98,7 @@
 					}
 				}
 			case !p.down && p.life == f.life:
-				p.held.Take(f.grant, f.part)
+				p.held.Accept(f.grant, f.part)
 				if until := p.sent[f.grant] + lease; until > p.until && now < until {
 					p.until = until
 				}
@@ -113,7 +113,7 @@
 			p.sent[p.seq] = now
 			for again := true; again; again = chance.IntN(8) == 0 {
 				if chance.Float64() >= loss {
-					flying = append(flying, flight{at: now + 1 + chance.Int64N(900*ms), to: n, life: p.life, ask: true, told: Told{Seq: p.seq, From: p.held.From, Rate: p.rate}})
+					flying = append(flying, flight{at: now + 1 + chance.Int64N(900*ms), to: n, life: p.life, ask: true, told: ShareRequest{Seq: p.seq, GrantSeq: p.held.GrantSeq, RequestRate: p.rate}})
 				}
 			}
 		}
@@ -127,8 +127,8 @@
 			if unsafe {
 				until += lease
 			}
-			if part := Alone(most); now < until && p.held.Part > 0 {
-				sum += p.held.Part
+			if part := ShareWithoutLease(most); now < until && p.held.Share > 0 {
+				sum += p.held.Share
 			} else {
 				sum += part
 			}
@@ -154,9 +154,9 @@
 	for round := range uint64(8) {
 		now := int64(round) * 600 * ms
 		for n, rate := range rates {
-			parts[n] = l.Grant(now, Holder{string(rune('a' + n)), 1}, Told{Seq: round + 1, From: from[n], Rate: rate})
+			parts[n] = l.Grant(now, Holder{string(rune('a' + n)), 1}, ShareRequest{Seq: round + 1, GrantSeq: from[n], RequestRate: rate})
 			from[n] = round + 1
-			if now < outlasts && parts[n] != Alone(most) {
+			if now < outlasts && parts[n] != ShareWithoutLease(most) {
 				t.Fatalf("%v granted at %v, while earlier leases may last", parts[n], now)
 			}
 		}
@@ -173,7 +173,7 @@
 	if l.Over != 0 {
 		t.Error("more than stated")
 	}
-	l.Grant(7*600*ms, Holder{"e", 1}, Told{Seq: 1})
+	l.Grant(7*600*ms, Holder{"e", 1}, ShareRequest{Seq: 1})
 	if l.Over != 1 {
 		t.Error("one more than stated is not noticed")
 	}
--- a/cmd/hollyfleet/disk_test.go
+++ b/cmd/hollyfleet/disk_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hollylever/fakes/syscalls"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // The folders of all replicas fail for a while: what was accepted before stays, and once they go well again proposals are accepted, with
@@ -16,8 +16,8 @@
 	t.Parallel()
 	w := newTown(t, 45, 3, 3, func(p *process) { p.isFaulty = true })
 	propose := func(id string) bool {
-		a, err := w.procs[0].propose(joining.Proposal{ID: id, Why: "disk", Out: []string{id}})
-		return err == nil && a.Version != 0
+		a, err := w.procs[0].propose(fleetconfig.Proposal{ID: id, Reason: "disk", EjectEndpoints: []string{id}})
+		return err == nil && a.Revision != 0
 	}
 	w.agree(1)
 	until(t, "a version before the faults", func() bool { return propose("before") })
--- a/cmd/hollyfleet/fleet_test.go
+++ b/cmd/hollyfleet/fleet_test.go
@@ -14,7 +14,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"hollylever/fakes/between"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // plan plays a seed's faults between five processes, with proposals all the while, and then heals all. It gives what was proposed.
@@ -24,18 +24,18 @@
 	began := time.Now()
 	propose := func(n int) {
 		p, host := w.procs[w.chance.IntN(len(w.procs))], fmt.Sprint("h", w.chance.IntN(5))
-		c := joining.Proposal{ID: fmt.Sprint("p", n), Why: "plan"}
-		if c.Out = []string{host}; w.chance.IntN(2) == 0 {
-			c.Out, c.Back = nil, c.Out
+		c := fleetconfig.Proposal{ID: fmt.Sprint("p", n), Reason: "plan"}
+		if c.EjectEndpoints = []string{host}; w.chance.IntN(2) == 0 {
+			c.EjectEndpoints, c.UnejectEndpoints = nil, c.EjectEndpoints
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			call := time.Since(began)
 			a, err := p.propose(c)
-			if end := time.Since(began); err == nil && (a.Version != 0 || a.Sure) {
+			if end := time.Since(began); err == nil && (a.Revision != 0 || a.IsFinal) {
 				mu.Lock()
-				asked = append(asked, porcupine.Operation{ClientId: n, Input: c.ID, Call: int64(call), Output: a.Version, Return: int64(end)})
+				asked = append(asked, porcupine.Operation{ClientId: n, Input: c.ID, Call: int64(call), Output: a.Revision, Return: int64(end)})
 				mu.Unlock()
 			}
 		}()
@@ -126,14 +126,14 @@
 				}
 			}
 			all := w.trace()
-			worst, wrong := check(all, terms.Pause)
-			if wrong != "" || worst > terms.T() {
-				t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.T(), wrong, w.logs())
+			worst, wrong := check(all, terms.MaxPause)
+			if wrong != "" || worst > terms.MaxDisagreement() {
+				t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.MaxDisagreement(), wrong, w.logs())
 			}
 			if porcupine.CheckOperationsTimeout(history, accepted, 20*time.Second) == porcupine.Illegal {
 				t.Errorf("no one history: %v", accepted)
 			}
-			t.Logf("%d decisions, %d versions, longest contradiction %v of T %v", len(all), most, worst, terms.T())
+			t.Logf("%d decisions, %d versions, longest contradiction %v of T %v", len(all), most, worst, terms.MaxDisagreement())
 		})
 	}
 }
@@ -157,16 +157,16 @@
 		w.kill(w.procs[n])
 		w.stop(w.procs[4])
 		until(t, "a version without two", func() bool {
-			a, err := w.procs[3].propose(joining.Proposal{ID: fmt.Sprint("g", n), Out: []string{fmt.Sprint("g", n)}})
-			version = max(version, a.Version)
-			return err == nil && a.Version != 0
+			a, err := w.procs[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("g", n), EjectEndpoints: []string{fmt.Sprint("g", n)}})
+			version = max(version, a.Revision)
+			return err == nil && a.Revision != 0
 		})
 		w.start(w.procs[n])
 		w.goOn(w.procs[4])
 		w.agree(version)
 	}
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
-		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.T(), wrong, w.logs())
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.MaxDisagreement(), wrong, w.logs())
 	}
 }
 
@@ -180,14 +180,14 @@
 	at := slices.IndexFunc(w.procs, func(p *process) bool { return p.name == s.Leads })
 	w.stop(w.procs[at])
 	until(t, "another leader", func() bool {
-		a, err := w.procs[(at+1)%3].propose(joining.Proposal{ID: fmt.Sprint("x", time.Now().UnixNano()), Out: []string{fmt.Sprint("h", time.Now().UnixNano())}})
-		return err == nil && a.Version != 0
+		a, err := w.procs[(at+1)%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("x", time.Now().UnixNano()), EjectEndpoints: []string{fmt.Sprint("h", time.Now().UnixNano())}})
+		return err == nil && a.Revision != 0
 	})
-	time.Sleep(2 * terms.Lease) // It is stopped for longer than a lease lasts: that is the fault, not a wait for something.
+	time.Sleep(2 * terms.LeaseDuration) // It is stopped for longer than a lease lasts: that is the fault, not a wait for something.
 	w.goOn(w.procs[at])
 	w.agree(2)
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
-		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.T(), wrong, w.logs())
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, terms.MaxDisagreement(), wrong, w.logs())
 	}
 }
 
@@ -201,14 +201,14 @@
 	})
 	w.agree(1)
 	w.faults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
-	var a joining.Answer
+	var a fleetconfig.ProposalResult
 	until(t, "a version without the one that is cut off", func() bool {
-		a, _ = w.procs[0].propose(joining.Proposal{ID: "x", Out: []string{"h"}})
-		return a.Version != 0
+		a, _ = w.procs[0].propose(fleetconfig.Proposal{ID: "x", EjectEndpoints: []string{"h"}})
+		return a.Revision != 0
 	})
 	until(t, "a contradiction", func() bool {
-		worst, _ := check(w.trace(), terms.Pause)
-		return worst > terms.T()
+		worst, _ := check(w.trace(), terms.MaxPause)
+		return worst > terms.MaxDisagreement()
 	})
 }
 
@@ -218,7 +218,7 @@
 	t.Parallel()
 	w := newTown(t, 5, 5, 3, nil)
 	w.agree(1)
-	if a, err := w.procs[0].propose(joining.Proposal{ID: "first", Out: []string{"h"}}); err != nil || a.Version != 2 {
+	if a, err := w.procs[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	w.agree(2)
@@ -231,19 +231,19 @@
 			s, err := next.status()
 			return err == nil && s.Acting.Latest >= version && slices.Contains(s.Acting.Bans, "h")
 		})
-		a := joining.Answer{}
+		a := fleetconfig.ProposalResult{}
 		until(t, "a version amid the upgrade", func() bool {
 			var err error
-			a, err = w.procs[(n+1)%5].propose(joining.Proposal{ID: fmt.Sprint("u", n), Out: []string{fmt.Sprint("u", n)}})
-			return err == nil && a.Version != 0
+			a, err = w.procs[(n+1)%5].propose(fleetconfig.Proposal{ID: fmt.Sprint("u", n), EjectEndpoints: []string{fmt.Sprint("u", n)}})
+			return err == nil && a.Revision != 0
 		})
-		version = a.Version
+		version = a.Revision
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		old.cmd.Wait()
 		w.procs[n] = &next
 		w.agree(version)
 	}
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 	if s, err := w.procs[4].status(); err != nil || len(s.Acting.Bans) != 6 {
@@ -263,21 +263,21 @@
 	w.faults(func(i, j int) between.Faults {
 		return between.Faults{Cut: slices.Contains(few, i) != slices.Contains(few, j)}
 	})
-	lost := make(chan joining.Answer, 3)
+	lost := make(chan fleetconfig.ProposalResult, 3)
 	for n := range 3 {
 		go func() {
-			a, _ := w.procs[3].propose(joining.Proposal{ID: fmt.Sprint("few", n), Back: []string{"h"}, Out: []string{fmt.Sprint("few", n)}})
+			a, _ := w.procs[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("few", n), UnejectEndpoints: []string{"h"}, EjectEndpoints: []string{fmt.Sprint("few", n)}})
 			lost <- a
 		}()
 	}
 	for n := range 3 {
 		until(t, "a version on the side of the many", func() bool {
-			a, err := w.procs[4].propose(joining.Proposal{ID: fmt.Sprint("many", n), Out: []string{fmt.Sprint("many", n)}})
-			return err == nil && a.Version != 0
+			a, err := w.procs[4].propose(fleetconfig.Proposal{ID: fmt.Sprint("many", n), EjectEndpoints: []string{fmt.Sprint("many", n)}})
+			return err == nil && a.Revision != 0
 		})
 	}
 	for range 3 {
-		if a := <-lost; a.Version != 0 {
+		if a := <-lost; a.Revision != 0 {
 			t.Errorf("the few had %+v accepted", a)
 		}
 	}
@@ -288,7 +288,7 @@
 			t.Errorf("%s acts on %+v, %v", p.name, s.Acting, err)
 		}
 	}
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
@@ -298,15 +298,15 @@
 	t.Parallel()
 	w := newTown(t, 3, 5, 3, nil)
 	w.agree(1)
-	if a, err := w.procs[3].propose(joining.Proposal{ID: "first", Out: []string{"h"}}); err != nil || a.Version != 2 {
+	if a, err := w.procs[3].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	w.agree(2)
 	w.kill(w.procs[0])
 	w.kill(w.procs[1])
 	began := time.Now()
-	a, err := w.procs[4].propose(joining.Proposal{ID: "second", Back: []string{"h"}})
-	if took := time.Since(began); err != nil || a.Version != 0 || took > 5500*time.Millisecond {
+	a, err := w.procs[4].propose(fleetconfig.Proposal{ID: "second", UnejectEndpoints: []string{"h"}})
+	if took := time.Since(began); err != nil || a.Revision != 0 || took > 5500*time.Millisecond {
 		t.Fatalf("%+v after %v, %v", a, took, err)
 	}
 	until(t, "being alone", func() bool {
@@ -329,7 +329,7 @@
 	t.Parallel()
 	w := newTown(t, 4, 5, 3, nil)
 	w.agree(1)
-	if a, err := w.procs[0].propose(joining.Proposal{ID: "first", Out: []string{"h"}}); err != nil || a.Version != 2 {
+	if a, err := w.procs[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	w.agree(2)
@@ -357,11 +357,11 @@
 		w.start(w.procs[n])
 	}
 	w.agree(2)
-	if a, err := w.procs[3].propose(joining.Proposal{ID: "last", Back: []string{"h"}}); err != nil || a.Version != 3 {
+	if a, err := w.procs[3].propose(fleetconfig.Proposal{ID: "last", UnejectEndpoints: []string{"h"}}); err != nil || a.Revision != 3 {
 		t.Errorf("%+v, %v", a, err)
 	}
 	w.agree(3)
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
--- a/cmd/hollyfleet/lists_test.go
+++ b/cmd/hollyfleet/lists_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"hollylever/fakes"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // logged tells whether a process wrote this line.
@@ -80,9 +80,9 @@
 		}
 		began := time.Now()
 		until(t, "a version", func() bool {
-			a, err := w.procs[round%3].propose(joining.Proposal{ID: fmt.Sprint("c", round), Out: []string{fmt.Sprint("c", round)}})
-			version = max(version, a.Version)
-			return err == nil && a.Version != 0
+			a, err := w.procs[round%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("c", round), EjectEndpoints: []string{fmt.Sprint("c", round)}})
+			version = max(version, a.Revision)
+			return err == nil && a.Revision != 0
 		})
 		time.Sleep(max(0, 500*time.Millisecond-time.Since(began))) // How long each stays or is gone: the fault.
 	}
@@ -92,7 +92,7 @@
 		}
 	}
 	w.agree(version)
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
-		t.Errorf("longest contradiction %v of %v; %s", worst, terms.T(), wrong)
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s", worst, terms.MaxDisagreement(), wrong)
 	}
 }
--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -4,10 +4,10 @@
 import (
 	"github.com/rs/zerolog"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 	"hollylever/fields"
 	"hollylever/fleet"
-	"hollylever/members"
+	"hollylever/membership"
 	"hollylever/routing"
 	"hollylever/server"
 	"hollylever/subset"
@@ -16,39 +16,39 @@
 func main() { server.Main(join) }
 
 func join(own fields.Values, name, zone, settings string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
-	f, err := fleet.Start(own, name, zone, settings, acts{b}, log)
+	f, err := fleet.Start(own, name, zone, settings, balancerAdapter{b}, log)
 	if err != nil {
 		return nil, err
 	}
-	b.Decides(func() { f.Decides() })
-	if fellows := f.Fellows(); fellows != nil {
-		b.Joins(fellows)
+	b.SetLeaseCheck(func() { f.CheckLease() })
+	if fellows := f.OutlierExchange(); fellows != nil {
+		b.SetOutlierExchange(fellows)
 	}
 	return f, nil
 }
 
 // acts puts what is agreed on before the balancer.
-type acts struct{ *routing.Balancer }
+type balancerAdapter struct{ *routing.Balancer }
 
-func (a acts) Heeds(what agreed.Acting) {
-	a.Balancer.Heeds(what.Bans, what.Limits, what.Source, what.From)
+func (a balancerAdapter) ApplyConfig(what consensus.EffectiveConfig) {
+	a.Balancer.Heeds(what.EjectedEndpoints, what.Limits, what.DiscoverySource, what.MinListIndex)
 }
 
-func (a acts) Drained(names []string) { a.News(names) }
+func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
 
-func (a acts) Servers() []subset.Host {
-	var all []subset.Host
+func (a balancerAdapter) Endpoints() []subset.Endpoint {
+	var all []subset.Endpoint
 	for _, l := range a.Balancer.Servers() {
-		all = append(all, subset.Host(l))
+		all = append(all, subset.Endpoint(l))
 	}
 	return all
 }
 
-func (a acts) List() (uint64, uint64, []members.Drain) {
+func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
 	index, digest, drains := a.Lists()
-	out := make([]members.Drain, len(drains))
+	out := make([]membership.DrainedEndpoint, len(drains))
 	for n, d := range drains {
-		out[n] = members.Drain(d)
+		out[n] = membership.DrainedEndpoint(d)
 	}
 	return index, digest, out
 }
--- a/cmd/hollyfleet/measure_test.go
+++ b/cmd/hollyfleet/measure_test.go
@@ -12,7 +12,7 @@
 
 	"hollylever/fakes/between"
 	"hollylever/fleet"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // TestMeasure is not for CI: how long a version takes to the last process, and what the exchange costs. HOLLYFLEET_MEASURE names the sizes.
@@ -60,9 +60,9 @@
 	at := map[uint64]int64{}
 	for v := range 40 {
 		began := fleet.Now()
-		a, err := w.procs[v%n].propose(joining.Proposal{ID: fmt.Sprint("m", v), Out: []string{fmt.Sprint("h", v)}})
-		if err == nil && a.Version != 0 {
-			at[a.Version] = began
+		a, err := w.procs[v%n].propose(fleetconfig.Proposal{ID: fmt.Sprint("m", v), EjectEndpoints: []string{fmt.Sprint("h", v)}})
+		if err == nil && a.Revision != 0 {
+			at[a.Revision] = began
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -81,7 +81,7 @@
 	slices.Sort(took)
 	t.Logf("%d processes, loss %v: from propose to the last of them acting on it, median %v, 99%% %v, over %d versions", n, loss,
 		time.Duration(took[len(took)/2]).Round(time.Millisecond), time.Duration(took[len(took)*99/100]).Round(time.Millisecond), len(took))
-	if worst, wrong := check(w.trace(), terms.Pause); wrong != "" || worst > terms.T() {
+	if worst, wrong := check(w.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
--- a/cmd/hollyfleet/rig_test.go
+++ b/cmd/hollyfleet/rig_test.go
@@ -23,7 +23,7 @@
 	"hollylever/fakes/between"
 	"hollylever/fakes/syscalls"
 	"hollylever/fleet"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // The tests start the program itself (this binary, by a variable), several of it, with a relay for each ordered pair of them between.
@@ -39,7 +39,7 @@
 			os.Exit(1)
 		}
 		if rate, err := strconv.ParseFloat(os.Getenv(clockOff), 64); err == nil {
-			fleet.ClockOff(rate)
+			fleet.SetClockRate(rate)
 		}
 		main()
 		os.Exit(0)
@@ -48,7 +48,7 @@
 }
 
 // terms of the tests: shorter than the defaults, so that a plan of faults has room for many leases.
-var terms = joining.Terms{Lease: 700 * time.Millisecond, RateError: 0.01, Pause: 150 * time.Millisecond}
+var terms = fleetconfig.LeaseTiming{LeaseDuration: 700 * time.Millisecond, ClockRateError: 0.01, MaxPause: 150 * time.Millisecond}
 
 type process struct {
 	name, config, own, door, listen string
@@ -124,7 +124,7 @@
 "known":{"index":1,"snapshot":true,"endpoints":[]},"settings":%s}`, p.name, p.listen, p.door, fakes.Settings)
 		own := fmt.Sprintf("[log]\nlevel = \"info\"\n[watch]\non = false\n[fleet]\non = true\nlisten = %q\npeers = %q\nkeepers = %q\nstate = %q\nlease = %q\nrate_error = 10\n"+
 			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:keepers], ", "), filepath.Join(w.dir, p.name+".state"),
-			terms.Lease, terms.Pause, filepath.Join(w.dir, p.name+".trace"), n)
+			terms.LeaseDuration, terms.MaxPause, filepath.Join(w.dir, p.name+".trace"), n)
 		if err := os.Mkdir(filepath.Join(w.dir, p.name), 0o700); err != nil {
 			t.Fatal(err)
 		}
@@ -267,7 +267,7 @@
 }
 
 // propose asks through a process's door, and gives the answer.
-func (p *process) propose(c joining.Proposal) (a joining.Answer, err error) {
+func (p *process) propose(c fleetconfig.Proposal) (a fleetconfig.ProposalResult, err error) {
 	body, _ := json.Marshal(c)
 	client := http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Post("http://"+p.door+"/fleet/propose", "application/json", bytes.NewReader(body))
--- a/cmd/hollyfleet/signals_test.go
+++ b/cmd/hollyfleet/signals_test.go
@@ -168,7 +168,7 @@
 	for _, n := range []int{12, 3, 12, 5} {
 		up(n)
 	}
-	if _, wrong := check(w.trace(), terms.Pause); wrong != "" {
+	if _, wrong := check(w.trace(), terms.MaxPause); wrong != "" {
 		t.Error(wrong)
 	}
 }
--- a/cmd/hollyfleet/size_test.go
+++ b/cmd/hollyfleet/size_test.go
@@ -12,7 +12,7 @@
 
 	"hollylever/fakes"
 	"hollylever/fakes/between"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // large is how many hosts, zones and balancers the settings have in the tests of size.
@@ -127,14 +127,14 @@
 	}
 	w.faults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3, Loss: 0.1} })
 	version := uint64(1)
-	for _, p := range []joining.Proposal{{ID: "bans", Out: hosts}, {ID: "zones", Leave: zones}} {
+	for _, p := range []fleetconfig.Proposal{{ID: "bans", EjectEndpoints: hosts}, {ID: "zones", EvacuateZones: zones}} {
 		until(t, "accepting the "+p.ID, func() bool {
 			a, err := w.procs[0].propose(p)
-			if err == nil && a.Wrong != "" && a.Sure && !strings.HasPrefix(a.Wrong, "nobody leads") {
-				t.Fatal(a.Wrong)
+			if err == nil && a.Reason != "" && a.IsFinal && !strings.HasPrefix(a.Reason, "nobody leads") {
+				t.Fatal(a.Reason)
 			}
-			version = max(version, a.Version)
-			return err == nil && a.Version != 0
+			version = max(version, a.Revision)
+			return err == nil && a.Revision != 0
 		})
 	}
 	w.heal()
--- a/cmd/hollyfleet/starts_test.go
+++ b/cmd/hollyfleet/starts_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hollylever/fakes"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // partOf is how far a process is from a zone, as its door shows it; knows: it does, and what is left it knows by a lease.
@@ -32,7 +32,7 @@
 	until(t, "hosts in use", func() bool { return d.hosts[0].Figures().Asked > 20 })
 	late := d.procs[4]
 	d.kill(late)
-	if a, err := d.procs[0].propose(joining.Proposal{ID: "leave", Leave: []string{"z2"}, Why: "a test"}); err != nil || a.Version != 2 {
+	if a, err := d.procs[0].propose(fleetconfig.Proposal{ID: "leave", EvacuateZones: []string{"z2"}, Reason: "a test"}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	until(t, "being out", func() bool { least, _, _, hand := d.parts("z2"); return least == 1 && hand == 4 })
@@ -69,8 +69,8 @@
 	}
 	d.kill(&young)
 	until(t, "accepting the return", func() bool {
-		a, err := d.procs[0].propose(joining.Proposal{ID: "return", Return: []string{"z2"}})
-		return err == nil && a.Version == 3
+		a, err := d.procs[0].propose(fleetconfig.Proposal{ID: "return", RestoreZones: []string{"z2"}})
+		return err == nil && a.Revision == 3
 	})
 	until(t, "coming back", func() bool { least, most, _, _ := d.parts("z2"); return least > 0 && most < 0.85 })
 	d.kill(late)
@@ -119,13 +119,13 @@
 	d := newDistrict(t, 11, 5, 12, "")
 	d.load(60, 500)
 	until(t, "hosts in use", func() bool { return d.hosts[0].Figures().Asked > 20 })
-	if a, err := d.procs[0].propose(joining.Proposal{ID: "leave", Leave: []string{"z2"}, Why: "a test"}); err != nil || a.Version != 2 {
+	if a, err := d.procs[0].propose(fleetconfig.Proposal{ID: "leave", EvacuateZones: []string{"z2"}, Reason: "a test"}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	until(t, "being out", func() bool { least, _, _, hand := d.parts("z2"); return least == 1 && hand == 5 })
 	until(t, "accepting the return", func() bool {
-		a, err := d.procs[0].propose(joining.Proposal{ID: "return", Return: []string{"z2"}})
-		return err == nil && a.Version == 3
+		a, err := d.procs[0].propose(fleetconfig.Proposal{ID: "return", RestoreZones: []string{"z2"}})
+		return err == nil && a.Revision == 3
 	})
 	until(t, "coming back", func() bool { least, most, _, _ := d.parts("z2"); return least > 0 && most < 0.9 })
 	d.stop(d.procs[3])
@@ -137,8 +137,8 @@
 		return knows && part < others+0.1 && part > others-0.1 && others > 0
 	})
 	until(t, "being back", func() bool { _, most, _, _ := d.parts("z2"); return most == 0 })
-	if worst, wrong := check(d.trace(), terms.Pause); wrong != "" || worst > terms.T() {
-		t.Errorf("longest contradiction %v of %v; %s", worst, terms.T(), wrong)
+	if worst, wrong := check(d.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s", worst, terms.MaxDisagreement(), wrong)
 	}
 	d.quiet()
 }
--- a/cmd/hollyfleet/zones_test.go
+++ b/cmd/hollyfleet/zones_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // parts is the least and the most of the keys that stay away from a zone, over all processes, and how many versions speak of it.
@@ -120,7 +120,7 @@
 	d := newDistrict(t, 6, 5, 12, "")
 	d.load(60, 500)
 	until(t, "hosts in use", func() bool { return d.hosts[0].Figures().Asked > 20 })
-	if a, err := d.procs[4].propose(joining.Proposal{ID: "leave", Leave: []string{"z2"}, Why: "a test"}); err != nil || a.Version != 2 {
+	if a, err := d.procs[4].propose(fleetconfig.Proposal{ID: "leave", EvacuateZones: []string{"z2"}, Reason: "a test"}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	until(t, "being half-way out", func() bool { least, _, _, _ := d.parts("z2"); return least > 0.3 })
@@ -161,8 +161,8 @@
 		}
 	}
 	until(t, "accepting the return", func() bool {
-		a, err := d.procs[4].propose(joining.Proposal{ID: fmt.Sprint("return", time.Now().UnixNano()), Return: []string{"z2"}})
-		return err == nil && a.Version == 3
+		a, err := d.procs[4].propose(fleetconfig.Proposal{ID: fmt.Sprint("return", time.Now().UnixNano()), RestoreZones: []string{"z2"}})
+		return err == nil && a.Revision == 3
 	})
 	until(t, "being back", func() bool { _, most, _, _ := d.parts("z2"); return most == 0 })
 	before = count()
@@ -258,8 +258,8 @@
 	until(t, "z1 being back", func() bool { _, most, _, _ := d.parts("z1"); return most == 0 })
 	backToo()
 	until(t, "z2 being back", func() bool { least, most, fails, _ := d.parts("z2"); return least == 0 && most == 0 && fails == 0 })
-	if worst, wrong := check(d.trace(), terms.Pause); wrong != "" || worst > terms.T() {
-		t.Errorf("longest contradiction %v of %v; %s", worst, terms.T(), wrong)
+	if worst, wrong := check(d.trace(), terms.MaxPause); wrong != "" || worst > terms.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s", worst, terms.MaxDisagreement(), wrong)
 	}
 	if f := d.quiet(); f.Wrong > 0 || d.origin.Twice() > 0 || f.Settled < f.Asked*8/10 {
 		t.Errorf("%+v, %d twice", f, d.origin.Twice())
--- a/cmd/hollylab/agree.go
+++ b/cmd/hollylab/agree.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"hollylever/fakes/between"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // accord makes the demo's balancers one fleet, with a relay for each ordered pair of them.
@@ -106,8 +106,8 @@
 }
 
 // propose asks through a balancer's door; it gives the version, 0 if none came of it.
-func (w *town) propose(n int, p joining.Proposal) uint64 {
-	p.ID, p.By = rand.Text(), "demo"
+func (w *town) propose(n int, p fleetconfig.Proposal) uint64 {
+	p.ID, p.Author = rand.Text(), "demo"
 	body, _ := json.Marshal(p)
 	client := &http.Client{Timeout: 6 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Post("http://"+w.processes[n].Mgmt+"/fleet/propose", "application/json", bytes.NewReader(body))
@@ -115,15 +115,15 @@
 		return 0
 	}
 	defer answer.Body.Close()
-	var said joining.Answer
+	var said fleetconfig.ProposalResult
 	if json.NewDecoder(answer.Body).Decode(&said) != nil {
 		return 0
 	}
-	return said.Version
+	return said.Revision
 }
 
 // accepted proposes again and again, until a majority accepts or it has taken too long; then it gives 0.
-func (w *town) accepted(ctx context.Context, n int, p joining.Proposal) (version uint64) {
+func (w *town) accepted(ctx context.Context, n int, p fleetconfig.Proposal) (version uint64) {
 	for end := time.Now().Add(agreeFor); version == 0 && time.Now().Before(end) && ctx.Err() == nil; {
 		version = w.propose(n, p)
 	}
@@ -151,7 +151,7 @@
 	host, last := w.hosts[1].Name, balancerCount-1
 	w.agree(ctx, 1)
 	w.accord.apart(last, true)
-	out := w.accepted(ctx, 0, joining.Proposal{Out: []string{host}, Why: "demo: cut"})
+	out := w.accepted(ctx, 0, fleetconfig.Proposal{EjectEndpoints: []string{host}, Reason: "demo: cut"})
 	if out == 0 && ctx.Err() == nil {
 		w.wrong("a majority does not accept a ban")
 	}
@@ -164,7 +164,7 @@
 	if s, err := w.actsOn(last); ctx.Err() == nil && (err != nil || len(s.Acting.Bans) != 1) {
 		w.wrong("who is back does not have the ban")
 	}
-	w.agree(ctx, w.propose(last, joining.Proposal{Back: []string{host}, Why: "demo: over"}))
+	w.agree(ctx, w.propose(last, fleetconfig.Proposal{UnejectEndpoints: []string{host}, Reason: "demo: over"}))
 }
 
 // stopped: the keeper that leads is stopped for longer than a lease, and goes on as if nothing had been.
@@ -179,7 +179,7 @@
 		pause(ctx, 700*time.Millisecond)
 		p.Cmd.Process.Signal(syscall.SIGCONT)
 	}
-	version := w.accepted(ctx, 1, joining.Proposal{Limits: map[string]int64{"held": 10000}, Why: "demo: pause"})
+	version := w.accepted(ctx, 1, fleetconfig.Proposal{Limits: map[string]int64{"held": 10000}, Reason: "demo: pause"})
 	w.agree(ctx, version)
 }
 
@@ -197,7 +197,7 @@
 	}
 	w.killed = at + 1
 	w.processes[at].Kill()
-	version := w.accepted(ctx, (at+1)%balancerCount, joining.Proposal{Limits: map[string]int64{"held": 10000}, Why: "demo: die"})
+	version := w.accepted(ctx, (at+1)%balancerCount, fleetconfig.Proposal{Limits: map[string]int64{"held": 10000}, Reason: "demo: die"})
 	if version == 0 && ctx.Err() == nil {
 		w.wrong("the two that are left accept nothing")
 	}
--- a/cmd/hollylab/curves.go
+++ b/cmd/hollylab/curves.go
@@ -32,7 +32,7 @@
 			var ours, theirs, few, all plotter.XYs
 			for _, n := range sizes {
 				a, b := share(n, hosts)
-				rule := subset.Usual.PerHost(n, hosts)
+				rule := subset.DefaultConfig.BalancersPerEndpoint(n, hosts)
 				fmt.Fprintf(c.OutOrStdout(), "%9d  %5d  %.2f %.2f  %d %d\n", n, hosts, a, b, rule, n)
 				ours, theirs = append(ours, plotter.XY{X: float64(n), Y: a}), append(theirs, plotter.XY{X: float64(n), Y: b})
 				few, all = append(few, plotter.XY{X: float64(n), Y: float64(rule)}), append(all, plotter.XY{X: float64(n), Y: float64(n)})
@@ -88,17 +88,17 @@
 // in its own order, which is what is commonly done with rendezvous hashing.
 func share(balancers, hosts int) (ours, theirs float64) {
 	var all []subset.Balancer
-	var of []subset.Host
+	var of []subset.Endpoint
 	for n := range balancers {
 		all = append(all, subset.Balancer{Name: fmt.Sprint("b-", n)})
 	}
 	for n := range hosts {
-		of = append(of, subset.Host{Name: fmt.Sprint("h-", n)})
+		of = append(of, subset.Endpoint{Name: fmt.Sprint("h-", n)})
 	}
-	over := func(sets *subset.Sets, rows, columns int, name func(int) string) float64 {
+	over := func(sets *subset.Assignment, rows, columns int, name func(int) string) float64 {
 		uses := map[string]int{}
 		for n := range rows {
-			for _, other := range sets.Of(subset.Host{Name: name(n)}) {
+			for _, other := range sets.BalancersOf(subset.Endpoint{Name: name(n)}) {
 				uses[other]++
 			}
 		}
@@ -108,10 +108,10 @@
 		}
 		return float64(most) * float64(columns) / math.Max(1, float64(total))
 	}
-	sets := subset.New(all, of, subset.Usual)
+	sets := subset.New(all, of, subset.DefaultConfig)
 	uses := make([]int, 0, hosts)
 	for _, h := range of {
-		uses = append(uses, len(sets.Of(h)))
+		uses = append(uses, len(sets.BalancersOf(h)))
 	}
 	total := 0
 	for _, n := range uses {
@@ -123,11 +123,11 @@
 	for _, h := range of {
 		chosen = append(chosen, subset.Balancer{Name: h.Name})
 	}
-	var choose []subset.Host
+	var choose []subset.Endpoint
 	for _, b := range all {
-		choose = append(choose, subset.Host{Name: b.Name})
+		choose = append(choose, subset.Endpoint{Name: b.Name})
 	}
-	each := subset.Rule{Hosts: 1, Balancers: min(subset.Usual.Hosts, hosts)}
+	each := subset.Config{MinEndpoints: 1, MinBalancers: min(subset.DefaultConfig.MinEndpoints, hosts)}
 	theirs = over(subset.New(chosen, choose, each), balancers, hosts, func(n int) string { return all[n].Name })
 	return ours, theirs
 }
--- a/agreed/chain.go
+++ b/consensus/chain.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -9,14 +9,14 @@
 
 // chain is versions in a row in little room: the first whole, and of each later one what it changed.
 type chain struct {
-	First Version  `cbor:"1,keyasint"`
-	Steps []Change `cbor:"2,keyasint,omitempty"`
+	First Revision   `cbor:"1,keyasint"`
+	Steps []Proposal `cbor:"2,keyasint,omitempty"`
 }
 
 var errChain = errors.New("not versions in a row")
 
 // chainOf gives versions in a row as a chain.
-func chainOf(versions []Version) (c chain) {
+func chainOf(versions []Revision) (c chain) {
 	if len(versions) == 0 {
 		return c
 	}
@@ -24,8 +24,8 @@
 }
 
 // stepsOf gives what each version changed, the first against the one before.
-func stepsOf(before Version, versions []Version) []Change {
-	steps := make([]Change, 0, len(versions))
+func stepsOf(before Revision, versions []Revision) []Proposal {
+	steps := make([]Proposal, 0, len(versions))
 	for _, v := range versions {
 		if v.step == nil { // It came whole.
 			v.step = step(before, v)
@@ -37,15 +37,15 @@
 }
 
 // follow gives the versions that steps make, one after the other, from the one before them.
-func follow(before Version, steps []Change) ([]Version, error) {
+func follow(before Revision, steps []Proposal) ([]Revision, error) {
 	if len(steps) > maxHistory+maxBetween {
 		return nil, fmt.Errorf("%w: %d of them", errChain, len(steps))
 	}
-	versions, names := make([]Version, 0, len(steps)), 0
+	versions, names := make([]Revision, 0, len(steps)), 0
 	for n := range steps {
 		before = steps[n].after(before)
 		before.step = &steps[n]
-		if names += before.Document.names(); names > 2*maxHeldNames {
+		if names += before.Config.names(); names > 2*maxHeldNames {
 			return nil, fmt.Errorf("%w: too many names", errChain) // Guards memory: few bytes can make many.
 		}
 		versions = append(versions, before)
@@ -54,19 +54,19 @@
 }
 
 // versions gives a chain as versions; none for one without a first.
-func (c *chain) versions() ([]Version, error) {
+func (c *chain) versions() ([]Revision, error) {
 	if c.First.Number == 0 {
 		return nil, nil
 	}
 	rest, err := follow(c.First, c.Steps)
-	return append([]Version{c.First}, rest...), err
+	return append([]Revision{c.First}, rest...), err
 }
 
 // PackChain gives versions in a row as bytes, and UnpackChain gives them back.
-func PackChain(versions []Version) []byte { return pack(chainOf(versions)) }
+func MarshalRevisions(versions []Revision) []byte { return pack(chainOf(versions)) }
 
 // UnpackChain takes no bytes that PackChain would not give.
-func UnpackChain(bytes []byte) ([]Version, error) {
+func UnmarshalRevisions(bytes []byte) ([]Revision, error) {
 	var c chain
 	if err := strict.Unmarshal(bytes, &c); err != nil {
 		return nil, fmt.Errorf("%w: %w", errChain, err)
@@ -75,28 +75,28 @@
 }
 
 // step is what a version changed against the one before: the least change that makes it.
-func step(was, next Version) *Change {
-	c := &Change{ID: next.ID, By: next.By, Why: next.Why, Limits: map[string]int64{}}
-	c.Out, c.Back = without(next.Document.Bans, was.Document.Bans), without(was.Document.Bans, next.Document.Bans)
-	c.Leave, c.Return = without(next.Document.Left, was.Document.Left), without(was.Document.Left, next.Document.Left)
-	for name, most := range next.Document.Limits {
-		if before, stated := was.Document.Limits[name]; !stated || before != most {
+func step(was, next Revision) *Proposal {
+	c := &Proposal{ID: next.ProposalID, Author: next.Author, Reason: next.Reason, Limits: map[string]int64{}}
+	c.EjectEndpoints, c.UnejectEndpoints = without(next.Config.EjectedEndpoints, was.Config.EjectedEndpoints), without(was.Config.EjectedEndpoints, next.Config.EjectedEndpoints)
+	c.EvacuateZones, c.RestoreZones = without(next.Config.EvacuatedZones, was.Config.EvacuatedZones), without(was.Config.EvacuatedZones, next.Config.EvacuatedZones)
+	for name, most := range next.Config.Limits {
+		if before, stated := was.Config.Limits[name]; !stated || before != most {
 			c.Limits[name] = most
 		}
 	}
-	for name := range was.Document.Limits {
-		if _, stated := next.Document.Limits[name]; !stated {
+	for name := range was.Config.Limits {
+		if _, stated := next.Config.Limits[name]; !stated {
 			c.Limits[name] = -1
 		}
 	}
-	if d := next.Document.Digest; d != was.Document.Digest {
-		c.Digest = &d
+	if d := next.Config.SettingsDigest; d != was.Config.SettingsDigest {
+		c.SettingsDigest = &d
 	}
-	if s := next.Document.Source; s != was.Document.Source {
-		c.Source = &s
+	if s := next.Config.DiscoverySource; s != was.Config.DiscoverySource {
+		c.DiscoverySource = &s
 	}
-	if f := next.Document.From; f != was.Document.From {
-		c.From = &f
+	if f := next.Config.MinListIndex; f != was.Config.MinListIndex {
+		c.MinListIndex = &f
 	}
 	return c
 }
@@ -112,12 +112,14 @@
 }
 
 // names is how many names a document holds: what it takes in memory follows from that.
-func (d *Document) names() int { return len(d.Bans) + len(d.Left) + len(d.Limits) }
+func (d *ReplicatedConfig) names() int {
+	return len(d.EjectedEndpoints) + len(d.EvacuatedZones) + len(d.Limits)
+}
 
 // after is the version that a change makes of another, whatever its size.
-func (c *Change) after(was Version) Version {
-	d := was.Document
-	d.Bans, d.Left = over(d.Bans, c.Out, c.Back), over(d.Left, c.Leave, c.Return)
+func (c *Proposal) after(was Revision) Revision {
+	d := was.Config
+	d.EjectedEndpoints, d.EvacuatedZones = over(d.EjectedEndpoints, c.EjectEndpoints, c.UnejectEndpoints), over(d.EvacuatedZones, c.EvacuateZones, c.RestoreZones)
 	if len(c.Limits) > 0 || d.Limits == nil {
 		if d.Limits = maps.Clone(d.Limits); d.Limits == nil {
 			d.Limits = map[string]int64{}
@@ -128,14 +130,14 @@
 			delete(d.Limits, name)
 		}
 	}
-	if c.Digest != nil {
-		d.Digest = *c.Digest
+	if c.SettingsDigest != nil {
+		d.SettingsDigest = *c.SettingsDigest
 	}
-	if c.Source != nil {
-		d.Source = *c.Source
+	if c.DiscoverySource != nil {
+		d.DiscoverySource = *c.DiscoverySource
 	}
-	if c.From != nil {
-		d.From = *c.From
+	if c.MinListIndex != nil {
+		d.MinListIndex = *c.MinListIndex
 	}
-	return Version{Number: was.Number + 1, ID: c.ID, By: c.By, Why: c.Why, Document: d}
+	return Revision{Number: was.Number + 1, ProposalID: c.ID, Author: c.Author, Reason: c.Reason, Config: d}
 }
--- a/agreed/document.go
+++ b/consensus/document.go
@@ -2,7 +2,7 @@
 // under which they do. A Keeper is one of the few whose majority accepts versions; a Holder is what every process has, and tells
 // what to act on. Both are pure: the clock, chance, messages and what lasts are handed in, so the same code runs on sockets and in a seeded
 // run of a million steps. docs/design/agreement.md has the reasons.
-package agreed
+package consensus
 
 import (
 	"crypto/sha256"
@@ -29,51 +29,51 @@
 )
 
 // Document is what all agree on.
-type Document struct {
-	Bans   []string         `cbor:"1,keyasint,omitempty" json:"bans,omitempty"` // hosts out by hand, sorted
-	Limits map[string]int64 `cbor:"2,keyasint,omitempty" json:"limits,omitempty"`
-	Digest string           `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"` // of the settings file in force
-	Source string           `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`         // the discovery whose list counts
-	From   uint64           `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`       // and from which index on
-	Left   []string         `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`      // sorted
+type ReplicatedConfig struct {
+	EjectedEndpoints []string         `cbor:"1,keyasint,omitempty" json:"bans,omitempty"` // hosts out by hand, sorted
+	Limits           map[string]int64 `cbor:"2,keyasint,omitempty" json:"limits,omitempty"`
+	SettingsDigest   string           `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"` // of the settings file in force
+	DiscoverySource  string           `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`         // the discovery whose list counts
+	MinListIndex     uint64           `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`       // and from which index on
+	EvacuatedZones   []string         `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`      // sorted
 }
 
 // Version is one place of the history.
-type Version struct {
-	Number   uint64   `cbor:"1,keyasint" json:"version"`
-	ID       string   `cbor:"2,keyasint,omitempty" json:"id,omitempty"` // of the proposal
-	By       string   `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
-	Why      string   `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
-	Document Document `cbor:"5,keyasint" json:"document"`
-
-	step *Change // what it changed, where that is known
-	size int     // bytes of that
+type Revision struct {
+	Number     uint64           `cbor:"1,keyasint" json:"version"`
+	ProposalID string           `cbor:"2,keyasint,omitempty" json:"id,omitempty"` // of the proposal
+	Author     string           `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
+	Reason     string           `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
+	Config     ReplicatedConfig `cbor:"5,keyasint" json:"document"`
+
+	step *Proposal // what it changed, where that is known
+	size int       // bytes of that
 }
 
 // Change is a proposal: what is to differ from the version before.
-type Change struct {
-	ID     string           `cbor:"1,keyasint"`
-	By     string           `cbor:"2,keyasint,omitempty"`
-	Why    string           `cbor:"3,keyasint,omitempty"`
-	Base   uint64           `cbor:"4,keyasint,omitempty"` // the version that it was made for; 0: any
-	Out    []string         `cbor:"5,keyasint,omitempty"`
-	Back   []string         `cbor:"6,keyasint,omitempty"`
-	Limits map[string]int64 `cbor:"7,keyasint,omitempty"` // under 0: taken back
-	Digest *string          `cbor:"8,keyasint,omitempty"`
-	Source *string          `cbor:"9,keyasint,omitempty"`
-	From   *uint64          `cbor:"10,keyasint,omitempty"`
-	Leave  []string         `cbor:"11,keyasint,omitempty"`
-	Return []string         `cbor:"12,keyasint,omitempty"`
+type Proposal struct {
+	ID               string           `cbor:"1,keyasint"`
+	Author           string           `cbor:"2,keyasint,omitempty"`
+	Reason           string           `cbor:"3,keyasint,omitempty"`
+	BaseRevision     uint64           `cbor:"4,keyasint,omitempty"` // the version that it was made for; 0: any
+	EjectEndpoints   []string         `cbor:"5,keyasint,omitempty"`
+	UnejectEndpoints []string         `cbor:"6,keyasint,omitempty"`
+	Limits           map[string]int64 `cbor:"7,keyasint,omitempty"` // under 0: taken back
+	SettingsDigest   *string          `cbor:"8,keyasint,omitempty"`
+	DiscoverySource  *string          `cbor:"9,keyasint,omitempty"`
+	MinListIndex     *uint64          `cbor:"10,keyasint,omitempty"`
+	EvacuateZones    []string         `cbor:"11,keyasint,omitempty"`
+	RestoreZones     []string         `cbor:"12,keyasint,omitempty"`
 }
 
 // What can be wrong with a proposal. ErrBase: another version came in between.
 var (
-	ErrBase  = errors.New("made for another version")
-	ErrEmpty = errors.New("changes nothing")
+	ErrBaseRevision = errors.New("made for another version")
+	ErrNoChange     = errors.New("changes nothing")
 )
 
 // Check tells whether a change can be one, whatever document it meets.
-func (c *Change) Check() error {
+func (c *Proposal) Validate() error {
 	if c.ID == "" {
 		return errors.New("id: missing")
 	}
@@ -81,9 +81,9 @@
 		name  string
 		texts []string
 		most  int
-	}{{"id", []string{c.ID}, 1}, {"by", []string{c.By}, 1}, {"why", []string{c.Why}, 1}, {"out", c.Out, maxNames}, {"back", c.Back, maxNames},
-		{"leave", c.Leave, maxNames}, {"return", c.Return, maxNames}, {"limits", keys(c.Limits), maxLimits}, {"settings_digest", opt(c.Digest), 1},
-		{"list_of", opt(c.Source), 1}} {
+	}{{"id", []string{c.ID}, 1}, {"by", []string{c.Author}, 1}, {"why", []string{c.Reason}, 1}, {"out", c.EjectEndpoints, maxNames}, {"back", c.UnejectEndpoints, maxNames},
+		{"leave", c.EvacuateZones, maxNames}, {"return", c.RestoreZones, maxNames}, {"limits", keys(c.Limits), maxLimits}, {"settings_digest", opt(c.SettingsDigest), 1},
+		{"list_of", opt(c.DiscoverySource), 1}} {
 		if len(f.texts) > f.most {
 			return fmt.Errorf("%s: over %d entries", f.name, f.most)
 		}
@@ -99,7 +99,7 @@
 	for _, both := range []struct {
 		name     string
 		one, two []string
-	}{{"back", c.Out, c.Back}, {"return", c.Leave, c.Return}} {
+	}{{"back", c.EjectEndpoints, c.UnejectEndpoints}, {"return", c.EvacuateZones, c.RestoreZones}} {
 		other := slices.Sorted(slices.Values(both.two))
 		for _, name := range both.one {
 			if _, has := slices.BinarySearch(other, name); has {
@@ -142,17 +142,17 @@
 }
 
 // apply makes the next version. It depends on nothing but its arguments, as each keeper does it for itself.
-func (c *Change) apply(was Version) (Version, error) {
-	if c.Base != 0 && c.Base != was.Number {
-		return was, fmt.Errorf("%w: %d, not %d", ErrBase, was.Number, c.Base)
+func (c *Proposal) apply(was Revision) (Revision, error) {
+	if c.BaseRevision != 0 && c.BaseRevision != was.Number {
+		return was, fmt.Errorf("%w: %d, not %d", ErrBaseRevision, was.Number, c.BaseRevision)
 	}
 	next := c.after(was)
-	d := next.Document
+	d := next.Config
 	switch size := len(pack(d)); {
-	case slices.Equal(pack(d), pack(was.Document)):
-		return was, ErrEmpty
-	case size > maxDocument, len(d.Bans) > maxNames, len(d.Limits) > maxLimits, len(d.Left) > maxNames:
-		return was, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", size, len(d.Bans), len(d.Limits))
+	case slices.Equal(pack(d), pack(was.Config)):
+		return was, ErrNoChange
+	case size > maxDocument, len(d.EjectedEndpoints) > maxNames, len(d.Limits) > maxLimits, len(d.EvacuatedZones) > maxNames:
+		return was, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", size, len(d.EjectedEndpoints), len(d.Limits))
 	}
 	return next, nil
 }
@@ -174,36 +174,36 @@
 }
 
 // Digest tells a version from every other that could have its number.
-func (v Version) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(pack(v)))[:16] }
+func (v Revision) Digest() string { return fmt.Sprintf("%x", sha256.Sum256(pack(v)))[:16] }
 
 // Acting is what to act on.
-type Acting struct {
-	Floor    uint64  `json:"Floor"` // the versions that it comes from
-	Latest   uint64  `json:"Latest"`
-	Leased   bool    `json:"Leased"` // under a lease; else alone
-	Part     float64 `json:"Part"`   // of the fleet's budgets; 0: they are not divided
-	Document         // the strictest of them
+type EffectiveConfig struct {
+	MinRevision      uint64  `json:"Floor"` // the versions that it comes from
+	LatestRevision   uint64  `json:"Latest"`
+	IsLeased         bool    `json:"Leased"` // under a lease; else alone
+	BudgetShare      float64 `json:"Part"`   // of the fleet's budgets; 0: they are not divided
+	ReplicatedConfig         // the strictest of them
 }
 
 // strictest puts versions together, from the floor on: what any of them forbids is forbidden. What is neither stricter nor looser is the
 // floor's.
-func strictest(versions []Version) Document {
+func strictest(versions []Revision) ReplicatedConfig {
 	if len(versions) == 0 {
-		return Document{}
+		return ReplicatedConfig{}
 	}
-	first := versions[0].Document
-	d := Document{Digest: first.Digest, Source: first.Source, From: first.From}
+	first := versions[0].Config
+	d := ReplicatedConfig{SettingsDigest: first.SettingsDigest, DiscoverySource: first.DiscoverySource, MinListIndex: first.MinListIndex}
 	return d.with(versions)
 }
 
 // with is a document that later versions make stricter.
-func (d Document) with(versions []Version) Document {
+func (d ReplicatedConfig) with(versions []Revision) ReplicatedConfig {
 	limits := map[string]int64{}
 	maps.Copy(limits, d.Limits)
 	d.Limits = limits
 	for _, v := range versions {
-		d.Bans, d.Left, d.From = union(d.Bans, v.Document.Bans), union(d.Left, v.Document.Left), max(d.From, v.Document.From)
-		for name, most := range v.Document.Limits {
+		d.EjectedEndpoints, d.EvacuatedZones, d.MinListIndex = union(d.EjectedEndpoints, v.Config.EjectedEndpoints), union(d.EvacuatedZones, v.Config.EvacuatedZones), max(d.MinListIndex, v.Config.MinListIndex)
+		for name, most := range v.Config.Limits {
 			if now, stated := d.Limits[name]; !stated || most < now {
 				d.Limits[name] = most
 			}
--- a/agreed/fleet_test.go
+++ b/consensus/fleet_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"container/heap"
@@ -18,7 +18,7 @@
 const ms = int64(time.Millisecond)
 
 // Most is a bound on the processes of all towns here but the largest, for which measurements set it.
-var terms = Terms{Lease: 1800 * time.Millisecond, RateError: 0.01, Pause: 0, Most: 12}
+var terms = LeaseTiming{LeaseDuration: 1800 * time.Millisecond, ClockRateError: 0.01, MaxPause: 0, MaxMembers: 12}
 
 // A town is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays, repeats and cuts, and
 // the rules looked at after every step.
@@ -38,7 +38,7 @@
 	step     int
 	looked   int64
 	ids      int
-	changes  map[string]Change
+	changes  map[string]Proposal
 	settled  map[string]uint64 // proposals that were answered with a version
 	refused  map[string]bool   // that were answered with a sure no
 	digests  map[uint64]string // of versions, as somebody had them
@@ -46,7 +46,7 @@
 	worst    int64             // the longest contradiction so far
 	most     float64           // the largest sum of parts that all acted on
 	broken   string            // the first rule broken
-	unsafe   func(k *Keeper)   // takes a part out
+	unsafe   func(k *Replica)  // takes a part out
 	forget   bool              // keepers do not write their votes
 	blind    bool              // leases are not looked at again
 }
@@ -59,8 +59,8 @@
 	name           string
 	rate           float64
 	base, baseTrue int64 // its clock
-	keeper         *Keeper
-	holder         *Holder
+	keeper         *Replica
+	holder         *LeaseHolder
 	disk           *disk
 	keeps          bool // a keeper's state lasts
 	down           bool
@@ -107,7 +107,7 @@
 	forget  bool // votes are not written
 }
 
-func (d *disk) Add(records [][]byte) error {
+func (d *disk) Append(records [][]byte) error {
 	for _, r := range records {
 		var as record
 		if d.forget && strict.Unmarshal(r, &as) == nil && as.Hard != nil {
@@ -118,9 +118,9 @@
 	return nil
 }
 
-func (d *disk) Swap(records [][]byte) error {
+func (d *disk) Replace(records [][]byte) error {
 	d.records = nil
-	return d.Add(records)
+	return d.Append(records)
 }
 
 func (p *proc) clock() int64 { return p.base + int64(float64(p.town.now-p.baseTrue)*p.rate) }
@@ -133,12 +133,12 @@
 		return
 	}
 	if dest == p.n {
-		t.fly(0, p.n, dest, m.Pack())
+		t.fly(0, p.n, dest, m.Marshal())
 		return
 	}
 	for range 2 {
 		if !t.cut[[2]int{p.n, dest}] && t.chance.Float64() >= t.loss {
-			t.fly(ms/10+t.chance.Int64N(t.slow), p.n, dest, m.Pack())
+			t.fly(ms/10+t.chance.Int64N(t.slow), p.n, dest, m.Marshal())
 		}
 		if t.chance.Float64() >= t.repeats {
 			break
@@ -148,9 +148,9 @@
 
 func newTown(t testing.TB, seed uint64, keepers, others int, disks bool) *town {
 	w := &town{t: t, chance: rand.New(rand.NewPCG(seed, 7)), now: 1e12, looked: 1e12, cut: map[[2]int]bool{}, slow: 3 * ms, settled: map[string]uint64{},
-		refused: map[string]bool{}, bySender: map[int]uint64{}, changes: map[string]Change{}, digests: map[uint64]string{}}
+		refused: map[string]bool{}, bySender: map[int]uint64{}, changes: map[string]Proposal{}, digests: map[uint64]string{}}
 	for n := range keepers + others {
-		p := &proc{town: w, n: n, name: fmt.Sprintf("b%d", n), rate: 1 + terms.RateError*(2*w.chance.Float64()-1), base: w.chance.Int64N(1e15),
+		p := &proc{town: w, n: n, name: fmt.Sprintf("b%d", n), rate: 1 + terms.ClockRateError*(2*w.chance.Float64()-1), base: w.chance.Int64N(1e15),
 			keeps: disks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
 		w.procs = append(w.procs, p)
 	}
@@ -170,12 +170,12 @@
 	for i := range names {
 		names[i] = w.procs[i].name
 	}
-	p.holder = NewHolder(p.clock(), p.name, life, terms, names, p, w.chance.IntN)
+	p.holder = NewLeaseHolder(p.clock(), p.name, life, terms, names, p, w.chance.IntN)
 	if keeps {
 		if p.disk == nil || !p.keeps {
 			p.disk = &disk{forget: w.forget}
 		}
-		k, err := NewKeeper(p.clock(), p.name, life, terms, names, p.disk.records, p.disk, p, w.chance.IntN)
+		k, err := NewReplica(p.clock(), p.name, life, terms, names, p.disk.records, p.disk, p, w.chance.IntN)
 		if err != nil {
 			w.t.Fatalf("step %d: %v", w.step, err)
 		}
@@ -214,10 +214,10 @@
 		if p.town.unsafe != nil {
 			p.town.unsafe(p.keeper)
 		}
-		p.keeper.Look(now)
+		p.keeper.Tick(now)
 	}
-	p.holder.Rate = p.rateOf()
-	p.holder.Look(now)
+	p.holder.RequestRate = p.rateOf()
+	p.holder.Tick(now)
 }
 
 // rateOf is the traffic that comes to a process: it changes, and one may lie.
@@ -230,47 +230,47 @@
 }
 
 func (p *proc) hear(bytes []byte) {
-	m, err := Unpack(bytes)
+	m, err := UnmarshalMessage(bytes)
 	if err != nil {
 		p.town.t.Fatalf("step %d: %v", p.town.step, err)
 	}
 	switch now := p.clock(); {
-	case m.Grant != nil:
-		p.holder.Heard(now, m.Grant)
-	case m.Outcome != nil:
-		p.outcome(m.From, m.Outcome)
+	case m.LeaseResponse != nil:
+		p.holder.HandleLeaseResponse(now, m.LeaseResponse)
+	case m.ProposalResult != nil:
+		p.outcome(m.From, m.ProposalResult)
 	case p.keeper != nil:
 		if p.town.unsafe != nil {
 			p.town.unsafe(p.keeper)
 		}
-		p.keeper.Heard(now, m)
+		p.keeper.HandleMessage(now, m)
 	}
 }
 
-func (p *proc) outcome(from string, o *Outcome) {
+func (p *proc) outcome(from string, o *ProposalResult) {
 	t := p.town
 	switch {
 	case o.Ticket != nil:
 		if c, waits := t.changes[o.ID]; waits && p.waiting[o.ID] {
 			p.ticketed[o.ID] = true
-			p.Send(from, &Message{From: p.name, Propose: &c, Ticket: o.Ticket})
+			p.Send(from, &Message{From: p.name, Proposal: &c, Ticket: o.Ticket})
 		}
 		return
-	case o.Number != 0:
-		t.settled[o.ID] = o.Number
-	case o.Sure && (!p.ticketed[o.ID] || !strings.HasPrefix(o.Wrong, "nobody leads")):
+	case o.Revision != 0:
+		t.settled[o.ID] = o.Revision
+	case o.IsFinal && (!p.ticketed[o.ID] || !strings.HasPrefix(o.Reason, "nobody leads")):
 		t.refused[o.ID] = true // Nobody leads: sure as long as nobody was sent it with a ticket.
 	}
 	delete(p.waiting, o.ID)
 }
 
 // propose asks a keeper to accept a change.
-func (w *town) propose(from, to int, c Change) string {
+func (w *town) propose(from, to int, c Proposal) string {
 	w.ids++
 	c.ID = fmt.Sprintf("p%d", w.ids)
 	if p := w.procs[from]; !p.down && !p.stopped {
 		p.waiting[c.ID], w.changes[c.ID] = true, c
-		p.Send(w.procs[to].name, &Message{From: p.name, Propose: &c})
+		p.Send(w.procs[to].name, &Message{From: p.name, Proposal: &c})
 	}
 	return c.ID
 }
@@ -287,12 +287,12 @@
 		if p.down {
 			continue
 		}
-		a := p.holder.Acting(p.clock())
-		if !p.stopped && len(w.procs) <= terms.Most {
-			parts += a.Part
+		a := p.holder.EffectiveConfig(p.clock())
+		if !p.stopped && len(w.procs) <= terms.MaxMembers {
+			parts += a.BudgetShare
 		}
 		looked := p.looked
-		p.looked = [3]uint64{p.life, a.Floor, a.Latest}
+		p.looked = [3]uint64{p.life, a.MinRevision, a.LatestRevision}
 		for _, v := range p.holder.versions {
 			if looked == p.looked {
 				break
@@ -302,25 +302,25 @@
 			} else if was != v.Digest() {
 				fail("two histories: version %d is %s and %s", v.Number, was, v.Digest())
 			}
-			if v.ID != "" && w.refused[v.ID] {
-				fail("proposal %s was answered no for sure, and is version %d", v.ID, v.Number)
+			if v.ProposalID != "" && w.refused[v.ProposalID] {
+				fail("proposal %s was answered no for sure, and is version %d", v.ProposalID, v.Number)
 			}
 		}
-		for uint64(len(w.heard)) <= a.Latest {
+		for uint64(len(w.heard)) <= a.LatestRevision {
 			w.heard = append(w.heard, moment{})
 		}
-		for v := int(a.Latest); v > 0 && w.heard[v].latest == 0; v-- {
+		for v := int(a.LatestRevision); v > 0 && w.heard[v].latest == 0; v-- {
 			w.heard[v].latest = w.now
 		}
-		for v := int(a.Floor); v > 0 && w.heard[v].floor == 0; v-- {
+		for v := int(a.MinRevision); v > 0 && w.heard[v].floor == 0; v-- {
 			w.heard[v].floor = w.now
 		}
-		if !a.Leased && !(w.blind && p.holder.until != 0) || p.stopped {
+		if !a.IsLeased && !(w.blind && p.holder.until != 0) || p.stopped {
 			continue // Alone it says so; and while it is stopped it decides nothing.
 		}
-		if next := int(a.Latest) + 1; next < len(w.heard) {
+		if next := int(a.LatestRevision) + 1; next < len(w.heard) {
 			if w.heard[next].floor != 0 {
-				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.Latest, next)
+				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.LatestRevision, next)
 			}
 			if w.heard[next].latest != 0 {
 				w.worst = max(w.worst, w.now-w.heard[next].latest)
@@ -330,8 +330,8 @@
 	if w.most = max(w.most, parts); parts > 1+1e-9 {
 		fail("the parts that all act on are %v of the whole", parts)
 	}
-	if w.worst > int64(terms.T()) {
-		fail("processes contradicted each other for %v, over T = %v", time.Duration(w.worst), terms.T())
+	if w.worst > int64(terms.MaxDisagreement()) {
+		fail("processes contradicted each other for %v, over T = %v", time.Duration(w.worst), terms.MaxDisagreement())
 	}
 }
 
@@ -386,11 +386,11 @@
 // change proposes something somewhere.
 func (w *town) change(keepers int) {
 	host := []string{fmt.Sprint("h", w.chance.IntN(6))}
-	c := Change{By: "op", Limits: map[string]int64{"held": w.chance.Int64N(100) - 1}}
+	c := Proposal{Author: "op", Limits: map[string]int64{"held": w.chance.Int64N(100) - 1}}
 	if w.chance.IntN(2) == 0 {
-		c.Out = host
+		c.EjectEndpoints = host
 	} else {
-		c.Back = host
+		c.UnejectEndpoints = host
 	}
 	w.propose(w.chance.IntN(len(w.procs)), w.chance.IntN(keepers), c)
 }
@@ -415,7 +415,7 @@
 					t.Fatalf("seed %d: %s", seed, w.broken)
 				}
 				t.Logf("seed %d: %d versions, %d accepted, %d refused for sure, longest contradiction %v of %v", seed, len(w.digests), len(w.settled),
-					len(w.refused), time.Duration(w.worst), terms.T())
+					len(w.refused), time.Duration(w.worst), terms.MaxDisagreement())
 				if w.calm(keepers); w.broken != "" {
 					t.Fatalf("seed %d: %s", seed, w.broken)
 				}
@@ -466,7 +466,7 @@
 		}()
 	}
 	wait.Wait()
-	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), terms.T())
+	t.Logf("%d plans, %d versions, longest contradiction %v of %v", plans, versions.Load(), time.Duration(worst.Load()), terms.MaxDisagreement())
 }
 
 // TestSizes is not for CI: what agreement costs with many holders, in the time of the run. HOLLYLEVER_SIZES names how many.
@@ -482,8 +482,8 @@
 		w := newTown(t, 1, 3, n-3, true)
 		all := func(floor bool, version uint64) bool {
 			for _, p := range w.procs {
-				a := p.holder.Acting(p.clock())
-				if !a.Leased || a.Latest < version || floor && a.Floor < version {
+				a := p.holder.EffectiveConfig(p.clock())
+				if !a.IsLeased || a.LatestRevision < version || floor && a.MinRevision < version {
 					return false
 				}
 			}
@@ -497,13 +497,13 @@
 		for w.now < began+int64(10*time.Second) {
 			w.one()
 		}
-		leads := slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper != nil && p.keeper.Leads() })
+		leads := slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper != nil && p.keeper.IsLeader() })
 		t.Logf("%d processes at rest: %.0f bytes and %.1f messages a process and second; who leads sends %.0f bytes a second", n,
 			float64(w.bytes-bytes)/10/float64(n), float64(w.sent-sent)/10/float64(n), float64(w.bySender[leads])/10)
 		var strict, loose []int64
 		for v := uint64(2); v < 12; v++ {
 			began := w.now
-			w.propose(n-1, leads, Change{Out: []string{fmt.Sprint("h", v)}})
+			w.propose(n-1, leads, Proposal{EjectEndpoints: []string{fmt.Sprint("h", v)}})
 			for !all(false, v) {
 				w.one()
 			}
@@ -530,7 +530,7 @@
 		want    string
 	}{
 		"the wait for leases under older versions": {func(w *town) {
-			w.unsafe = func(k *Keeper) {
+			w.unsafe = func(k *Replica) {
 				if clear(k.holders); k.ledAt != 0 {
 					k.ledAt = 1
 				}
@@ -547,8 +547,8 @@
 			}
 		}, "two histories|answered no|is loose already"},
 		"a majority's word before a grant": {func(w *town) {
-			w.unsafe = func(k *Keeper) {
-				if k.Leads() && k.reading != 0 {
+			w.unsafe = func(k *Replica) {
+				if k.IsLeader() && k.reading != 0 {
 					k.confirmed(k.readAt, k.asked, 0)
 				}
 			}
@@ -578,7 +578,7 @@
 		if p.down {
 			alive := 0
 			for _, q := range w.procs[:keepers] {
-				if !q.down && q.keeper.Founded() && q.keeper.state.Voters[q.name] == q.keeper.life {
+				if !q.down && q.keeper.IsBootstrapped() && q.keeper.state.Voters[q.name] == q.keeper.life {
 					alive++
 				}
 			}
@@ -602,20 +602,20 @@
 	for end := w.now + int64(20*time.Second); w.now < end && w.broken == ""; {
 		w.one()
 	}
-	id := w.propose(len(w.procs)-1, 0, Change{Out: []string{"last"}})
+	id := w.propose(len(w.procs)-1, 0, Proposal{EjectEndpoints: []string{"last"}})
 	for end, n := w.now+int64(8*time.Second), 0; w.now < end && w.broken == ""; n++ {
 		if w.one(); n%500 == 499 && w.settled[id] == 0 {
 			for to := range keepers {
 				w.procs[0].waiting[id] = true
-				w.procs[0].Send(w.procs[to].name, &Message{From: w.procs[0].name, Propose: &Change{ID: id, Out: []string{"last"}}})
+				w.procs[0].Send(w.procs[to].name, &Message{From: w.procs[0].name, Proposal: &Proposal{ID: id, EjectEndpoints: []string{"last"}}})
 			}
 		}
 	}
 	number := w.settled[id]
 	for _, p := range w.procs {
-		if a := p.holder.Acting(p.clock()); !a.Leased || a.Latest < number || number == 0 || a.Floor != a.Latest || !slices.Contains(a.Bans, "last") {
+		if a := p.holder.EffectiveConfig(p.clock()); !a.IsLeased || a.LatestRevision < number || number == 0 || a.MinRevision != a.LatestRevision || !slices.Contains(a.EjectedEndpoints, "last") {
 			if w.broken == "" {
-				w.broken = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d", p.name, a.Floor, a.Latest, a.Leased, number)
+				w.broken = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d", p.name, a.MinRevision, a.LatestRevision, a.IsLeased, number)
 			}
 		}
 	}
--- a/agreed/keeper.go
+++ b/consensus/keeper.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"cmp"
@@ -13,14 +13,14 @@
 	"google.golang.org/protobuf/proto"
 
 	"hollylever/budgets"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // Lasting is where a keeper's records go. What Add was given is there after any crash once it has returned; Swap puts records
 // in the place of all that were there, or changes nothing.
-type Lasting interface {
-	Add(records [][]byte) error
-	Swap(records [][]byte) error
+type Storage interface {
+	Append(records [][]byte) error
+	Replace(records [][]byte) error
 }
 
 const (
@@ -28,8 +28,8 @@
 	entriesKept = 512     // before the log is made short
 	bytesKept   = 4 << 20 // or so many of them
 	answerIn    = 5 * time.Second
-	maxAsking   = 2 * joining.MaxMembers // asks that wait for a majority's word: over an upgrade there are two of each
-	maxHolders  = 2 * joining.MaxMembers
+	maxAsking   = 2 * fleetconfig.MaxMembers // asks that wait for a majority's word: over an upgrade there are two of each
+	maxHolders  = 2 * fleetconfig.MaxMembers
 	maxOpen     = 64            // proposals that wait
 	maxOpenSize = 2 * maxChange // and their bytes: they are a part of the state
 )
@@ -43,13 +43,13 @@
 }
 
 // Keeper is one of those whose majority accepts versions. Chance draws below n. It does not lock: one caller at a time.
-type Keeper struct {
+type Replica struct {
 	Name    string
 	life    uint64
-	terms   Terms
+	terms   LeaseTiming
 	names   []string // of all keepers
 	net     Sender
-	lasting Lasting
+	lasting Storage
 	chance  func(n int) int
 	broken  error // what kept it from writing: it is silent from then on
 
@@ -84,7 +84,7 @@
 
 type asking struct {
 	from string
-	ask  Ask
+	ask  LeaseRequest
 	at   int64
 	n    uint64
 }
@@ -101,7 +101,7 @@
 }
 
 type open struct {
-	change   Change
+	change   Proposal
 	from     string
 	until    int64
 	accepted bool // the second entry is written
@@ -110,23 +110,23 @@
 
 // said is a no that was sure, and when.
 type said struct {
-	Outcome
+	ProposalResult
 	at int64
 }
 
 type heardHello struct {
-	Hello
+	Announcement
 	at int64
 }
 
 // NewKeeper begins a keeper with the records that its Lasting had; with none it founds or joins. life is taken where it has none yet.
-func NewKeeper(now int64, name string, life uint64, terms Terms, names []string, records [][]byte, lasting Lasting, net Sender,
-	chance func(n int) int) (*Keeper, error) {
-	k := &Keeper{Name: name, life: life, terms: terms, names: names, net: net, lasting: lasting, chance: chance, beatAt: now,
+func NewReplica(now int64, name string, life uint64, terms LeaseTiming, names []string, records [][]byte, lasting Storage, net Sender,
+	chance func(n int) int) (*Replica, error) {
+	k := &Replica{Name: name, life: life, terms: terms, names: names, net: net, lasting: lasting, chance: chance, beatAt: now,
 		storage: raft.NewMemoryStorage(), hard: &pb.HardState{}, conf: &pb.ConfState{}, heardOf: map[uint64]int64{}, hellos: map[string]heardHello{},
 		ids: map[uint64]string{}, holders: map[holder]*holding{}}
 	if len(records) == 0 {
-		return k, lasting.Add([][]byte{pack(record{Life: life})})
+		return k, lasting.Append([][]byte{pack(record{Life: life})})
 	}
 	known := false
 	for n, bytes := range records {
@@ -171,7 +171,7 @@
 }
 
 // restore takes a snapshot as what the state is.
-func (k *Keeper) restore(s *pb.Snapshot) error {
+func (k *Replica) restore(s *pb.Snapshot) error {
 	of, err := unpackState(s.GetData())
 	if err != nil || len(of.History) == 0 || of.History[0].Number > of.Floor || of.Floor > of.latest().Number {
 		return errors.New("a snapshot that is none")
@@ -185,7 +185,7 @@
 }
 
 // called knows the names of lives.
-func (k *Keeper) called() {
+func (k *Replica) called() {
 	for name, life := range k.state.Voters {
 		k.ids[life] = name
 	}
@@ -209,7 +209,7 @@
 func (silent) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (silent) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-func (k *Keeper) start(now int64) (err error) {
+func (k *Replica) start(now int64) (err error) {
 	// Raft's own election timer never ends: ours has its chance handed in, so that a run can be repeated.
 	k.node, err = raft.NewRawNode(&raft.Config{ID: k.life, ElectionTick: 1 << 30, HeartbeatTick: 1, Storage: k.storage, Applied: k.applied,
 		MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, PreVote: true, Logger: silent{}, DisableProposalForwarding: true})
@@ -218,27 +218,27 @@
 }
 
 // later puts the next campaign off: whoever leads was heard.
-func (k *Keeper) later(now int64) {
-	quarter := int64(k.terms.Lease) / 4
+func (k *Replica) later(now int64) {
+	quarter := int64(k.terms.LeaseDuration) / 4
 	k.campaignAt = now + quarter + int64(k.chance(int(quarter)))
 }
 
-func (k *Keeper) beat() int64 { return int64(k.terms.Lease) / beats }
+func (k *Replica) beat() int64 { return int64(k.terms.LeaseDuration) / beats }
 
 // Leads tells whether this keeper takes itself for the one that leads.
-func (k *Keeper) Leads() bool { return k.ledAt != 0 }
+func (k *Replica) IsLeader() bool { return k.ledAt != 0 }
 
 // Founded tells whether it knows a history.
-func (k *Keeper) Founded() bool { return k.node != nil && len(k.state.History) > 0 }
+func (k *Replica) IsBootstrapped() bool { return k.node != nil && len(k.state.History) > 0 }
 
 // History is what it knows, and the floor.
-func (k *Keeper) History() ([]Version, uint64) { return k.state.History, k.state.Floor }
+func (k *Replica) History() ([]Revision, uint64) { return k.state.History, k.state.Floor }
 
 // Broken is why it is silent, if it is.
-func (k *Keeper) Broken() error { return k.broken }
+func (k *Replica) Err() error { return k.broken }
 
 // Holders are how many hold a lease of this one.
-func (k *Keeper) Holders(now int64) (n int) {
+func (k *Replica) ActiveLeases(now int64) (n int) {
 	for _, h := range k.holders {
 		if h.ends > now {
 			n++
@@ -248,10 +248,10 @@
 }
 
 // Wait is how long nothing is to be done.
-func (k *Keeper) Wait(now int64) time.Duration { return time.Duration(max(0, k.beatAt-now)) }
+func (k *Replica) TimeUntilTick(now int64) time.Duration { return time.Duration(max(0, k.beatAt-now)) }
 
 // Look does what is due.
-func (k *Keeper) Look(now int64) {
+func (k *Replica) Tick(now int64) {
 	if k.broken != nil || now < k.beatAt {
 		return
 	}
@@ -265,7 +265,7 @@
 		k.greet(now, "") // Its state was lost: it asks to join.
 	}
 	k.node.Tick()
-	if !k.Leads() && now >= k.campaignAt {
+	if !k.IsLeader() && now >= k.campaignAt {
 		k.later(now)
 		k.node.Campaign()
 	}
@@ -274,16 +274,16 @@
 }
 
 // greet tells the other keepers, or one, what this one has.
-func (k *Keeper) greet(now int64, to string) {
+func (k *Replica) greet(now int64, to string) {
 	for _, name := range k.names {
 		if name != k.Name && (to == "" || to == name) {
-			k.net.Send(name, &Message{From: k.Name, Hello: &Hello{Life: k.life, Voters: maps.Clone(k.state.Voters)}})
+			k.net.Send(name, &Message{From: k.Name, Announcement: &Announcement{Incarnation: k.life, Voters: maps.Clone(k.state.Voters)}})
 		}
 	}
 }
 
 // found begins the history, if this is the first keeper named and no other knows of any.
-func (k *Keeper) found(now int64) {
+func (k *Replica) found(now int64) {
 	if k.names[0] != k.Name {
 		return
 	}
@@ -293,19 +293,19 @@
 		if !heard || len(h.Voters) > 0 || now-h.at > 4*k.beat() {
 			return
 		}
-		voters[name] = h.Life
+		voters[name] = h.Incarnation
 	}
 	k.begin(now, voters)
 }
 
 // begin takes a founding: all that were there have the same first snapshot.
-func (k *Keeper) begin(now int64, voters map[string]uint64) {
+func (k *Replica) begin(now int64, voters map[string]uint64) {
 	first := founding(k.life, voters)
 	lives := slices.Sorted(maps.Values(voters))
 	s := &pb.Snapshot{Data: first.packed(), Metadata: &pb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
 		ConfState: &pb.ConfState{Voters: lives}}}
 	k.hard = &pb.HardState{Term: new(uint64(1)), Vote: new(uint64(0)), Commit: new(uint64(1))}
-	if k.broken = k.lasting.Add([][]byte{pack(record{Snapshot: mustProto(s)}), pack(record{Hard: mustProto(k.hard)})}); k.broken != nil {
+	if k.broken = k.lasting.Append([][]byte{pack(record{Snapshot: mustProto(s)}), pack(record{Hard: mustProto(k.hard)})}); k.broken != nil {
 		return
 	}
 	if k.broken = k.restore(s); k.broken == nil {
@@ -324,7 +324,7 @@
 }
 
 // Heard takes a message of another process.
-func (k *Keeper) Heard(now int64, m *Message) {
+func (k *Replica) HandleMessage(now int64, m *Message) {
 	if k.broken != nil {
 		return
 	}
@@ -334,26 +334,26 @@
 		}
 	}()
 	switch {
-	case m.Hello != nil:
-		k.greeted(now, m.From, m.Hello)
+	case m.Announcement != nil:
+		k.greeted(now, m.From, m.Announcement)
 	case k.node == nil:
 		return
 	case m.Raft != nil:
 		k.step(now, m.Raft)
-	case m.Ask != nil:
-		k.ask(now, m.From, *m.Ask)
-	case m.Propose != nil:
-		k.propose(now, m.From, *m.Propose, m.Ticket)
+	case m.LeaseRequest != nil:
+		k.ask(now, m.From, *m.LeaseRequest)
+	case m.Proposal != nil:
+		k.propose(now, m.From, *m.Proposal, m.Ticket)
 	}
 	k.settle(now)
 }
 
-func (k *Keeper) greeted(now int64, from string, h *Hello) {
+func (k *Replica) greeted(now int64, from string, h *Announcement) {
 	if !slices.Contains(k.names, from) || from == k.Name || len(h.Voters) > maxText {
 		return
 	}
 	k.hellos[from] = heardHello{*h, now}
-	k.ids[h.Life] = from
+	k.ids[h.Incarnation] = from
 	for name, life := range h.Voters {
 		if slices.Contains(k.names, name) {
 			k.ids[life] = name
@@ -362,12 +362,12 @@
 	switch {
 	case k.node == nil && len(h.Voters) > 0:
 		k.broken = k.start(now) // There is a history: whoever leads sends it, after a swap of lives if this one is not in it.
-	case k.node != nil && len(h.Voters) == 0 && k.Founded():
+	case k.node != nil && len(h.Voters) == 0 && k.IsBootstrapped():
 		k.greet(now, from)
 	}
 }
 
-func (k *Keeper) step(now int64, bytes []byte) {
+func (k *Replica) step(now int64, bytes []byte) {
 	m := &pb.Message{}
 	if proto.Unmarshal(bytes, m) != nil || m.GetTo() != k.life || raft.IsLocalMsg(m.GetType()) {
 		return
@@ -382,7 +382,7 @@
 			k.leaderAt = now
 		}
 	case pb.MsgPreVote: // Guards who leads against one that does not hear it: others do.
-		if k.Leads() || k.leaderAt != 0 && now-k.leaderAt < int64(k.terms.Lease)/4 {
+		if k.IsLeader() || k.leaderAt != 0 && now-k.leaderAt < int64(k.terms.LeaseDuration)/4 {
 			return
 		}
 	}
@@ -390,10 +390,10 @@
 }
 
 // ask takes an ask for a lease: whoever leads has a majority say so before it grants.
-func (k *Keeper) ask(now int64, from string, a Ask) {
-	if !k.Leads() {
+func (k *Replica) ask(now int64, from string, a LeaseRequest) {
+	if !k.IsLeader() {
 		if leader := k.ids[k.node.BasicStatus().Lead]; leader != "" {
-			k.net.Send(from, &Message{From: k.Name, Grant: &Grant{Leader: leader}})
+			k.net.Send(from, &Message{From: k.Name, LeaseResponse: &LeaseResponse{Leader: leader}})
 		}
 		return
 	}
@@ -405,7 +405,7 @@
 }
 
 // confirm asks the majority whether this one leads, on behalf of all asks so far.
-func (k *Keeper) confirm(now int64) {
+func (k *Replica) confirm(now int64) {
 	if len(k.asking) == 0 || k.reading != 0 && now-k.readAt < k.beat() {
 		return
 	}
@@ -414,8 +414,8 @@
 }
 
 // confirmed: a majority said, after these asks came, that this one leads.
-func (k *Keeper) confirmed(now int64, upTo, index uint64) {
-	if !k.Leads() || k.applied < index {
+func (k *Replica) confirmed(now int64, upTo, index uint64) {
+	if !k.IsLeader() || k.applied < index {
 		return // It has not applied what was accepted before: the asks wait for the next word.
 	}
 	if upTo >= k.reading {
@@ -427,7 +427,7 @@
 			rest = append(rest, a)
 			continue
 		}
-		who := holder{Name: a.from, Life: a.ask.Life}
+		who := holder{Name: a.from, Incarnation: a.ask.Incarnation}
 		h := k.holders[who]
 		if h == nil {
 			if len(k.holders) >= maxHolders {
@@ -436,20 +436,20 @@
 			h = &holding{}
 			k.holders[who] = h
 		}
-		h.known, h.steps, h.ends = max(h.known, a.ask.Known), a.ask.Steps, now+int64(k.terms.Outlasts())
-		g := k.grant(a.ask.Seq, a.ask.Known, h.steps)
+		h.known, h.steps, h.ends = max(h.known, a.ask.KnownRevision), a.ask.AcceptsDeltas, now+int64(k.terms.GranterTimeout())
+		g := k.grant(a.ask.Seq, a.ask.KnownRevision, h.steps)
 		h.sent = k.state.latest().Number
 		if k.ledger != nil {
-			g.Part = k.ledger.Grant(now, who, budgets.Told{Seq: a.ask.Seq, From: a.ask.From, Rate: a.ask.Rate})
+			g.BudgetShare = k.ledger.Grant(now, who, budgets.ShareRequest{Seq: a.ask.Seq, GrantSeq: a.ask.ShareSeq, RequestRate: a.ask.RequestRate})
 		}
-		k.net.Send(a.from, &Message{From: k.Name, Grant: g})
+		k.net.Send(a.from, &Message{From: k.Name, LeaseResponse: g})
 	}
 	k.asking = rest
 }
 
 // grant has what a holder lacks: as steps from what it knows, where it takes these.
-func (k *Keeper) grant(seq, known uint64, steps bool) *Grant {
-	g := &Grant{Seq: seq, Leader: k.Name, Floor: k.state.Floor, History: k.state.ID}
+func (k *Replica) grant(seq, known uint64, steps bool) *LeaseResponse {
+	g := &LeaseResponse{Seq: seq, Leader: k.Name, MinRevision: k.state.Floor, HistoryID: k.state.ID}
 	counting := k.state.counting()
 	if known < k.state.Floor {
 		known = 0
@@ -461,21 +461,21 @@
 	switch {
 	case at == len(counting):
 	case !steps:
-		g.Versions = counting[at:]
+		g.Revisions = counting[at:]
 	case at == 0:
-		g.Versions, g.Steps = counting[:1], stepsOf(counting[0], counting[1:])
+		g.Revisions, g.Deltas = counting[:1], stepsOf(counting[0], counting[1:])
 	default:
-		g.Base, g.Steps = counting[at-1].Number, stepsOf(counting[at-1], counting[at:])
+		g.BaseRevision, g.Deltas = counting[at-1].Number, stepsOf(counting[at-1], counting[at:])
 	}
 	return g
 }
 
 // lead does what only the one that leads does.
-func (k *Keeper) lead(now int64) {
-	if !k.Leads() {
+func (k *Replica) lead(now int64) {
+	if !k.IsLeader() {
 		return
 	}
-	k.asking = slices.DeleteFunc(k.asking, func(a asking) bool { return now-a.at > int64(k.terms.Lease) }) // Their leases would be over.
+	k.asking = slices.DeleteFunc(k.asking, func(a asking) bool { return now-a.at > int64(k.terms.LeaseDuration) }) // Their leases would be over.
 	k.confirm(now)
 	for n := 0; n < len(k.open); n++ {
 		o := &k.open[n]
@@ -484,15 +484,15 @@
 		}
 		if !o.accepted {
 			k.write(entry{Withdraw: o.change.ID})
-			k.answer(o, &Outcome{ID: o.change.ID, Wrong: "no majority within 5s: not in force, and it will not be", Sure: true})
+			k.answer(o, &ProposalResult{ID: o.change.ID, Reason: "no majority within 5s: not in force, and it will not be", IsFinal: true})
 		} else {
-			k.answer(o, &Outcome{ID: o.change.ID, Wrong: "no word of a majority within 5s: look at the history"})
+			k.answer(o, &ProposalResult{ID: o.change.ID, Reason: "no word of a majority within 5s: look at the history"})
 		}
 		k.open = slices.Delete(k.open, n, n+1)
 		n--
 	}
 	latest := k.state.latest().Number
-	if k.state.Floor < latest && k.moving < latest && now-k.ledAt >= int64(k.terms.Outlasts()) && k.allKnow(now, latest) {
+	if k.state.Floor < latest && k.moving < latest && now-k.ledAt >= int64(k.terms.GranterTimeout()) && k.allKnow(now, latest) {
 		if k.write(entry{Floor: latest}) {
 			k.moving = latest
 		}
@@ -501,7 +501,7 @@
 }
 
 // allKnow tells whether no lease is left under a version before this one.
-func (k *Keeper) allKnow(now int64, latest uint64) bool {
+func (k *Replica) allKnow(now int64, latest uint64) bool {
 	all := true
 	for who, h := range k.holders {
 		all = all && (h.known >= latest || now >= h.ends)
@@ -513,20 +513,20 @@
 }
 
 // admit swaps the life of a keeper that lost its state, once the old one has been silent for as long as a lease lasts.
-func (k *Keeper) admit(now int64) {
+func (k *Replica) admit(now int64) {
 	for _, name := range k.names {
 		h, heard := k.hellos[name]
 		old := k.state.Voters[name]
-		if !heard || h.Life == old || now-h.at > 8*k.beat() ||
-			now-max(k.heardOf[old], k.ledAt, k.changing) < int64(k.terms.Outlasts()) {
+		if !heard || h.Incarnation == old || now-h.at > 8*k.beat() ||
+			now-max(k.heardOf[old], k.ledAt, k.changing) < int64(k.terms.GranterTimeout()) {
 			continue
 		}
-		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(h.Life)}}
+		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(h.Incarnation)}}
 		if old != 0 {
 			changes = append(changes, &pb.ConfChangeSingle{Type: pb.ConfChangeRemoveNode.Enum(), NodeId: new(old)})
 		}
-		k.ids[h.Life] = name
-		if k.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: pack(map[string]uint64{name: h.Life})}) == nil {
+		k.ids[h.Incarnation] = name
+		if k.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: pack(map[string]uint64{name: h.Incarnation})}) == nil {
 			k.changing = now
 		}
 		return
@@ -534,34 +534,34 @@
 }
 
 // propose takes a proposal.
-func (k *Keeper) propose(now int64, from string, c Change, t *Ticket) {
+func (k *Replica) propose(now int64, from string, c Proposal, t *ProposalTicket) {
 	o := open{change: c, from: from, until: now + int64(answerIn), size: len(pack(c))}
 	k.said = slices.DeleteFunc(k.said, func(s said) bool { return now-s.at > 2*int64(answerIn) })
 	before := slices.IndexFunc(k.said, func(s said) bool { return s.ID == c.ID })
 	number := uint64(0)
-	if k.Founded() {
+	if k.IsBootstrapped() {
 		number = k.state.numberOf(c.ID)
 	}
 	switch {
-	case !k.Leads():
+	case !k.IsLeader():
 		leader := k.ids[k.node.BasicStatus().Lead]
 		if leader == "" || leader == k.Name {
-			k.answer(&o, &Outcome{ID: c.ID, Wrong: "nobody leads: no majority of the keepers is heard", Sure: true})
+			k.answer(&o, &ProposalResult{ID: c.ID, Reason: "nobody leads: no majority of the keepers is heard", IsFinal: true})
 		} else {
-			k.net.Send(from, &Message{From: k.Name, Grant: &Grant{Leader: leader}}) // The proposer asks there.
+			k.net.Send(from, &Message{From: k.Name, LeaseResponse: &LeaseResponse{Leader: leader}}) // The proposer asks there.
 		}
 	case number != 0:
-		k.answer(&o, &Outcome{ID: c.ID, Number: number, Sure: true})
+		k.answer(&o, &ProposalResult{ID: c.ID, Revision: number, IsFinal: true})
 	case slices.ContainsFunc(k.open, func(o open) bool { return o.change.ID == c.ID }):
 	case before >= 0:
-		k.answer(&o, &k.said[before].Outcome)
-	case t == nil || t.Term != k.term || now-t.At > int64(answerIn) || now < t.At:
-		k.answer(&o, &Outcome{ID: c.ID, Ticket: &Ticket{k.term, now}})
+		k.answer(&o, &k.said[before].ProposalResult)
+	case t == nil || t.Term != k.term || now-t.IssuedAt > int64(answerIn) || now < t.IssuedAt:
+		k.answer(&o, &ProposalResult{ID: c.ID, Ticket: &ProposalTicket{k.term, now}})
 	case len(k.open) >= maxOpen || k.openSize()+o.size > maxOpenSize:
-		k.answer(&o, &Outcome{ID: c.ID, Wrong: "too many proposals wait", Sure: true})
+		k.answer(&o, &ProposalResult{ID: c.ID, Reason: "too many proposals wait", IsFinal: true})
 	default:
 		if _, err := c.apply(k.state.latest()); err != nil {
-			k.answer(&o, &Outcome{ID: c.ID, Wrong: err.Error(), Sure: true})
+			k.answer(&o, &ProposalResult{ID: c.ID, Reason: err.Error(), IsFinal: true})
 		} else if k.write(entry{Propose: &c}) {
 			k.open = append(k.open, o)
 		}
@@ -569,24 +569,24 @@
 }
 
 // openSize is how many bytes the proposals that wait have.
-func (k *Keeper) openSize() (bytes int) {
+func (k *Replica) openSize() (bytes int) {
 	for n := range k.open {
 		bytes += k.open[n].size
 	}
 	return bytes
 }
 
-func (k *Keeper) answer(o *open, what *Outcome) {
-	if what.Sure && what.Number == 0 && k.Leads() && !slices.ContainsFunc(k.said, func(s said) bool { return s.ID == what.ID }) && len(k.said) < maxAsking {
+func (k *Replica) answer(o *open, what *ProposalResult) {
+	if what.IsFinal && what.Revision == 0 && k.IsLeader() && !slices.ContainsFunc(k.said, func(s said) bool { return s.ID == what.ID }) && len(k.said) < maxAsking {
 		k.said = append(k.said, said{*what, o.until - int64(answerIn)}) // Whatever the network repeats gets the same answer.
 	}
-	k.net.Send(o.from, &Message{From: k.Name, Outcome: what})
+	k.net.Send(o.from, &Message{From: k.Name, ProposalResult: what})
 }
 
-func (k *Keeper) write(e entry) bool { return k.node.Propose(pack(e)) == nil }
+func (k *Replica) write(e entry) bool { return k.node.Propose(pack(e)) == nil }
 
 // settle does all that raft has ready: what has to last is written before anything is sent.
-func (k *Keeper) settle(now int64) {
+func (k *Replica) settle(now int64) {
 	for k.broken == nil && k.node != nil && k.node.HasReady() {
 		rd := k.node.Ready()
 		if !k.keep(now, &rd) {
@@ -614,7 +614,7 @@
 }
 
 // keep writes what has to last, and takes up who leads.
-func (k *Keeper) keep(now int64, rd *raft.Ready) bool {
+func (k *Replica) keep(now int64, rd *raft.Ready) bool {
 	var records [][]byte
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		records = append(records, pack(record{Snapshot: mustProto(rd.Snapshot)}))
@@ -630,7 +630,7 @@
 		k.hard, k.term = rd.HardState, rd.HardState.GetTerm()
 	}
 	if len(records) > 0 {
-		if k.broken = k.lasting.Add(records); k.broken != nil {
+		if k.broken = k.lasting.Append(records); k.broken != nil {
 			return false // Guards the vote: what is not written may not be said.
 		}
 	}
@@ -654,27 +654,27 @@
 }
 
 // leads takes up that this one leads, or does not any more: nothing that it was asked before counts then.
-func (k *Keeper) leads(now int64, leads bool) {
-	if leads == k.Leads() {
+func (k *Replica) leads(now int64, leads bool) {
+	if leads == k.IsLeader() {
 		return
 	}
 	for _, o := range k.open {
 		if !leads {
-			k.answer(&o, &Outcome{ID: o.change.ID, Wrong: "another leads now: look at the history"})
+			k.answer(&o, &ProposalResult{ID: o.change.ID, Reason: "another leads now: look at the history"})
 		}
 	}
 	k.ledAt, k.asking, k.reading, k.open, k.moving, k.changing, k.said = 0, nil, 0, nil, 0, 0, nil // Tickets of this term are void.
 	k.holders, k.ledger = map[holder]*holding{}, nil
 	if leads {
 		k.ledAt = now
-		if k.terms.Most > 0 {
-			k.ledger = budgets.New(now, k.terms.Most, int64(k.terms.Outlasts()))
+		if k.terms.MaxMembers > 0 {
+			k.ledger = budgets.New(now, k.terms.MaxMembers, int64(k.terms.GranterTimeout()))
 		}
 	}
 }
 
 // apply takes an entry that a majority has.
-func (k *Keeper) apply(now int64, e *pb.Entry) {
+func (k *Replica) apply(now int64, e *pb.Entry) {
 	k.applied = e.GetIndex()
 	k.state.term(e.GetTerm())
 	switch e.GetType() {
@@ -697,7 +697,7 @@
 	if len(e.GetData()) == 0 || strict.Unmarshal(e.GetData(), &step) != nil {
 		return
 	}
-	own := k.Leads() && e.GetTerm() == k.term
+	own := k.IsLeader() && e.GetTerm() == k.term
 	switch {
 	case step.Propose != nil:
 		k.state.Candidates = append(k.state.Candidates, candidate{*step.Propose, e.GetTerm()})
@@ -707,9 +707,9 @@
 	case step.Accept != "":
 		number, err := k.state.accept(step.Accept)
 		if at := k.opened(step.Accept); at >= 0 {
-			what := &Outcome{ID: step.Accept, Number: number, Sure: true}
+			what := &ProposalResult{ID: step.Accept, Revision: number, IsFinal: true}
 			if err != nil {
-				what.Wrong = err.Error()
+				what.Reason = err.Error()
 			}
 			k.answer(&k.open[at], what)
 			k.open = slices.Delete(k.open, at, at+1)
@@ -727,27 +727,27 @@
 	}
 }
 
-func (k *Keeper) opened(id string) int {
+func (k *Replica) opened(id string) int {
 	return slices.IndexFunc(k.open, func(o open) bool { return o.change.ID == id })
 }
 
 // tell gives the news to all who hold a lease: what is strict counts as soon as it is heard.
-func (k *Keeper) tell() {
+func (k *Replica) tell() {
 	for _, who := range slices.SortedFunc(maps.Keys(k.holders), func(a, b holder) int {
-		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Life, b.Life))
+		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
 	}) {
 		h := k.holders[who]
 		from := h.known
 		if h.steps { // What is lost on the way it has with its next ask.
 			from = max(h.known, h.sent)
 		}
-		k.net.Send(who.Name, &Message{From: k.Name, Grant: k.grant(0, from, h.steps)})
+		k.net.Send(who.Name, &Message{From: k.Name, LeaseResponse: k.grant(0, from, h.steps)})
 		h.sent = k.state.latest().Number
 	}
 }
 
 // shorten puts a snapshot in the place of a long log.
-func (k *Keeper) shorten() {
+func (k *Replica) shorten() {
 	if k.kept < entriesKept && k.weighs < bytesKept || k.applied == 0 || k.broken != nil {
 		return
 	}
@@ -765,5 +765,5 @@
 		}
 	}
 	k.kept, k.weighs = 0, 0
-	k.broken = k.lasting.Swap(append(records, pack(record{Hard: mustProto(k.hard)})))
+	k.broken = k.lasting.Replace(append(records, pack(record{Hard: mustProto(k.hard)})))
 }
--- a/agreed/lists.go
+++ b/consensus/lists.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"slices"
@@ -6,24 +6,24 @@
 )
 
 // Listed is what a process tells of the list that it acts on.
-type Listed struct {
+type EndpointListState struct {
 	Name          string
 	Index, Digest uint64
-	Drains        []Drained
+	Drained       []DrainedEndpoint
 }
 
 // Drained is a host that a list called draining or gone from an index on.
-type Drained struct {
+type DrainedEndpoint struct {
 	Host  string
 	Index uint64
 }
 
 // Compared is what others' lists tell of one's own.
-type Compared struct {
-	News     []string // hosts that a later list, or another under the same index, calls draining or gone; sorted
-	Behind   string   // who has a later list
-	Latest   uint64
-	Contrary string // who has another list under the same index
+type ListComparison struct {
+	DrainedEndpoints []string // hosts that a later list, or another under the same index, calls draining or gone; sorted
+	PeerAhead        string   // who has a later list
+	LatestIndex      uint64
+	ConflictingPeer  string // who has another list under the same index
 }
 
 // Gone back: a list whose index is lower than it was is not taken for what it loosens, until it has come past that again, or has stayed
@@ -31,13 +31,13 @@
 const backFor = int64(time.Minute)
 
 // Own is one's own list over time.
-type Own struct {
-	highest Listed
+type ListRollbackGuard struct {
+	highest EndpointListState
 	since   int64 // when it went back; 0: it did not
 }
 
 // Saw takes one's own list. If it went back, it gives what it was before, which counts like another's; and whether it just went.
-func (o *Own) Saw(now int64, l Listed) (before []Listed, went bool) {
+func (o *ListRollbackGuard) Observe(now int64, l EndpointListState) (before []EndpointListState, went bool) {
 	switch {
 	case l.Index >= o.highest.Index || o.since != 0 && now-o.since >= backFor:
 		o.highest, o.since = l, 0
@@ -45,41 +45,41 @@
 	case o.since == 0:
 		o.since, went = now, true
 	}
-	return []Listed{o.highest}, went
+	return []EndpointListState{o.highest}, went
 }
 
 // Compare looks at others' lists. What they tell of drains beyond one's own index counts; that a host is well, never.
-func Compare(index, digest uint64, others []Listed) (c Compared) {
+func CompareLists(index, digest uint64, others []EndpointListState) (c ListComparison) {
 	for _, o := range others {
 		contrary := o.Index == index && o.Digest != digest
 		if contrary {
-			c.Contrary = o.Name
+			c.ConflictingPeer = o.Name
 		}
-		if o.Index > index && o.Index > c.Latest {
-			c.Behind, c.Latest = o.Name, o.Index
+		if o.Index > index && o.Index > c.LatestIndex {
+			c.PeerAhead, c.LatestIndex = o.Name, o.Index
 		}
-		for _, d := range o.Drains {
+		for _, d := range o.Drained {
 			if d.Index > index && d.Index <= o.Index || contrary && d.Index <= index {
-				c.News = append(c.News, d.Host)
+				c.DrainedEndpoints = append(c.DrainedEndpoints, d.Host)
 			}
 		}
 	}
-	slices.Sort(c.News)
-	c.News = slices.Compact(c.News)
+	slices.Sort(c.DrainedEndpoints)
+	c.DrainedEndpoints = slices.Compact(c.DrainedEndpoints)
 	return c
 }
 
 // Late is how long something has been so, and whether it was said.
-type Late struct {
+type PersistentCondition struct {
 	since int64
 	is    bool
 	said  bool
 }
 
 // Saw tells whether it is to be said now: once each time that it has been so for longer than over.
-func (l *Late) Saw(now int64, is bool, over time.Duration) bool {
+func (l *PersistentCondition) Observe(now int64, is bool, over time.Duration) bool {
 	if !is || !l.is {
-		*l = Late{since: now, is: is}
+		*l = PersistentCondition{since: now, is: is}
 	}
 	if !is || l.said || now-l.since < int64(over) {
 		return false
--- a/agreed/size_test.go
+++ b/consensus/size_test.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"fmt"
@@ -24,12 +24,12 @@
 	s := founding(7, map[string]uint64{"b0": 1})
 	for n := 1; n < maxBetween; n++ {
 		id := fmt.Sprint("p", n)
-		s.Candidates = append(s.Candidates, candidate{Change{ID: id, By: "op", Why: "a test", Out: []string{fmt.Sprintf("host-%04d", n)}}, 1})
+		s.Candidates = append(s.Candidates, candidate{Proposal{ID: id, Author: "op", Reason: "a test", EjectEndpoints: []string{fmt.Sprintf("host-%04d", n)}}, 1})
 		if _, err := s.accept(id); err != nil {
 			t.Fatalf("version %d: %v", n+1, err)
 		}
 	}
-	s.Candidates = []candidate{{Change{ID: "more", Out: []string{"more"}}, 1}}
+	s.Candidates = []candidate{{Proposal{ID: "more", EjectEndpoints: []string{"more"}}, 1}}
 	if _, err := s.accept("more"); err == nil {
 		t.Error("one more than can count is accepted")
 	}
@@ -38,35 +38,35 @@
 	if err != nil || len(back.History) != maxBetween || back.latest().Digest() != s.latest().Digest() || len(bytes) > maxMessage {
 		t.Fatalf("%v: %d versions of %d, in %d bytes", err, len(back.History), maxBetween, len(bytes))
 	}
-	k := &Keeper{Name: "b0", state: back}
-	h := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+	k := &Replica{Name: "b0", state: back}
+	h := NewLeaseHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
 	for _, known := range []uint64{0, 1000} {
-		packed := (&Message{From: "b0", Grant: k.grant(1, known, true)}).Pack()
-		m, err := Unpack(packed)
+		packed := (&Message{From: "b0", LeaseResponse: k.grant(1, known, true)}).Marshal()
+		m, err := UnmarshalMessage(packed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if known == 1000 { // One that has been told of so many.
-			h = NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
-			h.Recall(1, slices.Clone(back.History[:known]))
-			if len(m.Grant.Versions) != 0 || len(packed) > 10_000 {
+			h = NewLeaseHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+			h.Restore(1, slices.Clone(back.History[:known]))
+			if len(m.LeaseResponse.Revisions) != 0 || len(packed) > 10_000 {
 				t.Errorf("%d bytes for the last %d versions", len(packed), uint64(maxBetween)-known)
 			}
 		}
-		if !h.learn(m.Grant) || len(h.versions) != maxBetween || len(h.acting.Bans) != maxBetween-1 ||
+		if !h.learn(m.LeaseResponse) || len(h.versions) != maxBetween || len(h.acting.EjectedEndpoints) != maxBetween-1 ||
 			h.versions[maxBetween-1].Digest() != s.latest().Digest() {
-			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.versions), len(h.acting.Bans))
+			t.Errorf("knowing %d: %d versions, %d bans", known, len(h.versions), len(h.acting.EjectedEndpoints))
 		}
 	}
-	unknowing := NewHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
+	unknowing := NewLeaseHolder(0, "p", 1, terms, []string{"b0"}, nowhere{}, func(int) int { return 0 })
 	if unknowing.learn(k.grant(1, 1000, true)) || len(unknowing.versions) > 0 {
 		t.Error("steps are taken without what they begin with")
 	}
-	left, err := UnpackChain(PackChain(h.versions))
+	left, err := UnmarshalRevisions(MarshalRevisions(h.versions))
 	if err != nil || len(left) != maxBetween || left[maxBetween-1].Digest() != s.latest().Digest() {
 		t.Errorf("%v: %d versions come back", err, len(left))
 	}
-	if g := k.grant(1, 1020, false); len(g.Versions) != 4 || len(g.Steps) != 0 {
+	if g := k.grant(1, 1020, false); len(g.Revisions) != 4 || len(g.Deltas) != 0 {
 		t.Error("one of a version before is told steps")
 	}
 }
@@ -74,18 +74,18 @@
 // What a version changed, of every kind, is found again from the two documents.
 func TestSteps(t *testing.T) {
 	d1, s1, f1 := "d1", "127.0.0.1:1", uint64(9)
-	v := Version{Number: 1}
-	var all []Version
-	for n, c := range []Change{{Out: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5, "quota.t": 7}}, {Back: []string{"b"}, Leave: []string{"z"}, Digest: &d1},
-		{Limits: map[string]int64{"held": -1, "quota.t": 0}, Source: &s1}, {Return: []string{"z"}, From: &f1, Out: []string{"b"}}} {
-		c.ID, c.By, c.Why = fmt.Sprint("p", n), "op", "w"
+	v := Revision{Number: 1}
+	var all []Revision
+	for n, c := range []Proposal{{EjectEndpoints: []string{"a", "b", "c"}, Limits: map[string]int64{"held": 5, "quota.t": 7}}, {UnejectEndpoints: []string{"b"}, EvacuateZones: []string{"z"}, SettingsDigest: &d1},
+		{Limits: map[string]int64{"held": -1, "quota.t": 0}, DiscoverySource: &s1}, {RestoreZones: []string{"z"}, MinListIndex: &f1, EjectEndpoints: []string{"b"}}} {
+		c.ID, c.Author, c.Reason = fmt.Sprint("p", n), "op", "w"
 		next, err := c.apply(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		all, v = append(all, next), next
 	}
-	back, err := UnpackChain(PackChain(all))
+	back, err := UnmarshalRevisions(MarshalRevisions(all))
 	if err != nil || len(back) != len(all) {
 		t.Fatal(back, err)
 	}
@@ -110,21 +110,21 @@
 	}
 	all := func(version uint64, but int) bool {
 		for n, p := range w.procs {
-			if a := p.holder.Acting(p.clock()); n != but && (!a.Leased || a.Latest < version) {
+			if a := p.holder.EffectiveConfig(p.clock()); n != but && (!a.IsLeased || a.LatestRevision < version) {
 				return false
 			}
 		}
 		return true
 	}
 	leads := func() int {
-		return slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper != nil && p.keeper.Leads() })
+		return slices.IndexFunc(w.procs, func(p *proc) bool { return p.keeper != nil && p.keeper.IsLeader() })
 	}
 	until("a lease everywhere", func() bool { return all(1, -1) })
 	w.procs[5].stopped = true // Its lease keeps the floor back.
 	const many, atOnce = 192, 32
 	for n := 0; n < many; n += atOnce {
 		for i := range atOnce {
-			w.propose(4, leads(), Change{Out: []string{fmt.Sprint("host-", n+i)}})
+			w.propose(4, leads(), Proposal{EjectEndpoints: []string{fmt.Sprint("host-", n+i)}})
 		}
 		until("an answer to each", func() bool { return len(w.procs[4].waiting) == 0 })
 	}
@@ -133,12 +133,12 @@
 	}
 	w.procs[5].wake()
 	until("all acting on all", func() bool { return all(many+1, -1) })
-	w.propose(4, leads(), Change{Out: thousandNames("host")})
-	w.propose(4, leads(), Change{Leave: thousandNames("zone")})
+	w.propose(4, leads(), Proposal{EjectEndpoints: thousandNames("host")})
+	w.propose(4, leads(), Proposal{EvacuateZones: thousandNames("zone")})
 	until("all acting on the long ones", func() bool { return all(many+3, -1) })
 	for _, p := range w.procs {
-		if a := p.holder.Acting(p.clock()); len(a.Bans) != thousand+many || len(a.Left) != thousand {
-			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.Bans), len(a.Left))
+		if a := p.holder.EffectiveConfig(p.clock()); len(a.EjectedEndpoints) != thousand+many || len(a.EvacuatedZones) != thousand {
+			t.Errorf("%s acts on %d hosts and %d zones", p.name, len(a.EjectedEndpoints), len(a.EvacuatedZones))
 		}
 	}
 	lost := (leads() + 1) % 3
@@ -146,7 +146,7 @@
 	w.start(lost, true, 3)
 	until("the replica that lost its state", func() bool {
 		k := w.procs[lost].keeper
-		return k.Founded() && len(k.state.latest().Document.Bans) == thousand+many && all(many+3, -1)
+		return k.IsBootstrapped() && len(k.state.latest().Config.EjectedEndpoints) == thousand+many && all(many+3, -1)
 	})
 	if w.broken != "" {
 		t.Error(w.broken)
--- a/agreed/state.go
+++ b/consensus/state.go
@@ -1,4 +1,4 @@
-package agreed
+package consensus
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 
 // state is what the keepers' entries make, the same at each of them.
 type state struct {
-	History    []Version         `cbor:"1,keyasint"` // up to the latest
+	History    []Revision        `cbor:"1,keyasint"` // up to the latest
 	Floor      uint64            `cbor:"2,keyasint"`
 	Voters     map[string]uint64 `cbor:"3,keyasint"` // keepers, and which life of each votes
 	Candidates []candidate       `cbor:"4,keyasint,omitempty"`
@@ -25,7 +25,7 @@
 func (s *state) packed() []byte {
 	names := 0
 	for n := range s.History {
-		names += s.History[n].Document.names()
+		names += s.History[n].Config.names()
 	}
 	if names*minName <= plainBytes {
 		if bytes := pack(s); len(bytes) <= plainBytes {
@@ -56,7 +56,7 @@
 }
 
 // measure notes what a version changed against the one before, and how long that is.
-func (v *Version) measure(before Version) {
+func (v *Revision) measure(before Revision) {
 	if v.step == nil {
 		v.step = step(before, *v)
 	}
@@ -65,36 +65,36 @@
 
 // candidate is a change that was written and has not been accepted.
 type candidate struct {
-	Change Change `cbor:"1,keyasint"`
-	Term   uint64 `cbor:"2,keyasint"`
+	Change Proposal `cbor:"1,keyasint"`
+	Term   uint64   `cbor:"2,keyasint"`
 }
 
 // entry is one step of the history.
 type entry struct {
-	Propose  *Change `cbor:"1,keyasint,omitempty"`
-	Accept   string  `cbor:"2,keyasint,omitempty"` // the id of a candidate
-	Withdraw string  `cbor:"3,keyasint,omitempty"`
-	Floor    uint64  `cbor:"4,keyasint,omitempty"`
+	Propose  *Proposal `cbor:"1,keyasint,omitempty"`
+	Accept   string    `cbor:"2,keyasint,omitempty"` // the id of a candidate
+	Withdraw string    `cbor:"3,keyasint,omitempty"`
+	Floor    uint64    `cbor:"4,keyasint,omitempty"`
 }
 
 var errNotWritten = errors.New("not among what was written")
 
 // founding is the history's beginning.
 func founding(founder uint64, voters map[string]uint64) state {
-	return state{History: []Version{{Number: 1}}, Floor: 1, Voters: voters, ID: founder}
+	return state{History: []Revision{{Number: 1}}, Floor: 1, Voters: voters, ID: founder}
 }
 
-func (s *state) latest() Version { return s.History[len(s.History)-1] }
+func (s *state) latest() Revision { return s.History[len(s.History)-1] }
 
 // counting are the versions from the floor on.
-func (s *state) counting() []Version {
-	return s.History[slices.IndexFunc(s.History, func(v Version) bool { return v.Number >= s.Floor }):]
+func (s *state) counting() []Revision {
+	return s.History[slices.IndexFunc(s.History, func(v Revision) bool { return v.Number >= s.Floor }):]
 }
 
 // numberOf is the version that a proposal became, 0 if none.
 func (s *state) numberOf(id string) uint64 {
 	for _, v := range s.History {
-		if v.ID == id {
+		if v.ProposalID == id {
 			return v.Number
 		}
 	}
@@ -130,11 +130,11 @@
 }
 
 // fits tells whether one more version can count: in number, in bytes of a message, and in names of all documents.
-func (s *state) fits(next Version) error {
+func (s *state) fits(next Revision) error {
 	counting := s.counting()
-	bytes, names := len(pack(counting[0]))+next.size, next.Document.names()
+	bytes, names := len(pack(counting[0]))+next.size, next.Config.names()
 	for n := range counting {
-		names += counting[n].Document.names()
+		names += counting[n].Config.names()
 		if n > 0 {
 			bytes += counting[n].size
 		}
@@ -152,7 +152,7 @@
 func (s *state) forget() {
 	bytes, names, from := 0, 0, len(s.History)-1
 	for ; from > 0 && len(s.History)-from < maxHistory; from-- {
-		bytes, names = bytes+s.History[from].size, names+s.History[from].Document.names()
+		bytes, names = bytes+s.History[from].size, names+s.History[from].Config.names()
 		if bytes > maxChain/2 || names > maxHeldNames {
 			break
 		}
--- /dev/null
+++ b/consensus/terms.go
@@ -0,0 +1,6 @@
+package consensus
+
+import "hollylever/fleetconfig"
+
+// Terms are the stated times.
+type LeaseTiming = fleetconfig.LeaseTiming
--- a/zones/zones.go
+++ b/evacuation/zones.go
@@ -6,7 +6,7 @@
 // What it promises: nobody leaves on the word of one balancer, one zone, or on one host; the last zone is never left, nor one without which too little
 // is left; no more than one change of a zone in each hold, which doubles with each return that does not last; and a way back is taken in
 // steps, each key once, for all processes the same keys first.
-package zones
+package evacuation
 
 import "slices"
 
@@ -24,23 +24,23 @@
 )
 
 // Remains is the part of all hosts that has to be left without a zone.
-const Remains = 1.0 / 3
+const MinRemainingShare = 1.0 / 3
 
 // Fails marks a zone that the fleet left by itself, beside those that operators left: "fails:z". Both may stand together; each is taken back alone.
-const Fails = "fails:"
+const AutomaticPrefix = "fails:"
 
 // View is a zone as the fleet's signals show it: how many hosts it has, and how many of them several processes call failing.
-type View struct {
-	Zone           string
-	Hosts, Failing int
+type ZoneHealth struct {
+	Zone               string
+	Endpoints, Failing int
 }
 
 // Say is what a Watch would have proposed: to leave a zone or to come back, and why.
-type Say struct {
-	Zone   string
-	Leaves bool
-	Why    string
-	View
+type Proposal struct {
+	Zone     string
+	Evacuate bool
+	Reason   string
+	ZoneHealth
 }
 
 type watched struct {
@@ -52,21 +52,21 @@
 }
 
 // Watch looks at all zones. A new one, as after another has come to lead, knows of no relapses.
-type Watch struct{ zones map[string]*watched }
+type Controller struct{ zones map[string]*watched }
 
 const again = 1000 * ms // between two proposals of the same
 
 // Look gives what to propose now, given which zones are left (by themselves, or by operators). stays: a zone fails and is not left, as too
 // little would remain; it is told once.
-func (w *Watch) Look(now int64, views []View, left []string) (say []Say, stays []View) {
+func (w *Controller) Tick(now int64, views []ZoneHealth, left []string) (say []Proposal, stays []ZoneHealth) {
 	if w.zones == nil {
 		w.zones = map[string]*watched{}
 	}
 	all, used, usedZones := 0, 0, 0
 	for _, v := range views {
-		all += v.Hosts
-		if !slices.Contains(left, v.Zone) && !slices.Contains(left, Fails+v.Zone) {
-			used += v.Hosts
+		all += v.Endpoints
+		if !slices.Contains(left, v.Zone) && !slices.Contains(left, AutomaticPrefix+v.Zone) {
+			used += v.Endpoints
 			usedZones++
 		}
 	}
@@ -76,9 +76,9 @@
 			z = &watched{}
 			w.zones[v.Zone] = z
 		}
-		gone := slices.Contains(left, Fails+v.Zone)
-		bad := v.Hosts > 0 && float64(v.Failing) >= failing*float64(v.Hosts) && v.Failing >= min(fewest, v.Hosts)
-		well := float64(v.Failing) <= settled*float64(v.Hosts)
+		gone := slices.Contains(left, AutomaticPrefix+v.Zone)
+		bad := v.Endpoints > 0 && float64(v.Failing) >= failing*float64(v.Endpoints) && v.Failing >= min(fewest, v.Endpoints)
+		well := float64(v.Failing) <= settled*float64(v.Endpoints)
 		if gone && !well || !gone && !bad {
 			z.since, z.stays = 0, false
 			continue
@@ -97,11 +97,11 @@
 		}
 		if gone {
 			z.said, z.returned, z.since = now, now, 0
-			say = append(say, Say{v.Zone, false, "its hosts settle again", v})
+			say = append(say, Proposal{v.Zone, false, "its hosts settle again", v})
 			continue
 		}
 		inUse := !slices.Contains(left, v.Zone)
-		if inUse && (usedZones <= 1 || float64(used-v.Hosts) < Remains*float64(all)) {
+		if inUse && (usedZones <= 1 || float64(used-v.Endpoints) < MinRemainingShare*float64(all)) {
 			if !z.stays {
 				z.stays = true
 				stays = append(stays, v)
@@ -114,47 +114,47 @@
 			z.relapses = 0
 		}
 		z.said, z.since = now, 0
-		say = append(say, Say{v.Zone, true, "its hosts fail for several", v})
+		say = append(say, Proposal{v.Zone, true, "its hosts fail for several", v})
 		if inUse { // The next one is judged by what remains then.
-			used, usedZones = used-v.Hosts, usedZones-1
+			used, usedZones = used-v.Endpoints, usedZones-1
 		}
 	}
 	return say, stays
 }
 
 // Path is how far a process has come out of a zone, or back: the part of the keys that does not go there.
-type Path struct {
+type Ramp struct {
 	part float64
 	at   int64
 }
 
 // Terms are how long the ways take.
-type Terms struct {
-	Leaves  int64 // out of a zone that an operator left; one that fails is left at once, as it gives nothing to who stays
-	Returns int64 // back: as long as its hosts take to be warm, and half of that more
+type RampDurations struct {
+	EvacuationNanos int64 // out of a zone that an operator left; one that fails is left at once, as it gives nothing to who stays
+	RecoveryNanos   int64 // back: as long as its hosts take to be warm, and half of that more
 }
 
 // Begin has a process that starts stand where the others do: they may be on the way back to a zone whose hosts are cold.
-func (p *Path) Begin(part float64) {
+func (p *Ramp) Start(part float64) {
 	if !(part >= 0 && part <= 1) { // Not a number, either.
 		part = 1
 	}
-	*p = Path{part: part}
+	*p = Ramp{part: part}
 }
 
 // Stands is where it was, and when: for the process that comes after this one.
-func (p *Path) Stands() (part float64, at int64) { return p.part, p.at }
+func (p *Ramp) Position() (part float64, at int64) { return p.part, p.at }
 
 // Recall has it go on from where the process before this one stood, at a time that may be another clock's.
-func (p *Path) Recall(part float64, at, now int64) {
-	p.Begin(part)
+func (p *Ramp) Resume(part float64, at, now int64) {
+	p.Start(part)
 	p.at = max(1, min(at, now))
 }
 
 // Look moves on. left: which zones are; own: this process's zone, of which it sees itself that it does not fail: it stays there, as a zone that
 // only its own balancers reach goes on for them, but not where an operator left it. slow: reads miss for all, and each step takes longer.
-func (p *Path) Look(now int64, zone string, left []string, own, slow bool, t Terms) float64 {
-	fails, byHand := slices.Contains(left, Fails+zone) && !own, slices.Contains(left, zone)
+func (p *Ramp) Advance(now int64, zone string, left []string, own, slow bool, t RampDurations) float64 {
+	fails, byHand := slices.Contains(left, AutomaticPrefix+zone) && !own, slices.Contains(left, zone)
 	passed := float64(max(0, now-p.at))
 	if p.at == 0 { // It has just started: what is left already it never goes to.
 		if passed = 0; byHand {
@@ -168,15 +168,15 @@
 	case fails:
 		p.part = 1
 	case byHand:
-		p.part = min(1, p.part+passed/float64(max(1, t.Leaves)))
+		p.part = min(1, p.part+passed/float64(max(1, t.EvacuationNanos)))
 	default:
-		p.part = max(0, p.part-passed/float64(max(1, t.Returns)))
+		p.part = max(0, p.part-passed/float64(max(1, t.RecoveryNanos)))
 	}
 	return p.Part()
 }
 
 // Part is the part in whole steps, so that processes whose clocks differ little send the same keys.
-func (p *Path) Part() float64 {
+func (p *Ramp) Part() float64 {
 	steps := int(p.part*Steps + 0.999999)
 	return float64(steps) / Steps
 }
--- a/fleet/decides_test.go
+++ b/fleet/decides_test.go
@@ -8,18 +8,18 @@
 	f.lease.expiry.Store(1 << 62)
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Decides()
+		f.CheckLease()
 	}
 }
 
 func TestDecidesAllocatesNothing(t *testing.T) {
 	f := &Fleet{}
 	f.lease.expiry.Store(1 << 62)
-	if n := testing.AllocsPerRun(100, func() { f.Decides() }); n != 0 || f.lease.decisionsUnder.Load() == 0 || f.lease.decisionsWithout.Load() != 0 {
+	if n := testing.AllocsPerRun(100, func() { f.CheckLease() }); n != 0 || f.lease.decisionsUnder.Load() == 0 || f.lease.decisionsWithout.Load() != 0 {
 		t.Errorf("%v allocations; %d under a lease, %d alone", n, f.lease.decisionsUnder.Load(), f.lease.decisionsWithout.Load())
 	}
 	f.lease.expiry.Store(1)
-	if f.Decides() || f.lease.decisionsWithout.Load() != 1 {
+	if f.CheckLease() || f.lease.decisionsWithout.Load() != 1 {
 		t.Error("a lease that is over counts")
 	}
 }
--- a/fleet/driver.go
+++ b/fleet/driver.go
@@ -60,14 +60,14 @@
 	if f.exchange == nil {
 		return
 	}
-	f.exchange.Tell(f.card())
+	f.exchange.PublishState(f.card())
 	f.comparePeerLists()
 	f.measureLoad()
 }
 
 // updateMembers takes up which members and endpoints there are, for the connection subset and for outlier detection.
 func (f *Fleet) updateMembers() {
-	endpoints, live := f.acts.Servers(), f.liveMembers()
+	endpoints, live := f.acts.Endpoints(), f.liveMembers()
 	f.updateConnectionSubset(live, endpoints)
 	if f.outliers != nil {
 		f.outliers.update(live, endpoints)
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
-	"hollylever/members"
-	"hollylever/zones"
+	"hollylever/consensus"
+	"hollylever/evacuation"
+	"hollylever/membership"
 )
 
 const (
@@ -26,11 +26,11 @@
 // evacuationState is this process's ramp for each zone, and the detector of failing zones that it has while it leads. It is Run's own, but for hasProposal.
 type evacuationState struct {
 	isAutomatic bool // the fleet may evacuate zones by itself
-	terms       zones.Terms
-	watch       zones.Watch
+	terms       evacuation.RampDurations
+	watch       evacuation.Controller
 	wasLeader   bool
 	hasProposal bool // one of a zone waits for its answer; under Fleet.mu
-	paths       map[string]*zones.Path
+	paths       map[string]*evacuation.Ramp
 
 	adoptionBegan  int64 // when peers could be heard first; 0: not yet
 	isAdoptionOver bool  // the ramps go on by themselves
@@ -42,7 +42,7 @@
 
 func newEvacuationState(isAutomatic bool, warmUp time.Duration) evacuationState {
 	recovery := warmUp * 3 / 2 // As long as an endpoint takes to be warm, and half of that more: each step finds the keys of the one before cached.
-	return evacuationState{isAutomatic: isAutomatic, terms: zones.Terms{Leaves: int64(evacuationTime), Returns: int64(recovery)}, paths: map[string]*zones.Path{}}
+	return evacuationState{isAutomatic: isAutomatic, terms: evacuation.RampDurations{EvacuationNanos: int64(evacuationTime), RecoveryNanos: int64(recovery)}, paths: map[string]*evacuation.Ramp{}}
 }
 
 // ZoneStatus is the status of a zone, for people.
@@ -59,11 +59,11 @@
 // zoneInput is what a look at the zones goes by.
 type zoneInput struct {
 	now          int64
-	views        []zones.View // endpoints by zone, sorted by name
-	evacuated    []string     // by the configuration in effect
-	ownZoneFails bool         // for this process too
-	isMissing    bool         // reads miss at many processes at once
-	isLeader     bool         // this process leads, under a lease
+	views        []evacuation.ZoneHealth // endpoints by zone, sorted by name
+	evacuated    []string                // by the configuration in effect
+	ownZoneFails bool                    // for this process too
+	isMissing    bool                    // reads miss at many processes at once
+	isLeader     bool                    // this process leads, under a lease
 	hasProposal  bool
 }
 
@@ -90,9 +90,9 @@
 	in.views, in.ownZoneFails, in.isMissing = f.outliers.zoneViews(in.now, f.zone)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	in.evacuated, in.hasProposal = f.effective.Left, f.evacuation.hasProposal
-	in.isLeader = f.isLeader() && f.effective.Leased
-	return in, len(in.views) >= 2 && f.effective.Latest > 0
+	in.evacuated, in.hasProposal = f.effective.EvacuatedZones, f.evacuation.hasProposal
+	in.isLeader = f.isLeader() && f.effective.IsLeased
+	return in, len(in.views) >= 2 && f.effective.LatestRevision > 0
 }
 
 // proposeEvacuations proposes what the zone detector finds, if this process leads. The detector is begun anew with each term as leader, since what another
@@ -100,14 +100,14 @@
 func (f *Fleet) proposeEvacuations(ctx context.Context, in zoneInput) {
 	e := &f.evacuation
 	if in.isLeader != e.wasLeader {
-		e.wasLeader, e.watch = in.isLeader, zones.Watch{}
+		e.wasLeader, e.watch = in.isLeader, evacuation.Controller{}
 	}
 	if !in.isLeader || !e.isAutomatic || in.hasProposal {
 		return
 	}
-	proposals, rejected := e.watch.Look(in.now, in.views, in.evacuated)
+	proposals, rejected := e.watch.Tick(in.now, in.views, in.evacuated)
 	for _, view := range rejected {
-		f.log.Warn().Str("zone", view.Zone).Int("endpoints", view.Hosts).Int("failing", view.Failing).Msg("zone evacuation rejected: too few endpoints would remain")
+		f.log.Warn().Str("zone", view.Zone).Int("endpoints", view.Endpoints).Int("failing", view.Failing).Msg("zone evacuation rejected: too few endpoints would remain")
 	}
 	for _, proposal := range proposals {
 		f.proposeZone(ctx, proposal)
@@ -115,18 +115,18 @@
 }
 
 // proposeZone proposes to evacuate a zone or to return to it, in the background: Run must not wait for the majority's answer.
-func (f *Fleet) proposeZone(ctx context.Context, p zones.Say) {
-	change := agreed.Change{ID: crand.Text(), By: automaticAuthor, Why: fmt.Sprintf("%s: %d of %d", p.Why, p.Failing, p.Hosts)}
-	if zone := []string{zones.Fails + p.Zone}; p.Leaves {
-		change.Leave = zone
+func (f *Fleet) proposeZone(ctx context.Context, p evacuation.Proposal) {
+	change := consensus.Proposal{ID: crand.Text(), Author: automaticAuthor, Reason: fmt.Sprintf("%s: %d of %d", p.Reason, p.Failing, p.Endpoints)}
+	if zone := []string{evacuation.AutomaticPrefix + p.Zone}; p.Evacuate {
+		change.EvacuateZones = zone
 	} else {
-		change.Return = zone
+		change.RestoreZones = zone
 	}
 	f.setHasProposal(true)
 	go func() {
 		result := f.Propose(ctx, change)
 		f.setHasProposal(false)
-		f.log.Info().Str("zone", p.Zone).Bool("evacuate", p.Leaves).Int("endpoints", p.Hosts).Int("failing", p.Failing).Uint64("revision", result.Number).
+		f.log.Info().Str("zone", p.Zone).Bool("evacuate", p.Evacuate).Int("endpoints", p.Endpoints).Int("failing", p.Failing).Uint64("revision", result.Revision).
 			Msg("zone evacuation proposed")
 	}()
 }
@@ -144,18 +144,18 @@
 	for _, view := range in.views {
 		path := e.paths[view.Zone]
 		if path == nil {
-			path = &zones.Path{}
+			path = &evacuation.Ramp{}
 			e.paths[view.Zone] = path
 		}
 		if share, known := peerRamps.median(view.Zone); known {
-			path.Begin(share)
+			path.Start(share)
 		}
 		// A process stays in its own zone while that works for itself, even if the fleet evacuates it: once out, it would observe nothing of it any more.
-		staysInOwn := view.Zone == f.zone && (view.Failing*2 < view.Hosts || !in.ownZoneFails)
-		share := path.Look(in.now, view.Zone, in.evacuated, staysInOwn, in.isMissing, e.terms)
+		staysInOwn := view.Zone == f.zone && (view.Failing*2 < view.Endpoints || !in.ownZoneFails)
+		share := path.Advance(in.now, view.Zone, in.evacuated, staysInOwn, in.isMissing, e.terms)
 		shares[view.Zone] = share
-		statuses = append(statuses, ZoneStatus{Zone: view.Zone, Endpoints: view.Hosts, Failing: view.Failing, IsOwn: view.Zone == f.zone,
-			EvacuatedByOperator: slices.Contains(in.evacuated, view.Zone), EvacuatedAutomatically: slices.Contains(in.evacuated, zones.Fails+view.Zone), Share: share})
+		statuses = append(statuses, ZoneStatus{Zone: view.Zone, Endpoints: view.Endpoints, Failing: view.Failing, IsOwn: view.Zone == f.zone,
+			EvacuatedByOperator: slices.Contains(in.evacuated, view.Zone), EvacuatedAutomatically: slices.Contains(in.evacuated, evacuation.AutomaticPrefix+view.Zone), Share: share})
 	}
 	return shares, statuses
 }
@@ -174,7 +174,7 @@
 	if !isDue {
 		return
 	}
-	f.acts.Leaves(shares, time.Duration(e.terms.Returns))
+	f.acts.SetEvacuation(shares, time.Duration(e.terms.RecoveryNanos))
 	haveChanged := !maps.Equal(shares, e.applied)
 	e.applied, e.appliedAt = shares, now
 	if haveChanged {
@@ -191,7 +191,7 @@
 }
 
 // peerRamps are the members whose ramps a process that starts takes over.
-type peerRamps []members.Member
+type peerRamps []membership.Member
 
 // adoptPeerRamps gives the peers whose ramps are taken over now; none once this process has gone on by itself.
 //
@@ -208,8 +208,8 @@
 	var partial []string
 	for _, m := range f.liveMembers() {
 		switch {
-		case m.Name == f.name || m.Latest == 0:
-		case m.Partial(): // Not all of its ramps are known.
+		case m.Name == f.name || m.LatestRevision == 0:
+		case m.IsPartial(): // Not all of its ramps are known.
 			partial = append(partial, m.Name)
 		default:
 			peers = append(peers, m)
@@ -217,7 +217,7 @@
 	}
 	f.requestFullCards(now, partial)
 	f.mu.Lock()
-	isLeased := f.effective.Leased
+	isLeased := f.effective.IsLeased
 	f.mu.Unlock()
 	e.isAdoptionOver = isLeased && len(peers) > 0 || now-e.adoptionBegan > maxRampAdoption
 	return peers
@@ -232,9 +232,9 @@
 	shares := make([]float64, 0, len(peers))
 	for _, m := range peers {
 		share := 0.0
-		for _, way := range m.Ways {
+		for _, way := range m.Evacuations {
 			if way.Zone == zone {
-				share = way.Part
+				share = way.KeyFraction
 			}
 		}
 		shares = append(shares, share)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,41 +20,41 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"hollylever/agreed"
-	"hollylever/bootclock"
+	"hollylever/consensus"
 	"hollylever/fields"
-	"hollylever/joining"
-	"hollylever/members"
+	"hollylever/fleetconfig"
+	"hollylever/membership"
+	"hollylever/monotime"
 	"hollylever/store"
 	"hollylever/subset"
 )
 
 // Acts is the balancer as the fleet sees it. All methods are called without any lock of this package held.
-type Acts interface {
+type Balancer interface {
 	// Heeds takes the configuration in effect, each time that its revisions change.
-	Heeds(agreed.Acting)
+	ApplyConfig(consensus.EffectiveConfig)
 	// Drained takes the endpoints that peers' later lists call draining or gone.
-	Drained(names []string)
+	ApplyPeerDrains(names []string)
 	// List gives the index of the endpoint list in use, a digest of it, and the drains that it told last.
-	List() (index, digest uint64, drains []members.Drain)
+	EndpointList() (index, digest uint64, drains []membership.DrainedEndpoint)
 	// Servers gives the endpoints of that list.
-	Servers() []subset.Host
+	Endpoints() []subset.Endpoint
 	// Tends sets to which endpoints idle connections are kept: the named ones, or all.
-	Tends(names map[string]bool, all bool)
+	SetConnectionSubset(names map[string]bool, all bool)
 	// Heard takes, for each endpoint with a peer verdict, the share of its traffic that is suppressed.
-	Heard(shares map[string]float64)
+	ApplyPeerVerdicts(shares map[string]float64)
 	// Portion sets this process's share of the fleet's budgets; 0: they are not divided.
-	Portion(share float64)
+	SetBudgetShare(share float64)
 	// Came gives how many requests have come since the start.
-	Came() int
+	RequestCount() int
 	// Leaves sets, for each zone, the share of the keys that is not sent there, and how long its caches may take to fill.
-	Leaves(shares map[string]float64, fillTime time.Duration)
+	SetEvacuation(shares map[string]float64, fillTime time.Duration)
 	// WarmUp gives how long a cold endpoint takes until it is warm.
-	WarmUp() time.Duration
+	SlowStartDuration() time.Duration
 	// Missed gives how many reads have settled since the start, and how many of these missed the cache.
-	Missed() (reads, misses int)
+	ReadCounts() (reads, misses int)
 	// Scarce tells whether reads miss at many processes of the fleet at once.
-	Scarce(widespread bool)
+	SetWidespreadMisses(widespread bool)
 }
 
 // Fleet is one process's part in the fleet. It is safe for use by several goroutines; the comments below say who may touch what.
@@ -63,13 +63,13 @@
 	name, zone     string
 	settingsDigest string
 	incarnation    uint64
-	terms          agreed.Terms
+	terms          consensus.LeaseTiming
 	voters         []string // names of the processes that may have a replica
-	acts           Acts
+	acts           Balancer
 	log            zerolog.Logger
 	trace          *os.File     // nil: decisions are not traced
 	handover       handoverFile // for the next process of this name
-	openExchange   func() (members.Exchange, error)
+	openExchange   func() (membership.Exchange, error)
 	openReplica    func() error
 
 	// Safe for any goroutine without mu.
@@ -85,12 +85,12 @@
 	load        loadMeter
 	startRetry  *time.Ticker // of the exchange and the replica, while either could not be started
 
-	mu           sync.Mutex       // guards what follows; nothing blocks under it but a replica's writes to its log
-	exchange     members.Exchange // nil: not joined yet; set once, by Start or Run
-	holder       *agreed.Holder
+	mu           sync.Mutex          // guards what follows; nothing blocks under it but a replica's writes to its log
+	exchange     membership.Exchange // nil: not joined yet; set once, by Start or Run
+	holder       *consensus.LeaseHolder
 	replica      replica
-	effective    agreed.Acting         // the configuration in effect
-	proposals    map[string]chan reply // where the answers to this process's own proposals go, by the proposal's id
+	effective    consensus.EffectiveConfig // the configuration in effect
+	proposals    map[string]chan reply     // where the answers to this process's own proposals go, by the proposal's id
 	cardsSent    uint64
 	peerDrains   []string     // endpoints that peers' later lists call draining or gone
 	zoneStatuses []ZoneStatus // as of the last look at zones
@@ -105,12 +105,12 @@
 var clockRate = 1.0
 
 // ClockOff makes the clock of this process run at so many times the true rate. Tests call it before Start; nothing else may.
-func ClockOff(rate float64) { clockRate = rate }
+func SetClockRate(rate float64) { clockRate = rate }
 
 // Now is the clock that leases run on, in nanoseconds since the machine's start. It goes on while the process or the machine is suspended, so
 // that a lease cannot outlast its time by that.
 func Now() int64 {
-	now := bootclock.Now()
+	now := monotime.Now()
 	if clockRate != 1 {
 		return int64(float64(now) * clockRate)
 	}
@@ -119,11 +119,11 @@
 
 // Start joins the fleet as the own settings say, for the balancer of this name, and recalls what the process before left. settingsDigest is
 // of the operators' settings file. The caller then calls Run, once. Errors name the setting at fault.
-func Start(own fields.Values, name, zone, settingsDigest string, acts Acts, log zerolog.Logger) (*Fleet, error) {
-	if err := joining.Check(own, name); err != nil {
+func Start(own fields.Values, name, zone, settingsDigest string, acts Balancer, log zerolog.Logger) (*Fleet, error) {
+	if err := fleetconfig.Validate(own, name); err != nil {
 		return nil, err
 	}
-	peers, err := joining.Peers(own.Word("fleet.peers"))
+	peers, err := fleetconfig.ParsePeers(own.Word("fleet.peers"))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.peers: %w", err)
 	}
@@ -137,22 +137,22 @@
 	queue := queueSize(len(peers), int(own.Count("fleet.most")))
 	f := &Fleet{
 		name: name, zone: zone, settingsDigest: settingsDigest, incarnation: incarnation,
-		terms: joining.Of(own), voters: joining.Names(own.Word("fleet.keepers")), acts: acts, log: log, trace: trace, handover: handoverIn(folder),
+		terms: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Word("fleet.keepers")), acts: acts, log: log, trace: trace, handover: handoverIn(folder),
 		inbox: newInbox(queue), peerLists: peerLists{maxBehind: own.Duration("fleet.behind")}, connections: newConnectionSubset(own),
-		evacuation: newEvacuationState(own.Yes("fleet.zones"), acts.WarmUp()), proposals: map[string]chan reply{},
+		evacuation: newEvacuationState(own.Yes("fleet.zones"), acts.SlowStartDuration()), proposals: map[string]chan reply{},
 	}
 	if own.Yes("fleet.signals") {
 		f.outliers = newOutlierExchange(name, zone, f.incarnation, own.Duration("fleet.signal_delay"), queue)
 	}
 	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	f.holder = agreed.NewHolder(Now(), name, f.incarnation, f.terms, f.voters, f, source.IntN) // The source is drawn from under mu alone.
+	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.terms, f.voters, f, source.IntN) // The source is drawn from under mu alone.
 	f.recallHandover()
-	f.openExchange = func() (members.Exchange, error) { return openExchange(own, name, peers, f) }
+	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
 	f.openReplica = func() error { return f.startReplica(own.Word("fleet.state"), source.IntN) }
 	if err := f.startFirst(); err != nil {
 		return nil, err
 	}
-	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).Dur("staleness_bound_ms", f.terms.T()).Msg("fleet joined")
+	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).Dur("staleness_bound_ms", f.terms.MaxDisagreement()).Msg("fleet joined")
 	return f, nil
 }
 
@@ -171,7 +171,7 @@
 	case err != nil:
 		return err
 	}
-	if err := f.openReplica(); err != nil && !errors.Is(err, store.ErrHeld) {
+	if err := f.openReplica(); err != nil && !errors.Is(err, store.ErrLocked) {
 		return err
 	}
 	return nil
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/rs/zerolog"
 
-	"hollylever/agreed"
-	"hollylever/members"
-	"hollylever/signals"
+	"hollylever/consensus"
+	"hollylever/evacuation"
+	"hollylever/membership"
+	"hollylever/outlier"
 	"hollylever/subset"
-	"hollylever/zones"
 )
 
 var update = flag.Bool("update", false, "write testdata anew")
@@ -42,35 +42,35 @@
 // idle is a balancer that counts what it is told and does nothing.
 type idle struct {
 	heeds int
-	last  agreed.Acting
+	last  consensus.EffectiveConfig
 }
 
-func (i *idle) Heeds(a agreed.Acting)                  { i.heeds, i.last = i.heeds+1, a }
-func (*idle) Drained([]string)                         {}
-func (*idle) List() (uint64, uint64, []members.Drain)  { return 7, 8, nil }
-func (*idle) Servers() []subset.Host                   { return nil }
-func (*idle) Tends(map[string]bool, bool)              {}
-func (*idle) Heard(map[string]float64)                 {}
-func (*idle) Portion(float64)                          {}
-func (*idle) Came() int                                { return 0 }
-func (*idle) Leaves(map[string]float64, time.Duration) {}
-func (*idle) WarmUp() time.Duration                    { return time.Second }
-func (*idle) Missed() (int, int)                       { return 0, 0 }
-func (*idle) Scarce(bool)                              {}
+func (i *idle) ApplyConfig(a consensus.EffectiveConfig)                    { i.heeds, i.last = i.heeds+1, a }
+func (*idle) ApplyPeerDrains([]string)                                     {}
+func (*idle) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) { return 7, 8, nil }
+func (*idle) Endpoints() []subset.Endpoint                                 { return nil }
+func (*idle) SetConnectionSubset(map[string]bool, bool)                    {}
+func (*idle) ApplyPeerVerdicts(map[string]float64)                         {}
+func (*idle) SetBudgetShare(float64)                                       {}
+func (*idle) RequestCount() int                                            { return 0 }
+func (*idle) SetEvacuation(map[string]float64, time.Duration)              {}
+func (*idle) SlowStartDuration() time.Duration                             { return time.Second }
+func (*idle) ReadCounts() (int, int)                                       { return 0, 0 }
+func (*idle) SetWidespreadMisses(bool)                                     {}
 
-var document = agreed.Document{Bans: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, Digest: "0123456789abcdef",
-	Source: "10.0.0.1:7000", From: 12, Left: []string{"fails:z2", "z1"}}
+var document = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
+	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
 
 // An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a renamed field emptied them.
 func TestFleetStatusKeepsItsJSON(t *testing.T) {
-	card := members.Card{Name: "b1", Zone: "z1", Life: 5, Keeper: true, Leads: true, Leased: true, Floor: 3, Latest: 4, Index: 9, Digest: 10,
-		Drains: []members.Drain{{Host: "h3", Index: 8}}, Version: "0123456789abcdef", Ways: []members.Way{{Zone: "z1", Part: 0.5}}, Seq: 11, More: 12}
-	versions := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4}}
-	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: agreed.Acting{Floor: 3, Latest: 4, Leased: true, Part: 0.25, Document: document}, StalenessBound: "1.986s",
-		LeaseLeftMS: 321, DecisionsWithout: 1, DecisionsUnder: 2, MessagesDropped: 3, Members: []MemberStatus{{Card: card}, {Card: members.Card{Name: "b2"}, HeardMSAgo: 44, Gone: true}}, PeerDrains: []string{"h9"},
+	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
+		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
+	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4}}
+	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: document}, StalenessBound: "1.986s",
+		LeaseLeftMS: 321, DecisionsWithout: 1, DecisionsUnder: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, Gone: true}}, PeerDrains: []string{"h9"},
 		Replica: &ReplicaStatus{Leads: true, Bootstrapped: true, LeaseHolders: 6}, Versions: versions,
-		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, IsMissing: true, Endpoints: []signals.Stands{{Host: 1, Name: "h1", Witnesses: 2, Zones: 3, Runs: 4,
-			Own: 5, Heeded: true, Turn: true, Part: 0.75, ForMS: 66}, {Name: "h2", Heeded: true, Part: 0.5, ForMS: 7}, {Name: "h4", Heeded: true}, {Name: "h5"}}},
+		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, IsMissing: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
+			OwnConsecutiveFailures: 5, Ejected: true, Turn: true, Part: 0.75, ForMS: 66}, {Endpoint: "h2", Ejected: true, Part: 0.5, ForMS: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
 			{Zone: "z2", Endpoints: 4, Failing: 4, EvacuatedAutomatically: true, Share: 1}, {Zone: "z3", Endpoints: 5, Share: 0.25}, {Zone: "z4", Endpoints: 2, EvacuatedByOperator: true, EvacuatedAutomatically: true, Share: 1}}}
 	w := httptest.NewRecorder()
@@ -107,29 +107,29 @@
 }
 
 // fleetAt is a process's part that has not joined: with a place for what it leaves, or none.
-func fleetAt(t *testing.T, left string, acts Acts) *Fleet {
+func fleetAt(t *testing.T, left string, acts Balancer) *Fleet {
 	t.Helper()
-	terms := agreed.Terms{Lease: 1500 * time.Millisecond, RateError: 0.001, Pause: 300 * time.Millisecond}
+	terms := consensus.LeaseTiming{LeaseDuration: 1500 * time.Millisecond, ClockRateError: 0.001, MaxPause: 300 * time.Millisecond}
 	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", terms: terms, voters: []string{"b1"}, acts: acts, log: zerolog.Nop(), handover: handoverFile(left),
-		proposals: map[string]chan reply{}, evacuation: evacuationState{paths: map[string]*zones.Path{}}}
-	f.holder = agreed.NewHolder(Now(), f.name, 1, terms, f.voters, f, func(n int) int { return n - 1 })
+		proposals: map[string]chan reply{}, evacuation: evacuationState{paths: map[string]*evacuation.Ramp{}}}
+	f.holder = consensus.NewLeaseHolder(Now(), f.name, 1, terms, f.voters, f, func(n int) int { return n - 1 })
 	return f
 }
 
 // A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a ban lapse.
 func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
-	plain := []agreed.Version{{Number: 3, ID: "p3", By: "ann", Why: "disk", Document: document}, {Number: 4, ID: "p4", Document: agreed.Document{Bans: []string{"h1"}}}}
-	var many []agreed.Version
+	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
+	var many []consensus.Revision
 	for n := range uint64(maxPlainVersions + 1) {
-		many = append(many, agreed.Version{Number: n + 3, ID: fmt.Sprint("p", n), Document: agreed.Document{Bans: []string{fmt.Sprint("h", n)}, From: n}})
+		many = append(many, consensus.Revision{Number: n + 3, ProposalID: fmt.Sprint("p", n), Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{fmt.Sprint("h", n)}, MinListIndex: n}})
 	}
-	for name, versions := range map[string][]agreed.Version{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
+	for name, versions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
 			f := fleetAt(t, filepath.Join("testdata", name), &idle{})
-			f.holder.Recall(3, versions)
-			f.effective = f.holder.Acting(Now())
-			f.evacuation.paths["z2"] = &zones.Path{}
-			f.evacuation.paths["z2"].Recall(0.25, 1, 2)
+			f.holder.Restore(3, versions)
+			f.effective = f.holder.EffectiveConfig(Now())
+			f.evacuation.paths["z2"] = &evacuation.Ramp{}
+			f.evacuation.paths["z2"].Resume(0.25, 1, 2)
 			f.writeHandover()
 		}
 		text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -143,15 +143,15 @@
 		f := fleetAt(t, left, acts)
 		f.recallHandover()
 		latest := versions[len(versions)-1].Number
-		if a := acts.last; acts.heeds != 1 || a.Floor != 3 || a.Latest != latest || a.Leased || len(a.Bans) == 0 {
+		if a := acts.last; acts.heeds != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
 			t.Errorf("%s: %d times, %+v", name, acts.heeds, a)
 		}
-		for n, v := range f.holder.Versions() {
+		for n, v := range f.holder.Revisions() {
 			if v.Digest() != versions[n].Digest() {
 				t.Errorf("%s: version %d is another", name, v.Number)
 			}
 		}
-		if part, at := f.evacuation.paths["z2"].Stands(); part != 0.25 || at != 1 {
+		if part, at := f.evacuation.paths["z2"].Position(); part != 0.25 || at != 1 {
 			t.Errorf("%s: %v of z2 at %d", name, part, at)
 		}
 		f.writeHandover()
@@ -165,7 +165,7 @@
 			t.Fatal(err)
 		}
 		if f := fleetAt(t, left, acts); true {
-			if f.recallHandover(); acts.heeds != 0 || f.effective.Latest != 0 {
+			if f.recallHandover(); acts.heeds != 0 || f.effective.LatestRevision != 0 {
 				t.Errorf("%q is acted on", spoilt)
 			}
 		}
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -5,8 +5,8 @@
 	"os"
 	"path/filepath"
 
-	"hollylever/agreed"
-	"hollylever/zones"
+	"hollylever/consensus"
+	"hollylever/evacuation"
 )
 
 const (
@@ -32,10 +32,10 @@
 
 // handoverState is the content of the file.
 type handoverState struct {
-	MinRevision uint64           `json:"floor"`
-	Versions    []agreed.Version `json:"versions,omitempty"`
-	Chain       []byte           `json:"chain,omitempty"` // the versions in a shorter form, where they are many
-	Ramps       []rampState      `json:"ways,omitempty"`
+	MinRevision uint64               `json:"floor"`
+	Versions    []consensus.Revision `json:"versions,omitempty"`
+	Chain       []byte               `json:"chain,omitempty"` // the versions in a shorter form, where they are many
+	Ramps       []rampState          `json:"ways,omitempty"`
 }
 
 // rampState is which share of the keys did not go to a zone, and when, by the machine's clock since its start.
@@ -72,7 +72,7 @@
 		return state, false
 	}
 	if len(state.Chain) > 0 {
-		if state.Versions, err = agreed.UnpackChain(state.Chain); err != nil {
+		if state.Versions, err = consensus.UnmarshalRevisions(state.Chain); err != nil {
 			return state, false
 		}
 	}
@@ -93,10 +93,10 @@
 func (s *handoverState) shorten() {
 	names := 0
 	for _, version := range s.Versions {
-		names += len(version.Document.Bans) + len(version.Document.Left) + len(version.Document.Limits)
+		names += len(version.Config.EjectedEndpoints) + len(version.Config.EvacuatedZones) + len(version.Config.Limits)
 	}
 	if len(s.Versions) > maxPlainVersions || names > maxPlainNames {
-		s.Versions, s.Chain = nil, agreed.PackChain(s.Versions)
+		s.Versions, s.Chain = nil, consensus.MarshalRevisions(s.Versions)
 	}
 }
 
@@ -113,13 +113,13 @@
 func (f *Fleet) handoverState() handoverState {
 	var ramps []rampState
 	for zone, path := range f.evacuation.paths {
-		if share, at := path.Stands(); share > 0 {
+		if share, at := path.Position(); share > 0 {
 			ramps = append(ramps, rampState{zone, share, at})
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state := handoverState{MinRevision: f.effective.Floor, Versions: f.holder.Versions(), Ramps: ramps}
+	state := handoverState{MinRevision: f.effective.MinRevision, Versions: f.holder.Revisions(), Ramps: ramps}
 	state.shorten()
 	return state
 }
@@ -131,13 +131,13 @@
 		return
 	}
 	for _, ramp := range state.Ramps {
-		path := &zones.Path{}
-		path.Recall(ramp.Share, ramp.At, Now())
+		path := &evacuation.Ramp{}
+		path.Resume(ramp.Share, ramp.At, Now())
 		f.evacuation.paths[ramp.Zone] = path
 	}
-	f.holder.Recall(state.MinRevision, state.Versions)
-	f.effective = f.holder.Acting(Now())
-	if f.effective.Latest > 0 {
-		f.acts.Heeds(f.effective)
+	f.holder.Restore(state.MinRevision, state.Versions)
+	f.effective = f.holder.EffectiveConfig(Now())
+	if f.effective.LatestRevision > 0 {
+		f.acts.ApplyConfig(f.effective)
 	}
 }
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"net/http"
 
-	"hollylever/agreed"
-	"hollylever/joining"
+	"hollylever/consensus"
+	"hollylever/fleetconfig"
 )
 
 // calls are those that the admin endpoint hands on, and the method of each.
@@ -30,18 +30,18 @@
 
 // servePropose answers with what became of a proposal, in proposalTimeout at most.
 func (f *Fleet) servePropose(w http.ResponseWriter, r *http.Request) {
-	var p joining.Proposal
+	var p fleetconfig.Proposal
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&p); err != nil {
 		http.Error(w, "not a proposal: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	result := f.Propose(r.Context(), agreed.Change{
-		ID: p.ID, By: p.By, Why: p.Why, Base: p.Base, Out: p.Out, Back: p.Back, Limits: p.Limits,
-		Digest: p.Digest, Source: p.Source, From: p.From, Leave: p.Leave, Return: p.Return,
+	result := f.Propose(r.Context(), consensus.Proposal{
+		ID: p.ID, Author: p.Author, Reason: p.Reason, BaseRevision: p.BaseRevision, EjectEndpoints: p.EjectEndpoints, UnejectEndpoints: p.UnejectEndpoints, Limits: p.Limits,
+		SettingsDigest: p.SettingsDigest, DiscoverySource: p.DiscoverySource, MinListIndex: p.MinListIndex, EvacuateZones: p.EvacuateZones, RestoreZones: p.RestoreZones,
 	})
-	writeJSON(w, joining.Answer{ID: result.ID, Version: result.Number, Wrong: result.Wrong, Sure: result.Sure})
+	writeJSON(w, fleetconfig.ProposalResult{ID: result.ID, Revision: result.Revision, Reason: result.Reason, IsFinal: result.IsFinal})
 }
 
 // writeJSON writes an answer in lines for people. A caller that has gone is owed nothing.
--- a/fleet/inbox.go
+++ b/fleet/inbox.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"sync/atomic"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 	"hollylever/fields"
-	"hollylever/joining"
-	"hollylever/members"
+	"hollylever/fleetconfig"
+	"hollylever/membership"
 )
 
 const (
-	minQueue          = 256                    // messages: room for a burst in a small fleet
-	maxQueue          = 4 * joining.MaxMembers // messages: as many of each member of the largest fleet as messagesPerMember says
-	messagesPerMember = 4                      // that wait: a lease request, a proposal and two of the voters
+	minQueue          = 256                        // messages: room for a burst in a small fleet
+	maxQueue          = 4 * fleetconfig.MaxMembers // messages: as many of each member of the largest fleet as messagesPerMember says
+	messagesPerMember = 4                          // that wait: a lease request, a proposal and two of the voters
 )
 
 // queueSize is how many messages may wait for Run: a few of each process that the settings name or allow.
@@ -34,12 +34,12 @@
 }
 
 // openExchange opens the exchange between members in the way that the settings name. received is told of what comes.
-func openExchange(own fields.Values, name string, peers []members.Peer, received members.Ears) (members.Exchange, error) {
-	listen, rate := own.Word("fleet.listen"), joining.Rate(own, len(peers))
+func openExchange(own fields.Values, name string, peers []membership.Peer, received membership.Delegate) (membership.Exchange, error) {
+	listen, rate := own.Word("fleet.listen"), fleetconfig.SendRate(own, len(peers))
 	if own.Word("fleet.way") == "gossip" {
-		return members.OpenGossip(name, listen, peers, rate, received)
+		return membership.OpenGossip(name, listen, peers, rate, received)
 	}
-	return members.OpenPlain(name, listen, peers, rate, received)
+	return membership.OpenPlain(name, listen, peers, rate, received)
 }
 
 // join opens the exchange if it is not open yet. It is called by Start and by Run.
@@ -58,7 +58,7 @@
 }
 
 // Message implements members.Ears: it queues a message between lease holders and replicas. It does not block.
-func (f *Fleet) Message(message []byte) {
+func (f *Fleet) NotifyMessage(message []byte) {
 	select {
 	case f.inbox.messages <- message:
 	default:
@@ -67,7 +67,7 @@
 }
 
 // Card implements members.Ears: it has the peers' endpoint lists compared soon. It does not block.
-func (f *Fleet) Card(members.Card) {
+func (f *Fleet) NotifyState(membership.MemberState) {
 	select {
 	case f.inbox.cardReceived <- struct{}{}:
 	default: // A comparison is due already.
@@ -75,7 +75,7 @@
 }
 
 // Signal implements members.Ears: it queues a message of outlier detection. It does not block.
-func (f *Fleet) Signal(message []byte) {
+func (f *Fleet) NotifyBroadcast(message []byte) {
 	if f.outliers == nil {
 		return
 	}
@@ -88,10 +88,10 @@
 
 // Send implements agreed.Sender for the lease holder and the replica, which are called with mu held. A message to this process itself goes the
 // way of all others, so that no handler calls another. What cannot be sent is lost, as on any network, and sent again by its sender.
-func (f *Fleet) Send(to string, m *agreed.Message) {
-	message := m.Pack()
+func (f *Fleet) Send(to string, m *consensus.Message) {
+	message := m.Marshal()
 	if to == f.name {
-		f.Message(message)
+		f.NotifyMessage(message)
 		return
 	}
 	if f.exchange != nil {
@@ -101,7 +101,7 @@
 
 // handleMessage gives one message to whom it is for: the lease holder, the proposal that waits for it, or the replica. Run calls it.
 func (f *Fleet) handleMessage(message []byte) {
-	m, err := agreed.Unpack(message)
+	m, err := consensus.UnmarshalMessage(message)
 	if err != nil {
 		f.log.Warn().Err(err).Msg("invalid fleet message")
 		return
@@ -109,11 +109,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch now := Now(); {
-	case m.Grant != nil:
-		f.holder.Heard(now, m.Grant)
-	case m.Outcome != nil:
-		f.deliverReply(reply{*m.Outcome, m.From})
+	case m.LeaseResponse != nil:
+		f.holder.HandleLeaseResponse(now, m.LeaseResponse)
+	case m.ProposalResult != nil:
+		f.deliverReply(reply{*m.ProposalResult, m.From})
 	case f.replica.state != nil:
-		f.replica.state.Heard(now, m)
+		f.replica.state.HandleMessage(now, m)
 	}
 }
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // Decides is called by the balancer before each decision, under its lock: it tells whether the lease lasts. It takes no lock, unless decisions are
 // traced, and allocates nothing.
-func (f *Fleet) Decides() (leased bool) {
+func (f *Fleet) CheckLease() (leased bool) {
 	if leased = Now() < f.lease.expiry.Load(); leased {
 		f.lease.decisionsUnder.Add(1)
 	} else {
@@ -49,17 +49,17 @@
 	now := Now()
 	wait = f.tickConsensus(now)
 	before := f.effective
-	f.effective = f.holder.Acting(now)
-	f.lease.expiry.Store(f.holder.Until())
-	if f.effective.Leased {
-		wait = min(wait, time.Duration(f.holder.Until()-now))
+	f.effective = f.holder.EffectiveConfig(now)
+	f.lease.expiry.Store(f.holder.LeaseExpiry())
+	if f.effective.IsLeased {
+		wait = min(wait, time.Duration(f.holder.LeaseExpiry()-now))
 	}
-	after, conflicts := f.effective, f.holder.Contrary
+	after, conflicts := f.effective, f.holder.ConflictingResponses
 	f.mu.Unlock()
 
 	f.reportConflicts(conflicts)
 	f.applyRevisions(before, after)
-	f.applyShare(after.Part)
+	f.applyShare(after.BudgetShare)
 	f.reportSettings(after)
 	f.reportLease(before, after)
 	return max(wait, minTickInterval)
@@ -67,14 +67,14 @@
 
 // tickConsensus ticks the lease holder and the replica, and stops a replica whose log has failed. The caller holds mu.
 func (f *Fleet) tickConsensus(now int64) (wait time.Duration) {
-	f.holder.Look(now)
-	wait = f.holder.Wait(now)
+	f.holder.Tick(now)
+	wait = f.holder.TimeUntilTick(now)
 	if f.replica.state == nil {
 		return wait
 	}
-	f.replica.state.Look(now)
-	wait = min(wait, f.replica.state.Wait(now))
-	if err := f.replica.state.Broken(); err != nil {
+	f.replica.state.Tick(now)
+	wait = min(wait, f.replica.state.TimeUntilTick(now))
+	if err := f.replica.state.Err(); err != nil {
 		f.stopReplica(err)
 	}
 	return wait
@@ -91,12 +91,12 @@
 }
 
 // applyRevisions has the balancer act on another configuration, and leaves it to the next process.
-func (f *Fleet) applyRevisions(before, after agreed.Acting) {
-	if before.Floor == after.Floor && before.Latest == after.Latest {
+func (f *Fleet) applyRevisions(before, after consensus.EffectiveConfig) {
+	if before.MinRevision == after.MinRevision && before.LatestRevision == after.LatestRevision {
 		return
 	}
-	f.log.Info().Uint64("min_revision", after.Floor).Uint64("revision", after.Latest).Int("disabled", len(after.Bans)).Msg("effective configuration changed")
-	f.acts.Heeds(after)
+	f.log.Info().Uint64("min_revision", after.MinRevision).Uint64("revision", after.LatestRevision).Int("disabled", len(after.EjectedEndpoints)).Msg("effective configuration changed")
+	f.acts.ApplyConfig(after)
 	f.writeHandover()
 }
 
@@ -105,27 +105,27 @@
 	change := share - f.applied.share
 	if change > minShareChange*f.applied.share || change < 0 {
 		f.applied.share = share
-		f.acts.Portion(share)
+		f.acts.SetBudgetShare(share)
 	}
 }
 
 // reportSettings logs when this process's settings begin to differ from those that the fleet agreed on.
-func (f *Fleet) reportSettings(now agreed.Acting) {
-	differ := now.Leased && now.Digest != "" && now.Digest != f.settingsDigest
+func (f *Fleet) reportSettings(now consensus.EffectiveConfig) {
+	differ := now.IsLeased && now.SettingsDigest != "" && now.SettingsDigest != f.settingsDigest
 	if differ && !f.applied.settingsDiffer {
-		f.log.Warn().Str("own_digest", f.settingsDigest).Str("fleet_digest", now.Digest).Msg("settings differ from the fleet's")
+		f.log.Warn().Str("own_digest", f.settingsDigest).Str("fleet_digest", now.SettingsDigest).Msg("settings differ from the fleet's")
 	}
 	f.applied.settingsDiffer = differ
 }
 
 // reportLease logs when a lease is acquired or lost.
-func (f *Fleet) reportLease(before, after agreed.Acting) {
+func (f *Fleet) reportLease(before, after consensus.EffectiveConfig) {
 	switch {
-	case before.Leased == after.Leased:
-	case after.Leased:
-		f.log.Info().Uint64("revision", after.Latest).Msg("lease acquired")
+	case before.IsLeased == after.IsLeased:
+	case after.IsLeased:
+		f.log.Info().Uint64("revision", after.LatestRevision).Msg("lease acquired")
 	default:
-		f.log.Warn().Uint64("revision", after.Latest).Msg("lease expired: acting on the strictest known configuration")
+		f.log.Warn().Uint64("revision", after.LatestRevision).Msg("lease expired: acting on the strictest known configuration")
 	}
 }
 
@@ -138,12 +138,12 @@
 // measureLoad updates the rate of requests that goes with the next request for a lease: the budgets are divided by it. The rate is the mean of the last one
 // and of what came since, so that a burst of a second does not move the shares of all.
 func (f *Fleet) measureLoad() {
-	requests, now := f.acts.Came(), Now()
+	requests, now := f.acts.RequestCount(), Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.load.at != 0 && now > f.load.at {
 		rate := float64(requests-f.load.requests) / float64(now-f.load.at) * 1e9
-		f.holder.Rate += (rate - f.holder.Rate) / 2
+		f.holder.RequestRate += (rate - f.holder.RequestRate) / 2
 	}
 	f.load = loadMeter{requests, now}
 }
--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollylever/members"
+	"hollylever/evacuation"
+	"hollylever/membership"
+	"hollylever/outlier"
 	"hollylever/policy"
-	"hollylever/signals"
 	"hollylever/subset"
-	"hollylever/zones"
 )
 
 const (
@@ -32,22 +32,22 @@
 	dropped  atomic.Int64
 
 	mu          sync.Mutex // guards what follows
-	detector    *signals.Board
+	detector    *outlier.Detector
 	ids         map[string]uint32 // of endpoints, by name
 	names       map[uint32]string // and back
 	zoneNumbers map[string]uint16
-	zoneCounts  []zones.View    // endpoints by zone, sorted by its name, as of the last list
-	zoneOf      map[uint32]int  // index into zoneCounts, by endpoint
-	ejected     map[uint32]bool // as the log tells
-	malformed   int             // messages that could not be read
-	isMissing   bool            // reads miss at many processes at once
+	zoneCounts  []evacuation.ZoneHealth // endpoints by zone, sorted by its name, as of the last list
+	zoneOf      map[uint32]int          // index into zoneCounts, by endpoint
+	ejected     map[uint32]bool         // as the log tells
+	malformed   int                     // messages that could not be read
+	isMissing   bool                    // reads miss at many processes at once
 }
 
 func newOutlierExchange(name, zone string, incarnation uint64, delay time.Duration, queue int) *OutlierExchange {
 	e := &OutlierExchange{messages: make(chan []byte, queue), ids: map[string]uint32{}, names: map[uint32]string{}, zoneNumbers: map[string]uint16{},
 		ejected: map[uint32]bool{}}
-	e.detector = signals.New(signals.Member{ID: signals.ID(name), Zone: e.zoneNumber(zone)}, incarnation)
-	e.detector.Delay(int64(delay))
+	e.detector = outlier.New(outlier.Member{ID: outlier.HashName(name), Zone: e.zoneNumber(zone)}, incarnation)
+	e.detector.SetMessageDelay(int64(delay))
 	return e
 }
 
@@ -58,9 +58,9 @@
 	case known:
 		return number
 	case name == "" || len(e.zoneNumbers) >= maxZones:
-		return signals.NoZone
+		return outlier.UnknownZone
 	}
-	if number = uint16(len(e.zoneNumbers)); number >= signals.NoZone {
+	if number = uint16(len(e.zoneNumbers)); number >= outlier.UnknownZone {
 		number++ // That number says that there is none.
 	}
 	e.zoneNumbers[name] = number
@@ -68,67 +68,67 @@
 }
 
 // Fellows gives what the balancer reports its attempts to; nil where outliers are not shared.
-func (f *Fleet) Fellows() *OutlierExchange { return f.outliers }
+func (f *Fleet) OutlierExchange() *OutlierExchange { return f.outliers }
 
 // Sent tells that an attempt goes to an endpoint. It gives which share of the endpoint's traffic peers' verdicts suppress now, and whether it is ejected.
 // The balancer calls it under its lock.
-func (e *OutlierExchange) Sent(endpoint string) (share float64, ejected bool) {
+func (e *OutlierExchange) HandleAttemptStarted(endpoint string) (share float64, ejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.detector.Sent(Now(), e.ids[endpoint])
+	return e.detector.RecordAttempt(Now(), e.ids[endpoint])
 }
 
 // Saw tells how an attempt ended, and how long it took and was expected to take, in nanoseconds. The balancer calls it under its lock.
-func (e *OutlierExchange) Saw(endpoint string, outcome policy.Outcome, took, expected int64) {
-	observation := signals.Of(outcome, took, expected)
-	if observation == signals.Nothing {
+func (e *OutlierExchange) HandleAttemptEnded(endpoint string, outcome policy.Outcome, took, expected int64) {
+	observation := outlier.Classify(outcome, took, expected)
+	if observation == outlier.Inconclusive {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.detector.Saw(Now(), e.ids[endpoint], observation)
+	e.detector.Observe(Now(), e.ids[endpoint], observation)
 }
 
 // handleMessage takes a peer's message; false: it could not be read.
 func (e *OutlierExchange) handleMessage(message []byte) bool {
-	m, err := signals.Unpack(message)
+	m, err := outlier.DecodeMessage(message)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err != nil {
 		e.malformed++
 		return false
 	}
-	e.detector.Hear(Now(), m)
+	e.detector.HandleMessage(Now(), m)
 	return true
 }
 
 // update takes which members may report and which endpoints there are.
-func (e *OutlierExchange) update(live []members.Member, endpoints []subset.Host) {
+func (e *OutlierExchange) update(live []membership.Member, endpoints []subset.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reporters := make([]signals.Member, 0, len(live))
+	reporters := make([]outlier.Member, 0, len(live))
 	for _, m := range live {
-		reporters = append(reporters, signals.Member{ID: signals.ID(m.Name), Zone: e.zoneNumber(m.Zone)})
+		reporters = append(reporters, outlier.Member{ID: outlier.HashName(m.Name), Zone: e.zoneNumber(m.Zone)})
 	}
-	e.detector.Members(reporters)
-	e.detector.Hosts(e.numberEndpoints(endpoints))
+	e.detector.SetMembers(reporters)
+	e.detector.SetEndpoints(e.numberEndpoints(endpoints))
 	e.countZones(endpoints)
 }
 
 // numberEndpoints gives each endpoint its number. The caller holds mu.
-func (e *OutlierExchange) numberEndpoints(endpoints []subset.Host) []uint32 {
+func (e *OutlierExchange) numberEndpoints(endpoints []subset.Endpoint) []uint32 {
 	clear(e.ids)
 	clear(e.names)
 	numbers := make([]uint32, len(endpoints))
 	for n, endpoint := range endpoints {
-		numbers[n] = signals.ID(endpoint.Name)
+		numbers[n] = outlier.HashName(endpoint.Name)
 		e.ids[endpoint.Name], e.names[numbers[n]] = numbers[n], endpoint.Name
 	}
 	return numbers
 }
 
 // countZones counts the endpoints of each zone. The caller holds mu.
-func (e *OutlierExchange) countZones(endpoints []subset.Host) {
+func (e *OutlierExchange) countZones(endpoints []subset.Endpoint) {
 	counts := map[string]int{}
 	for _, endpoint := range endpoints {
 		if endpoint.Zone != "" {
@@ -137,12 +137,12 @@
 	}
 	e.zoneCounts, e.zoneOf = nil, map[uint32]int{}
 	for _, zone := range slices.Sorted(maps.Keys(counts)) {
-		e.zoneCounts = append(e.zoneCounts, zones.View{Zone: zone, Hosts: counts[zone]})
+		e.zoneCounts = append(e.zoneCounts, evacuation.ZoneHealth{Zone: zone, Endpoints: counts[zone]})
 	}
 	for _, endpoint := range endpoints {
-		at, known := slices.BinarySearchFunc(e.zoneCounts, endpoint.Zone, func(v zones.View, zone string) int { return cmp.Compare(v.Zone, zone) })
+		at, known := slices.BinarySearchFunc(e.zoneCounts, endpoint.Zone, func(v evacuation.ZoneHealth, zone string) int { return cmp.Compare(v.Zone, zone) })
 		if known {
-			e.zoneOf[signals.ID(endpoint.Name)] = at
+			e.zoneOf[outlier.HashName(endpoint.Name)] = at
 		}
 	}
 }
@@ -160,22 +160,22 @@
 type ejectionChange struct {
 	endpoint  string
 	isEjected bool
-	status    signals.Stands // of one that was ejected
+	status    outlier.EndpointStatus // of one that was ejected
 }
 
 // updateOutliers ticks the detector, tells the balancer and the peers what follows, and logs what changed. Run calls it.
 func (f *Fleet) updateOutliers() {
-	reads, misses := f.acts.Missed()
+	reads, misses := f.acts.ReadCounts()
 	u := f.outliers.tick(reads, misses)
 	if u.missesChanged {
-		f.acts.Scarce(u.isMissing)
+		f.acts.SetWidespreadMisses(u.isMissing)
 		f.log.Info().Bool("active", u.isMissing).Int("reads", reads).Int("misses", misses).Msg("widespread cache misses")
 	}
 	if len(u.shares) > 0 {
-		f.acts.Heard(u.shares)
+		f.acts.ApplyPeerVerdicts(u.shares)
 	}
 	if u.message != nil && f.exchange != nil {
-		f.exchange.Signal(u.message)
+		f.exchange.Broadcast(u.message)
 	}
 	f.logEjections(u.changes)
 }
@@ -184,7 +184,7 @@
 	for _, c := range changes {
 		if c.isEjected {
 			f.log.Info().Str("endpoint", c.endpoint).Int("reporters", c.status.Witnesses).Int("reporter_zones", c.status.Zones).
-				Int("consecutive_failures", c.status.Runs).Int("own_consecutive_failures", c.status.Own).Msg("outlier ejected")
+				Int("consecutive_failures", c.status.ConsecutiveFailures).Int("own_consecutive_failures", c.status.OwnConsecutiveFailures).Msg("outlier ejected")
 			continue
 		}
 		f.log.Info().Str("endpoint", c.endpoint).Msg("outlier ejection ended")
@@ -196,13 +196,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := Now()
-	u := outlierUpdate{shares: map[string]float64{}, isMissing: e.detector.Misses(now, reads, misses)}
+	u := outlierUpdate{shares: map[string]float64{}, isMissing: e.detector.UpdateMissRate(now, reads, misses)}
 	u.missesChanged = u.isMissing != e.isMissing
 	e.isMissing = u.isMissing
-	e.detector.Look(now)
-	e.detector.Heeded(now, func(id uint32, share float64) { u.shares[e.names[id]] = share })
-	if m := e.detector.Tell(now); m != nil {
-		u.message = m.Pack()
+	e.detector.Tick(now)
+	e.detector.EachEjection(now, func(id uint32, share float64) { u.shares[e.names[id]] = share })
+	if m := e.detector.NextMessage(now); m != nil {
+		u.message = m.Encode()
 	}
 	if len(u.shares) > 0 || len(e.ejected) > 0 {
 		u.changes = e.ejectionChanges(now)
@@ -214,12 +214,12 @@
 func (e *OutlierExchange) ejectionChanges(now int64) (changes []ejectionChange) {
 	ejected := map[uint32]bool{}
 	for _, status := range e.detector.Status(now) {
-		if !status.Heeded {
+		if !status.Ejected {
 			continue
 		}
-		ejected[status.Host] = true
-		if !e.ejected[status.Host] {
-			changes = append(changes, ejectionChange{e.names[status.Host], true, status})
+		ejected[status.ID] = true
+		if !e.ejected[status.ID] {
+			changes = append(changes, ejectionChange{e.names[status.ID], true, status})
 		}
 	}
 	for id := range e.ejected {
@@ -234,19 +234,19 @@
 
 // zoneViews gives the endpoints of each zone and how many of them are ejected by peers' verdicts too, sorted by zone; whether an endpoint of ownZone fails
 // for this process; and whether reads miss at many processes at once.
-func (e *OutlierExchange) zoneViews(now int64, ownZone string) (views []zones.View, ownZoneFails, isMissing bool) {
+func (e *OutlierExchange) zoneViews(now int64, ownZone string) (views []evacuation.ZoneHealth, ownZoneFails, isMissing bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	views = slices.Clone(e.zoneCounts)
 	for _, status := range e.detector.Status(now) {
-		at, known := e.zoneOf[status.Host]
+		at, known := e.zoneOf[status.ID]
 		if !known {
 			continue
 		}
-		if status.Heeded && status.Witnesses > 0 {
+		if status.Ejected && status.Witnesses > 0 {
 			views[at].Failing++
 		}
-		if status.Own > 0 && views[at].Zone == ownZone {
+		if status.OwnConsecutiveFailures > 0 && views[at].Zone == ownZone {
 			ownZoneFails = true
 		}
 	}
@@ -255,13 +255,13 @@
 
 // OutlierStatus is what the admin endpoint shows of outlier detection.
 type OutlierStatus struct {
-	Sent      int              `json:"told"`
-	Accepted  int              `json:"taken"`
-	Stale     int              `json:"older_than_known"`
-	Invalid   int              `json:"of_nobody_or_none"`
-	Dropped   int64            `json:"lost"`
-	IsMissing bool             `json:"reads_miss_for_all"`
-	Endpoints []signals.Stands `json:"hosts,omitempty"`
+	Sent      int                      `json:"told"`
+	Accepted  int                      `json:"taken"`
+	Stale     int                      `json:"older_than_known"`
+	Invalid   int                      `json:"of_nobody_or_none"`
+	Dropped   int64                    `json:"lost"`
+	IsMissing bool                     `json:"reads_miss_for_all"`
+	Endpoints []outlier.EndpointStatus `json:"hosts,omitempty"`
 }
 
 // status gives the counts since the start and the endpoints of which anybody reports something, by name.
@@ -269,11 +269,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := e.detector
-	s := &OutlierStatus{Sent: d.Told, Accepted: d.Took, Stale: d.Late, Invalid: d.Odd + e.malformed, Dropped: e.dropped.Load(), IsMissing: e.isMissing,
+	s := &OutlierStatus{Sent: d.MessagesSent, Accepted: d.MessagesAccepted, Stale: d.MessagesStale, Invalid: d.MessagesFromUnknown + e.malformed, Dropped: e.dropped.Load(), IsMissing: e.isMissing,
 		Endpoints: d.Status(Now())}
 	for n := range s.Endpoints {
-		s.Endpoints[n].Name = e.names[s.Endpoints[n].Host]
+		s.Endpoints[n].Endpoint = e.names[s.Endpoints[n].ID]
 	}
-	slices.SortFunc(s.Endpoints, func(a, b signals.Stands) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Endpoints, func(a, b outlier.EndpointStatus) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return s
 }
--- a/fleet/peerlists.go
+++ b/fleet/peerlists.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
-	"hollylever/members"
+	"hollylever/consensus"
+	"hollylever/membership"
 )
 
 const (
@@ -24,9 +24,9 @@
 	timer           *time.Timer // of the next comparison
 	comparedAt      int64
 	fullCardsSentAt int64 // when whole cards were requested last
-	own             agreed.Own
+	own             consensus.ListRollbackGuard
 	maxBehind       time.Duration // that this process's list may be behind a peer's before it is logged
-	behind          agreed.Late
+	behind          consensus.PersistentCondition
 	conflicts       bool // a peer has another list of the same index
 }
 
@@ -36,35 +36,35 @@
 }
 
 // card is what this process tells the others of itself.
-func (f *Fleet) card() members.Card {
-	index, digest, drains := f.acts.List()
+func (f *Fleet) card() membership.MemberState {
+	index, digest, drains := f.acts.EndpointList()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cardsSent++
-	var ways []members.Way
+	var ways []membership.ZoneEvacuation
 	for _, zone := range f.zoneStatuses {
 		if zone.Share > 0 {
-			ways = append(ways, members.Way{Zone: zone.Zone, Part: zone.Share})
+			ways = append(ways, membership.ZoneEvacuation{Zone: zone.Zone, KeyFraction: zone.Share})
 		}
 	}
-	return members.Card{
-		Name: f.name, Zone: f.zone, Life: f.incarnation, Seq: f.cardsSent, Version: f.settingsDigest,
-		Keeper: f.replica.state != nil, Leads: f.isLeader(),
-		Leased: f.effective.Leased, Floor: f.effective.Floor, Latest: f.effective.Latest,
-		Index: index, Digest: digest, Drains: drains, Ways: ways,
+	return membership.MemberState{
+		Name: f.name, Zone: f.zone, Incarnation: f.incarnation, Seq: f.cardsSent, SettingsDigest: f.settingsDigest,
+		IsReplica: f.replica.state != nil, IsLeader: f.isLeader(),
+		HasLease: f.effective.IsLeased, MinRevision: f.effective.MinRevision, LatestRevision: f.effective.LatestRevision,
+		ListIndex: index, ListDigest: digest, Drains: drains, Evacuations: ways,
 	}
 }
 
 // isLeader tells whether this process's replica leads. The caller holds mu.
-func (f *Fleet) isLeader() bool { return f.replica.state != nil && f.replica.state.Leads() }
+func (f *Fleet) isLeader() bool { return f.replica.state != nil && f.replica.state.IsLeader() }
 
 // liveMembers gives the members that were heard lately; none while the process before, over an upgrade, still is the member.
-func (f *Fleet) liveMembers() (live []members.Member) {
+func (f *Fleet) liveMembers() (live []membership.Member) {
 	if f.exchange == nil {
 		return nil
 	}
 	for _, m := range f.exchange.Members() {
-		if time.Since(m.Heard) <= maxSilence {
+		if time.Since(m.LastSeen) <= maxSilence {
 			live = append(live, m)
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	f.peerLists.fullCardsSentAt = now
 	for range min(maxFullCardRequests, len(partial)) {
-		f.exchange.Want(partial[rand.IntN(len(partial))])
+		f.exchange.RequestFullState(partial[rand.IntN(len(partial))])
 	}
 }
 
@@ -93,20 +93,20 @@
 // a drain is safe to take from any of them; that an endpoint is ready again is taken from discovery alone.
 func (f *Fleet) comparePeerLists() {
 	f.peerLists.comparedAt = Now()
-	index, digest, drains := f.acts.List()
-	lists := f.highestOwnList(agreed.Listed{Name: f.name, Index: index, Digest: digest, Drains: listedDrains(drains)})
+	index, digest, drains := f.acts.EndpointList()
+	lists := f.highestOwnList(consensus.EndpointListState{Name: f.name, Index: index, Digest: digest, Drained: listedDrains(drains)})
 	peers, partial := f.laterLists(index, digest)
 	lists = append(lists, peers...)
 	f.requestFullCards(f.peerLists.comparedAt, partial)
-	result := agreed.Compare(index, digest, lists)
-	f.applyPeerDrains(result.News)
+	result := consensus.CompareLists(index, digest, lists)
+	f.applyPeerDrains(result.DrainedEndpoints)
 	f.reportListState(index, result)
 }
 
 // highestOwnList gives this process's own earlier list where the present one has a lower index: what that one drained stays drained for a while.
 // Otherwise a discovery that answers from an old state would bring endpoints back that are shut down.
-func (f *Fleet) highestOwnList(present agreed.Listed) []agreed.Listed {
-	earlier, wentBack := f.peerLists.own.Saw(Now(), present)
+func (f *Fleet) highestOwnList(present consensus.EndpointListState) []consensus.EndpointListState {
+	earlier, wentBack := f.peerLists.own.Observe(Now(), present)
 	if wentBack {
 		f.log.Warn().Uint64("index", present.Index).Uint64("previous_index", earlier[0].Index).Msg("endpoint list index went back")
 	}
@@ -115,16 +115,16 @@
 
 // laterLists gives the lists of all members that are heard, with the drains of those that are later than this process's or contradict it, and which of
 // these have told a part of their drains only.
-func (f *Fleet) laterLists(index, digest uint64) (lists []agreed.Listed, partial []string) {
+func (f *Fleet) laterLists(index, digest uint64) (lists []consensus.EndpointListState, partial []string) {
 	now := time.Now()
 	for _, m := range f.exchange.Members() {
-		if m.Gone(now) || m.Name == f.name {
+		if m.IsGone(now) || m.Name == f.name {
 			continue
 		}
-		list := agreed.Listed{Name: m.Name, Index: m.Index, Digest: m.Digest}
-		if m.Index > index || m.Index == index && m.Digest != digest {
-			list.Drains = listedDrains(m.Drains)
-			if m.Partial() {
+		list := consensus.EndpointListState{Name: m.Name, Index: m.ListIndex, Digest: m.ListDigest}
+		if m.ListIndex > index || m.ListIndex == index && m.ListDigest != digest {
+			list.Drained = listedDrains(m.Drains)
+			if m.IsPartial() {
 				partial = append(partial, m.Name)
 			}
 		}
@@ -133,9 +133,9 @@
 	return lists, partial
 }
 
-func listedDrains(drains []members.Drain) (listed []agreed.Drained) {
+func listedDrains(drains []membership.DrainedEndpoint) (listed []consensus.DrainedEndpoint) {
 	for _, drain := range drains {
-		listed = append(listed, agreed.Drained(drain))
+		listed = append(listed, consensus.DrainedEndpoint(drain))
 	}
 	return listed
 }
@@ -147,20 +147,20 @@
 	f.peerDrains = drains
 	f.mu.Unlock()
 	if haveChanged {
-		f.acts.Drained(drains)
+		f.acts.ApplyPeerDrains(drains)
 		f.log.Info().Strs("endpoints", drains[:min(len(drains), maxLoggedEndpoints)]).Int("count", len(drains)).Msg("drains from peers' lists changed")
 	}
 }
 
 // reportListState logs when this process's list has been behind a peer's for too long, and when one of the same index begins to contradict it.
-func (f *Fleet) reportListState(index uint64, result agreed.Compared) {
+func (f *Fleet) reportListState(index uint64, result consensus.ListComparison) {
 	p := &f.peerLists
-	if p.behind.Saw(Now(), result.Behind != "", p.maxBehind) {
-		f.log.Warn().Uint64("index", index).Str("member", result.Behind).Uint64("member_index", result.Latest).Msg("endpoint list behind a peer's")
+	if p.behind.Observe(Now(), result.PeerAhead != "", p.maxBehind) {
+		f.log.Warn().Uint64("index", index).Str("member", result.PeerAhead).Uint64("member_index", result.LatestIndex).Msg("endpoint list behind a peer's")
 	}
-	conflicts := result.Contrary != ""
+	conflicts := result.ConflictingPeer != ""
 	if conflicts && !p.conflicts {
-		f.log.Warn().Uint64("index", index).Str("member", result.Contrary).Msg("endpoint list differs from a peer's of the same index")
+		f.log.Warn().Uint64("index", index).Str("member", result.ConflictingPeer).Msg("endpoint list differs from a peer's of the same index")
 	}
 	p.conflicts = conflicts
 }
--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 )
 
 const (
@@ -21,19 +21,19 @@
 
 // reply is an answer to a proposal, and whose it is.
 type reply struct {
-	agreed.Outcome
+	consensus.ProposalResult
 	from string
 }
 
 // Propose asks the voters to accept a change, and waits for the answer, proposalTimeout at most. A result that is not final (Sure) may become either: the
 // history tells. It is called by the admin endpoint and by the evacuation of zones, from goroutines of their own.
-func (f *Fleet) Propose(ctx context.Context, change agreed.Change) agreed.Outcome {
-	if err := change.Check(); err != nil {
-		return agreed.Outcome{ID: change.ID, Wrong: err.Error(), Sure: true}
+func (f *Fleet) Propose(ctx context.Context, change consensus.Proposal) consensus.ProposalResult {
+	if err := change.Validate(); err != nil {
+		return consensus.ProposalResult{ID: change.ID, Reason: err.Error(), IsFinal: true}
 	}
 	replies := make(chan reply, maxPendingReplies)
 	if !f.registerProposal(change.ID, replies) {
-		return agreed.Outcome{ID: change.ID, Wrong: "too many proposals wait", Sure: true}
+		return consensus.ProposalResult{ID: change.ID, Reason: "too many proposals wait", IsFinal: true}
 	}
 	defer f.unregisterProposal(change.ID)
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
@@ -49,8 +49,8 @@
 			case r.Ticket != nil:
 				p.acceptTicket(r)
 				continue // With its ticket it goes out again at once.
-			case !isNoLeader(r.Outcome):
-				return r.Outcome
+			case !isNoLeader(r.ProposalResult):
+				return r.ProposalResult
 			}
 			p.ticket = nil // Another replica may lead in a moment.
 		case <-retry.C:
@@ -68,8 +68,8 @@
 }
 
 // isNoLeader tells whether an outcome says that no replica was there to decide.
-func isNoLeader(o agreed.Outcome) bool {
-	return o.Number == 0 && strings.HasPrefix(o.Wrong, noLeaderPrefix)
+func isNoLeader(o consensus.ProposalResult) bool {
+	return o.Revision == 0 && strings.HasPrefix(o.Reason, noLeaderPrefix)
 }
 
 // registerProposal has answers to the proposal put into replies; false: too many wait.
@@ -107,16 +107,16 @@
 // Until it has gone out with a ticket nobody can have written it, so a negative answer is final.
 type proposer struct {
 	fleet      *Fleet
-	change     *agreed.Change
+	change     *consensus.Proposal
 	attempts   int
 	target     string // whom it is sent to
-	ticket     *agreed.Ticket
-	unanswered agreed.Outcome // the result if no answer comes any more
+	ticket     *consensus.ProposalTicket
+	unanswered consensus.ProposalResult // the result if no answer comes any more
 }
 
-func newProposer(f *Fleet, change agreed.Change) *proposer {
+func newProposer(f *Fleet, change consensus.Proposal) *proposer {
 	return &proposer{fleet: f, change: &change,
-		unanswered: agreed.Outcome{ID: change.ID, Wrong: noLeaderPrefix + ": no majority of the keepers is heard", Sure: true}}
+		unanswered: consensus.ProposalResult{ID: change.ID, Reason: noLeaderPrefix + ": no majority of the keepers is heard", IsFinal: true}}
 }
 
 // send sends the proposal once more: with a ticket to whoever gave it, else to the leader, or to one voter after the other where none is known.
@@ -130,7 +130,7 @@
 			p.target = f.voters[p.attempts%len(f.voters)]
 		}
 	}
-	f.Send(p.target, &agreed.Message{From: f.name, Propose: p.change, Ticket: p.ticket})
+	f.Send(p.target, &consensus.Message{From: f.name, Proposal: p.change, Ticket: p.ticket})
 	p.attempts++
 }
 
@@ -140,7 +140,7 @@
 // acceptTicket has the proposal sent with the ticket from now on. From then on it may have been written whenever no answer comes.
 func (p *proposer) acceptTicket(r reply) {
 	p.ticket, p.target = r.Ticket, r.from
-	p.unanswered = agreed.Outcome{ID: p.change.ID, Wrong: "no word of a majority"}
+	p.unanswered = consensus.ProposalResult{ID: p.change.ID, Reason: "no word of a majority"}
 }
 
 // handleRetry gives up the ticket now and then: whoever gave it may be gone, and another replica lead.
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
+	"hollylever/consensus"
 	"hollylever/store"
 )
 
@@ -16,8 +16,8 @@
 
 // replica is this process's replica and the log that it writes. Run alone changes it, under Fleet.mu.
 type replica struct {
-	state *agreed.Keeper // nil: this process has none, or it does not run now
-	log   *store.Log     // nil: it has no log, or it does not run now
+	state *consensus.Replica // nil: this process has none, or it does not run now
+	log   *store.Log         // nil: it has no log, or it does not run now
 
 	hasFailed bool // its log has failed, and it has not been started again
 	isLost    bool // its log was found corrupt after such a failure: only a restart of the process helps
@@ -35,11 +35,11 @@
 // voters that a later process knows nothing of it.
 type volatileStorage struct{}
 
-// Add implements agreed.Lasting.
-func (volatileStorage) Add([][]byte) error { return nil }
+// Append implements consensus.Storage.
+func (volatileStorage) Append([][]byte) error { return nil }
 
-// Swap implements agreed.Lasting.
-func (volatileStorage) Swap([][]byte) error { return nil }
+// Replace implements consensus.Storage.
+func (volatileStorage) Replace([][]byte) error { return nil }
 
 // startReplica starts this process's replica from its log, if it is to have one that does not run. path is the log's; "": no log. draw draws below n,
 // under mu. The error is store.ErrHeld while the process before, over an upgrade, still runs the replica.
@@ -54,7 +54,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state, err := agreed.NewKeeper(Now(), f.name, f.incarnation, f.terms, f.voters, records, storage, f, draw)
+	state, err := consensus.NewReplica(Now(), f.name, f.incarnation, f.terms, f.voters, records, storage, f, draw)
 	if err != nil {
 		r.closeLog()
 		return fmt.Errorf("fleet.state: %w", err)
@@ -68,20 +68,20 @@
 // A corrupt log is put aside and the replica starts empty, which is safe as the process has a new incarnation: the others do not count the votes
 // of the one before. After a failure within this process's own life it is not safe: the replica would vote again under an incarnation whose
 // votes are lost, and two leaders could be elected. It then stays down (isLost) until the process is restarted.
-func (f *Fleet) openReplicaLog(path string) (agreed.Lasting, [][]byte, error) {
+func (f *Fleet) openReplicaLog(path string) (consensus.Storage, [][]byte, error) {
 	if path == "" {
 		return volatileStorage{}, nil, nil
 	}
 	log, records, err := store.Open(path)
 	switch {
-	case errors.Is(err, store.ErrHeld):
+	case errors.Is(err, store.ErrLocked):
 		return nil, nil, err
-	case errors.Is(err, store.ErrDamaged) && f.replica.hasFailed:
+	case errors.Is(err, store.ErrCorrupt) && f.replica.hasFailed:
 		f.log.Error().Str("file", path).Msg("replica stopped for good: its log is corrupt, restart the process")
 		f.replica.isLost = true
 		log.Close()
 		return nil, nil, nil
-	case errors.Is(err, store.ErrDamaged):
+	case errors.Is(err, store.ErrCorrupt):
 		f.log.Error().Str("file", path).Msg("replica log corrupt: put aside, the replica starts empty")
 	case err != nil:
 		return nil, nil, fmt.Errorf("fleet.state: %w", err)
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -4,33 +4,33 @@
 	"slices"
 	"time"
 
-	"hollylever/agreed"
-	"hollylever/members"
+	"hollylever/consensus"
+	"hollylever/membership"
 )
 
 // Status is what the admin endpoint shows of this process's part in the fleet.
 type Status struct {
-	Name             string           `json:"name"`
-	Zone             string           `json:"zone,omitempty"`
-	Leader           string           `json:"leads,omitempty"` // as this process knows it
-	Effective        agreed.Acting    `json:"acting"`
-	StalenessBound   string           `json:"t"` // the longest time for which two processes under leases can contradict each other
-	LeaseLeftMS      int64            `json:"lease_left_ms"`
-	DecisionsWithout int64            `json:"decisions_alone"` // without a lease, since the start
-	DecisionsUnder   int64            `json:"decisions_under_lease"`
-	MessagesDropped  int64            `json:"messages_lost"` // as too many waited
-	Members          []MemberStatus   `json:"members"`       // this process first
-	PeerDrains       []string         `json:"drains_by_others,omitempty"`
-	Replica          *ReplicaStatus   `json:"keeper,omitempty"` // nil: this process has none that runs
-	Versions         []agreed.Version `json:"versions_that_count"`
-	Outliers         *OutlierStatus   `json:"signals,omitempty"` // nil: outliers are not shared
-	Subset           []string         `json:"tends,omitempty"`   // endpoints to which idle connections are kept; none: to all
-	Zones            []ZoneStatus     `json:"zones,omitempty"`
+	Name             string                    `json:"name"`
+	Zone             string                    `json:"zone,omitempty"`
+	Leader           string                    `json:"leads,omitempty"` // as this process knows it
+	Effective        consensus.EffectiveConfig `json:"acting"`
+	StalenessBound   string                    `json:"t"` // the longest time for which two processes under leases can contradict each other
+	LeaseLeftMS      int64                     `json:"lease_left_ms"`
+	DecisionsWithout int64                     `json:"decisions_alone"` // without a lease, since the start
+	DecisionsUnder   int64                     `json:"decisions_under_lease"`
+	MessagesDropped  int64                     `json:"messages_lost"` // as too many waited
+	Members          []MemberStatus            `json:"members"`       // this process first
+	PeerDrains       []string                  `json:"drains_by_others,omitempty"`
+	Replica          *ReplicaStatus            `json:"keeper,omitempty"` // nil: this process has none that runs
+	Versions         []consensus.Revision      `json:"versions_that_count"`
+	Outliers         *OutlierStatus            `json:"signals,omitempty"` // nil: outliers are not shared
+	Subset           []string                  `json:"tends,omitempty"`   // endpoints to which idle connections are kept; none: to all
+	Zones            []ZoneStatus              `json:"zones,omitempty"`
 }
 
 // MemberStatus is a member as this process heard of it last.
 type MemberStatus struct {
-	members.Card
+	membership.MemberState
 	HeardMSAgo int64 `json:"heard_ms_ago"`
 	Gone       bool  `json:"gone"`
 }
@@ -49,10 +49,10 @@
 	defer f.mu.Unlock()
 	now := Now()
 	s := Status{
-		Name: f.name, Zone: f.zone, Leader: f.holder.Leader(), Effective: f.holder.Acting(now),
-		StalenessBound: f.terms.T().Round(time.Millisecond).String(), LeaseLeftMS: max(0, f.holder.Until()-now) / int64(time.Millisecond),
+		Name: f.name, Zone: f.zone, Leader: f.holder.Leader(), Effective: f.holder.EffectiveConfig(now),
+		StalenessBound: f.terms.MaxDisagreement().Round(time.Millisecond).String(), LeaseLeftMS: max(0, f.holder.LeaseExpiry()-now) / int64(time.Millisecond),
 		DecisionsWithout: f.lease.decisionsWithout.Load(), DecisionsUnder: f.lease.decisionsUnder.Load(), MessagesDropped: f.inbox.dropped.Load(),
-		Members: f.memberStatuses(own), PeerDrains: f.peerDrains, Replica: f.replicaStatus(now), Versions: slices.Clone(f.holder.Versions()),
+		Members: f.memberStatuses(own), PeerDrains: f.peerDrains, Replica: f.replicaStatus(now), Versions: slices.Clone(f.holder.Revisions()),
 		Subset: f.subset, Zones: f.zoneStatuses,
 	}
 	if f.outliers != nil {
@@ -62,14 +62,14 @@
 }
 
 // memberStatuses gives this process and all members that it has heard. The caller holds mu.
-func (f *Fleet) memberStatuses(own members.Card) []MemberStatus {
-	all := []MemberStatus{{Card: own}}
+func (f *Fleet) memberStatuses(own membership.MemberState) []MemberStatus {
+	all := []MemberStatus{{MemberState: own}}
 	if f.exchange == nil {
 		return all
 	}
 	now := time.Now()
 	for _, m := range f.exchange.Members() {
-		all = append(all, MemberStatus{Card: m.Card, HeardMSAgo: now.Sub(m.Heard).Milliseconds(), Gone: m.Gone(now)})
+		all = append(all, MemberStatus{MemberState: m.MemberState, HeardMSAgo: now.Sub(m.LastSeen).Milliseconds(), Gone: m.IsGone(now)})
 	}
 	return all
 }
@@ -80,16 +80,16 @@
 	if state == nil {
 		return nil
 	}
-	return &ReplicaStatus{Leads: state.Leads(), Bootstrapped: state.Founded(), LeaseHolders: state.Holders(now)}
+	return &ReplicaStatus{Leads: state.IsLeader(), Bootstrapped: state.IsBootstrapped(), LeaseHolders: state.ActiveLeases(now)}
 }
 
 // History gives the revisions that this process knows, the oldest first: a replica knows more of them than a lease holder.
-func (f *Fleet) History() []agreed.Version {
+func (f *Fleet) History() []consensus.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if state := f.replica.state; state != nil && state.Founded() {
+	if state := f.replica.state; state != nil && state.IsBootstrapped() {
 		all, _ := state.History()
 		return slices.Clone(all)
 	}
-	return slices.Clone(f.holder.Versions())
+	return slices.Clone(f.holder.Revisions())
 }
--- a/fleet/trace.go
+++ b/fleet/trace.go
@@ -28,14 +28,14 @@
 	f.mu.Lock()
 	acting := f.effective
 	digest := ""
-	if versions := f.holder.Versions(); len(versions) > 0 {
+	if versions := f.holder.Revisions(); len(versions) > 0 {
 		digest = versions[len(versions)-1].Digest()
 	}
 	f.mu.Unlock()
 	var at unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) // It fails for a clock that there is not; this one is read by Now, too.
-	if !leased && f.terms.Most > 0 {
-		acting.Part = budgets.Alone(f.terms.Most)
+	if !leased && f.terms.MaxMembers > 0 {
+		acting.BudgetShare = budgets.ShareWithoutLease(f.terms.MaxMembers)
 	}
-	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", at.Nano(), f.name, acting.Floor, acting.Latest, leased, acting.Part, digest)
+	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", at.Nano(), f.name, acting.MinRevision, acting.LatestRevision, leased, acting.BudgetShare, digest)
 }
--- a/joining/joining.go
+++ b/fleetconfig/joining.go
@@ -1,6 +1,6 @@
 // Package joining is what a process is told to be one of a fleet: the table of our own settings, its checks, and the stated times that follow
 // from it. It is small, so that programs without the fleet's parts can read and check the table too.
-package joining
+package fleetconfig
 
 import (
 	"errors"
@@ -17,17 +17,17 @@
 // MaxMembers is how many processes a fleet may have, and MaxName how many bytes the name of one. What is kept, sent or read of processes is
 // bounded by these.
 const (
-	MaxMembers = 4096
-	MaxName    = 128
+	MaxMembers   = 4096
+	MaxNameBytes = 128
 )
 
 const (
 	maxAddress = len("255.255.255.255:65535")
-	maxPeers   = MaxMembers * (MaxName + len("=") + maxAddress + len(", ")) // bytes of the list of peers
+	maxPeers   = MaxMembers * (MaxNameBytes + len("=") + maxAddress + len(", ")) // bytes of the list of peers
 )
 
 // Part is the table of our own settings that this package has.
-var Part = fields.Part{Table: "fleet", Help: "Being one of a fleet that agrees: bin/hollyfleet only.", Fields: []fields.Field{
+var ConfigSection = fields.Part{Table: "fleet", Help: "Being one of a fleet that agrees: bin/hollyfleet only.", Fields: []fields.Field{
 	{Name: "on", Kind: fields.Yes, Default: "false", When: fields.AtStart, Help: "Whether it is."},
 	{Name: "listen", Kind: fields.Text, Default: "", When: fields.AtStart, Help: "Where other processes of the fleet reach this one, ADDRESS:PORT, datagrams and connections."},
 	{Name: "peers", Kind: fields.Text, Default: "", MaxText: maxPeers, When: fields.AtStart, Help: "Processes named beforehand, this one among them: NAME=ADDRESS:PORT, with commas between."},
@@ -57,9 +57,9 @@
 }}
 
 // Of gives the stated times that the values name.
-func Of(own fields.Values) Terms {
-	return Terms{Lease: own.Duration("fleet.lease"), RateError: float64(own.Count("fleet.rate_error")) / 1000, Pause: own.Duration("fleet.pause"),
-		Most: int(own.Count("fleet.most"))}
+func ParseLeaseTiming(own fields.Values) LeaseTiming {
+	return LeaseTiming{LeaseDuration: own.Duration("fleet.lease"), ClockRateError: float64(own.Count("fleet.rate_error")) / 1000, MaxPause: own.Duration("fleet.pause"),
+		MaxMembers: int(own.Count("fleet.most"))}
 }
 
 const (
@@ -69,7 +69,7 @@
 )
 
 // Rate gives how many bytes a second a process sends at most, among these peers.
-func Rate(own fields.Values, peers int) int {
+func SendRate(own fields.Values, peers int) int {
 	if rate := int(own.Count("fleet.rate")); rate > 0 {
 		return rate
 	}
@@ -77,15 +77,15 @@
 }
 
 // Check tells what of the table does not fit together; each error begins with the field.
-func Check(own fields.Values, name string) error {
+func Validate(own fields.Values, name string) error {
 	if !own.Yes("fleet.on") {
 		return nil
 	}
-	if err := Of(own).Check(); err != nil {
+	if err := ParseLeaseTiming(own).Validate(); err != nil {
 		return fmt.Errorf("fleet.%w", err)
 	}
-	peers, err := Peers(own.Word("fleet.peers"))
-	keepers := Names(own.Word("fleet.keepers"))
+	peers, err := ParsePeers(own.Word("fleet.peers"))
+	keepers := ParseNames(own.Word("fleet.keepers"))
 	named := func(name string) bool {
 		return slices.ContainsFunc(peers, func(p Peer) bool { return p.Name == name })
 	}
@@ -113,7 +113,7 @@
 }
 
 // Names reads a list of names with commas between.
-func Names(text string) (all []string) {
+func ParseNames(text string) (all []string) {
 	for _, name := range strings.Split(text, ",") {
 		if name = strings.TrimSpace(name); name != "" {
 			all = append(all, name)
@@ -126,7 +126,7 @@
 type Peer struct{ Name, Address string }
 
 // Peers reads a list of names and addresses: "b1=127.0.0.1:7001, b2=127.0.0.1:7002".
-func Peers(text string) ([]Peer, error) {
+func ParsePeers(text string) ([]Peer, error) {
 	var peers []Peer
 	named := map[string]bool{}
 	for _, part := range strings.Split(text, ",") {
@@ -134,7 +134,7 @@
 			continue
 		}
 		name, address, is := strings.Cut(part, "=")
-		if !is || name == "" || len(name) > MaxName {
+		if !is || name == "" || len(name) > MaxNameBytes {
 			return nil, fmt.Errorf("%q is not NAME=ADDRESS:PORT", part)
 		}
 		if _, err := net.ResolveUDPAddr("udp", address); err != nil {
@@ -153,30 +153,30 @@
 }
 
 // Terms are the stated times. All processes of a fleet have the same.
-type Terms struct {
-	Lease     time.Duration // on the holder's clock, from when it asked
-	RateError float64       // of any clock
-	Pause     time.Duration // what may lie between the look at a lease and the act
-	Most      int           // processes that the fleet may have: budgets are divided among them; 0: they are not
+type LeaseTiming struct {
+	LeaseDuration  time.Duration // on the holder's clock, from when it asked
+	ClockRateError float64       // of any clock
+	MaxPause       time.Duration // what may lie between the look at a lease and the act
+	MaxMembers     int           // processes that the fleet may have: budgets are divided among them; 0: they are not
 }
 
 // Outlasts is W: what a granter waits on its own clock, after which a lease is over on any other's.
-func (t Terms) Outlasts() time.Duration {
-	return time.Duration(float64(t.Lease) * (1 + t.RateError) / (1 - t.RateError))
+func (t LeaseTiming) GranterTimeout() time.Duration {
+	return time.Duration(float64(t.LeaseDuration) * (1 + t.ClockRateError) / (1 - t.ClockRateError))
 }
 
 // T is the longest time for which two processes under leases can act on rules that contradict each other.
-func (t Terms) T() time.Duration { return t.Outlasts() + t.Pause }
+func (t LeaseTiming) MaxDisagreement() time.Duration { return t.GranterTimeout() + t.MaxPause }
 
 // Check tells what is wrong with them.
-func (t Terms) Check() error {
+func (t LeaseTiming) Validate() error {
 	switch {
-	case t.Lease < 100*time.Millisecond || t.Lease > time.Minute:
-		return fmt.Errorf("lease: %v is not 100ms to 1m", t.Lease)
-	case t.RateError < 0 || t.RateError > 0.1:
-		return fmt.Errorf("rate_error: %v is not 0 to 0.1", t.RateError)
-	case t.Pause < 0 || t.Pause > t.Lease:
-		return fmt.Errorf("pause: %v is not 0s to the lease", t.Pause)
+	case t.LeaseDuration < 100*time.Millisecond || t.LeaseDuration > time.Minute:
+		return fmt.Errorf("lease: %v is not 100ms to 1m", t.LeaseDuration)
+	case t.ClockRateError < 0 || t.ClockRateError > 0.1:
+		return fmt.Errorf("rate_error: %v is not 0 to 0.1", t.ClockRateError)
+	case t.MaxPause < 0 || t.MaxPause > t.LeaseDuration:
+		return fmt.Errorf("pause: %v is not 0s to the lease", t.MaxPause)
 	}
 	return nil
 }
