--- a/joining/joining_test.go
+++ b/fleetconfig/joining_test.go
@@ -1,4 +1,4 @@
-package joining
+package fleetconfig
 
 import (
 	"fmt"
@@ -20,23 +20,23 @@
 		"made_for = -1\n":                     "f:1:",
 		"out = [\"h\"]\n[limits]\nheld = 5\n": "",
 	} {
-		p, wrong := ReadProposal("f", []byte(text))
+		p, wrong := ParseProposal("f", []byte(text))
 		said := ""
 		for _, m := range wrong {
 			said += fmt.Sprintln(m)
 		}
-		if !strings.HasPrefix(said, want) || want == "" && (said != "" || len(p.Out) != 1 || p.Limits["held"] != 5) {
+		if !strings.HasPrefix(said, want) || want == "" && (said != "" || len(p.EjectEndpoints) != 1 || p.Limits["held"] != 5) {
 			t.Errorf("%q: %q, not %q; %+v", text, said, want, p)
 		}
 	}
 }
 
 func TestPeers(t *testing.T) {
-	if peers, err := Peers(" a=127.0.0.1:1 , b=127.0.0.1:2,"); err != nil || len(peers) != 2 || peers[1] != (Peer{"b", "127.0.0.1:2"}) {
+	if peers, err := ParsePeers(" a=127.0.0.1:1 , b=127.0.0.1:2,"); err != nil || len(peers) != 2 || peers[1] != (Peer{"b", "127.0.0.1:2"}) {
 		t.Error(peers, err)
 	}
 	for _, bad := range []string{"a", "=127.0.0.1:1", "a=nowhere", "a=127.0.0.1:1,a=127.0.0.1:2", strings.Repeat("n", 200) + "=127.0.0.1:1"} {
-		if _, err := Peers(bad); err == nil {
+		if _, err := ParsePeers(bad); err == nil {
 			t.Errorf("%.30q is taken", bad)
 		}
 	}
@@ -50,33 +50,33 @@
 		var all []string
 		for n := range peers {
 			name := fmt.Sprint(n, "-")
-			all = append(all, fmt.Sprintf("%s=127.100.%d.%d:65000", name+strings.Repeat("n", MaxName-len(name)), 100+n%100, 100+n/100))
+			all = append(all, fmt.Sprintf("%s=127.100.%d.%d:65000", name+strings.Repeat("n", MaxNameBytes-len(name)), 100+n%100, 100+n/100))
 		}
 		file := filepath.Join(t.TempDir(), "own.toml")
 		text := fmt.Sprintf("[fleet]\non = true\nlisten = \"127.0.0.1:1\"\nkeepers = %q\nmost = %d\npeers = %q\n", strings.Split(all[0], "=")[0], min(peers, MaxMembers), strings.Join(all, ", "))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return fields.Read(file, []fields.Part{Part})
+		return fields.Read(file, []fields.Part{ConfigSection})
 	}
 	for _, many := range []int{thousand, MaxMembers} {
 		values, wrong := own(many)
 		if len(wrong) > 0 {
 			t.Fatalf("%d peers: %.200s", many, wrong[0])
 		}
-		if peers, err := Peers(values.Word("fleet.peers")); err != nil || len(peers) != many {
+		if peers, err := ParsePeers(values.Word("fleet.peers")); err != nil || len(peers) != many {
 			t.Errorf("%d peers of %d, %v", len(peers), many, err)
 		}
-		if err := Check(values, ""); err != nil {
+		if err := Validate(values, ""); err != nil {
 			t.Error(err)
 		}
 	}
 	values, _ := own(thousand)
-	if rate := Rate(values, thousand); rate < 16_000_000 || Rate(fields.Standard([]fields.Part{Part}), 3) > 1_100_000 {
+	if rate := SendRate(values, thousand); rate < 16_000_000 || SendRate(fields.Standard([]fields.Part{ConfigSection}), 3) > 1_100_000 {
 		t.Errorf("%d bytes a second among %d", rate, thousand)
 	}
 	values, wrong := own(MaxMembers + 1)
-	if err := Check(values, ""); len(wrong) == 0 && err == nil {
+	if err := Validate(values, ""); len(wrong) == 0 && err == nil {
 		t.Error("one more is taken")
 	}
 }
--- a/joining/proposal.go
+++ b/fleetconfig/proposal.go
@@ -1,4 +1,4 @@
-package joining
+package fleetconfig
 
 import (
 	"bytes"
@@ -12,30 +12,30 @@
 
 // Proposal is what an operator proposes, as its file has it and as the door takes it.
 type Proposal struct {
-	ID     string           `toml:"-" json:"id"`
-	By     string           `toml:"by" json:"by,omitempty"`
-	Why    string           `toml:"why" json:"why,omitempty"`
-	Base   uint64           `toml:"made_for" json:"made_for,omitempty"`
-	Out    []string         `toml:"out" json:"out,omitempty"`
-	Back   []string         `toml:"back" json:"back,omitempty"`
-	Limits map[string]int64 `toml:"limits" json:"limits,omitempty"`
-	Digest *string          `toml:"settings_digest" json:"settings_digest,omitempty"`
-	Source *string          `toml:"list_of" json:"list_of,omitempty"`
-	From   *uint64          `toml:"list_from" json:"list_from,omitempty"`
-	Leave  []string         `toml:"leave" json:"leave,omitempty"`
-	Return []string         `toml:"return" json:"return,omitempty"`
+	ID               string           `toml:"-" json:"id"`
+	Author           string           `toml:"by" json:"by,omitempty"`
+	Reason           string           `toml:"why" json:"why,omitempty"`
+	BaseRevision     uint64           `toml:"made_for" json:"made_for,omitempty"`
+	EjectEndpoints   []string         `toml:"out" json:"out,omitempty"`
+	UnejectEndpoints []string         `toml:"back" json:"back,omitempty"`
+	Limits           map[string]int64 `toml:"limits" json:"limits,omitempty"`
+	SettingsDigest   *string          `toml:"settings_digest" json:"settings_digest,omitempty"`
+	DiscoverySource  *string          `toml:"list_of" json:"list_of,omitempty"`
+	MinListIndex     *uint64          `toml:"list_from" json:"list_from,omitempty"`
+	EvacuateZones    []string         `toml:"leave" json:"leave,omitempty"`
+	RestoreZones     []string         `toml:"return" json:"return,omitempty"`
 }
 
 // Answer is what became of it.
-type Answer struct {
-	ID      string `json:"id"`
-	Version uint64 `json:"version,omitempty"`
-	Wrong   string `json:"wrong,omitempty"`
-	Sure    bool   `json:"sure"`
+type ProposalResult struct {
+	ID       string `json:"id"`
+	Revision uint64 `json:"version,omitempty"`
+	Reason   string `json:"wrong,omitempty"`
+	IsFinal  bool   `json:"sure"`
 }
 
 // ReadProposal reads a file, strictly: a field that is none, or of another kind, is a mistake with its place.
-func ReadProposal(file string, text []byte) (p Proposal, wrong []fields.Mistake) {
+func ParseProposal(file string, text []byte) (p Proposal, wrong []fields.Mistake) {
 	reader := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := reader.Decode(&p)
 	var odd *toml.StrictMissingError
--- a/members/gossip.go
+++ b/membership/gossip.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"io"
@@ -18,7 +18,7 @@
 type Gossip struct {
 	name   string
 	list   *memberlist.Memberlist
-	ears   Ears
+	ears   Delegate
 	heard  heard
 	budget budget
 	large  large // messages that go over connections
@@ -28,13 +28,13 @@
 	done chan struct{}
 
 	mu    sync.Mutex
-	own   Card                        // as it was told last
+	own   MemberState                 // as it was told last
 	state []byte                      // the same, framed, in as much as goes to all
 	nodes map[string]*memberlist.Node // where members are; copies, as the library changes its own
 }
 
 // OpenGossip listens at the address and joins whoever of the peers answers, in the background.
-func OpenGossip(name, listen string, peers []Peer, rate int, ears Ears) (*Gossip, error) {
+func OpenGossip(name, listen string, peers []Peer, rate int, ears Delegate) (*Gossip, error) {
 	host, port, err := net.SplitHostPort(listen)
 	if err != nil {
 		return nil, err
@@ -109,7 +109,7 @@
 
 // Tell sends a card to all members, and has it go round for those that this one does not reach: what goes round in a second is few cards
 // where there are hundreds of members.
-func (g *Gossip) Tell(c Card) {
+func (g *Gossip) PublishState(c MemberState) {
 	bytes := packCard(c.within(cardRoom(g.budget.rate, g.list.NumMembers()), true))
 	framed := append([]byte{isCard}, bytes...)
 	g.mu.Lock()
@@ -132,7 +132,7 @@
 }
 
 // Want asks a member for its card with whole lists.
-func (g *Gossip) Want(name string) { g.send(name, isWant, []byte(g.name)) }
+func (g *Gossip) RequestFullState(name string) { g.send(name, isWant, []byte(g.name)) }
 
 // wanted answers a member that wants the whole card.
 func (g *Gossip) wanted(by string) {
@@ -145,7 +145,7 @@
 }
 
 // Signal sends a small message to all members.
-func (g *Gossip) Signal(bytes []byte) { g.toAll(isSignal, append([]byte{isSignal}, bytes...)) }
+func (g *Gossip) Broadcast(bytes []byte) { g.toAll(isSignal, append([]byte{isSignal}, bytes...)) }
 
 // Members are those that were heard.
 func (g *Gossip) Members() []Member { return g.heard.list(time.Now()) }
@@ -178,9 +178,9 @@
 	switch {
 	case len(framed) < 2 || len(framed) > maxMessage+1:
 	case framed[0] == isMessage:
-		g.ears.Message(framed[1:])
+		g.ears.NotifyMessage(framed[1:])
 	case framed[0] == isSignal:
-		g.ears.Signal(framed[1:])
+		g.ears.NotifyBroadcast(framed[1:])
 	case framed[0] == isWant:
 		g.wanted(string(framed[1:]))
 	case framed[0] == isCard:
@@ -197,7 +197,7 @@
 		if len(framed) <= packet { // Whole lists came to this one alone.
 			g.queue.QueueBroadcast(&card{c.Name, framed})
 		}
-		g.ears.Card(c)
+		g.ears.NotifyState(c)
 	}
 }
 
--- a/members/heard.go
+++ b/membership/heard.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 
 // put takes a card; an earlier life's that comes late changes nothing. A card of the same life that has the whole lists of the one that is kept
 // adds these to it. Where there is no room, who has been gone for longest makes some.
-func (h *heard) put(c Card, now time.Time) bool {
+func (h *heard) put(c MemberState, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cards == nil {
@@ -29,17 +29,17 @@
 	switch {
 	case !known && len(h.cards) >= MaxMembers && !h.makeRoom(now):
 		return false
-	case known && c.Life == old.Life && c.More == 0 && old.Partial() && c.lists() == old.More:
-		old.Drains, old.Ways, old.whole = c.Drains, c.Ways, old.More
+	case known && c.Incarnation == old.Incarnation && c.More == 0 && old.IsPartial() && c.lists() == old.More:
+		old.Drains, old.Evacuations, old.whole = c.Drains, c.Evacuations, old.More
 		h.cards[c.Name] = old
 		h.keepWhole(c.Name)
 		return true
-	case known && (c.Life < old.Life || c.Life == old.Life && c.Seq <= old.Seq) && !old.Gone(now):
+	case known && (c.Incarnation < old.Incarnation || c.Incarnation == old.Incarnation && c.Seq <= old.Seq) && !old.IsGone(now):
 		return false
 	}
-	m := Member{Card: c, Heard: now}
-	if known && c.Life == old.Life && c.More != 0 && c.More == old.whole {
-		m.Drains, m.Ways, m.whole = old.Drains, old.Ways, old.whole
+	m := Member{MemberState: c, LastSeen: now}
+	if known && c.Incarnation == old.Incarnation && c.More != 0 && c.More == old.whole {
+		m.Drains, m.Evacuations, m.whole = old.Drains, old.Evacuations, old.whole
 	}
 	h.cards[c.Name] = m
 	return true
@@ -49,7 +49,7 @@
 func (h *heard) makeRoom(now time.Time) bool {
 	longest := ""
 	for name, m := range h.cards {
-		if m.Gone(now) && (longest == "" || m.Heard.Before(h.cards[longest].Heard)) {
+		if m.IsGone(now) && (longest == "" || m.LastSeen.Before(h.cards[longest].LastSeen)) {
 			longest = name
 		}
 	}
@@ -64,14 +64,14 @@
 		return
 	}
 	if first, known := h.cards[h.whole[0]]; known && first.whole != 0 {
-		first.Drains, first.Ways, first.whole = nil, nil, 0
+		first.Drains, first.Evacuations, first.whole = nil, nil, 0
 		h.cards[h.whole[0]] = first
 	}
 	h.whole = h.whole[1:]
 }
 
 // Partial tells whether the member's lists are a part of what it has.
-func (m Member) Partial() bool { return m.More != 0 && m.More != m.whole }
+func (m Member) IsPartial() bool { return m.More != 0 && m.More != m.whole }
 
 func (h *heard) leave(name string) {
 	h.mu.Lock()
@@ -85,7 +85,7 @@
 	defer h.mu.Unlock()
 	var all []Member
 	for name, m := range h.cards {
-		if now.Sub(m.Heard) > 60*goneAfter {
+		if now.Sub(m.LastSeen) > 60*goneAfter {
 			delete(h.cards, name)
 			continue
 		}
@@ -96,7 +96,7 @@
 }
 
 // Gone tells whether a member has been silent for so long that it counts as gone.
-func (m Member) Gone(now time.Time) bool { return now.Sub(m.Heard) > goneAfter }
+func (m Member) IsGone(now time.Time) bool { return now.Sub(m.LastSeen) > goneAfter }
 
 // budget is so many bytes a second, saved up for one second.
 type budget struct {
--- a/members/large.go
+++ b/membership/large.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"errors"
--- a/members/members_test.go
+++ b/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"bytes"
@@ -13,21 +13,21 @@
 type ears struct {
 	mu       sync.Mutex
 	messages [][]byte
-	cards    map[string]Card
+	cards    map[string]MemberState
 }
 
-func (e *ears) Message(b []byte) {
+func (e *ears) NotifyMessage(b []byte) {
 	e.mu.Lock()
 	e.messages = append(e.messages, b)
 	e.mu.Unlock()
 }
 
-func (e *ears) Signal(bytes []byte) { e.Message(append([]byte("signal "), bytes...)) }
+func (e *ears) NotifyBroadcast(bytes []byte) { e.NotifyMessage(append([]byte("signal "), bytes...)) }
 
-func (e *ears) Card(c Card) {
+func (e *ears) NotifyState(c MemberState) {
 	e.mu.Lock()
 	if e.cards == nil {
-		e.cards = map[string]Card{}
+		e.cards = map[string]MemberState{}
 	}
 	e.cards[c.Name] = c
 	e.mu.Unlock()
@@ -98,13 +98,13 @@
 			until(t, "a large message", func() bool { all[0].Send("p2", large); return heard[2].heard(large) })
 			until(t, "a small message", func() bool { all[1].Send("p0", []byte("small")); return heard[0].heard([]byte("small")) })
 			until(t, "a signal everywhere", func() bool {
-				all[0].Signal([]byte("all"))
+				all[0].Broadcast([]byte("all"))
 				return heard[1].heard([]byte("signal all")) && heard[2].heard([]byte("signal all"))
 			})
-			card := Card{Name: "p1", Life: 5, Seq: 0, Latest: 9}
+			card := MemberState{Name: "p1", Incarnation: 5, Seq: 0, LatestRevision: 9}
 			until(t, "a card everywhere", func() bool {
 				card.Seq++
-				all[1].Tell(card)
+				all[1].PublishState(card)
 				time.Sleep(20 * time.Millisecond)
 				return seen(all[0], "p1") == 9 && seen(all[2], "p1") == 9
 			})
@@ -118,7 +118,7 @@
 func seen(x Exchange, name string) uint64 {
 	for _, m := range x.Members() {
 		if m.Name == name {
-			return m.Latest
+			return m.LatestRevision
 		}
 	}
 	return 0
@@ -132,12 +132,12 @@
 		after     time.Duration
 		takes     bool
 	}{{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true}, {5, 99, 2 * goneAfter, true}} {
-		if h.put(Card{Name: "p", Life: c.life, Seq: c.seq}, now.Add(c.after)) != c.takes {
+		if h.put(MemberState{Name: "p", Incarnation: c.life, Seq: c.seq}, now.Add(c.after)) != c.takes {
 			t.Errorf("%+v", c)
 		}
 	}
 	for n := range 2 * MaxMembers {
-		h.put(Card{Name: fmt.Sprint("m", n), Life: 1}, now)
+		h.put(MemberState{Name: fmt.Sprint("m", n), Incarnation: 1}, now)
 	}
 	if len(h.cards) != MaxMembers {
 		t.Errorf("%d members are kept", len(h.cards))
@@ -158,14 +158,14 @@
 
 // What comes from a network that is not the fleet's leads nobody astray.
 func FuzzTake(f *testing.F) {
-	f.Add(append([]byte{isCard}, packCard(Card{Name: "p1", Life: 1, Drains: []Drain{{"h", 3}}, Ways: []Way{{"z", 0.5}}})...))
+	f.Add(append([]byte{isCard}, packCard(MemberState{Name: "p1", Incarnation: 1, Drains: []DrainedEndpoint{{"h", 3}}, Evacuations: []ZoneEvacuation{{"z", 0.5}}})...))
 	f.Add([]byte{isMessage, 1})
 	f.Fuzz(func(t *testing.T, framed []byte) {
 		e := &ears{}
 		p := &Plain{name: "p0", ears: e}
 		p.take(framed)
 		for _, c := range e.cards {
-			if c.Name == "" || len(c.Name) > maxName || len(c.Drains) > maxDrains || len(c.Ways) > maxWays || c.Name == "p0" {
+			if c.Name == "" || len(c.Name) > maxName || len(c.Drains) > maxDrains || len(c.Evacuations) > maxWays || c.Name == "p0" {
 				t.Fatalf("%+v is taken", c)
 			}
 		}
--- a/members/plain.go
+++ b/membership/plain.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"encoding/binary"
@@ -15,7 +15,7 @@
 	socket *net.UDPConn
 	stream net.Listener
 	peers  map[string]*net.UDPAddr
-	ears   Ears
+	ears   Delegate
 	heard  heard
 	budget budget
 	large  large // messages that go over connections
@@ -23,7 +23,7 @@
 	once   sync.Once
 
 	mu  sync.Mutex
-	own Card // as it was told last
+	own MemberState // as it was told last
 }
 
 // What a datagram or a connection carries, by its first byte. Versions before know no wants, and pass over them.
@@ -35,7 +35,7 @@
 )
 
 // OpenPlain listens at the address, for datagrams and for connections, and hands to ears what it hears. rate is in bytes a second; 0: no bound.
-func OpenPlain(name, listen string, peers []Peer, rate int, ears Ears) (*Plain, error) {
+func OpenPlain(name, listen string, peers []Peer, rate int, ears Delegate) (*Plain, error) {
 	at, err := net.ResolveUDPAddr("udp", listen)
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 }
 
 // Tell sends a card to all peers, as much of its lists as fits into one datagram each, and into half of what may be sent in a second.
-func (p *Plain) Tell(c Card) {
+func (p *Plain) PublishState(c MemberState) {
 	p.mu.Lock()
 	p.own = c
 	p.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // Want asks a peer for its card with whole lists.
-func (p *Plain) Want(name string) { p.send(name, isWant, []byte(p.name)) }
+func (p *Plain) RequestFullState(name string) { p.send(name, isWant, []byte(p.name)) }
 
 // wanted answers a peer that wants the whole card.
 func (p *Plain) wanted(by string) {
@@ -134,7 +134,7 @@
 }
 
 // Signal sends a small message to all peers.
-func (p *Plain) Signal(bytes []byte) {
+func (p *Plain) Broadcast(bytes []byte) {
 	for name := range p.peers {
 		if name != p.name {
 			p.send(name, isSignal, bytes)
@@ -209,14 +209,14 @@
 	switch {
 	case len(framed) < 2:
 	case framed[0] == isMessage:
-		p.ears.Message(framed[1:])
+		p.ears.NotifyMessage(framed[1:])
 	case framed[0] == isSignal:
-		p.ears.Signal(framed[1:])
+		p.ears.NotifyBroadcast(framed[1:])
 	case framed[0] == isWant:
 		p.wanted(string(framed[1:]))
 	case framed[0] == isCard:
 		if c, err := unpackCard(framed[1:]); err == nil && c.Name != p.name && p.heard.put(c, time.Now()) {
-			p.ears.Card(c)
+			p.ears.NotifyState(c)
 		}
 	}
 }
--- a/members/size_test.go
+++ b/membership/size_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -18,11 +18,11 @@
 }
 
 // full is a card with long lists, of names of so many bytes.
-func full(name string, hosts, zones int) Card {
-	c := Card{Name: name, Zone: long("z", 1, zones), Life: 1 << 40, Seq: 1, Index: 1 << 40, Digest: 1 << 63, Version: "0123456789abcdef"}
+func full(name string, hosts, zones int) MemberState {
+	c := MemberState{Name: name, Zone: long("z", 1, zones), Incarnation: 1 << 40, Seq: 1, ListIndex: 1 << 40, ListDigest: 1 << 63, SettingsDigest: "0123456789abcdef"}
 	for n := range thousand {
-		c.Drains = append(c.Drains, Drain{long("h", n, hosts), 1<<39 + uint64(n)})
-		c.Ways = append(c.Ways, Way{long("z", n, zones), 1.0 / 3})
+		c.Drains = append(c.Drains, DrainedEndpoint{long("h", n, hosts), 1<<39 + uint64(n)})
+		c.Evacuations = append(c.Evacuations, ZoneEvacuation{long("z", n, zones), 1.0 / 3})
 	}
 	return c
 }
@@ -33,18 +33,18 @@
 	c := full(long("p", 1, maxName), 512, maxName)
 	whole := c.within(maxMessage, false)
 	back, err := unpackCard(packCard(whole))
-	if err != nil || whole.More != 0 || !slices.Equal(back.Drains, c.Drains) || !slices.Equal(back.Ways, c.Ways) {
-		t.Errorf("%v: %d drains, %d zones", err, len(back.Drains), len(back.Ways))
+	if err != nil || whole.More != 0 || !slices.Equal(back.Drains, c.Drains) || !slices.Equal(back.Evacuations, c.Evacuations) {
+		t.Errorf("%v: %d drains, %d zones", err, len(back.Drains), len(back.Evacuations))
 	}
 	for _, sizes := range [][2]int{{512, maxName}, {10, 5}, {40, 5}} {
 		c = full("p", sizes[0], sizes[1])
 		short := c.within(packet-1, true)
-		if bytes := len(packCard(short)); bytes > packet-1 || short.More == 0 || len(short.Drains) == 0 || len(short.Ways) == 0 ||
+		if bytes := len(packCard(short)); bytes > packet-1 || short.More == 0 || len(short.Drains) == 0 || len(short.Evacuations) == 0 ||
 			short.Drains[len(short.Drains)-1] != c.Drains[thousand-1] {
-			t.Errorf("%v: %d bytes, %d drains, %d zones", sizes, bytes, len(short.Drains), len(short.Ways))
+			t.Errorf("%v: %d bytes, %d drains, %d zones", sizes, bytes, len(short.Drains), len(short.Evacuations))
 		}
 	}
-	few := Card{Name: "p", Drains: []Drain{{"h", 1}}}
+	few := MemberState{Name: "p", Drains: []DrainedEndpoint{{"h", 1}}}
 	if short := few.within(packet-1, true); short.More != 0 || len(short.Drains) != 1 {
 		t.Errorf("%+v of a card that fits", short)
 	}
@@ -87,19 +87,19 @@
 				for n, p := range peers {
 					c := full(p.Name, 20, 8)
 					c.Seq = seq
-					all[n].Tell(c)
+					all[n].PublishState(c)
 				}
 				time.Sleep(50 * time.Millisecond) // They tell every second; this is only sooner.
 				return !slices.ContainsFunc(all, func(x Exchange) bool { return len(x.Members()) < len(peers)-1 })
 			})
 			until(t, "a card with whole lists", func() bool {
-				all[0].Want("p39")
+				all[0].RequestFullState("p39")
 				time.Sleep(10 * time.Millisecond)
 				return slices.ContainsFunc(all[0].Members(), func(m Member) bool {
-					return m.Name == "p39" && !m.Partial() && len(m.Drains) == thousand && len(m.Ways) == thousand
+					return m.Name == "p39" && !m.IsPartial() && len(m.Drains) == thousand && len(m.Evacuations) == thousand
 				})
 			})
-			if m := all[0].Members()[0]; !m.Partial() {
+			if m := all[0].Members()[0]; !m.IsPartial() {
 				t.Errorf("%s has whole lists, and nobody wanted them", m.Name)
 			}
 		})
@@ -121,24 +121,24 @@
 	for n := range maxWhole + 2 {
 		c := full(fmt.Sprint("p", n), 20, 8)
 		h.put(c.within(packet-1, true), now)
-		if m := stands(c.Name); !m.Partial() {
+		if m := stands(c.Name); !m.IsPartial() {
 			t.Fatalf("%s is whole before it is wanted", c.Name)
 		}
-		if !h.put(c, now) || stands(c.Name).Partial() || len(stands(c.Name).Drains) != thousand {
-			t.Fatalf("%s: %d drains, partial %t", c.Name, len(stands(c.Name).Drains), stands(c.Name).Partial())
+		if !h.put(c, now) || stands(c.Name).IsPartial() || len(stands(c.Name).Drains) != thousand {
+			t.Fatalf("%s: %d drains, partial %t", c.Name, len(stands(c.Name).Drains), stands(c.Name).IsPartial())
 		}
 	}
 	last := fmt.Sprint("p", maxWhole+1)
-	if m := stands("p0"); !m.Partial() || len(m.Drains) != 0 {
+	if m := stands("p0"); !m.IsPartial() || len(m.Drains) != 0 {
 		t.Errorf("%d drains are kept of the first", len(m.Drains))
 	}
 	c := full(last, 20, 8)
 	c.Seq = 2
-	if h.put(c.within(packet-1, true), now); stands(last).Partial() || len(stands(last).Drains) != thousand {
+	if h.put(c.within(packet-1, true), now); stands(last).IsPartial() || len(stands(last).Drains) != thousand {
 		t.Error("whole lists are lost with the next card")
 	}
 	c.Seq, c.Drains = 3, c.Drains[1:]
-	if h.put(c.within(packet-1, true), now); !stands(last).Partial() {
+	if h.put(c.within(packet-1, true), now); !stands(last).IsPartial() {
 		t.Error("other lists are taken for whole")
 	}
 }
@@ -148,14 +148,14 @@
 	var h heard
 	now := time.Now()
 	for n := range MaxMembers {
-		if !h.put(Card{Name: fmt.Sprint("p", n), Life: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
+		if !h.put(MemberState{Name: fmt.Sprint("p", n), Incarnation: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
 			t.Fatalf("member %d is not taken", n)
 		}
 	}
-	if h.put(Card{Name: "new", Life: 1}, now) {
+	if h.put(MemberState{Name: "new", Incarnation: 1}, now) {
 		t.Error("one more is taken while all are there")
 	}
-	if now = now.Add(goneAfter + 10*time.Millisecond); !h.put(Card{Name: "new", Life: 1}, now) || len(h.cards) != MaxMembers {
+	if now = now.Add(goneAfter + 10*time.Millisecond); !h.put(MemberState{Name: "new", Incarnation: 1}, now) || len(h.cards) != MaxMembers {
 		t.Error("one that comes is not taken, though others are gone")
 	}
 	if _, stays := h.cards["p0"]; stays {
@@ -178,8 +178,8 @@
 	c := full("p0", 20, 8)
 	for range 20 {
 		c.Seq++
-		p.Tell(c)
-		p.Signal(make([]byte, 256))
+		p.PublishState(c)
+		p.Broadcast(make([]byte, 256))
 	}
 	for n := range 1000 { // As many asks for a lease as come to who leads at once, each granted.
 		if err := p.Send(fmt.Sprint("p", 1+n), make([]byte, 200)); err != nil {
--- a/bootclock/bootclock.go
+++ b/monotime/bootclock.go
@@ -1,6 +1,6 @@
 // Package bootclock is the machine's clock since it was started: it is the same for all processes, goes on while they or the machine
 // stand still, and is not stepped with the wall clock. Spans between processes are told by it.
-package bootclock
+package monotime
 
 import (
 	"bytes"
@@ -22,7 +22,7 @@
 }
 
 // ID names this start of the machine; "" where the system does not tell. Times of Now under another one mean nothing.
-var ID = sync.OnceValue(func() string {
+var BootID = sync.OnceValue(func() string {
 	text, err := os.ReadFile(idFile)
 	if err != nil {
 		return ""
--- a/outage/outage.go
+++ b/outage/outage.go
@@ -61,7 +61,7 @@
 }
 
 // Answered takes an answer of any kind, a rejection too, from a server of the zone.
-func (d *Detector) Answered(index int, now int64) {
+func (d *Detector) RecordResponse(index int, now int64) {
 	z := d.at(index)
 	z.count(0)
 	z.series, z.answeredAt = z.series[:0], now
@@ -69,7 +69,7 @@
 }
 
 // Failed takes an attempt without an answer: no connection came up, or nothing came in time.
-func (d *Detector) Failed(index, server int, now int64) {
+func (d *Detector) RecordFailure(index, server int, now int64) {
 	z := d.at(index)
 	z.count(1)
 	if len(z.series) == 0 {
@@ -91,7 +91,7 @@
 
 // Suspects tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one
 // of these has answered since it began.
-func (d *Detector) Suspects(index int) bool { return d.at(index).suspected }
+func (d *Detector) IsSuspected(index int) bool { return d.at(index).suspected }
 
 // seemsLost works out what Suspects tells, for a place in zones.
 func (d *Detector) seemsLost(place int) bool {
@@ -112,8 +112,8 @@
 
 // Avoids tells whether a request should go elsewhere, for a random draw from 0 to 1: a suspected zone is tried again
 // with a probability that grows with the time since its last failure, and more slowly the more servers have failed.
-func (d *Detector) Avoids(index int, now int64, draw float64) bool {
-	if !d.Suspects(index) {
+func (d *Detector) ShouldAvoid(index int, now int64, draw float64) bool {
+	if !d.IsSuspected(index) {
 		return false
 	}
 	z := d.at(index)
--- a/outage/outage_test.go
+++ b/outage/outage_test.go
@@ -16,70 +16,70 @@
 		"nothing known": {func(d *Detector) {}, false},
 		"three servers fail in a row while others answer": {func(d *Detector) {
 			for server := range 3 {
-				d.Failed(here, server, 2*ms)
-				d.Answered(there, 3*ms)
+				d.RecordFailure(here, server, 2*ms)
+				d.RecordResponse(there, 3*ms)
 			}
 		}, true},
 		"one server fails again and again": {func(d *Detector) {
 			for range 20 {
-				d.Failed(here, 7, 2*ms)
-				d.Answered(there, 3*ms)
+				d.RecordFailure(here, 7, 2*ms)
+				d.RecordResponse(there, 3*ms)
 			}
 		}, false},
 		"an answer comes between": {func(d *Detector) {
 			for server := range 20 {
-				d.Failed(here, server, 2*ms)
-				d.Answered(there, 3*ms)
+				d.RecordFailure(here, server, 2*ms)
+				d.RecordResponse(there, 3*ms)
 				if server%2 == 0 {
-					d.Answered(here, 3*ms)
+					d.RecordResponse(here, 3*ms)
 				}
 			}
 		}, false},
 		"nobody answers": {func(d *Detector) {
-			d.Answered(there, ms)
+			d.RecordResponse(there, ms)
 			for server := range 20 {
-				d.Failed(here, server, 2*ms)
-				d.Failed(there, 100+server, 2*ms)
+				d.RecordFailure(here, server, 2*ms)
+				d.RecordFailure(there, 100+server, 2*ms)
 			}
 		}, false},
 		"all fail as often": {func(d *Detector) {
 			for server := range 60 {
-				d.Failed(there, 100+server, 2*ms)
-				d.Answered(there, 3*ms)
+				d.RecordFailure(there, 100+server, 2*ms)
+				d.RecordResponse(there, 3*ms)
 			}
 			for server := range 3 {
-				d.Failed(here, server, 4*ms)
+				d.RecordFailure(here, server, 4*ms)
 			}
-			d.Answered(there, 5*ms)
+			d.RecordResponse(there, 5*ms)
 		}, false},
 		"two are enough where the others hardly ever fail": {func(d *Detector) {
 			for range 200 {
-				d.Answered(there, ms)
+				d.RecordResponse(there, ms)
 			}
-			d.Failed(here, 1, 2*ms)
-			d.Failed(here, 2, 2*ms)
-			d.Answered(there, 3*ms)
+			d.RecordFailure(here, 1, 2*ms)
+			d.RecordFailure(here, 2, 2*ms)
+			d.RecordResponse(there, 3*ms)
 		}, true},
 		"two zones are lost at a time": {func(d *Detector) {
 			for range 30 {
-				d.Answered(2, ms)
+				d.RecordResponse(2, ms)
 			}
 			for server := range 2 {
-				d.Failed(here, server, 2*ms)
-				d.Failed(3, 100+server, 2*ms)
-				d.Answered(2, 3*ms)
+				d.RecordFailure(here, server, 2*ms)
+				d.RecordFailure(3, 100+server, 2*ms)
+				d.RecordResponse(2, 3*ms)
 			}
 		}, true},
 		"no zones": {func(d *Detector) {
 			for server := range 20 {
-				d.Failed(-1, server, 2*ms)
+				d.RecordFailure(-1, server, 2*ms)
 			}
 		}, false},
 	} {
 		d := New(3 * second)
 		c.play(d)
-		if d.Suspects(here) != c.suspects || d.Suspects(there) {
-			t.Errorf("%s: suspects %t, the other zone %t", name, d.Suspects(here), d.Suspects(there))
+		if d.IsSuspected(here) != c.suspects || d.IsSuspected(there) {
+			t.Errorf("%s: suspects %t, the other zone %t", name, d.IsSuspected(here), d.IsSuspected(there))
 		}
 	}
 }
@@ -87,20 +87,20 @@
 func TestASuspectedZoneIsTriedAgain(t *testing.T) {
 	d := New(3 * second)
 	for server := range 5 {
-		d.Failed(0, server, second)
-		d.Answered(1, second+ms)
+		d.RecordFailure(0, server, second)
+		d.RecordResponse(1, second+ms)
 	}
 	for _, c := range []struct {
 		after  int64
 		draw   float64
 		avoids bool
 	}{{0, 0.999, true}, {5 * second, 0.5, true}, {5 * second, 0.8, false}, {150 * second, 0.01, false}} {
-		if d.Avoids(0, second+c.after, c.draw) != c.avoids {
+		if d.ShouldAvoid(0, second+c.after, c.draw) != c.avoids {
 			t.Errorf("%d s after the last failure, draw %g: avoids is %t", c.after/second, c.draw, !c.avoids)
 		}
 	}
-	d.Answered(0, 2*second)
-	if d.Avoids(0, 2*second, 0) {
+	d.RecordResponse(0, 2*second)
+	if d.ShouldAvoid(0, 2*second, 0) {
 		t.Error("avoided though it has answered")
 	}
 }
@@ -114,11 +114,11 @@
 			zone, now := int(x>>33)%3, int64(n)*ms
 			x = x*6364136223846793005 + 1442695040888963407
 			if float64(x>>11)/(1<<53) < rate {
-				d.Failed(zone, n, now)
+				d.RecordFailure(zone, n, now)
 			} else {
-				d.Answered(zone, now)
+				d.RecordResponse(zone, now)
 			}
-			if d.Suspects(zone) {
+			if d.IsSuspected(zone) {
 				alarms++
 			}
 		}
--- a/signals/heed.go
+++ b/outlier/heed.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 }
 
 // said gathers what this balancer saw and what others said no longer ago than that.
-func (b *Board) said(now int64, h *host, lately int64) (e evidence) {
+func (b *Detector) said(now int64, h *host, lately int64) (e evidence) {
 	b.set.clear()
 	count := func(zone uint16, run int, first, failed int64) {
 		if run == 0 || now-failed >= lately || failed < h.good {
@@ -44,7 +44,7 @@
 
 // agrees tells whether several agree that a host fails: two at least, of two zones where the fleet has more, and beyond what chance explains.
 // With failures as rare as f, so many in a row at so many of n balancers come about by chance at f^runs n^witnesses of the hosts.
-func (b *Board) agrees(e evidence) bool {
+func (b *Detector) agrees(e evidence) bool {
 	return e.witnesses >= 2 && e.zones >= min(2, b.zones) &&
 		float64(e.runs)*math.Log(1/b.rare()) >= float64(e.witnesses)*math.Log(float64(len(b.all)))+math.Log(unlikely*float64(b.listed+1))
 }
@@ -52,7 +52,7 @@
 // settles is when somebody whose word counts here saw the host settle last: this one, one of its zone, or anybody since it failed for this zone
 // last. So a zone that only its own balancers reach goes on for them, and one that others do not reach is left by these, but for a try
 // now and then. elsewhere is when somebody of another zone did.
-func (b *Board) settles(h *host, near int64) (last, elsewhere int64) {
+func (b *Detector) settles(h *host, near int64) (last, elsewhere int64) {
 	last = h.good
 	for _, w := range h.words {
 		switch {
@@ -67,7 +67,7 @@
 }
 
 // Look makes up what is heeded, at each turn of the caller's clock and whenever something came.
-func (b *Board) Look(now int64) {
+func (b *Detector) Tick(now int64) {
 	b.heeding, b.kept = 0, 0
 	for id, h := range b.active {
 		h.words = slices.DeleteFunc(h.words, func(w heard) bool { return now-w.failed > 2*Lasts && now-w.at > 2*Lasts })
@@ -82,7 +82,7 @@
 	}
 }
 
-func (b *Board) heed(now int64, id uint32, h *host) {
+func (b *Detector) heed(now int64, id uint32, h *host) {
 	e := b.said(now, h, freshFor)
 	good, _ := b.settles(h, e.near)
 	agree := good < e.newest && b.agrees(e)
@@ -113,7 +113,7 @@
 }
 
 // Part is what others' word takes from a host's chance, here and now: none where this balancer saw it settle since, Try where it has the turn.
-func (b *Board) Part(now int64, id uint32) float64 {
+func (b *Detector) Part(now int64, id uint32) float64 {
 	h := b.hosts[id]
 	switch {
 	case h == nil || h.since == 0, h.good > h.since, float64(b.heeding) > mostHeeded*float64(b.listed):
@@ -131,7 +131,7 @@
 }
 
 // Sent tells that a trip goes to a host, and gives its part from then on: who has the turn tries once.
-func (b *Board) Sent(now int64, id uint32) (part float64, heeded bool) {
+func (b *Detector) RecordAttempt(now int64, id uint32) (part float64, heeded bool) {
 	h := b.active[id]
 	if h == nil || h.since == 0 {
 		return 0, false
@@ -145,7 +145,7 @@
 // step more the second; a failure has all wait anew. So one that is dead, or has nothing to send, is passed over within a step, and two
 // try at once only where a word takes longer than a step. Who failed there last stands last in the order: one with a broken cable does not
 // keep a host from all. Where a host settles for another zone, the first of this one may try at once.
-func (b *Board) turn(now int64, id uint32, h *host) bool {
+func (b *Detector) turn(now int64, id uint32, h *host) bool {
 	e := b.said(now, h, 2*Lasts)
 	_, elsewhere := b.settles(h, e.near)
 	own, failed := mix(id, b.me.ID), map[uint32]int64{}
@@ -178,7 +178,7 @@
 
 // Misses takes how many reads of this balancer came and missed since the start, and tells whether reads miss for all: a third of the members say so, two at
 // least, of two zones where there are more. One alone has lost its own, as after a restart. It lasts two seconds, and until fewer say so.
-func (b *Board) Misses(now int64, reads, misses int) bool {
+func (b *Detector) UpdateMissRate(now int64, reads, misses int) bool {
 	fades := math.Exp(-float64(now-b.countedAt) / float64(missOver))
 	if b.countedAt == 0 {
 		fades = 0
@@ -220,7 +220,7 @@
 }
 
 // place is where this balancer stands among all, for a host: evenly from 0 to 1.
-func (b *Board) place(id uint32) float64 {
+func (b *Detector) place(id uint32) float64 {
 	own, before := mix(^id, b.me.ID), 0
 	for _, m := range b.all {
 		if other := mix(^id, m.ID); other > own || other == own && m.ID < b.me.ID {
@@ -234,7 +234,7 @@
 const Try = -1.0
 
 // Heeded gives the hosts that are held back here or have been until now, with what is taken from each.
-func (b *Board) Heeded(now int64, of func(id uint32, part float64)) {
+func (b *Detector) EachEjection(now int64, of func(id uint32, part float64)) {
 	for id, h := range b.active {
 		if h.since != 0 || h.ended != 0 && now-h.ended < Lasts+mostBack {
 			of(id, b.Part(now, id))
@@ -252,27 +252,27 @@
 }
 
 // Stands is how one host stands, for people.
-type Stands struct {
-	Host      uint32  `json:"-"`
-	Name      string  `json:"host"`
-	Witnesses int     `json:"witnesses"`
-	Zones     int     `json:"zones"`
-	Runs      int     `json:"failures_in_a_row"`
-	Own       int     `json:"own_failures_in_a_row"`
-	Heeded    bool    `json:"heeded"`
-	Turn      bool    `json:"turn"`
-	Part      float64 `json:"part"`
-	ForMS     int64   `json:"for_ms"`
+type EndpointStatus struct {
+	ID                     uint32  `json:"-"`
+	Endpoint               string  `json:"host"`
+	Witnesses              int     `json:"witnesses"`
+	Zones                  int     `json:"zones"`
+	ConsecutiveFailures    int     `json:"failures_in_a_row"`
+	OwnConsecutiveFailures int     `json:"own_failures_in_a_row"`
+	Ejected                bool    `json:"heeded"`
+	Turn                   bool    `json:"turn"`
+	Part                   float64 `json:"part"`
+	ForMS                  int64   `json:"for_ms"`
 }
 
 // Status gives the hosts of which anybody says something.
-func (b *Board) Status(now int64) (all []Stands) {
+func (b *Detector) Status(now int64) (all []EndpointStatus) {
 	for id, h := range b.active {
 		e := b.said(now, h, Lasts)
 		if e.witnesses == 0 && h.since == 0 {
 			continue
 		}
-		s := Stands{Host: id, Witnesses: e.witnesses, Zones: e.zones, Runs: e.runs, Own: h.run, Heeded: h.since != 0, Turn: h.since != 0 && b.turn(now, id, h), Part: math.Round(b.Part(now, id)*100) / 100}
+		s := EndpointStatus{ID: id, Witnesses: e.witnesses, Zones: e.zones, ConsecutiveFailures: e.runs, OwnConsecutiveFailures: h.run, Ejected: h.since != 0, Turn: h.since != 0 && b.turn(now, id, h), Part: math.Round(b.Part(now, id)*100) / 100}
 		if h.since != 0 {
 			s.ForMS = (now - h.since) / ms
 		}
--- a/signals/signals.go
+++ b/outlier/signals.go
@@ -5,7 +5,7 @@
 // What it promises: nothing that was heard is told on as seen; merging does not depend on the order of messages, on repeats, or on lost ones
 // for longer than a repeat takes; a message is 256 bytes at most, and all that is kept has a bound; and where nobody speaks, no host is
 // held back for longer than Lasts.
-package signals
+package outlier
 
 import (
 	"cmp"
@@ -18,38 +18,38 @@
 )
 
 const (
-	ms           = int64(1e6)
-	MostBytes    = 256              // of a message
-	mostWords    = 18               // in one
-	mostHosts    = 1 << 13          // known here
-	MaxMembers   = 4096             // that may speak
-	sureHeard    = 64               // words of each host are kept in any case,
-	maxHeard     = 1024 * sureHeard // and as many as there are members as long as all have no more than that
-	mostRun      = 200              // failures in a row that are told
-	freshFor     = 3000 * ms        // how old a failure may be to begin with
-	Lasts        = 15000 * ms       // and to go on: longer than who has the turn takes to try again
-	repeatAfter  = 500 * ms
-	betweenWords = 50 * ms   // two messages
-	goodTold     = 4         // so often that a host settles again is told
-	leastRamp    = 200 * ms  // over which all leave
-	backOver     = 1000 * ms // and come back
-	mostBack     = 16000 * ms
-	calm         = 20000 * ms // without a relapse: the next return is as the first
-	mostPart     = 1.0        // that others' word takes from a host's chance: with less, a busy fleet would try it all the while
-	mostHeeded   = 0.4        // of the hosts: more, and what fails is behind all of them
-	leastWait    = 1000 * ms  // before a host that all have left is tried again
-	mostWait     = 8000 * ms
-	leastStep    = 500 * ms  // after which one with the turn that does not use it is passed over
-	mostCounts   = 4         // of one witness's failures in a row
-	mostRare     = 0.001     // no balancer knows better than that how rare failures are
-	unlikely     = 1000.0    // so many times as many hosts would have to be watched until chance alone takes one from all
-	worthTelling = 0.01      // where failures are rarer than that, one alone is told
-	missLeast    = 0.25      // of the reads: so many misses are told
-	missMany     = 0.4       // and of so many at a third of the members, reads are said to miss for all
-	missOver     = 500 * ms  // the time that is looked at
-	missReads    = 10.0      // and the reads that are needed for the whole part
-	missFor      = 2000 * ms // at least
-	tripsKept    = 2000.0    // over which the rate of failures is known
+	ms              = int64(1e6)
+	MaxMessageBytes = 256              // of a message
+	mostWords       = 18               // in one
+	mostHosts       = 1 << 13          // known here
+	MaxMembers      = 4096             // that may speak
+	sureHeard       = 64               // words of each host are kept in any case,
+	maxHeard        = 1024 * sureHeard // and as many as there are members as long as all have no more than that
+	mostRun         = 200              // failures in a row that are told
+	freshFor        = 3000 * ms        // how old a failure may be to begin with
+	Lasts           = 15000 * ms       // and to go on: longer than who has the turn takes to try again
+	repeatAfter     = 500 * ms
+	betweenWords    = 50 * ms   // two messages
+	goodTold        = 4         // so often that a host settles again is told
+	leastRamp       = 200 * ms  // over which all leave
+	backOver        = 1000 * ms // and come back
+	mostBack        = 16000 * ms
+	calm            = 20000 * ms // without a relapse: the next return is as the first
+	mostPart        = 1.0        // that others' word takes from a host's chance: with less, a busy fleet would try it all the while
+	mostHeeded      = 0.4        // of the hosts: more, and what fails is behind all of them
+	leastWait       = 1000 * ms  // before a host that all have left is tried again
+	mostWait        = 8000 * ms
+	leastStep       = 500 * ms  // after which one with the turn that does not use it is passed over
+	mostCounts      = 4         // of one witness's failures in a row
+	mostRare        = 0.001     // no balancer knows better than that how rare failures are
+	unlikely        = 1000.0    // so many times as many hosts would have to be watched until chance alone takes one from all
+	worthTelling    = 0.01      // where failures are rarer than that, one alone is told
+	missLeast       = 0.25      // of the reads: so many misses are told
+	missMany        = 0.4       // and of so many at a third of the members, reads are said to miss for all
+	missOver        = 500 * ms  // the time that is looked at
+	missReads       = 10.0      // and the reads that are needed for the whole part
+	missFor         = 2000 * ms // at least
+	tripsKept       = 2000.0    // over which the rate of failures is known
 )
 
 // Sign is what the end of a trip tells of its host.
@@ -57,14 +57,14 @@
 
 // The signs. Refused: no connection came about, which tells as much as two failures.
 const (
-	Nothing Sign = iota
+	Inconclusive Sign = iota
 	Settles
 	Fails
 	Refuses
 )
 
 // Of reads the end of a trip: one that was called off tells of its host only if it had taken long.
-func Of(how policy.Outcome, took, expected int64) Sign {
+func Classify(how policy.Outcome, took, expected int64) Sign {
 	switch how {
 	case policy.OK, policy.Missing:
 		return Settles
@@ -77,7 +77,7 @@
 			return Fails
 		}
 	}
-	return Nothing
+	return Inconclusive
 }
 
 // Word is what one balancer saw of one host.
@@ -108,7 +108,7 @@
 }()
 
 // Pack is a message's form between processes.
-func (m *Message) Pack() []byte {
+func (m *Message) Encode() []byte {
 	bytes, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err) // Its type is our own.
@@ -117,9 +117,9 @@
 }
 
 // Unpack takes no message that is not whole and within bounds.
-func Unpack(bytes []byte) (*Message, error) {
+func DecodeMessage(bytes []byte) (*Message, error) {
 	m := &Message{}
-	if len(bytes) > MostBytes {
+	if len(bytes) > MaxMessageBytes {
 		return nil, errLarge
 	}
 	if err := strict.Unmarshal(bytes, m); err != nil {
@@ -132,7 +132,7 @@
 }
 
 // ID is the number that a name has in signals. Two names may have one, once in some billions of pairs: they share what is said of them then.
-func ID(name string) uint32 {
+func HashName(name string) uint32 {
 	of := fnv.New32a()
 	of.Write([]byte(name))
 	return of.Sum32()
@@ -145,7 +145,7 @@
 }
 
 // NoZone is a zone that nobody knows. No zone has this number; versions before know no larger one.
-const NoZone = 255
+const UnknownZone = 255
 
 // heard is the last word of one member on one host.
 type heard struct {
@@ -181,7 +181,7 @@
 }
 
 // Board is what one balancer saw and heard.
-type Board struct {
+type Detector struct {
 	me                    Member
 	life                  uint64
 	seq                   uint32
@@ -207,18 +207,18 @@
 	since                 int64
 	heeding               int
 
-	Told, Took, Late, Odd int // messages: told, taken, older than one taken before, from nobody known
+	MessagesSent, MessagesAccepted, MessagesStale, MessagesFromUnknown int // messages: told, taken, older than one taken before, from nobody known
 }
 
 // New begins a board with nothing known. life tells it from an earlier one of the same id: it is larger.
-func New(me Member, life uint64) *Board {
-	b := &Board{me: me, life: life, hosts: map[uint32]*host{}, active: map[uint32]*host{}, spoke: map[uint32]member{}}
-	b.Members(nil)
+func New(me Member, life uint64) *Detector {
+	b := &Detector{me: me, life: life, hosts: map[uint32]*host{}, active: map[uint32]*host{}, spoke: map[uint32]member{}}
+	b.SetMembers(nil)
 	return b
 }
 
 // Members says who may speak: those heard lately, or all that are known to be. This one need not be among them.
-func (b *Board) Members(all []Member) {
+func (b *Detector) SetMembers(all []Member) {
 	b.all = append(b.all[:0], b.me)
 	for _, m := range all {
 		if m.ID != b.me.ID && len(b.all) < MaxMembers {
@@ -234,18 +234,18 @@
 }
 
 // inZones counts the zones that members are known to be in.
-func (b *Board) inZones() {
+func (b *Detector) inZones() {
 	b.set.clear()
 	b.zones = 0
 	for _, m := range b.all {
-		if m.Zone != NoZone && b.set.add(m.Zone) {
+		if m.Zone != UnknownZone && b.set.add(m.Zone) {
 			b.zones++
 		}
 	}
 }
 
 // hush forgets the words of those who are no members any more, where members are known one by one.
-func (b *Board) hush() {
+func (b *Detector) hush() {
 	gone := func(id uint32) bool { _, is := b.index[id]; return !is }
 	for id := range b.spoke {
 		if gone(id) {
@@ -258,7 +258,7 @@
 }
 
 // Hosts says which hosts there are: of others nothing is kept.
-func (b *Board) Hosts(ids []uint32) {
+func (b *Detector) SetEndpoints(ids []uint32) {
 	b.listed = min(len(ids), mostHosts)
 	is := map[uint32]bool{}
 	for _, id := range ids[:b.listed] {
@@ -276,12 +276,12 @@
 }
 
 // Saw takes what a trip of this balancer told of its host.
-func (b *Board) Saw(now int64, id uint32, what Sign) {
+func (b *Detector) Observe(now int64, id uint32, what Sign) {
 	h := b.hosts[id]
 	if h == nil {
 		return
 	}
-	if what != Nothing && h.since == 0 {
+	if what != Inconclusive && h.since == 0 {
 		b.failed, b.trips = b.failed*(1-1/tripsKept), b.trips*(1-1/tripsKept)+1
 		if what != Settles {
 			b.failed++
@@ -304,10 +304,10 @@
 }
 
 // rare is how often a trip fails at hosts that nobody calls failing: what chance explains.
-func (b *Board) rare() float64 { return max(mostRare, (b.failed+0.5)/(b.trips+100)) }
+func (b *Detector) rare() float64 { return max(mostRare, (b.failed+0.5)/(b.trips+100)) }
 
 // worth is how many failures in a row are worth telling.
-func (b *Board) worth() int {
+func (b *Detector) worth() int {
 	if b.rare() <= worthTelling {
 		return 1
 	}
@@ -315,18 +315,18 @@
 }
 
 // Hear takes a message. Repeats, and what is older than one taken before, change nothing.
-func (b *Board) Hear(now int64, m *Message) {
+func (b *Detector) HandleMessage(now int64, m *Message) {
 	from, was := b.index[m.From], b.spoke[m.From]
 	switch {
 	case from == 0: // Nobody known, or this one.
-		b.Odd++
+		b.MessagesFromUnknown++
 		return
 	case m.Life < was.life || m.Life == was.life && m.Seq <= was.seq:
-		b.Late++
+		b.MessagesStale++
 		return
 	}
-	b.Took++
-	if b.all[from].Zone == NoZone && m.Zone != NoZone {
+	b.MessagesAccepted++
+	if b.all[from].Zone == UnknownZone && m.Zone != UnknownZone {
 		b.all[from].Zone = m.Zone
 		b.inZones()
 	}
@@ -343,7 +343,7 @@
 }
 
 // hold keeps a word on a host, in place of the member's last one. Where there are too many the one that was heard longest ago gives way.
-func (b *Board) hold(h *host, word heard) {
+func (b *Detector) hold(h *host, word heard) {
 	byMember := func(w heard, from uint32) int { return cmp.Compare(w.from, from) }
 	at, known := slices.BinarySearchFunc(h.words, word.from, byMember)
 	if known {
@@ -369,10 +369,10 @@
 }
 
 // Delay says how long signals take here, as far as that is known: leaving and coming back are spread over four times that.
-func (b *Board) Delay(of int64) { b.delay = min(max(0, of), 4000*ms) }
+func (b *Detector) SetMessageDelay(of int64) { b.delay = min(max(0, of), 4000*ms) }
 
 // failing is how many hosts fail here, one trip after another.
-func (b *Board) failing(now int64) (n int) {
+func (b *Detector) failing(now int64) (n int) {
 	for _, h := range b.active {
 		if h.run > 0 && now-h.failed < Lasts {
 			n++
@@ -382,7 +382,7 @@
 }
 
 // Tell gives the message that is due, if one is: at once when something changed, again while it is so, and none while all is well.
-func (b *Board) Tell(now int64) *Message {
+func (b *Detector) NextMessage(now int64) *Message {
 	if now-b.told < betweenWords || !b.urgent && now-b.told < repeatAfter {
 		return nil
 	}
@@ -409,13 +409,13 @@
 	b.first(now, m)
 	b.seq++
 	m.Seq, b.told = b.seq, now
-	b.Told++
+	b.MessagesSent++
 	return m
 }
 
 // first keeps as many words as a message holds: those that were told longest ago or never, the freshest of these first. Where one is left out that says
 // more than was told of its host, the next message is due at once.
-func (b *Board) first(now int64, m *Message) {
+func (b *Detector) first(now int64, m *Message) {
 	slices.SortFunc(m.Words, func(x, y Word) int { // Ties by host, so that a run can be repeated.
 		return cmp.Or(cmp.Compare(b.hosts[x.Host].toldAt, b.hosts[y.Host].toldAt), cmp.Compare(x.Age, y.Age), cmp.Compare(x.Host, y.Host))
 	})
--- a/signals/signals_test.go
+++ b/outlier/signals_test.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	t       testing.TB
 	chance  *rand.Rand
 	now     int64
-	boards  []*Board
+	boards  []*Detector
 	alive   []bool
 	hosts   []uint32
 	fails   []float64 // by host: the chance that a trip fails
@@ -48,8 +48,8 @@
 	}
 	for _, m := range all {
 		b := New(m, 1)
-		b.Members(all)
-		b.Hosts(w.hosts)
+		b.SetMembers(all)
+		b.SetEndpoints(w.hosts)
 		w.boards, w.alive, w.broken = append(w.boards, b), append(w.alive, true), append(w.broken, false)
 	}
 	return w
@@ -76,12 +76,12 @@
 			rest = append(rest, f)
 			continue
 		}
-		m, err := Unpack(f.what)
+		m, err := DecodeMessage(f.what)
 		if err != nil {
 			w.t.Fatal(err)
 		}
 		if w.alive[f.to] {
-			w.boards[f.to].Hear(w.now, m)
+			w.boards[f.to].HandleMessage(w.now, m)
 		}
 	}
 	w.flying = rest
@@ -89,9 +89,9 @@
 		if !w.alive[n] {
 			continue
 		}
-		b.Look(w.now)
-		if m := b.Tell(w.now); m != nil {
-			if bytes := m.Pack(); len(bytes) > MostBytes {
+		b.Tick(w.now)
+		if m := b.NextMessage(w.now); m != nil {
+			if bytes := m.Encode(); len(bytes) > MaxMessageBytes {
 				w.t.Fatalf("%d bytes", len(bytes))
 			}
 			if w.liar == n {
@@ -99,7 +99,7 @@
 					m.Words[i].Run = 200
 				}
 			}
-			w.send(n, m.Pack())
+			w.send(n, m.Encode())
 		}
 		for todo := trips; todo > 0; todo-- {
 			if w.chance.Float64() >= todo {
@@ -112,14 +112,14 @@
 			if w.chance.Float64() < part || part >= 0 && h.run >= 2 && w.now-h.failed < 3000*ms && w.chance.Float64() < 0.9 {
 				continue
 			}
-			b.Sent(w.now, id)
+			b.RecordAttempt(w.now, id)
 			if w.chance.Float64() < w.fails[at] || w.broken[n] {
 				if w.fails[at] > 0 {
 					w.bad++
 				}
-				b.Saw(w.now, id, Fails)
+				b.Observe(w.now, id, Fails)
 			} else {
-				b.Saw(w.now, id, Settles)
+				b.Observe(w.now, id, Settles)
 			}
 		}
 	}
@@ -230,7 +230,7 @@
 	}
 	// The first three in its order are gone, and nobody knows yet: it is found well all the same.
 	at := slices.Clone(w.boards)
-	slices.SortFunc(at, func(x, y *Board) int {
+	slices.SortFunc(at, func(x, y *Detector) int {
 		if mix(w.hosts[5], x.me.ID) > mix(w.hosts[5], y.me.ID) {
 			return -1
 		}
@@ -277,12 +277,12 @@
 				members = append(members, Member{uint32(id + 1), uint16(id % 2)})
 			}
 			b := New(members[0], 1)
-			b.Members(members)
-			b.Hosts([]uint32{1000, 1001, 1002, 1003, 1004})
+			b.SetMembers(members)
+			b.SetEndpoints([]uint32{1000, 1001, 1002, 1003, 1004})
 			for _, m := range order {
-				b.Hear(1e12, m)
+				b.HandleMessage(1e12, m)
 			}
-			b.Look(1e12)
+			b.Tick(1e12)
 			text := ""
 			for h := range 5 {
 				text += fmt.Sprint(b.hosts[uint32(1000+h)].since != 0, " ")
@@ -305,7 +305,7 @@
 		w := newTown(t, 6, 40, 24, 1)
 		w.delay = delay
 		for _, b := range w.boards {
-			b.Delay(delay * 3 / 2)
+			b.SetMessageDelay(delay * 3 / 2)
 		}
 		w.fails[7] = 1
 		w.run(8000*ms+4*delay, 1)
@@ -355,8 +355,8 @@
 				case 7: // A new life, which knows nothing.
 					old := w.boards[n]
 					w.boards[n] = New(old.me, old.life+1)
-					w.boards[n].Members(old.all)
-					w.boards[n].Hosts(w.hosts)
+					w.boards[n].SetMembers(old.all)
+					w.boards[n].SetEndpoints(w.hosts)
 				}
 			}
 			var before [64][16]int64
@@ -408,27 +408,27 @@
 		for id := range uint32(12) {
 			all = append(all, Member{id + 1, uint16(id % 3)})
 		}
-		b.Members(all)
+		b.SetMembers(all)
 		now := int64(1e12)
 		for seq := range uint32(2) {
 			for _, from := range c.from {
-				b.Hear(now, &Message{From: from, Life: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), Miss: 60})
+				b.HandleMessage(now, &Message{From: from, Life: 1, Seq: seq + 1, Zone: uint16((from - 1) % 3), Miss: 60})
 			}
 		}
 		own := 10
 		if len(c.from) == 3 && !c.is {
 			own = 90 // Of the same zone as these.
 		}
-		if is := b.Misses(now, 100, own); is != c.is {
+		if is := b.UpdateMissRate(now, 100, own); is != c.is {
 			t.Errorf("%v: %t", c.from, is)
 		}
-		if b.Misses(now+missFor+1, 300, own+20) {
+		if b.UpdateMissRate(now+missFor+1, 300, own+20) {
 			t.Errorf("%v: it does not end", c.from)
 		}
 	}
 	b := New(Member{1, 0}, 1)
-	b.Misses(1e12, 100, 50)
-	if m := b.Tell(1e12); m == nil || m.Miss != 50 || len(m.Pack()) > 40 {
+	b.UpdateMissRate(1e12, 100, 50)
+	if m := b.NextMessage(1e12); m == nil || m.Miss != 50 || len(m.Encode()) > 40 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -436,32 +436,32 @@
 // A life that is over does not speak for the one after it.
 func TestLatePastLives(t *testing.T) {
 	b := New(Member{1, 0}, 1)
-	b.Members([]Member{{2, 0}, {3, 0}})
-	b.Hosts([]uint32{1000})
-	b.Hear(1e12, &Message{From: 2, Life: 5, Seq: 1, Words: []Word{{Host: 1000, Run: 0}}})
-	b.Hear(1e12, &Message{From: 2, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
-	b.Hear(1e12, &Message{From: 9, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
-	b.Hear(1e12, &Message{From: 1, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
-	if b.Took != 1 || b.Late != 1 || b.Odd != 2 {
-		t.Errorf("%d taken, %d late, %d of nobody", b.Took, b.Late, b.Odd)
+	b.SetMembers([]Member{{2, 0}, {3, 0}})
+	b.SetEndpoints([]uint32{1000})
+	b.HandleMessage(1e12, &Message{From: 2, Life: 5, Seq: 1, Words: []Word{{Host: 1000, Run: 0}}})
+	b.HandleMessage(1e12, &Message{From: 2, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
+	b.HandleMessage(1e12, &Message{From: 9, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
+	b.HandleMessage(1e12, &Message{From: 1, Life: 4, Seq: 9, Words: []Word{{Host: 1000, Run: 9}}})
+	if b.MessagesAccepted != 1 || b.MessagesStale != 1 || b.MessagesFromUnknown != 2 {
+		t.Errorf("%d taken, %d late, %d of nobody", b.MessagesAccepted, b.MessagesStale, b.MessagesFromUnknown)
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add((&Message{From: 7, Life: 1 << 40, Seq: 3, Zone: 2, Words: []Word{{Host: 9, Run: 2, Age: 40}}}).Pack())
+	f.Add((&Message{From: 7, Life: 1 << 40, Seq: 3, Zone: 2, Words: []Word{{Host: 9, Run: 2, Age: 40}}}).Encode())
 	f.Add([]byte{0x85, 0xff})
 	f.Fuzz(func(t *testing.T, bytes []byte) {
-		m, err := Unpack(bytes)
+		m, err := DecodeMessage(bytes)
 		if err != nil {
 			return
 		}
 		b := New(Member{1, 0}, 1)
-		b.Members([]Member{{m.From, 0}})
+		b.SetMembers([]Member{{m.From, 0}})
 		for _, w := range m.Words {
-			b.Hosts([]uint32{w.Host})
+			b.SetEndpoints([]uint32{w.Host})
 		}
-		b.Hear(1e12, m)
-		b.Look(1e12)
+		b.HandleMessage(1e12, m)
+		b.Tick(1e12)
 		b.Status(1e12)
 	})
 }
--- a/signals/size_test.go
+++ b/outlier/size_test.go
@@ -1,23 +1,23 @@
-package signals
+package outlier
 
 import "testing"
 
 const thousand = 1024
 
 // thousands is a board of one among 1,024 members, each in a zone of its own, with 1,024 hosts.
-func thousands() *Board {
+func thousands() *Detector {
 	b := New(Member{1, 0}, 1)
 	var members []Member
 	var hosts []uint32
 	for n := range uint32(thousand) {
 		zone := uint16(n)
-		if zone >= NoZone {
+		if zone >= UnknownZone {
 			zone++
 		}
 		members, hosts = append(members, Member{n + 1, zone}), append(hosts, 5000+n)
 	}
-	b.Members(members)
-	b.Hosts(hosts)
+	b.SetMembers(members)
+	b.SetEndpoints(hosts)
 	return b
 }
 
@@ -28,17 +28,17 @@
 	tells := func(what Sign, fails bool) {
 		t.Helper()
 		for n := range uint32(failing) {
-			b.Saw(now, 5000+n, what)
-			b.Saw(now, 5000+n, what)
+			b.Observe(now, 5000+n, what)
+			b.Observe(now, 5000+n, what)
 		}
 		told := map[uint32]bool{}
 		for range (failing + mostWords - 1) / mostWords {
 			now += betweenWords
-			m := b.Tell(now)
+			m := b.NextMessage(now)
 			if m == nil {
 				break
 			}
-			if bytes := len(m.Pack()); bytes > MostBytes {
+			if bytes := len(m.Encode()); bytes > MaxMessageBytes {
 				t.Fatalf("a message of %d bytes", bytes)
 			}
 			for _, w := range m.Words {
@@ -53,7 +53,7 @@
 	}
 	tells(Fails, true)
 	now += betweenWords
-	if b.Tell(now); b.urgent {
+	if b.NextMessage(now); b.urgent {
 		t.Error("more is due at once, though all was told")
 	}
 	tells(Settles, false)
@@ -67,11 +67,11 @@
 		for _, host := range hosts {
 			m.Words = append(m.Words, Word{Host: host, Run: 2, Age: 10})
 		}
-		m, err := Unpack(m.Pack())
+		m, err := DecodeMessage(m.Encode())
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Hear(now, m)
+		b.HandleMessage(now, m)
 	}
 	for from := 2; from <= thousand; from++ {
 		says(from, 5000)
@@ -106,7 +106,7 @@
 	for n := range uint32(mostWords) {
 		m.Words = append(m.Words, Word{Host: 1<<32 - 1 - n, Run: mostRun, Age: 1<<16 - 1})
 	}
-	if bytes := len(m.Pack()); bytes > MostBytes {
+	if bytes := len(m.Encode()); bytes > MaxMessageBytes {
 		t.Errorf("%d bytes", bytes)
 	}
 }
--- a/signals/zones.go
+++ b/outlier/zones.go
@@ -1,4 +1,4 @@
-package signals
+package outlier
 
 // zoneSet counts different zones. Their numbers are small, so it takes as much room as there are zones, and that is used again.
 type zoneSet struct {
--- a/policy/lines.go
+++ b/policy/lines.go
@@ -93,8 +93,8 @@
 
 // suspects gathers what speaks for a key held up behind all servers: its attempts fail at one after the other.
 func (b *Balancer) suspects(now int64, r *request, s int, how Outcome) {
-	k, poor := &b.known[r.key%knownKeys], b.poor.Read(b.seen)
-	poor = (poor + 0.1) / (poor + b.fine.Read(b.seen) + 1)
+	k, poor := &b.known[r.key%knownKeys], b.poor.ValueAt(b.seen)
+	poor = (poor + 0.1) / (poor + b.fine.ValueAt(b.seen) + 1)
 	switch {
 	case how == OK && k.key == r.key:
 		k.strain = max(0, k.strain+math.Log((1-heldUp)/(1-poor)))
--- a/policy/lines_test.go
+++ b/policy/lines_test.go
@@ -193,7 +193,7 @@
 	if n := out(8); n < 8 {
 		t.Errorf("%d attempts at once for another key", n)
 	}
-	if bad := w.b.bad.Read(w.b.seen); bad > 4 {
+	if bad := w.b.bad.ValueAt(w.b.seen); bad > 4 {
 		t.Errorf("servers are blamed %.1f times for what holds up a key", bad)
 	}
 	all(8, OK)
--- a/policy/plain.go
+++ b/policy/plain.go
@@ -40,7 +40,7 @@
 // A sum fades with the clock of evidence, and so does held, an average of what is in flight.
 type (
 	sum  = decay.Sum
-	held = decay.Level
+	held = decay.Average
 )
 
 func (b *Balancer) tally(counts ...*sum) {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -11,15 +11,15 @@
 
 	"hollylever/decay"
 	"hollylever/outage"
-	"hollylever/shares"
+	"hollylever/quota"
 )
 
 const (
 	second     = int64(1e9)
-	memory     = decay.Memory     // how long what was seen counts
-	maxHoldUp  = 150 * int64(1e6) // the process may be held up for so long between a decision and what comes of it
-	margin     = 25 * int64(1e6)  // before the hard stop an answer must be out
-	enough     = 60.0             // requests: with fewer in it, memory stretches
+	memory     = decay.TimeConstant // how long what was seen counts
+	maxHoldUp  = 150 * int64(1e6)   // the process may be held up for so long between a decision and what comes of it
+	margin     = 25 * int64(1e6)    // before the hard stop an answer must be out
+	enough     = 60.0               // requests: with fewer in it, memory stretches
 	slowest    = 0.1
 	firstWidth = 3               // candidates of a key
 	widening   = 7               // a busy answer widens so many times
@@ -118,7 +118,7 @@
 	live                  []int
 	lines                 map[lineKey]*line
 	classes               []class
-	shares                *shares.Gate     // of tenants
+	shares                *quota.Limiter   // of tenants
 	outages               *outage.Detector // of zones
 	failures, out         int              // of the list, in a row; attempts in flight at ready caches
 	held                  held
@@ -170,7 +170,7 @@
 func (b *Balancer) passes(now int64) {
 	b.seen += int64(float64(now-b.now) * b.pace)
 	b.bears = min(1, b.bears+float64(now-b.now)/float64(40*second))
-	b.now, b.pace = now, min(1, max(slowest, b.asked.Read(b.seen)/enough))
+	b.now, b.pace = now, min(1, max(slowest, b.asked.ValueAt(b.seen)/enough))
 }
 
 // Listing begins a list; a Row for each entry and Listed follow.
@@ -236,7 +236,7 @@
 // Listed ends the list.
 func (b *Balancer) Listed(now int64) {
 	b.passes(now)
-	b.held.Read(b.seen, b.out)
+	b.held.Update(b.seen, b.out)
 	b.ready, b.out, b.origin, b.size, b.warm = b.ready[:0], 0, -1, 0, 0
 	b.rates, b.strains, b.heard = 0, 0, 0
 	for s := range b.servers {
@@ -288,7 +288,7 @@
 	b.live = append(b.live, i)
 	b.tally(&b.asked)
 	switch {
-	case b.shares.Rejects(tenant, b.view(), b.chance.part):
+	case b.shares.ShouldReject(tenant, b.view(), b.chance.part):
 		b.finish(now, i, OverShare)
 	case !(b.aside && write) && b.busy() && b.crowded(now, r): // Aside, writes go by the caches.
 		b.tally(&b.turned)
@@ -366,8 +366,8 @@
 // count keeps the numbers in flight.
 func (b *Balancer) count(now int64, r *request, s, by int) {
 	h := &b.servers[s]
-	h.held.Read(b.seen, h.out)
-	b.held.Read(b.seen, b.out)
+	h.held.Update(b.seen, h.out)
+	b.held.Update(b.seen, b.out)
 	r.out += by
 	h.out += by
 	if b.open(h) && s != b.origin {
@@ -379,17 +379,17 @@
 // answers are others' attempts. While few tell of it, its kind tells more, by answers, as silence is its own.
 func (b *Balancer) usually(s int) (load, each float64) {
 	h := &b.servers[s]
-	k, n := &b.kinds[h.kind], h.sent.Read(b.seen)
-	own := h.held.Read(b.seen, h.out) + busyCounts*h.busy.Read(b.seen)
+	k, n := &b.kinds[h.kind], h.sent.ValueAt(b.seen)
+	own := h.held.Update(b.seen, h.out) + busyCounts*h.busy.ValueAt(b.seen)
 	each = (own*float64(memory)/b.pace + likeKind*k.each(b.seen, b.all.each(b.seen, 0))) / (n + likeKind)
 	return own / h.size, b.filled(h, each)
 }
 
 // each is how long an attempt takes in the mean; before that is known, as long as others do.
 func (k *kind) each(seen int64, others float64) float64 {
-	busy := k.busy.Read(seen)
-	n := k.answered.Read(seen) + busy + likeKind
-	return (k.took.Read(seen) + busy*float64(memory) + likeKind*others) / n
+	busy := k.busy.ValueAt(seen)
+	n := k.answered.ValueAt(seen) + busy + likeKind
+	return (k.took.ValueAt(seen) + busy*float64(memory) + likeKind*others) / n
 }
 
 // rank puts the first width caches of a key's ranking into b.best, in its order (all: in the list's).
@@ -422,13 +422,13 @@
 
 // pick takes a candidate at random and passes over one well above the mean; all over: the least loaded.
 func (b *Balancer) pick(now int64, r *request) int {
-	ordered := b.misses.Read(b.seen) > strain*(b.reads.Read(b.seen)+1)
+	ordered := b.misses.ValueAt(b.seen) > strain*(b.reads.ValueAt(b.seen)+1)
 	n := b.rank(r.key, r.width, ordered)
-	mean := float64(b.out)/float64(max(1, len(b.ready))) + b.held.Read(b.seen, b.out)/max(1, b.size)
+	mean := float64(b.out)/float64(max(1, len(b.ready))) + b.held.Update(b.seen, b.out)/max(1, b.size)
 	limit := overMean*mean + overBy
 	// Guards a short origin: while many reads miss, a key keeps to the cache that answered it last, then to the
 	// ranking's order, to be fetched once. While the origin fails: the first of the ranking, whatever its load.
-	strict := ordered && (b.scarce || b.fails.Read(b.seen) > strain*(b.reads.Read(b.seen)+1))
+	strict := ordered && (b.scarce || b.fails.ValueAt(b.seen) > strain*(b.reads.ValueAt(b.seen)+1))
 	if last := b.known[r.key%knownKeys]; ordered && !strict && last.key == r.key {
 		for j := range n {
 			if b.best[j].server == last.server {
@@ -438,8 +438,8 @@
 	}
 	// Those in this balancer's zone go first: crossing costs. Not while the origin fails, as keys need one order
 	// for all then, nor while connects fail: a lost zone is found out server by server.
-	near, unreached := 0, b.unreached.Read(b.seen)
-	for j := 0; j < n && !strict && unreached < few*(b.good.Read(b.seen)+1); j++ {
+	near, unreached := 0, b.unreached.ValueAt(b.seen)
+	for j := 0; j < n && !strict && unreached < few*(b.good.ValueAt(b.seen)+1); j++ {
 		if c := b.best[j]; b.servers[c.server].zone == b.zone || b.servers[c.server].told < 0 {
 			copy(b.best[near+1:j+1], b.best[near:j])
 			b.best[near] = c
@@ -496,17 +496,17 @@
 // doubted draws from the posterior of a server's chance of success, as a part of what all have: all may fail.
 func (b *Balancer) doubted(s int, part func() float64) bool {
 	h := &b.servers[s]
-	good, bad := h.good.Read(b.seen)+firstGood, h.bad.Read(b.seen)+firstBad
+	good, bad := h.good.ValueAt(b.seen)+firstGood, h.bad.ValueAt(b.seen)+firstBad
 	// Guards against dead servers that the list still shows: one failed connect tells more than one error.
 	ago := float64(b.now-h.cutAt) / float64(memory)
-	if h.cutAt > 0 && part() < math.Exp(-ago) || h.told > 0 && part() < h.told || h.told >= 0 && b.outages.Avoids(h.zone, b.now, part()) {
+	if h.cutAt > 0 && part() < math.Exp(-ago) || h.told > 0 && part() < h.told || h.told >= 0 && b.outages.ShouldAvoid(h.zone, b.now, part()) {
 		return true
 	}
 	if bad < 0.6 || h.told < 0 {
 		return false
 	}
-	n, all, normal := good+bad, b.good.Read(b.seen)+firstGood, part()+part()+part()+part()-2 // of variance 1/3
-	return good/n+normal*math.Sqrt(3*good*bad/(n+1))/n < doubt*all/(all+b.bad.Read(b.seen)+firstBad)
+	n, all, normal := good+bad, b.good.ValueAt(b.seen)+firstGood, part()+part()+part()+part()-2 // of variance 1/3
+	return good/n+normal*math.Sqrt(3*good*bad/(n+1))/n < doubt*all/(all+b.bad.ValueAt(b.seen)+firstBad)
 }
 
 // Avoids tells whether a server would sooner be passed by than not, as it is doubted; it draws nothing.
@@ -521,10 +521,10 @@
 func (b *Balancer) coldRoom(now int64, s int) float64 {
 	h, toRate := &b.servers[s], b.pace*float64(second)/float64(memory)
 	part := b.startPart + (1-b.startPart)*max(0, float64(now-h.started)/float64(b.warmUp))
-	b.can, b.canAt = max(b.warmed.Read(b.seen)*toRate, b.can*math.Exp(-float64(now-b.canAt)/float64(10*memory))), now
-	top, good := coldPart*b.multiple, h.good.Read(b.seen)*b.pace // What it settles proves that it can do more.
-	part *= min(1, top) + max(0, top-1)*good/(good+proves*(1+h.busy.Read(b.seen)+h.bad.Read(b.seen)))
-	share, comes := max(b.can*h.size, 0.5/b.balancers), b.asked.Read(b.seen)*toRate*h.size/max(1, b.size)
+	b.can, b.canAt = max(b.warmed.ValueAt(b.seen)*toRate, b.can*math.Exp(-float64(now-b.canAt)/float64(10*memory))), now
+	top, good := coldPart*b.multiple, h.good.ValueAt(b.seen)*b.pace // What it settles proves that it can do more.
+	part *= min(1, top) + max(0, top-1)*good/(good+proves*(1+h.busy.ValueAt(b.seen)+h.bad.ValueAt(b.seen)))
+	share, comes := max(b.can*h.size, 0.5/b.balancers), b.asked.ValueAt(b.seen)*toRate*h.size/max(1, b.size)
 	if b.can == 0 { // No warm server has answered yet: there may be none.
 		share = max(share, comes)
 	}
@@ -694,7 +694,7 @@
 	case r.out > 0 || r.due == math.MaxInt64: // Another attempt may still answer, or does.
 	case how == TimedOut || how == Unsent && b.drift > 0, // The client has gone, whatever was told.
 		now >= r.stop || s == b.origin && how != Full && how != Unreached,
-		how == Errored && (r.strained() || b.fails.Read(b.seen) > strain*b.reads.Read(b.seen)): // As the next.
+		how == Errored && (r.strained() || b.fails.ValueAt(b.seen) > strain*b.reads.ValueAt(b.seen)): // As the next.
 		b.finish(now, i, AttemptFailed)
 	case how == Missing:
 		b.fetch(now, i)
@@ -720,9 +720,9 @@
 	b.suspects(now, r, s, how)
 	silent := how == Unreached || how == TimedOut // That tells of the server or its zone, not of load.
 	if silent {
-		b.outages.Failed(h.zone, s, now)
+		b.outages.RecordFailure(h.zone, s, now)
 	} else if how != Cancelled && how != Unsent && how != Reset && s != b.origin {
-		b.outages.Answered(h.zone, now)
+		b.outages.RecordResponse(h.zone, now)
 	}
 	if well {
 		h.cutAt, h.broke, h.credit = 0, 0, min(maxCredit, h.credit+perAnswer)
@@ -736,7 +736,7 @@
 	} else if !poor {
 		b.tally(&b.fine)
 	}
-	b.shares.Ended(b.fine.Read(b.seen), b.poor.Read(b.seen))
+	b.shares.RecordOutcomes(b.fine.ValueAt(b.seen), b.poor.ValueAt(b.seen))
 	switch {
 	// Guards writes against reads that crowd a short origin: the reads' room gives way and comes back.
 	case s == b.origin && !r.write && how == OK && took < w.expected/2:
@@ -762,7 +762,7 @@
 		b.tally(&b.settled)
 		b.took.Add(b.seen, float64(took))
 		// The least mean of late: what attempts take while nothing is crowded.
-		b.usual = min(b.took.Read(b.seen)/b.settled.Read(b.seen), b.usual*usualGrows)
+		b.usual = min(b.took.ValueAt(b.seen)/b.settled.ValueAt(b.seen), b.usual*usualGrows)
 		k := &b.known[r.key%knownKeys]
 		if k.key != r.key {
 			*k = read{key: r.key}
@@ -798,13 +798,13 @@
 	hanging, silent := b.hanging()
 	free := 1 + float64(len(b.ready)-silent)*(1+youngRoom*young)/b.balancers
 	seen := 1 - math.Exp(-float64(b.seen+second/4)/float64(memory))
-	rate := (b.all.answered.Read(b.seen) - b.lacked.Read(b.seen)) / seen / float64(memory) * b.pace
+	rate := (b.all.answered.ValueAt(b.seen) - b.lacked.ValueAt(b.seen)) / seen / float64(memory) * b.pace
 	part := crowd
 	if !r.write && b.known[r.key%knownKeys].key != r.key {
 		// It would most likely miss: it goes first, but keys must stay known, or all would be turned away for good.
-		part *= max(leastPart, 1-b.turned.Read(b.seen)/(b.asked.Read(b.seen)+1))
+		part *= max(leastPart, 1-b.turned.ValueAt(b.seen)/(b.asked.ValueAt(b.seen)+1))
 	}
-	full := b.all.busy.Read(b.seen) / (b.all.answered.Value + b.all.busy.Value + 1)
+	full := b.all.busy.ValueAt(b.seen) / (b.all.answered.Value + b.all.busy.Value + 1)
 	room := (1 - full) * b.bears * (free + (1-full)*rate*(b.usual+part*max(0, float64(w.expected)-b.usual)))
 	// The root is slack for chance: small counts vary most. Where nothing was sent for long, one tells how things are.
 	return float64(b.out-hanging) > room+math.Sqrt(room) && now < b.sentAt+w.expected
@@ -816,7 +816,7 @@
 	unreachedOut, unreached := 0, 0
 	for _, s := range b.ready {
 		switch h := &b.servers[s]; {
-		case b.outages.Suspects(h.zone):
+		case b.outages.IsSuspected(h.zone):
 			out, servers = out+h.out, servers+1
 		case h.cutAt > 0:
 			unreachedOut, unreached = unreachedOut+h.out, unreached+1
@@ -829,10 +829,10 @@
 }
 
 // view is what is known of this balancer's part of all traffic; load reports tell more than it could see itself.
-func (b *Balancer) view() shares.View {
-	view := shares.View{Now: b.seen, Span: float64(memory) / b.pace / float64(second), EvenPart: 1 / b.balancers}
+func (b *Balancer) view() quota.Traffic {
+	view := quota.Traffic{Now: b.seen, WindowSeconds: float64(memory) / b.pace / float64(second), EvenShare: 1 / b.balancers}
 	if all := b.rates / b.heard * float64(len(b.ready)); all > 0 {
-		view.Part = (b.good.Read(b.seen) + math.Sqrt(b.good.Value+1)) / (all * view.Span)
+		view.TrafficShare = (b.good.ValueAt(b.seen) + math.Sqrt(b.good.Value+1)) / (all * view.WindowSeconds)
 	}
 	return view
 }
@@ -879,16 +879,16 @@
 // hedge sends a second copy, paid from credit, for an attempt that is far overdue: few where the origin or the
 // fleet may be slow, any from a zone that seems lost.
 func (b *Balancer) hedge(now int64, i int) {
-	r, asked := &b.requests[i], b.asked.Read(b.seen)
+	r, asked := &b.requests[i], b.asked.ValueAt(b.seen)
 	silent := r.attempts[len(r.attempts)-1].server
 	overdue := &b.servers[silent]
-	b.outages.Failed(overdue.zone, silent, now)
+	b.outages.RecordFailure(overdue.zone, silent, now)
 	overdue.cutAt = now
-	lost := b.outages.Suspects(overdue.zone)
+	lost := b.outages.IsSuspected(overdue.zone)
 	if !lost {
 		b.tally(&b.overdue)
 	}
-	few := b.overdue.Value < maxOverdue*asked && b.turned.Read(b.seen) < maxOverdue/4*asked
+	few := b.overdue.Value < maxOverdue*asked && b.turned.ValueAt(b.seen) < maxOverdue/4*asked
 	if !b.copies || b.classes[r.class].effect == NonIdempotent || r.strained() || !few && !lost {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -566,7 +566,7 @@
 	room := func(good, busy float64) float64 {
 		h := &w.b.servers[0]
 		h.started, h.room, h.roomAt = w.now-second, 0, w.now-second/8
-		h.good, h.bad, h.busy = sum{Value: good, At: w.b.seen}, sum{Value: 0, At: w.b.seen}, sum{Value: busy, At: w.b.seen}
+		h.good, h.bad, h.busy = sum{Value: good, UpdatedAt: w.b.seen}, sum{Value: 0, UpdatedAt: w.b.seen}, sum{Value: busy, UpdatedAt: w.b.seen}
 		return w.b.coldRoom(w.now, 0)
 	}
 	if new, proven, full := room(0, 0), room(1000, 0), room(30, 30); proven < 2.5*new || proven > 3*new || full > 1.3*new {
@@ -576,7 +576,7 @@
 	for w.b.out = 0; !w.b.crowded(w.now, r); w.b.out++ {
 	}
 	before := w.b.out
-	w.b.all.busy.Add(w.b.seen, w.b.all.answered.Read(w.b.seen))
+	w.b.all.busy.Add(w.b.seen, w.b.all.answered.ValueAt(w.b.seen))
 	for w.b.out = 0; !w.b.crowded(w.now, r); w.b.out++ {
 	}
 	if w.b.out > before*2/3 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"hollylever/shares"
+	"hollylever/quota"
 )
 
 // readSettings takes what the module decides by from the settings, a plain map of dotted names to values.
@@ -37,7 +37,7 @@
 	for i := range quotas {
 		quotas[i] = b.number("tenants." + strconv.Itoa(i) + ".quotaRps")
 	}
-	b.shares = shares.New(quotas)
+	b.shares = quota.New(quotas)
 }
 
 // requestClass reads one request class.
--- a/policy/state.go
+++ b/policy/state.go
@@ -72,10 +72,10 @@
 }
 
 func (b *Balancer) sumOut(s sum) Sum {
-	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.seen-s.At)}
+	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.seen-s.UpdatedAt)}
 }
 
-func (b *Balancer) sumIn(s Sum) sum { return sum{Value: float64(s.Value), At: b.seen - s.Age} }
+func (b *Balancer) sumIn(s Sum) sum { return sum{Value: float64(s.Value), UpdatedAt: b.seen - s.Age} }
 
 func (b *Balancer) kindOut(k *kind) KindState {
 	return KindState{Answered: b.sumOut(k.answered), Took: b.sumOut(k.took), Busy: b.sumOut(k.busy), Size: k.size}
@@ -90,14 +90,14 @@
 	b.passes(now)
 	servers, keys, places, kinds, tenants := s.Servers[:0], s.Keys[:0], s.Places[:0], s.Kinds[:0], s.Tenants[:0]
 	*s = State{Now: now, Began: b.began, Seen: b.seen, Pace: b.pace, Held: b.sumOut(sum(b.held)), Credit: b.credit, Usual: b.usual,
-		Admit: b.shares.Admitted(), OriginRoom: b.room, Can: b.can, CanAt: b.canAt, All: b.kindOut(&b.all)}
+		Admit: b.shares.AdmittedFraction(), OriginRoom: b.room, Can: b.can, CanAt: b.canAt, All: b.kindOut(&b.all)}
 	for n, own := range b.scalars() {
 		*s.scalars()[n] = b.sumOut(*own)
 	}
 	for k := range b.kinds {
 		kinds = append(kinds, b.kindOut(&b.kinds[k]))
 	}
-	for _, asked := range b.shares.Asked() {
+	for _, asked := range b.shares.RequestCounts() {
 		tenants = append(tenants, b.sumOut(asked))
 	}
 	placed := make([]uint32, 0, len(b.servers))
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -73,13 +73,13 @@
 		}
 		old.passes(then)
 		for n, own := range b.scalars() {
-			if want := old.scalars()[n].Read(old.seen); math.Abs(own.Read(b.seen)-want) > 1e-3*want+1e-6 {
+			if want := old.scalars()[n].ValueAt(old.seen); math.Abs(own.ValueAt(b.seen)-want) > 1e-3*want+1e-6 {
 				t.Errorf("%s: sum %d is %v, not %v", what, n, own.Value, want)
 			}
 		}
 		for i := range b.servers {
 			x, y := &b.servers[i], &old.servers[i]
-			if math.Abs(x.good.Read(b.seen)-y.good.Read(old.seen)) > 1e-2 || math.Abs(x.bad.Read(b.seen)-y.bad.Read(old.seen)) > 1e-2 {
+			if math.Abs(x.good.ValueAt(b.seen)-y.good.ValueAt(old.seen)) > 1e-2 || math.Abs(x.bad.ValueAt(b.seen)-y.bad.ValueAt(old.seen)) > 1e-2 {
 				t.Errorf("%s: server %d: %+v, not %+v", what, i, x.good, y.good)
 			}
 		}
--- a/shares/shares.go
+++ b/quota/shares.go
@@ -1,7 +1,7 @@
 // Package shares decides which requests a balancer rejects because their tenant asks more than its share, while the
 // fleet answers poorly. The decision module asks it once for each request and tells it how attempts end. It is pure:
 // the clock, the draw and what load reports tell are handed in.
-package shares
+package quota
 
 import (
 	"cmp"
@@ -33,7 +33,7 @@
 func (p portion) ratio() float64 { return p.asked / p.quota }
 
 // Gate holds what one balancer knows of its tenants.
-type Gate struct {
+type Limiter struct {
 	tenants  []tenant
 	admitted float64 // of the requests beyond a share, this part is let in
 	portions []portion
@@ -42,8 +42,8 @@
 }
 
 // New returns a gate for tenants with these quotas, in requests a second of the whole fleet; 0: none.
-func New(quotas []float64) *Gate {
-	g := &Gate{admitted: 1}
+func New(quotas []float64) *Limiter {
+	g := &Limiter{admitted: 1}
 	for _, quota := range quotas {
 		g.tenants = append(g.tenants, tenant{quota: quota})
 	}
@@ -51,31 +51,31 @@
 }
 
 // SetQuota changes a tenant's quota.
-func (g *Gate) SetQuota(tenant int, requestsPerSecond float64) {
+func (g *Limiter) SetQuota(tenant int, requestsPerSecond float64) {
 	g.tenants[tenant].quota = requestsPerSecond
 }
 
 // View is what the balancer knows when a request comes.
-type View struct {
-	Now      int64   // the clock by which counts fade
-	Span     float64 // seconds that the counts stand for
-	Part     float64 // this balancer's part of the fleet's traffic by load reports; 0: none tell
-	EvenPart float64 // the part of a balancer that gets as much as the others
+type Traffic struct {
+	Now           int64   // the clock by which counts fade
+	WindowSeconds float64 // seconds that the counts stand for
+	TrafficShare  float64 // this balancer's part of the fleet's traffic by load reports; 0: none tell
+	EvenShare     float64 // the part of a balancer that gets as much as the others
 }
 
 // Rejects counts a request of a tenant, -1 for none, and draws whether it is rejected as beyond the tenant's share.
 // Counts vary by their root, which is added to the share.
-func (g *Gate) Rejects(tenant int, view View, draw func() float64) bool {
+func (g *Limiter) ShouldReject(tenant int, view Traffic, draw func() float64) bool {
 	if tenant < 0 || g.tenants[tenant].quota <= 0 {
 		return false
 	}
 	t := &g.tenants[tenant]
 	t.asked.Add(view.Now, 1)
-	part := view.Part
+	part := view.TrafficShare
 	if part <= 0 {
 		part = g.estimate(view)
 	}
-	asked, share := t.asked.Value, t.quota*view.Span*max(part, view.EvenPart)
+	asked, share := t.asked.Value, t.quota*view.WindowSeconds*max(part, view.EvenShare)
 	return draw()*asked > share+math.Sqrt(share) && draw() > g.admitted
 }
 
@@ -83,7 +83,7 @@
 // weighted by quota (the lower one). Tenants that use more than their quota, or hardly any of it, do not move it as
 // long as they hold less than half of all quotas. The least ratio would be near nothing wherever one small tenant is
 // quiet by chance, and all others would seem to be beyond their shares.
-func (g *Gate) estimate(view View) float64 {
+func (g *Limiter) estimate(view Traffic) float64 {
 	if view.Now < g.until {
 		return g.part
 	}
@@ -91,8 +91,8 @@
 	half := 0.0
 	for i := range g.tenants {
 		if t := &g.tenants[i]; t.quota > 0 {
-			g.portions = append(g.portions, portion{t.asked.Read(view.Now), t.quota * view.Span})
-			half += t.quota * view.Span / 2
+			g.portions = append(g.portions, portion{t.asked.ValueAt(view.Now), t.quota * view.WindowSeconds})
+			half += t.quota * view.WindowSeconds / 2
 		}
 	}
 	slices.SortFunc(g.portions, func(a, b portion) int { return cmp.Compare(a.ratio(), b.ratio()) })
@@ -109,7 +109,7 @@
 
 // Ended takes the fading counts of attempts that ended in good time and poorly, after each attempt: while too many
 // end poorly, fewer requests beyond a share are admitted.
-func (g *Gate) Ended(fine, poor float64) {
+func (g *Limiter) RecordOutcomes(fine, poor float64) {
 	if poor > maxPoor*(fine+poor)+0.5 {
 		g.admitted = max(leastAdmitted, g.admitted*stepDown)
 	} else {
@@ -118,10 +118,10 @@
 }
 
 // Admitted returns the part of requests beyond a share that is admitted.
-func (g *Gate) Admitted() float64 { return g.admitted }
+func (g *Limiter) AdmittedFraction() float64 { return g.admitted }
 
 // Asked returns the counts of the tenants' requests.
-func (g *Gate) Asked() []decay.Sum {
+func (g *Limiter) RequestCounts() []decay.Sum {
 	sums := make([]decay.Sum, len(g.tenants))
 	for i := range g.tenants {
 		sums[i] = g.tenants[i].asked
@@ -130,7 +130,7 @@
 }
 
 // Restore lays in what another gate knew: Admitted, and Asked for as many tenants as both have.
-func (g *Gate) Restore(admitted float64, asked []decay.Sum) {
+func (g *Limiter) Restore(admitted float64, asked []decay.Sum) {
 	g.admitted = admitted
 	for i := range min(len(asked), len(g.tenants)) {
 		g.tenants[i].asked = asked[i]
--- a/shares/shares_test.go
+++ b/quota/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	"hollylever/decay"
 )
 
-const span = float64(decay.Memory) / 1e9
+const span = float64(decay.TimeConstant) / 1e9
 
 // play sends requests of tenants at these rates a second to a balancer with a part of a fleet for a minute, while
 // attempts end poorly, and returns the part of each tenant's requests that was rejected in the last half.
@@ -21,7 +21,7 @@
 			if random.Float64() >= rate*part/1000 {
 				continue
 			}
-			out := g.Rejects(t, View{Now: now, Span: span, EvenPart: evenPart}, random.Float64)
+			out := g.ShouldReject(t, Traffic{Now: now, WindowSeconds: span, EvenShare: evenPart}, random.Float64)
 			if now > 30e9 {
 				asked[t]++
 				if out {
@@ -66,15 +66,15 @@
 func TestNothingIsRejectedWhileAttemptsEndWell(t *testing.T) {
 	g := New([]float64{1})
 	for n := range 1000 {
-		g.Ended(100, 3)
-		if g.Rejects(0, View{Now: int64(n) * 1e6, Span: span, Part: 0.1}, func() float64 { return 0.99 }) {
+		g.RecordOutcomes(100, 3)
+		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e6, WindowSeconds: span, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 			t.Fatal("rejected though attempts end well")
 		}
 	}
 	for range 1000 {
-		g.Ended(100, 50)
+		g.RecordOutcomes(100, 50)
 	}
-	if !g.Rejects(0, View{Now: 1e9, Span: span, Part: 0.1}, func() float64 { return 0.99 }) {
+	if !g.ShouldReject(0, Traffic{Now: 1e9, WindowSeconds: span, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
 		t.Fatal("not rejected though attempts end poorly")
 	}
 }
@@ -83,11 +83,11 @@
 	g := New([]float64{300, 300})
 	g.Restore(0, nil)
 	for n := range 1000 { // The other tenant asks nothing: by the estimate all of it is beyond its share.
-		if g.Rejects(0, View{Now: int64(n) * 1e7, Span: span, Part: 0.5, EvenPart: 0.01}, func() float64 { return 0.9 }) {
+		if g.ShouldReject(0, Traffic{Now: int64(n) * 1e7, WindowSeconds: span, TrafficShare: 0.5, EvenShare: 0.01}, func() float64 { return 0.9 }) {
 			t.Fatal("rejected though reports tell that half of all traffic comes here")
 		}
 	}
-	if g.Rejects(-1, View{}, nil) {
+	if g.ShouldReject(-1, Traffic{}, nil) {
 		t.Fatal("a request of no tenant rejected")
 	}
 }
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -16,9 +16,9 @@
 
 	"github.com/rs/zerolog"
 
-	"hollylever/learnt"
 	"hollylever/policy"
 	"hollylever/protocol"
+	"hollylever/snapshot"
 	"hollylever/tables"
 	"hollylever/transport"
 )
@@ -136,7 +136,7 @@
 	byFleet     map[string]bool // by what the fleet agreed on
 	byNews      map[string]bool // by others' later lists
 	decides     func()          // called before each decision; nil: nobody asks
-	fellows     Fellows         // nil: it decides alone
+	fellows     OutlierExchange // nil: it decides alone
 	expected    []int64         // by workload
 	reads       int             // settled, and of these not from a cache
 	misses      int
@@ -164,7 +164,7 @@
 // New makes a balancer that knows a list from before, in discovery's form. It keeps at most so many bytes of
 // retrievals at once, and what is out by hand in a file, if one is named. before is what a process before it has left, if any.
 func New(settings map[string]any, known []byte, discovery string, seed uint64, pool *transport.Pool, mostHeap int64, bansIn string,
-	before *learnt.Snapshot, log zerolog.Logger) (*Balancer, error) {
+	before *snapshot.Snapshot, log zerolog.Logger) (*Balancer, error) {
 	b := &Balancer{log: log, discovery: discovery, settings: settings, began: time.Now(), pool: pool, follow: make(chan struct{}, 1),
 		timeouts: protocolTimeouts, dial: dialDiscovery, wall: time.Now, listHeardAt: time.Now(),
 		mostHeld: max(1, int(number(settings, "allowed.mostHeld"))), mostHeap: mostHeap, byName: map[string]int{},
@@ -193,7 +193,7 @@
 	if servers, err := b.recall(before, known); err != nil {
 		log.Warn().Err(err).Msg("not recalled") // The start is as without it.
 	} else {
-		log.Info().Int("servers", servers).Int("keys", len(before.State.Keys)).Int64("ago_ms", before.Ago.Milliseconds()).Msg("recalled")
+		log.Info().Int("servers", servers).Int("keys", len(before.BalancerState.Keys)).Int64("ago_ms", before.Age.Milliseconds()).Msg("recalled")
 	}
 	return b, nil
 }
@@ -240,7 +240,7 @@
 	b.servers[s].trips++
 	b.counts[count{"trips", none}]++
 	if b.fellows != nil {
-		if part, heeded := b.fellows.Sent(b.servers[s].name); heeded {
+		if part, heeded := b.fellows.HandleAttemptStarted(b.servers[s].name); heeded {
 			b.module.Heard(s, part)
 		}
 	}
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -202,7 +202,7 @@
 		}
 	}
 	if b.fellows != nil {
-		b.fellows.Saw(b.servers[n.server].name, outcome, took, b.expected[x.class])
+		b.fellows.HandleAttemptEnded(b.servers[n.server].name, outcome, took, b.expected[x.class])
 	}
 	b.deciding()
 	b.module.Ended(now, x.index, n.trip, n.server, n.note, outcome, took, b.slots[x.index].final)
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -11,20 +11,20 @@
 // What a fleet of balancers agrees on, laid over what this one knows. Without a fleet nothing of this is called.
 
 // Fellows is what a fleet is told of trips, and what it knows of servers. It is called under the lock, and may not call back.
-type Fellows interface {
-	Sent(server string) (part float64, heeded bool)
-	Saw(server string, how policy.Outcome, took, expected int64)
+type OutlierExchange interface {
+	HandleAttemptStarted(server string) (part float64, heeded bool)
+	HandleAttemptEnded(server string, how policy.Outcome, took, expected int64)
 }
 
 // Joins has a fleet told of trips from now on.
-func (b *Balancer) Joins(f Fellows) {
+func (b *Balancer) SetOutlierExchange(f OutlierExchange) {
 	b.mu.Lock()
 	b.fellows = f
 	b.mu.Unlock()
 }
 
 // Portion takes which part of what all balancers may do is this one's; 0: as the settings state.
-func (b *Balancer) Portion(part float64) {
+func (b *Balancer) SetBudgetShare(part float64) {
 	if part <= 0 {
 		part = 1 / max(1, number(b.settings, "balancers"))
 	}
@@ -34,14 +34,14 @@
 }
 
 // Missed is how many reads were settled since the start, and how many of them by a fetch, or by waiting for one.
-func (b *Balancer) Missed() (reads, misses int) {
+func (b *Balancer) ReadCounts() (reads, misses int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reads, b.misses
 }
 
 // Scarce takes that reads miss for all balancers.
-func (b *Balancer) Scarce(is bool) {
+func (b *Balancer) SetWidespreadMisses(is bool) {
 	b.mu.Lock()
 	b.module.Scarce(is)
 	b.mu.Unlock()
@@ -49,7 +49,7 @@
 
 // Leaves takes which part of the keys does not go to each zone's servers now.
 // For the time of fills after that its servers are not passed over as slow.
-func (b *Balancer) Leaves(parts map[string]float64, fills time.Duration) {
+func (b *Balancer) SetEvacuation(parts map[string]float64, fills time.Duration) {
 	b.mu.Lock()
 	for zone, part := range parts {
 		if z, stated := b.zones[zone]; stated {
@@ -60,12 +60,12 @@
 }
 
 // WarmUp is how long a server takes until it is warm.
-func (b *Balancer) WarmUp() time.Duration {
+func (b *Balancer) SlowStartDuration() time.Duration {
 	return time.Duration(number(b.settings, "invariants.warmUp") * 1e6)
 }
 
 // Came is how many retrievals have come since the start.
-func (b *Balancer) Came() int {
+func (b *Balancer) RequestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counts[count{"retrievals", none}]
@@ -90,7 +90,7 @@
 }
 
 // Tends takes which servers this balancer keeps idle connections to; those to others end after a moment. all: to all.
-func (b *Balancer) Tends(names map[string]bool, all bool) {
+func (b *Balancer) SetConnectionSubset(names map[string]bool, all bool) {
 	brief := map[int]bool{}
 	b.mu.Lock()
 	for s := range b.servers {
@@ -103,7 +103,7 @@
 }
 
 // Heard takes what others' word takes from servers' chances.
-func (b *Balancer) Heard(parts map[string]float64) {
+func (b *Balancer) ApplyPeerVerdicts(parts map[string]float64) {
 	b.mu.Lock()
 	for name, part := range parts {
 		if s, known := b.byName[name]; known {
@@ -114,7 +114,7 @@
 }
 
 // Decides has f called before each decision, under the lock: it looks at the lease.
-func (b *Balancer) Decides(f func()) {
+func (b *Balancer) SetLeaseCheck(f func()) {
 	b.mu.Lock()
 	if b.decides == nil && b.mostOpen == 0 {
 		b.mostOpen = b.mostHeld
--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"hollylever/bootclock"
-	"hollylever/learnt"
+	"hollylever/monotime"
 	"hollylever/policy"
 	"hollylever/protocol"
+	"hollylever/snapshot"
 )
 
 // entry is a server as discovery's form has it.
@@ -40,16 +40,16 @@
 // Keeper writes down what a balancer has learnt, while it serves.
 type Keeper struct {
 	b        *Balancer
-	file     learnt.File
-	snapshot learnt.Snapshot // its room is used again
-	came     int             // retrievals, at the last one
-	told     int             // lists, as of its list
-	Held     time.Duration   // under the lock, for the last one
+	file     snapshot.File
+	snapshot snapshot.Snapshot // its room is used again
+	came     int               // retrievals, at the last one
+	told     int               // lists, as of its list
+	Held     time.Duration     // under the lock, for the last one
 }
 
 // Keeper makes one that writes to a file.
 func (b *Balancer) Keeper(path, name string) *Keeper {
-	return &Keeper{b: b, file: learnt.File{Path: path}, snapshot: learnt.Snapshot{Name: name, Settings: Fingerprint(b.settings)}, told: -1}
+	return &Keeper{b: b, file: snapshot.File{Path: path}, snapshot: snapshot.Snapshot{BalancerName: name, SettingsFingerprint: Fingerprint(b.settings)}, told: -1}
 }
 
 // Keep writes what is known now, if any retrieval came since the last time. State is copied under the lock, and packed and written
@@ -63,9 +63,9 @@
 		b.mu.Unlock()
 		return nil
 	}
-	k.came, s.At = came, time.Now().UnixNano()
-	s.Boot, s.BootAt = bootclock.ID(), bootclock.Now()
-	b.module.Learnt(b.now(), &s.State)
+	k.came, s.WrittenAt = came, time.Now().UnixNano()
+	s.BootID, s.SinceBoot = monotime.BootID(), monotime.Now()
+	b.module.Learnt(b.now(), &s.BalancerState)
 	whole := struct {
 		Index     uint64  `json:"index"`
 		Snapshot  bool    `json:"snapshot"`
@@ -79,12 +79,12 @@
 				names[h.health], h.weight, sinceMS(h.started)})
 		}
 	}
-	s.Discovery, s.Index = b.discovery, b.index
+	s.DiscoveryServer, s.ListIndex = b.discovery, b.index
 	b.mu.Unlock()
 	k.Held = time.Since(began)
 	if changed {
 		var err error
-		if s.List, err = json.Marshal(whole); err != nil {
+		if s.EndpointList, err = json.Marshal(whole); err != nil {
 			return err
 		}
 	}
@@ -120,10 +120,10 @@
 
 // recall starts from what another process has left, as if this one had been there. The list of the configuration counts where it is the
 // newer one. It tells how many servers are known.
-func (b *Balancer) recall(s *learnt.Snapshot, known []byte) (int, error) {
+func (b *Balancer) recall(s *snapshot.Snapshot, known []byte) (int, error) {
 	before, same, index := map[string]bool{}, 0, uint64(0)
 	row := func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) { before[name] = true }
-	if err := protocol.List(s.List, func(uint64, bool) {}, row); err != nil {
+	if err := protocol.List(s.EndpointList, func(uint64, bool) {}, row); err != nil {
 		return 0, err
 	}
 	listed := 0
@@ -135,12 +135,12 @@
 	if listed > 0 && 2*same < len(before) {
 		return 0, fmt.Errorf("of another list: %d of its %d hosts are listed", same, len(before))
 	}
-	if s.Index > index && s.Discovery == b.discovery {
-		if err := b.tell(context.Background(), s.List, true); err != nil {
+	if s.ListIndex > index && s.DiscoveryServer == b.discovery {
+		if err := b.tell(context.Background(), s.EndpointList, true); err != nil {
 			return 0, err
 		}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.module.Learn(b.now(), &s.State, int64(s.Ago)), nil
+	return b.module.Learn(b.now(), &s.BalancerState, int64(s.Age)), nil
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -301,7 +301,7 @@
 func TestHeeds(t *testing.T) {
 	b := begin(t, 1<<20)
 	looks := 0
-	b.Decides(func() { looks++ })
+	b.SetLeaseCheck(func() { looks++ })
 	b.told(t, changes(row("one", "127.0.0.1:9", "Ready", 1)))
 	here := func() string { return fmt.Sprint(b.banned["one"], b.mostOpen) }
 	b.Heeds([]string{"one"}, map[string]int64{"held": 1}, "", 0)
--- a/server/asks.go
+++ b/server/asks.go
@@ -17,7 +17,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 	"hollylever/routing"
 )
 
@@ -176,9 +176,9 @@
 			},
 			RunE: func(c *cobra.Command, ids []string) error {
 				if byAll {
-					p := joining.Proposal{Out: ids, Why: why}
+					p := fleetconfig.Proposal{EjectEndpoints: ids, Reason: why}
 					if word == "back" {
-						p.Out, p.Back = nil, ids
+						p.EjectEndpoints, p.UnejectEndpoints = nil, ids
 					}
 					return a.propose(c, p)
 				}
--- a/server/cli.go
+++ b/server/cli.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"hollylever/fields"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 // The codes with which a command ends.
@@ -116,7 +116,7 @@
 		if len(wrong) > 0 {
 			return wrong
 		}
-		if err := joining.Check(own, ""); err != nil {
+		if err := fleetconfig.Validate(own, ""); err != nil {
 			field, why, _ := strings.Cut(err.Error(), ": ")
 			return []fields.Mistake{{File: file, Field: field, Why: why}}
 		}
@@ -137,7 +137,7 @@
 	if len(wrong) > 0 || !own.Yes("fleet.on") {
 		return ""
 	}
-	return fmt.Sprintf("; T is %v", joining.Of(own).T().Round(time.Millisecond))
+	return fmt.Sprintf("; T is %v", fleetconfig.ParseLeaseTiming(own).MaxDisagreement().Round(time.Millisecond))
 }
 
 func configCommand() *cobra.Command {
--- a/server/fleet.go
+++ b/server/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"hollylever/fields"
-	"hollylever/joining"
+	"hollylever/fleetconfig"
 )
 
 const proposalFor = 8 * time.Second // a door owes its answer to one in six
@@ -155,7 +155,7 @@
 			if err != nil {
 				return coded{fmt.Errorf("%s: %w", files[0], err), exitMistake}
 			}
-			p, wrong := joining.ReadProposal(files[0], text)
+			p, wrong := fleetconfig.ParseProposal(files[0], text)
 			for _, m := range wrong {
 				fmt.Fprintln(c.OutOrStdout(), m)
 			}
@@ -204,10 +204,10 @@
 }
 
 // propose sends a proposal and says what became of it: a no that is sure is one, for good.
-func (a *asker) propose(c *cobra.Command, p joining.Proposal) error {
+func (a *asker) propose(c *cobra.Command, p fleetconfig.Proposal) error {
 	p.ID = rand.Text()
-	if p.By == "" {
-		p.By = or(os.Getenv("USER"), "unnamed")
+	if p.Author == "" {
+		p.Author = or(os.Getenv("USER"), "unnamed")
 	}
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	var o joining.Answer
+	var o fleetconfig.ProposalResult
 	if json.Unmarshal([]byte(text), &o) != nil {
 		return a.nonsense()
 	}
@@ -225,13 +225,13 @@
 		say(c, o)
 	}
 	switch {
-	case o.Version != 0:
+	case o.Revision != 0:
 		if !a.asJSON {
-			fmt.Fprintf(c.OutOrStdout(), "accepted: version %d\n", o.Version)
+			fmt.Fprintf(c.OutOrStdout(), "accepted: version %d\n", o.Revision)
 		}
 		return nil
-	case o.Sure:
-		return coded{fmt.Errorf("no: %s", printable(o.Wrong)), exitNo}
+	case o.IsFinal:
+		return coded{fmt.Errorf("no: %s", printable(o.Reason)), exitNo}
 	}
-	return coded{fmt.Errorf("unknown: %s (hollylever fleet history)", printable(o.Wrong)), exitNo}
+	return coded{fmt.Errorf("unknown: %s (hollylever fleet history)", printable(o.Reason)), exitNo}
 }
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -18,8 +18,8 @@
 	"github.com/tidwall/gjson"
 
 	"hollylever/fakes"
-	"hollylever/learnt"
 	"hollylever/routing"
+	"hollylever/snapshot"
 	"hollylever/tables"
 )
 
@@ -55,8 +55,8 @@
 	clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 200, Keys: 300, Seed: 3, Patience: 2 * time.Second})
 	file := filepath.Join(w.Place, "hollylever.learnt")
 	many := func() bool {
-		s, err := (&learnt.File{Path: file}).Read("n1", fingerprint(), time.Now(), time.Minute)
-		return err == nil && s != nil && len(s.State.Keys) > 50
+		s, err := (&snapshot.File{Path: file}).Read("n1", fingerprint(), time.Now(), time.Minute)
+		return err == nil && s != nil && len(s.BalancerState.Keys) > 50
 	}
 	until(t, "a snapshot of fifty keys", many)
 	end()
--- a/server/main.go
+++ b/server/main.go
@@ -21,12 +21,12 @@
 
 	"hollylever/admin"
 	"hollylever/fields"
-	"hollylever/joining"
-	"hollylever/learnt"
+	"hollylever/fleetconfig"
 	"hollylever/routing"
 	"hollylever/siblings"
+	"hollylever/snapshot"
+	"hollylever/stallwatch"
 	"hollylever/transport"
-	"hollylever/watch"
 )
 
 const (
@@ -86,7 +86,7 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(told.cores)))
 	memory := int64(told.memory * (1 << 20))
-	all, kept := siblings.Amount{Memory: memory}, reserve
+	all, kept := siblings.Resources{MemoryBytes: memory}, reserve
 	if own.Yes("fleet.on") {
 		kept += fleetReserve
 	}
@@ -94,7 +94,7 @@
 	if told.inherited >= 0 {
 		memory /= 2 // Guards against two processes over an upgrade, whose memory counts together.
 		hosts, front = max(0, hosts-kept/2), max(0, front-kept/2)
-		all.Clients, all.Hosts = int64(front), int64(hosts)
+		all.ClientConnections, all.EndpointConnections = int64(front), int64(hosts)
 	}
 	statedClients, statedHosts := front, hosts
 	front, hosts = withinSystem(front, hosts, kept)
@@ -106,7 +106,7 @@
 	dial, _ := told.settings["allowed.dialTimeout"].(float64)
 	pool := transport.NewPool(hosts, time.Duration(idle*1e6*0.7), time.Duration(dial*1e6))
 	bans, left := "", "" // Without a place of their own they last as long as the process.
-	var before *learnt.Snapshot
+	var before *snapshot.Snapshot
 	var family *siblings.Group // nil: nobody else can be there, or nothing is known of others
 	if place := os.Getenv("TMPDIR"); place != "" {
 		bans = filepath.Join(place, "hollylever.bans")
@@ -117,7 +117,7 @@
 		}
 		if own.Yes("learnt.on") {
 			left = filepath.Join(place, "hollylever.learnt")
-			at := learnt.File{Path: left}
+			at := snapshot.File{Path: left}
 			if before, err = at.Read(told.name, routing.Fingerprint(told.settings), time.Now(), own.Duration("learnt.lasts")); err != nil {
 				log.Warn().Err(err).Msg("not recalled")
 			}
@@ -151,7 +151,7 @@
 		if joins == nil {
 			return errors.New("fleet.on: this program is built without; start hollyfleet in its place")
 		}
-		if err := joining.Check(own, told.name); err != nil {
+		if err := fleetconfig.Validate(own, told.name); err != nil {
 			return fmt.Errorf("%s: %w", ours, err)
 		}
 		zone, _ := told.settings["zone"].(string)
@@ -170,8 +170,8 @@
 		}
 	}
 
-	still := watch.New(balancer.Lock(), log, wrote)
-	still.Over(own.Duration("watch.over"))
+	still := stallwatch.New(balancer.Lock(), log, wrote)
+	still.SetThreshold(own.Duration("watch.over"))
 	listener.InHand = &still.Accept
 	if own.Yes("watch.on") {
 		go still.Run(ctx)
@@ -180,7 +180,7 @@
 	go listener.Serve(balancer.Serve)
 	balancer.Takes(true)
 	if family != nil {
-		family.Now(siblings.Serving)
+		family.SetPhase(siblings.Serving)
 		go limits.share(ctx, family, log)
 	}
 	every := make(chan time.Duration, 1)
@@ -199,9 +199,9 @@
 		Int64("memory_mb", int64(told.memory)).Msg("serving")
 
 	hardStop := longest(told.settings)
-	var spent watch.Spent
+	var spent stallwatch.UsageMeter
 	summarize := func() {
-		cpu, collections := spent.Since()
+		cpu, collections := spent.SinceLast()
 		balancer.Summary(listener.Count(), cpu, collections)
 	}
 	sweeps := 0
@@ -240,7 +240,7 @@
 			}
 			own = newer
 			zerolog.SetGlobalLevel(levels[own.Word("log.level")])
-			still.Over(own.Duration("watch.over"))
+			still.SetThreshold(own.Duration("watch.over"))
 			summary.Reset(own.Duration("log.summary"))
 			select {
 			case every <- own.Duration("learnt.every"):
@@ -249,7 +249,7 @@
 		case <-stop:
 			balancer.Takes(false)
 			if family != nil {
-				family.Now(siblings.Leaving)
+				family.SetPhase(siblings.Draining)
 			}
 			began := time.Now()
 			open, _ := balancer.OpenRequests()
@@ -289,11 +289,11 @@
 			continue
 		case <-tick.C:
 		}
-		if family != nil && !family.Writes() {
+		if family != nil && !family.IsSnapshotWriter() {
 			continue // Another process knows more.
 		}
 		err := keeper.Keep()
-		if err != nil && !errors.Is(err, learnt.ErrTaken) && !odd {
+		if err != nil && !errors.Is(err, snapshot.ErrLocked) && !odd {
 			log.Warn().Err(err).Msg("not kept") // Once for a run of them.
 		}
 		odd = err != nil
--- a/server/parts.go
+++ b/server/parts.go
@@ -8,13 +8,13 @@
 	"github.com/rs/zerolog/diode"
 
 	"hollylever/fields"
-	"hollylever/joining"
-	"hollylever/learnt"
-	"hollylever/watch"
+	"hollylever/fleetconfig"
+	"hollylever/snapshot"
+	"hollylever/stallwatch"
 )
 
 // parts are all that our own settings file may hold.
-var parts = []fields.Part{logPart, watch.Part, learnt.Part, joining.Part}
+var parts = []fields.Part{logPart, stallwatch.ConfigSection, snapshot.ConfigSection, fleetconfig.ConfigSection}
 
 var logPart = fields.Part{Table: "log", Help: "The log, on standard error.", Fields: []fields.Field{
 	{Name: "level", Kind: fields.Word, Default: "info", Words: []string{"debug", "info", "warn", "error"}, When: fields.AtOnce,
@@ -42,9 +42,9 @@
 }
 
 // logging makes the log. Nobody waits for it: whoever reads it may stand still. flush writes what is left, for a moment.
-func logging(values fields.Values, name string) (log zerolog.Logger, wrote *watch.Mark, flush func()) {
-	wrote = &watch.Mark{}
-	var form io.Writer = watch.Writer{Writer: os.Stderr, Mark: wrote}
+func logging(values fields.Values, name string) (log zerolog.Logger, wrote *stallwatch.Timer, flush func()) {
+	wrote = &stallwatch.Timer{}
+	var form io.Writer = stallwatch.TimedWriter{Writer: os.Stderr, Timer: wrote}
 	if values.Word("log.form") == "console" {
 		form = zerolog.ConsoleWriter{Out: form, NoColor: true, TimeFormat: "15:04:05.000"}
 	}
--- a/server/siblings.go
+++ b/server/siblings.go
@@ -36,15 +36,15 @@
 }
 
 // lay sets what this process may take now, and gives the numbers of connections.
-func (l limited) lay(may siblings.Amount, part float64) (clients, hosts int) {
-	l.listener.Budget.Allow(may.Memory / 3)
-	l.balancer.Allow(may.Memory/6, part)
-	return l.layDescriptors(int(may.Clients), int(may.Hosts))
+func (l limited) lay(may siblings.Resources, part float64) (clients, hosts int) {
+	l.listener.Budget.Allow(may.MemoryBytes / 3)
+	l.balancer.Allow(may.MemoryBytes/6, part)
+	return l.layDescriptors(int(may.ClientConnections), int(may.EndpointConnections))
 }
 
 // uses is what it takes.
-func (l limited) uses() siblings.Amount {
-	return siblings.Amount{Clients: int64(l.listener.Count()), Hosts: int64(l.pool.Count()), Memory: mapped()}
+func (l limited) uses() siblings.Resources {
+	return siblings.Resources{ClientConnections: int64(l.listener.Count()), EndpointConnections: int64(l.pool.Count()), MemoryBytes: mapped()}
 }
 
 // mapped is the memory that the runtime holds from the system.
@@ -57,12 +57,12 @@
 // join waits until the others have made room for this process, for a moment: one that stands still must not stop it.
 func (l limited) join(k *siblings.Group) {
 	for end := time.Now().Add(joinFor); time.Now().Before(end); time.Sleep(siblingsSoon) {
-		may, part, others, err := k.Tick(l.uses(), 0)
-		if l.lay(may, part); err != nil || others == 0 || may.Clients > 0 && may.Hosts > 0 {
+		may, part, others, err := k.Update(l.uses(), 0)
+		if l.lay(may, part); err != nil || others == 0 || may.ClientConnections > 0 && may.EndpointConnections > 0 {
 			return
 		}
 	}
-	l.lay(siblings.Amount{Clients: leastEach, Hosts: leastEach, Memory: leastMemory << 20}, 0.1)
+	l.lay(siblings.Resources{ClientConnections: leastEach, EndpointConnections: leastEach, MemoryBytes: leastMemory << 20}, 0.1)
 }
 
 const leastEach = 8 // descriptors with which a process can serve at all
@@ -72,13 +72,13 @@
 	beside, odd, collector := -1, false, int64(0)
 	tick := time.NewTicker(siblingsEvery)
 	for ; ctx.Err() == nil; <-tick.C {
-		may, part, others, err := k.Tick(l.uses(), l.balancer.Handed())
+		may, part, others, err := k.Update(l.uses(), l.balancer.Handed())
 		if err != nil && !odd {
 			log.Warn().Err(err).Msg("siblings not told") // Once for a run of them.
 		}
 		odd = err != nil
-		clients, hosts := l.lay(siblings.Amount{Clients: max(may.Clients, leastEach), Hosts: max(may.Hosts, leastEach), Memory: may.Memory}, part)
-		if limit := max(may.Memory, leastMemory<<20) * 7 / 10; limit != collector {
+		clients, hosts := l.lay(siblings.Resources{ClientConnections: max(may.ClientConnections, leastEach), EndpointConnections: max(may.EndpointConnections, leastEach), MemoryBytes: may.MemoryBytes}, part)
+		if limit := max(may.MemoryBytes, leastMemory<<20) * 7 / 10; limit != collector {
 			debug.SetMemoryLimit(limit)
 			collector = limit
 		}
@@ -89,7 +89,7 @@
 				tick.Reset(siblingsEvery)
 			}
 			log.Info().Int("beside", beside).Int("clients", clients).Int("hosts", hosts).
-				Int64("memory_mb", may.Memory>>20).Msg("limits divided")
+				Int64("memory_mb", may.MemoryBytes>>20).Msg("limits divided")
 		}
 	}
 }
--- a/server/zones.go
+++ b/server/zones.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"hollylever/joining"
-	"hollylever/zones"
+	"hollylever/evacuation"
+	"hollylever/fleetconfig"
 )
 
 func zonesCommand() *cobra.Command {
@@ -65,7 +65,7 @@
 			}
 			fmt.Fprintf(c.OutOrStdout(), "without %s %d of %d hosts remain, in %d zones; each has %.2f times the keys that it has with all\n", printable(names[0]), remains, all, others,
 				float64(all)/float64(max(1, remains)))
-			if others == 0 || float64(remains) < zones.Remains*float64(all) {
+			if others == 0 || float64(remains) < evacuation.MinRemainingShare*float64(all) {
 				return coded{fmt.Errorf("leaving may be worse than staying: under a third remains"), exitNo}
 			}
 			return nil
@@ -90,11 +90,11 @@
 			case others == 0:
 				return coded{fmt.Errorf("%s is the last zone: it is not left", printable(names[0])), exitNo}
 			}
-			return a.propose(c, joining.Proposal{Leave: names, Why: why})
+			return a.propose(c, fleetconfig.Proposal{EvacuateZones: names, Reason: why})
 		}}
 	back := &cobra.Command{Use: "return ZONE", Short: "Come back to a zone, in steps over one and a half warm-ups, whoever left it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, names []string) error {
-			return a.propose(c, joining.Proposal{Return: append(slices.Clone(names), zones.Fails+names[0]), Why: why})
+			return a.propose(c, fleetconfig.Proposal{RestoreZones: append(slices.Clone(names), evacuation.AutomaticPrefix+names[0]), Reason: why})
 		}}
 	for _, one := range []*cobra.Command{leave, back} {
 		one.Flags().StringVar(&why, "why", "", "for the history")
--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -15,33 +15,35 @@
 const (
 	Starting Phase = "starting" // it takes no clients yet
 	Serving  Phase = "serving"
-	Leaving  Phase = "leaving" // it takes nobody new, and ends
+	Draining Phase = "leaving" // it takes nobody new, and ends
 )
 
 // Amount is how much of each limit.
-type Amount struct {
-	Clients int64 `json:"clients"` // descriptors in front
-	Hosts   int64 `json:"hosts"`   // descriptors to hosts
-	Memory  int64 `json:"memory"`  // bytes
+type Resources struct {
+	ClientConnections   int64 `json:"clients"` // descriptors in front
+	EndpointConnections int64 `json:"hosts"`   // descriptors to hosts
+	MemoryBytes         int64 `json:"memory"`  // bytes
 }
 
 // parts are the limits one by one; each is divided by itself.
-func (a *Amount) parts() [3]*int64 { return [3]*int64{&a.Clients, &a.Hosts, &a.Memory} }
+func (a *Resources) parts() [3]*int64 {
+	return [3]*int64{&a.ClientConnections, &a.EndpointConnections, &a.MemoryBytes}
+}
 
 // Row is what a process says of itself.
 type Row struct {
-	Pid   int     `json:"pid"`
-	Since int64   `json:"since"` // when it began, by the machine's clock (sinceBase)
-	Phase Phase   `json:"phase"`
-	Claim Amount  `json:"claim"` // what it may take, and others may not
-	Use   Amount  `json:"use"`
-	Trips float64 `json:"trips"` // handed over of late
+	Pid   int       `json:"pid"`
+	Since int64     `json:"since"` // when it began, by the machine's clock (sinceBase)
+	Phase Phase     `json:"phase"`
+	Claim Resources `json:"claim"` // what it may take, and others may not
+	Use   Resources `json:"use"`
+	Trips float64   `json:"trips"` // handed over of late
 }
 
 // first is what one that starts needs at first, of the limit that is meant.
-func first(total Amount, part int) int64 {
+func first(total Resources, part int) int64 {
 	if part == memory {
-		return total.Memory / 4 // It has taken some before it can say so.
+		return total.MemoryBytes / 4 // It has taken some before it can say so.
 	}
 	return *total.parts()[part] / 8
 }
@@ -53,22 +55,22 @@
 )
 
 // leaves is what one that leaves still needs of a limit: its clients may each ask once more, few at a time.
-func leaves(total, use Amount, part int) int64 {
+func leaves(total, use Resources, part int) int64 {
 	switch part {
 	case clients:
-		return use.Clients
+		return use.ClientConnections
 	case hosts:
-		return use.Hosts + use.Clients/4 + few
+		return use.EndpointConnections + use.ClientConnections/4 + few
 	}
-	return max(use.Memory, first(total, memory))
+	return max(use.MemoryBytes, first(total, memory))
 }
 
 // Aim is what a process should come to of the whole. Those that serve share by what they use, and what nobody uses evenly: so nobody is
 // asked to go for a process that has no clients yet, and the division follows clients as they move over.
-func Aim(total Amount, own Row, others []Row) (aim Amount) {
+func Aim(total Resources, own Row, others []Row) (aim Resources) {
 	var serving, starting int64
-	var leaving, used Amount
-	add := func(to *Amount, what Amount) {
+	var leaving, used Resources
+	add := func(to *Resources, what Resources) {
 		for n, x := range to.parts() {
 			*x += *what.parts()[n]
 		}
@@ -80,7 +82,7 @@
 			add(&used, r.Use)
 		case Starting:
 			starting++
-		case Leaving: // One of which nothing is known changes no aim; it only stops what would be raised.
+		case Draining: // One of which nothing is known changes no aim; it only stops what would be raised.
 			add(&leaving, r.Claim)
 		}
 	}
@@ -88,7 +90,7 @@
 		whole, used, use := *total.parts()[n], *used.parts()[n], *own.Use.parts()[n]
 		rest := max(0, whole-*leaving.parts()[n])
 		switch {
-		case own.Phase == Leaving:
+		case own.Phase == Draining:
 			*to = leaves(total, own.Use, n)
 		case own.Phase == Starting && serving+starting > 1:
 			*to = min(rest, first(total, n))
@@ -100,14 +102,14 @@
 			*to = use + max(0, rest-starting*first(total, n)-used)/serving
 		}
 	}
-	if len(others) == 0 && own.Phase != Leaving {
-		aim.Memory -= first(total, memory) // For one that starts: it takes that much before it can say so.
+	if len(others) == 0 && own.Phase != Draining {
+		aim.MemoryBytes -= first(total, memory) // For one that starts: it takes that much before it can say so.
 	}
 	return aim
 }
 
 // Divide says what a process claims next. raise: nobody else raises a claim at this time.
-func Divide(total Amount, own Row, others []Row, raise bool) (claim Amount) {
+func Divide(total Resources, own Row, others []Row, raise bool) (claim Resources) {
 	aim := Aim(total, own, others)
 	for n, to := range claim.parts() {
 		now, wanted, used := *own.Claim.parts()[n], *aim.parts()[n], *own.Use.parts()[n]
@@ -128,7 +130,7 @@
 }
 
 // Allowed is what a process may come to now: less than it claims while it comes down to its aim.
-func Allowed(total Amount, own Row, others []Row) (allowed Amount) {
+func Allowed(total Resources, own Row, others []Row) (allowed Resources) {
 	aim := Aim(total, own, others)
 	for n, to := range allowed.parts() {
 		*to = min(*own.Claim.parts()[n], *aim.parts()[n])
@@ -148,7 +150,7 @@
 	}
 	all, least := own.Trips, leastPart
 	for _, o := range others {
-		if all += o.Trips; own.Phase == Serving && o.Phase == Leaving {
+		if all += o.Trips; own.Phase == Serving && o.Phase == Draining {
 			least = successors
 		}
 	}
@@ -161,7 +163,7 @@
 // Writes tells whether this process is the one that writes down what was learnt: who has served longest, or who leaves last.
 func Writes(own Row, others []Row) bool {
 	for _, o := range others {
-		if own.Phase == Serving && o.Phase == Serving && o.Since < own.Since || own.Phase == Leaving && o.Phase != Leaving {
+		if own.Phase == Serving && o.Phase == Serving && o.Since < own.Since || own.Phase == Draining && o.Phase != Draining {
 			return false
 		}
 	}
@@ -169,11 +171,11 @@
 }
 
 // sound tells whether a row can be what a process wrote.
-func (r *Row) sound(total Amount) bool {
+func (r *Row) sound(total Resources) bool {
 	for n, claim := range r.Claim.parts() {
 		if *claim < 0 || *claim > *total.parts()[n] {
 			return false
 		}
 	}
-	return (r.Phase == Starting || r.Phase == Serving || r.Phase == Leaving) && r.Trips >= 0
+	return (r.Phase == Starting || r.Phase == Serving || r.Phase == Draining) && r.Trips >= 0
 }
--- a/siblings/siblings.go
+++ b/siblings/siblings.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 )
 
 const (
@@ -27,7 +27,7 @@
 
 // Group is a process among those of its balancer.
 type Group struct {
-	total Amount
+	total Resources
 	place string
 	file  *os.File // its own, locked for life: the kernel gives the lock back however the process ends
 	slot  int
@@ -41,8 +41,8 @@
 }
 
 // Join takes a place among the processes that share a folder. total is what all may take together.
-func Join(place string, total Amount) (*Group, error) {
-	k := &Group{total: total, place: place, own: Row{Pid: os.Getpid(), Since: sinceBase + bootclock.Now(), Phase: Starting}}
+func Join(place string, total Resources) (*Group, error) {
+	k := &Group{total: total, place: place, own: Row{Pid: os.Getpid(), Since: sinceBase + monotime.Now(), Phase: Starting}}
 	var err error
 	if k.turn, err = os.OpenFile(filepath.Join(place, "hollylever.kin.turn"), os.O_CREATE|os.O_RDWR|unix.O_NOFOLLOW, 0o600); err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 
 // Tick says what this process uses, and how many trips it has handed over in all; it tells what it may come to, its part
 // of the trips, and how many others there are.
-func (k *Group) Tick(use Amount, handed int) (allowed Amount, part float64, others int, err error) {
+func (k *Group) Update(use Resources, handed int) (allowed Resources, part float64, others int, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.own.Use = use
@@ -131,14 +131,14 @@
 }
 
 // Now is what the process is doing from now on; others see it with the next tick.
-func (k *Group) Now(phase Phase) {
+func (k *Group) SetPhase(phase Phase) {
 	k.mu.Lock()
 	k.own.Phase = phase
 	k.mu.Unlock()
 }
 
 // Writes tells whether this process writes down what was learnt.
-func (k *Group) Writes() bool {
+func (k *Group) IsSnapshotWriter() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Writes(k.own, k.others)
--- a/siblings/siblings_test.go
+++ b/siblings/siblings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-var all = Amount{Clients: 160, Hosts: 160, Memory: 64 << 20}
+var all = Resources{ClientConnections: 160, EndpointConnections: 160, MemoryBytes: 64 << 20}
 
 func joined(t *testing.T, place string) *Group {
 	t.Helper()
@@ -19,12 +19,12 @@
 }
 
 // settle has all look some times, each in turn.
-func settle(t *testing.T, kin ...*Group) (allowed []Amount) {
+func settle(t *testing.T, kin ...*Group) (allowed []Resources) {
 	t.Helper()
 	for range 6 {
 		allowed = nil
 		for _, k := range kin {
-			a, _, _, err := k.Tick(k.own.Use, 0)
+			a, _, _, err := k.Update(k.own.Use, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -40,22 +40,22 @@
 		k := joined(t, place)
 		return k
 	}
-	whole := Amount{all.Clients, all.Hosts, all.Memory - all.Memory/4}
-	serve := func(k *Group) { settle(t, k); k.Now(Serving) }
+	whole := Resources{all.ClientConnections, all.EndpointConnections, all.MemoryBytes - all.MemoryBytes/4}
+	serve := func(k *Group) { settle(t, k); k.SetPhase(Serving) }
 	for what, play := range map[string]func(place string, old *Group) *Group{
 		"an upgrade": func(place string, old *Group) *Group {
 			young := start(place)
-			old.own.Use = Amount{Clients: 100, Hosts: 40, Memory: 9 << 20}
-			if a := settle(t, old, young); a[1].Clients != 20 || a[0].Clients != 140 {
+			old.own.Use = Resources{ClientConnections: 100, EndpointConnections: 40, MemoryBytes: 9 << 20}
+			if a := settle(t, old, young); a[1].ClientConnections != 20 || a[0].ClientConnections != 140 {
 				t.Errorf("one that starts may have %+v beside %+v", a[1], a[0])
 			}
-			young.Now(Serving)
-			if a := settle(t, old, young); a[0].Clients != 130 || a[1].Clients != 30 { // Nobody has to go.
+			young.SetPhase(Serving)
+			if a := settle(t, old, young); a[0].ClientConnections != 130 || a[1].ClientConnections != 30 { // Nobody has to go.
 				t.Errorf("both serve: %+v, %+v", a[0], a[1])
 			}
-			old.own.Use = Amount{Clients: 30, Hosts: 10, Memory: 9 << 20}
-			old.Now(Leaving)
-			if a := settle(t, old, young); a[0].Clients != 30 || a[0].Hosts != 25 || a[1].Clients != 130 || a[1].Hosts != 135 {
+			old.own.Use = Resources{ClientConnections: 30, EndpointConnections: 10, MemoryBytes: 9 << 20}
+			old.SetPhase(Draining)
+			if a := settle(t, old, young); a[0].ClientConnections != 30 || a[0].EndpointConnections != 25 || a[1].ClientConnections != 130 || a[1].EndpointConnections != 135 {
 				t.Errorf("one leaves: %+v, %+v", a[0], a[1])
 			}
 			old.Leave()
@@ -65,7 +65,7 @@
 			young := start(place)
 			settle(t, old, young)
 			old.Leave()
-			young.Now(Serving)
+			young.SetPhase(Serving)
 			return young
 		},
 		"a new one that never gets ready": func(place string, old *Group) *Group {
@@ -77,16 +77,16 @@
 		"a new one that crashes after its yes and is started again": func(place string, old *Group) *Group {
 			young := start(place)
 			settle(t, old, young)
-			young.Now(Serving)
+			young.SetPhase(Serving)
 			settle(t, old, young)
-			old.own.Use = Amount{Clients: 50, Hosts: 20, Memory: 9 << 20}
-			old.Now(Leaving)
+			old.own.Use = Resources{ClientConnections: 50, EndpointConnections: 20, MemoryBytes: 9 << 20}
+			old.SetPhase(Draining)
 			settle(t, old, young)
 			young.Leave()
 			again := start(place)
 			settle(t, old, again)
-			again.Now(Serving)
-			if a := settle(t, old, again); a[1].Clients != 110 {
+			again.SetPhase(Serving)
+			if a := settle(t, old, again); a[1].ClientConnections != 110 {
 				t.Errorf("beside one that leaves: %+v", a[1])
 			}
 			old.Leave()
@@ -95,15 +95,15 @@
 		"two upgrades in a row": func(place string, old *Group) *Group {
 			young := start(place)
 			settle(t, old, young)
-			young.Now(Serving)
-			old.Now(Leaving)
-			old.own.Use = Amount{Clients: 100, Hosts: 100, Memory: 20 << 20}
+			young.SetPhase(Serving)
+			old.SetPhase(Draining)
+			old.own.Use = Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 20 << 20}
 			settle(t, old, young)
 			last := start(place)
 			settle(t, old, young, last)
-			last.Now(Serving)
-			young.Now(Leaving)
-			young.own.Use = Amount{Clients: 10, Hosts: 10, Memory: 9 << 20}
+			last.SetPhase(Serving)
+			young.SetPhase(Draining)
+			young.own.Use = Resources{ClientConnections: 10, EndpointConnections: 10, MemoryBytes: 9 << 20}
 			settle(t, old, young, last)
 			young.Leave()
 			settle(t, old, last)
@@ -140,7 +140,7 @@
 				live[i].Leave()
 				live = append(live[:i], live[i+1:]...)
 			case n == 2 && len(live) > 0:
-				live[chance.IntN(len(live))].Now([]Phase{Serving, Leaving}[chance.IntN(2)])
+				live[chance.IntN(len(live))].SetPhase([]Phase{Serving, Draining}[chance.IntN(2)])
 			case n == 3:
 				os.WriteFile(fmt.Sprintf("%s/hollylever.kin.%d", place, chance.IntN(maxSiblings)), []byte(`{"pid":`), 0o600) // Torn.
 			case len(live) > 0:
@@ -148,17 +148,17 @@
 				use := k.own.Use
 				allowed := Allowed(k.total, k.own, k.others)
 				for n, used := range use.parts() {
-					if most := *allowed.parts()[n]; k.own.Phase != Leaving && most > *used {
+					if most := *allowed.parts()[n]; k.own.Phase != Draining && most > *used {
 						*used += chance.Int64N(most - *used + 1)
 					} else if chance.IntN(2) == 0 {
 						*used -= chance.Int64N(*used + 1)
 					}
 				}
-				if _, _, _, err := k.Tick(use, 0); err != nil {
+				if _, _, _, err := k.Update(use, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
-			var sum Amount
+			var sum Resources
 			for _, k := range live {
 				for n, claim := range sum.parts() {
 					*claim += *k.own.Claim.parts()[n]
@@ -167,7 +167,7 @@
 					}
 				}
 			}
-			if sum.Clients > all.Clients || sum.Hosts > all.Hosts || sum.Memory > all.Memory {
+			if sum.ClientConnections > all.ClientConnections || sum.EndpointConnections > all.EndpointConnections || sum.MemoryBytes > all.MemoryBytes {
 				t.Fatalf("seed %d, step %d: %+v is claimed of %+v", seed, step, sum, all)
 			}
 		}
@@ -189,7 +189,7 @@
 		t.Error("one that is alone has not all")
 	}
 	leaving := old
-	leaving.Phase = Leaving
+	leaving.Phase = Draining
 	if p := Part(Row{Phase: Serving}, []Row{leaving}); p != successors {
 		t.Errorf("one that takes over has %v", p)
 	}
--- a/learnt/learnt.go
+++ b/snapshot/learnt.go
@@ -4,7 +4,7 @@
 // reason, and the start is as without a file.
 //
 // The file: a head of 20 bytes (magic, version, length and CRC-32C of the body), then the body in CBOR.
-package learnt
+package snapshot
 
 import (
 	"encoding/binary"
@@ -20,7 +20,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 	"hollylever/policy"
 )
 
@@ -34,17 +34,17 @@
 
 // Snapshot is what one process leaves for the next.
 type Snapshot struct {
-	Name      string // of the balancer
-	Settings  uint64 // a fingerprint: indices of workloads, tenants and kinds mean the same
-	At        int64  // the system's time, Unix nanoseconds
-	Boot      string // this start of the machine, "" if unknown,
-	BootAt    int64  // and the time since: it tells the age under the same start, whatever steps the system's time takes
-	Discovery string // whose count Index is
-	Index     uint64
-	List      []byte // as it was last told, in discovery's form
-	State     policy.State
+	BalancerName        string // of the balancer
+	SettingsFingerprint uint64 // a fingerprint: indices of workloads, tenants and kinds mean the same
+	WrittenAt           int64  // the system's time, Unix nanoseconds
+	BootID              string // this start of the machine, "" if unknown,
+	SinceBoot           int64  // and the time since: it tells the age under the same start, whatever steps the system's time takes
+	DiscoveryServer     string // whose count Index is
+	ListIndex           uint64
+	EndpointList        []byte // as it was last told, in discovery's form
+	BalancerState       policy.State
 
-	Ago time.Duration `cbor:"-"` // how long ago, once read
+	Age time.Duration `cbor:"-"` // how long ago, once read
 }
 
 // File is where snapshots are kept. One process writes it at a time; whoever comes second passes over its turn.
@@ -68,7 +68,7 @@
 }
 
 // ErrTaken says that another process is writing the file.
-var ErrTaken = errors.New("another process is writing it")
+var ErrLocked = errors.New("another process is writing it")
 
 // Write puts a snapshot in place of what the file holds, at one stroke; a process that dies meanwhile leaves the old one.
 func (f *File) Write(s *Snapshot) (size int, err error) {
@@ -95,14 +95,14 @@
 		return 0, err
 	}
 	if err := unix.Flock(int(at.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		return 0, ErrTaken
+		return 0, ErrLocked
 	}
 	mine, err := at.Stat()
 	if err != nil {
 		return 0, err
 	}
 	if still, err := os.Lstat(aside); err != nil || !os.SameFile(mine, still) {
-		return 0, ErrTaken // Another has put it in place meanwhile: what we hold is the file itself.
+		return 0, ErrLocked // Another has put it in place meanwhile: what we hold is the file itself.
 	}
 	if err := at.Truncate(0); err != nil {
 		return 0, err
@@ -149,19 +149,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.Path, err)
 	}
-	s.Ago = time.Duration(now.UnixNano() - s.At)
-	if s.Boot != "" && s.Boot == bootclock.ID() {
-		s.Ago = time.Duration(bootclock.Now() - s.BootAt)
+	s.Age = time.Duration(now.UnixNano() - s.WrittenAt)
+	if s.BootID != "" && s.BootID == monotime.BootID() {
+		s.Age = time.Duration(monotime.Now() - s.SinceBoot)
 	}
 	switch {
-	case s.Name != name:
-		return nil, fmt.Errorf("%s: of another balancer, %q", f.Path, s.Name)
-	case s.Settings != settings:
+	case s.BalancerName != name:
+		return nil, fmt.Errorf("%s: of another balancer, %q", f.Path, s.BalancerName)
+	case s.SettingsFingerprint != settings:
 		return nil, fmt.Errorf("%s: of other settings", f.Path)
-	case s.Ago > lasts || s.Ago < -lasts: // A step of the clock back by more leaves nothing to go by.
-		return nil, fmt.Errorf("%s: written %v ago", f.Path, s.Ago.Round(time.Millisecond))
+	case s.Age > lasts || s.Age < -lasts: // A step of the clock back by more leaves nothing to go by.
+		return nil, fmt.Errorf("%s: written %v ago", f.Path, s.Age.Round(time.Millisecond))
 	}
-	s.Ago = max(0, s.Ago)
+	s.Age = max(0, s.Age)
 	return s, nil
 }
 
@@ -184,5 +184,5 @@
 	if err := unpacker.Unmarshal(body, s); err != nil {
 		return nil, err
 	}
-	return s, s.State.Check()
+	return s, s.BalancerState.Check()
 }
--- a/learnt/learnt_test.go
+++ b/snapshot/learnt_test.go
@@ -1,4 +1,4 @@
-package learnt
+package snapshot
 
 import (
 	"encoding/binary"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hollylever/bootclock"
+	"hollylever/monotime"
 	"hollylever/policy"
 )
 
@@ -22,12 +22,12 @@
 const lasts = 30 * time.Second
 
 func sample(keys int) *Snapshot {
-	s := &Snapshot{Name: "n1", Settings: 7, At: now.UnixNano(), Discovery: "127.0.0.1:1", Index: 9, List: []byte(`{}`)}
-	s.State = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
+	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(), DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
+	s.BalancerState = policy.State{Now: now.UnixNano(), Began: now.UnixNano() - 5, Seen: 100, Pace: 1, Usual: 1e9, Admit: 1,
 		Servers: []policy.ServerState{{Hash: 1, Good: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, Rate: -1}},
 		Kinds:   []policy.KindState{{Size: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
 	for n := range keys {
-		s.State.Keys, s.State.Places = append(s.State.Keys, uint64(n)+1), append(s.State.Places, uint32(n%2))
+		s.BalancerState.Keys, s.BalancerState.Places = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.Places, uint32(n%2))
 	}
 	return s
 }
@@ -79,17 +79,17 @@
 // What has a right sum and makes no sense is refused as well: no index of it may lead anywhere.
 func TestWhatMakesNoSenseIsRefused(t *testing.T) {
 	for what, spoil := range map[string]func(s *Snapshot){
-		"a place beyond the hosts": func(s *Snapshot) { s.State.Places[3] = 2 },
-		"fewer places than keys":   func(s *Snapshot) { s.State.Places = s.State.Places[:4] },
-		"a sum below zero":         func(s *Snapshot) { s.State.Servers[1].Busy.Value = -1 },
-		"an age below zero":        func(s *Snapshot) { s.State.Reads.Age = -1 },
-		"a pace of nothing":        func(s *Snapshot) { s.State.Pace = 0 },
-		"a start after the end":    func(s *Snapshot) { s.State.Began = s.State.Now + 1 },
-		"credit beyond all":        func(s *Snapshot) { s.State.Credit = 1e9 },
-		"of another balancer":      func(s *Snapshot) { s.Name = "n2" },
-		"of other settings":        func(s *Snapshot) { s.Settings = 8 },
-		"older than it lasts":      func(s *Snapshot) { s.At -= int64(lasts) + 1 },
-		"from far ahead":           func(s *Snapshot) { s.At += int64(lasts) + 1 },
+		"a place beyond the hosts": func(s *Snapshot) { s.BalancerState.Places[3] = 2 },
+		"fewer places than keys":   func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] },
+		"a sum below zero":         func(s *Snapshot) { s.BalancerState.Servers[1].Busy.Value = -1 },
+		"an age below zero":        func(s *Snapshot) { s.BalancerState.Reads.Age = -1 },
+		"a pace of nothing":        func(s *Snapshot) { s.BalancerState.Pace = 0 },
+		"a start after the end":    func(s *Snapshot) { s.BalancerState.Began = s.BalancerState.Now + 1 },
+		"credit beyond all":        func(s *Snapshot) { s.BalancerState.Credit = 1e9 },
+		"of another balancer":      func(s *Snapshot) { s.BalancerName = "n2" },
+		"of other settings":        func(s *Snapshot) { s.SettingsFingerprint = 8 },
+		"older than it lasts":      func(s *Snapshot) { s.WrittenAt -= int64(lasts) + 1 },
+		"from far ahead":           func(s *Snapshot) { s.WrittenAt += int64(lasts) + 1 },
 	} {
 		s := sample(5)
 		spoil(s)
@@ -99,17 +99,17 @@
 		}
 	}
 	s := sample(0)
-	s.At += int64(lasts) / 2 // The clock has stepped back by less than the bound.
+	s.WrittenAt += int64(lasts) / 2 // The clock has stepped back by less than the bound.
 	f, text := written(t, s)
-	if got, err := f.Read("n1", 7, now, lasts); err != nil || got.Ago != 0 {
+	if got, err := f.Read("n1", 7, now, lasts); err != nil || got.Age != 0 {
 		t.Errorf("a small step back: %+v, %v", got, err)
 	}
 	for _, step := range []time.Duration{-time.Hour, time.Hour} { // Under the same start of the machine its clock tells the age.
 		s := sample(0)
-		s.At += int64(step)
-		s.Boot, s.BootAt = bootclock.ID(), bootclock.Now()-int64(time.Second)
+		s.WrittenAt += int64(step)
+		s.BootID, s.SinceBoot = monotime.BootID(), monotime.Now()-int64(time.Second)
 		f, _ := written(t, s)
-		if got, err := f.Read("n1", 7, now, lasts); err != nil || got.Ago < time.Second || got.Ago > time.Minute {
+		if got, err := f.Read("n1", 7, now, lasts); err != nil || got.Age < time.Second || got.Age > time.Minute {
 			t.Errorf("a step of %v: %+v, %v", step, got, err)
 		}
 	}
@@ -127,7 +127,7 @@
 		text := append([]byte(magic), 1, 0, 0, 0)
 		text = binary.LittleEndian.AppendUint32(text, uint32(len(body)))
 		text = binary.LittleEndian.AppendUint32(text, crc32.Checksum(body, table))
-		if s, err := unpack(append(text, body...)); err == nil && s.State.Check() != nil {
+		if s, err := unpack(append(text, body...)); err == nil && s.BalancerState.Check() != nil {
 			t.Error("it is taken, though it makes no sense")
 		}
 	})
@@ -196,7 +196,7 @@
 		time.Sleep(time.Duration(n) * 313 * time.Microsecond) // Anywhere amid a write.
 		cmd.Process.Kill()
 		cmd.Wait()
-		if s, err := f.Read("n1", 7, now, lasts); err != nil || len(s.State.Keys) != 4000 {
+		if s, err := f.Read("n1", 7, now, lasts); err != nil || len(s.BalancerState.Keys) != 4000 {
 			t.Fatalf("%d: what a killed process leaves: %v", n, err)
 		}
 		if _, err := f.Write(sample(1)); err != nil {
@@ -214,7 +214,7 @@
 	}
 	defer at.Close()
 	syscall.Flock(int(at.Fd()), syscall.LOCK_EX)
-	if _, err := f.Write(sample(2)); !errors.Is(err, ErrTaken) {
+	if _, err := f.Write(sample(2)); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second writer: %v", err)
 	}
 }
@@ -222,15 +222,15 @@
 // At 5,000 hosts and as many keys as a module keeps.
 func BenchmarkWrite(b *testing.B) {
 	s := sample(8191)
-	s.State.Servers = make([]policy.ServerState, 5000)
-	for n := range s.State.Servers {
-		h := &s.State.Servers[n]
+	s.BalancerState.Servers = make([]policy.ServerState, 5000)
+	for n := range s.BalancerState.Servers {
+		h := &s.BalancerState.Servers[n]
 		*h = policy.ServerState{Hash: uint64(n+1) * 0x9e3779b97f4a7c15, Started: now.UnixNano(), Credit: 2.2, Rate: -1}
 		for _, sum := range []*policy.Sum{&h.Held, &h.Sent, &h.Good, &h.Bad, &h.Busy} {
 			*sum = policy.Sum{Value: float32(n) / 7, Age: int64(n) * 1e6}
 		}
 	}
-	s.List = []byte(strings.Repeat("x", 5000*140))
+	s.EndpointList = []byte(strings.Repeat("x", 5000*140))
 	f := &File{Path: filepath.Join(b.TempDir(), "learnt")}
 	size := 0
 	for b.Loop() {
--- a/watch/counts.go
+++ b/stallwatch/counts.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"bytes"
@@ -124,13 +124,13 @@
 }
 
 // Spent tells what the process used since it was asked last.
-type Spent struct {
+type UsageMeter struct {
 	cpu time.Duration
 	ran uint64 // collections
 }
 
 // Since gives the CPU time, and how often the collector ran.
-func (s *Spent) Since() (cpu time.Duration, collections uint64) {
+func (s *UsageMeter) SinceLast() (cpu time.Duration, collections uint64) {
 	sample := []metrics.Sample{{Name: cycles}}
 	metrics.Read(sample)
 	before := *s
--- a/watch/judge.go
+++ b/stallwatch/judge.go
@@ -3,7 +3,7 @@
 // wake-up every 25 ms and some readings of the kernel's and the runtime's counts every 100 ms, nothing a retrieval.
 //
 // judge.go decides, from what was seen over one gap, what kept the program; it has no clock and no I/O.
-package watch
+package stallwatch
 
 import "time"
 
--- a/watch/mark.go
+++ b/stallwatch/mark.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"io"
@@ -11,13 +11,13 @@
 func clock() int64 { return int64(time.Since(begun)) + 1 }
 
 // Mark is around something that should not take long. One at a time is in it, or the newest is timed.
-type Mark struct{ since, longest atomic.Int64 }
+type Timer struct{ since, longest atomic.Int64 }
 
 // Begin enters it.
-func (m *Mark) Begin() { m.since.Store(clock()) }
+func (m *Timer) Begin() { m.since.Store(clock()) }
 
 // End leaves it.
-func (m *Mark) End() {
+func (m *Timer) End() {
 	if since := m.since.Swap(0); since > 0 {
 		if took := clock() - since; took > m.longest.Load() {
 			m.longest.Store(took)
@@ -26,7 +26,7 @@
 }
 
 // take gives the longest time in it since the last look, what is still in it included; still: that is the longest.
-func (m *Mark) take() (longest time.Duration, still bool) {
+func (m *Timer) take() (longest time.Duration, still bool) {
 	longest = time.Duration(m.longest.Swap(0))
 	if since := m.since.Load(); since > 0 {
 		if now := time.Duration(clock() - since); now > longest {
@@ -37,12 +37,12 @@
 }
 
 // Writer marks each write. The log's.
-type Writer struct {
+type TimedWriter struct {
 	io.Writer
-	*Mark
+	*Timer
 }
 
-func (w Writer) Write(text []byte) (int, error) {
+func (w TimedWriter) Write(text []byte) (int, error) {
 	w.Begin()
 	defer w.End()
 	return w.Writer.Write(text)
--- a/watch/watch.go
+++ b/stallwatch/watch.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"context"
@@ -25,11 +25,11 @@
 )
 
 // Watch is what looks. Its marks are handed to what they are around.
-type Watch struct {
-	Accept Mark
+type Detector struct {
+	Accept Timer
 
-	lock   Mark
-	wrote  *Mark // around writes of the log
+	lock   Timer
+	wrote  *Timer // around writes of the log
 	module sync.Locker
 	log    zerolog.Logger
 	lines  chan func()
@@ -45,17 +45,17 @@
 }
 
 // New makes a watch over a lock, that says what it finds to a log.
-func New(module sync.Locker, log zerolog.Logger, wrote *Mark) *Watch {
-	w := &Watch{module: module, log: log, wrote: wrote, lines: make(chan func(), 16), said: map[Cause]time.Time{}, passed: map[Cause]int{}}
-	w.Over(Over)
+func New(module sync.Locker, log zerolog.Logger, wrote *Timer) *Detector {
+	w := &Detector{module: module, log: log, wrote: wrote, lines: make(chan func(), 16), said: map[Cause]time.Time{}, passed: map[Cause]int{}}
+	w.SetThreshold(Over)
 	return w
 }
 
 // Over sets the least time that counts as standing still.
-func (w *Watch) Over(least time.Duration) { w.over.Store(int64(least)) }
+func (w *Detector) SetThreshold(least time.Duration) { w.over.Store(int64(least)) }
 
 // Run looks until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Detector) Run(ctx context.Context) {
 	w.resume = make(chan os.Signal, 16)
 	signal.Notify(w.resume, syscall.SIGCONT)
 	defer signal.Stop(w.resume)
@@ -86,7 +86,7 @@
 }
 
 // probe takes the module's lock now and then, as a retrieval would.
-func (w *Watch) probe(ctx context.Context) {
+func (w *Detector) probe(ctx context.Context) {
 	for tick := time.NewTicker(beatEvery); ctx.Err() == nil; <-tick.C {
 		w.lock.Begin()
 		w.module.Lock()
@@ -97,7 +97,7 @@
 
 // resumed is how often the process was told to go on since the last look. Guards against a beat that wakes before that signal has come
 // through the runtime: it waits a moment for the first.
-func (w *Watch) resumed(wait time.Duration) (times int) {
+func (w *Detector) resumed(wait time.Duration) (times int) {
 	if len(w.resume) == 0 && wait > 0 {
 		select {
 		case <-w.resume:
@@ -112,7 +112,7 @@
 }
 
 // look judges what came since the last beat.
-func (w *Watch) look(late time.Duration, now time.Time) {
+func (w *Detector) look(late time.Duration, now time.Time) {
 	g := Gap{Beat: late}
 	over := time.Duration(w.over.Load())
 	if late < over {
--- a/watch/watch_test.go
+++ b/stallwatch/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package stallwatch
 
 import (
 	"bytes"
@@ -91,8 +91,8 @@
 // Each is caused, and only what was caused is said of it.
 func TestStandstillsAreSaid(t *testing.T) {
 	out, module := &lines{seen: make(chan []byte, 100)}, &sync.Mutex{}
-	var wrote Mark
-	log := zerolog.New(Writer{out, &wrote})
+	var wrote Timer
+	log := zerolog.New(TimedWriter{out, &wrote})
 	w := New(module, log, &wrote)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -129,7 +129,7 @@
 // A process that is stopped from outside says so once it goes on.
 func TestStoppedFromOutside(t *testing.T) {
 	if os.Getenv(asStopped) != "" {
-		var wrote Mark
+		var wrote Timer
 		w := New(&sync.Mutex{}, zerolog.New(os.Stderr), &wrote)
 		ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
 		defer end()
--- a/store/faults_test.go
+++ b/store/faults_test.go
@@ -58,7 +58,7 @@
 
 func add(t *testing.T, l *Log, record string) {
 	t.Helper()
-	if err := l.Add([][]byte{[]byte(record)}); err != nil {
+	if err := l.Append([][]byte{[]byte(record)}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -79,7 +79,7 @@
 			l.file = faulty
 			fail(faulty)
 			for range 2 {
-				if err := l.Add([][]byte{[]byte("not acknowledged")}); err == nil {
+				if err := l.Append([][]byte{[]byte("not acknowledged")}); err == nil {
 					t.Fatal("it is acknowledged")
 				}
 			}
@@ -113,7 +113,7 @@
 	path := filepath.Join(t.TempDir(), "log")
 	l := opened(t, path)
 	add(t, l, "first")
-	if err := l.Add([][]byte{{}}); err == nil {
+	if err := l.Append([][]byte{{}}); err == nil {
 		t.Error("an empty record is taken")
 	}
 	l.Close()
@@ -123,7 +123,7 @@
 	}
 	text = append(append(text, make([]byte, headOf)...), 1) // Zeros and more behind them.
 	os.WriteFile(path, text, 0o600)
-	if l, _, err := Open(path); !errors.Is(err, ErrDamaged) {
+	if l, _, err := Open(path); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("zeros amid the file: %v", err)
 	} else {
 		l.Close()
@@ -143,10 +143,10 @@
 		return syscall.EIO
 	}
 	syncs = false
-	if err := l.Swap([][]byte{[]byte("swapped")}); err == nil {
+	if err := l.Replace([][]byte{[]byte("swapped")}); err == nil {
 		t.Error("the swap is acknowledged")
 	}
-	if err := l.Add([][]byte{[]byte("lost with the new file")}); err == nil {
+	if err := l.Append([][]byte{[]byte("lost with the new file")}); err == nil {
 		t.Error("what stands only in the new file is acknowledged")
 	}
 	syncs = true
--- a/store/log.go
+++ b/store/log.go
@@ -23,10 +23,10 @@
 )
 
 // ErrDamaged: the file is not what this package wrote.
-var ErrDamaged = errors.New("damaged: nothing of it is taken")
+var ErrCorrupt = errors.New("damaged: nothing of it is taken")
 
 // ErrHeld: another process has the file.
-var ErrHeld = errors.New("held by another process")
+var ErrLocked = errors.New("held by another process")
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
@@ -59,7 +59,7 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, nil, ErrHeld
+		return nil, nil, ErrLocked
 	}
 	l := &Log{path: path, lock: lock, syncFolder: syncFolder}
 	bytes, err := os.ReadFile(path)
@@ -82,7 +82,7 @@
 	}
 	l.file = at
 	if whole == 0 {
-		if err = l.Swap(nil); err != nil {
+		if err = l.Replace(nil); err != nil {
 			l.Close()
 			return nil, nil, err
 		}
@@ -103,12 +103,12 @@
 func parse(bytes []byte) (records [][]byte, whole int, bad error) {
 	if len(bytes) < len(magic) {
 		if string(bytes) != magic[:len(bytes)] {
-			return nil, 0, ErrDamaged
+			return nil, 0, ErrCorrupt
 		}
 		return nil, 0, nil // Its making was cut short.
 	}
 	if string(bytes[:len(magic)]) != magic || len(bytes) > mostFile {
-		return nil, 0, ErrDamaged
+		return nil, 0, ErrCorrupt
 	}
 	for at := len(magic); ; {
 		whole = at
@@ -118,19 +118,19 @@
 		size := int(binary.LittleEndian.Uint32(bytes[at:]))
 		if size == 0 { // No record is empty: a crash can leave a file longer than what was written to it, with zeros there.
 			if len(strings.Trim(string(bytes[at:]), "\x00")) > 0 {
-				return nil, 0, ErrDamaged
+				return nil, 0, ErrCorrupt
 			}
 			return records, whole, nil
 		}
 		if size > mostRecord {
-			return nil, 0, ErrDamaged
+			return nil, 0, ErrCorrupt
 		}
 		if len(bytes)-at-headOf < size {
 			return records, whole, nil
 		}
 		body := bytes[at+headOf : at+headOf+size]
 		if crc32.Checksum(body, table) != binary.LittleEndian.Uint32(bytes[at+4:]) {
-			return nil, 0, ErrDamaged
+			return nil, 0, ErrCorrupt
 		}
 		records = append(records, body)
 		at += headOf + size
@@ -151,7 +151,7 @@
 
 // Add puts records at the end, in one write, and waits for the disk. After an error none of them counts; the next call begins where the
 // last good one ended.
-func (l *Log) Add(records [][]byte) error {
+func (l *Log) Append(records [][]byte) error {
 	bytes, err := frame(nil, records)
 	if err != nil {
 		return err
@@ -194,7 +194,7 @@
 }
 
 // Swap puts records in the place of all that were there.
-func (l *Log) Swap(records [][]byte) error {
+func (l *Log) Replace(records [][]byte) error {
 	bytes, err := frame([]byte(magic), records)
 	if err != nil {
 		return err
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -19,7 +19,7 @@
 	ends := []int{len(magic)}
 	for n := range 12 {
 		r := []byte(fmt.Sprint("record-", n, "-", make([]byte, n*3)))
-		if err := l.Add([][]byte{r}); err != nil {
+		if err := l.Append([][]byte{r}); err != nil {
 			t.Fatal(err)
 		}
 		ends = append(ends, ends[n]+headOf+len(r))
@@ -36,7 +36,7 @@
 		if err != nil || len(records) != want {
 			t.Fatalf("cut at %d: %d records, not %d, %v", cut, len(records), want, err)
 		}
-		if err := l.Add([][]byte{[]byte("more")}); err != nil {
+		if err := l.Append([][]byte{[]byte("more")}); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
@@ -51,8 +51,8 @@
 func TestDamageIsSaid(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l, _, _ := Open(path)
-	l.Swap([][]byte{[]byte("one"), []byte("two"), []byte("three")})
-	if _, _, err := Open(path); !errors.Is(err, ErrHeld) {
+	l.Replace([][]byte{[]byte("one"), []byte("two"), []byte("three")})
+	if _, _, err := Open(path); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
 	l.Close()
@@ -70,7 +70,7 @@
 				t.Fatalf("byte %d is changed: record %d is %q", at, n, r)
 			}
 		}
-		if errors.Is(err, ErrDamaged) {
+		if errors.Is(err, ErrCorrupt) {
 			if aside, err := os.ReadFile(path + ".damaged"); err != nil || len(aside) != len(bytes) {
 				t.Fatalf("byte %d: nothing is kept aside", at)
 			}
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -22,33 +22,33 @@
 }
 
 // Host is one that is used. Weight is its size against others'; 0 counts as 1.
-type Host struct {
+type Endpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
 // Rule is how large subsets are.
-type Rule struct {
-	Hosts     int  // that a balancer has in the mean, at least
-	Balancers int  // that a host has, at least: where some of them go, others still look after it
-	Near      bool // hosts are given to balancers of their zone, as far as there are so many
+type Config struct {
+	MinEndpoints int  // that a balancer has in the mean, at least
+	MinBalancers int  // that a host has, at least: where some of them go, others still look after it
+	ZoneLocal    bool // hosts are given to balancers of their zone, as far as there are so many
 }
 
 // Usual keeps twenty hosts a balancer and three balancers a host.
-var Usual = Rule{Hosts: 20, Balancers: 3}
+var DefaultConfig = Config{MinEndpoints: 20, MinBalancers: 3}
 
 // PerHost is how many balancers a host of mean weight has.
-func (r Rule) PerHost(balancers, hosts int) int {
+func (r Config) BalancersPerEndpoint(balancers, hosts int) int {
 	if balancers == 0 || hosts == 0 {
 		return 0
 	}
-	each := (r.Hosts*balancers + hosts - 1) / hosts
-	return min(balancers, max(r.Balancers, each))
+	each := (r.MinEndpoints*balancers + hosts - 1) / hosts
+	return min(balancers, max(r.MinBalancers, each))
 }
 
 // Sets are who has which hosts.
-type Sets struct {
-	rule      Rule
+type Assignment struct {
+	rule      Config
 	balancers []Balancer
 	hashes    []uint64 // of their names
 	zones     map[string][]int
@@ -57,8 +57,8 @@
 }
 
 // New makes sets for these lists; their order does not matter.
-func New(balancers []Balancer, hosts []Host, rule Rule) *Sets {
-	s := &Sets{rule: rule, balancers: slices.Clone(balancers), zones: map[string][]int{}}
+func New(balancers []Balancer, hosts []Endpoint, rule Config) *Assignment {
+	s := &Assignment{rule: rule, balancers: slices.Clone(balancers), zones: map[string][]int{}}
 	slices.SortFunc(s.balancers, func(a, b Balancer) int { return cmp.Compare(a.Name, b.Name) })
 	for n, b := range s.balancers {
 		s.hashes = append(s.hashes, hash(b.Name))
@@ -67,11 +67,11 @@
 	for _, h := range hosts {
 		s.mean += weight(h) / float64(len(hosts))
 	}
-	s.each = rule.PerHost(len(balancers), len(hosts))
+	s.each = rule.BalancersPerEndpoint(len(balancers), len(hosts))
 	return s
 }
 
-func weight(h Host) float64 {
+func weight(h Endpoint) float64 {
 	if h.Weight > 0 && !math.IsInf(h.Weight, 0) {
 		return h.Weight
 	}
@@ -79,13 +79,13 @@
 }
 
 // Of gives the balancers that a host has, in the host's order: by its weight against the mean, and one at least.
-func (s *Sets) Of(h Host) []string {
+func (s *Assignment) BalancersOf(h Endpoint) []string {
 	if len(s.balancers) == 0 {
 		return nil
 	}
 	many := min(len(s.balancers), max(1, int(math.Round(float64(s.each)*weight(h)/s.mean))))
 	var from []int
-	if near := s.zones[h.Zone]; s.rule.Near && len(near) >= min(many, s.rule.Balancers) {
+	if near := s.zones[h.Zone]; s.rule.ZoneLocal && len(near) >= min(many, s.rule.MinBalancers) {
 		from = near
 		many = min(many, len(near))
 	} else {
@@ -112,9 +112,9 @@
 }
 
 // Has gives the hosts of one balancer, of these.
-func (s *Sets) Has(balancer string, hosts []Host) (names []string) {
+func (s *Assignment) EndpointsOf(balancer string, hosts []Endpoint) (names []string) {
 	for _, h := range hosts {
-		if slices.Contains(s.Of(h), balancer) {
+		if slices.Contains(s.BalancersOf(h), balancer) {
 			names = append(names, h.Name)
 		}
 	}
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -10,21 +10,21 @@
 	"testing"
 )
 
-func some(balancers, hosts, zones int) (all []Balancer, of []Host) {
+func some(balancers, hosts, zones int) (all []Balancer, of []Endpoint) {
 	for n := range balancers {
 		all = append(all, Balancer{fmt.Sprint("b-", n), fmt.Sprint("z", n%zones)})
 	}
 	for n := range hosts {
-		of = append(of, Host{fmt.Sprint("h-", n), fmt.Sprint("z", n%zones), 1})
+		of = append(of, Endpoint{fmt.Sprint("h-", n), fmt.Sprint("z", n%zones), 1})
 	}
 	return all, of
 }
 
 // pairs are who has whom.
-func pairs(all []Balancer, of []Host, r Rule) map[[2]string]bool {
+func pairs(all []Balancer, of []Endpoint, r Config) map[[2]string]bool {
 	s, p := New(all, of, r), map[[2]string]bool{}
 	for _, h := range of {
-		for _, b := range s.Of(h) {
+		for _, b := range s.BalancersOf(h) {
 			p[[2]string{b, h.Name}] = true
 		}
 	}
@@ -48,8 +48,8 @@
 			continue
 		}
 		for _, near := range []bool{false, true} {
-			rule := Usual
-			rule.Near = near
+			rule := DefaultConfig
+			rule.ZoneLocal = near
 			all, of := some(size[0], size[1], 3)
 			hosts, balancers := uses(pairs(all, of, rule))
 			total, most, least := 0, 0, math.MaxInt
@@ -75,7 +75,7 @@
 	for n := range of {
 		of[n].Weight = []float64{0.5, 1, 2}[n%3]
 	}
-	hosts, _ := uses(pairs(all, of, Usual))
+	hosts, _ := uses(pairs(all, of, DefaultConfig))
 	per := [3]map[int]bool{{}, {}, {}}
 	for n, h := range of {
 		per[n%3][hosts[h.Name]] = true
@@ -93,17 +93,17 @@
 // Zones of unlike size: hosts keep to their zone where it has balancers enough, and are in use there alike.
 func TestZonesOfUnlikeSize(t *testing.T) {
 	var all []Balancer
-	var of []Host
+	var of []Endpoint
 	for zone, n := range map[string][2]int{"a": {40, 10}, "b": {10, 40}, "c": {1, 20}} {
 		for b := range n[0] {
 			all = append(all, Balancer{fmt.Sprint(zone, b), zone})
 		}
 		for h := range n[1] {
-			of = append(of, Host{fmt.Sprint("h", zone, h), zone, 1})
+			of = append(of, Endpoint{fmt.Sprint("h", zone, h), zone, 1})
 		}
 	}
-	rule := Usual
-	rule.Near = true
+	rule := DefaultConfig
+	rule.ZoneLocal = true
 	p := pairs(all, of, rule)
 	hosts, _ := uses(p)
 	for pair := range p {
@@ -133,13 +133,13 @@
 	}
 	chance := rand.New(rand.NewPCG(8, 8))
 	all, of := some(30, 60, 3)
-	next, before := 1000, pairs(all, of, Usual)
-	each := Usual.PerHost(len(all), len(of))
+	next, before := 1000, pairs(all, of, DefaultConfig)
+	each := DefaultConfig.BalancersPerEndpoint(len(all), len(of))
 	for step := range steps {
 		joins, host := chance.IntN(2) == 0, chance.IntN(2) == 0
 		switch {
 		case joins && host:
-			of = append(of, Host{fmt.Sprint("h-", next), "z0", 1})
+			of = append(of, Endpoint{fmt.Sprint("h-", next), "z0", 1})
 		case joins:
 			all = append(all, Balancer{fmt.Sprint("b-", next), "z0"})
 		case host && len(of) > 20:
@@ -152,8 +152,8 @@
 		next++
 		chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		chance.Shuffle(len(of), func(i, j int) { of[i], of[j] = of[j], of[i] })
-		now := pairs(all, of, Usual)
-		if is := Usual.PerHost(len(all), len(of)); is != each {
+		now := pairs(all, of, DefaultConfig)
+		if is := DefaultConfig.BalancersPerEndpoint(len(all), len(of)); is != each {
 			before, each = now, is // All hosts have one more or less: that much has to move.
 			continue
 		}
