--- a/server/lines_test.go
+++ b/server/lines_test.go
@@ -15,7 +15,7 @@
 // logged finds each line that the sources log: its message, and the fields that are named in the same chain of calls.
 func logged(t *testing.T) map[string][]string {
 	found := map[string][]string{}
-	for _, place := range []string{".", "../routing", "../watch", "../admin", "../transport", "../siblings", "../learnt", "../fleet"} {
+	for _, place := range []string{".", "../routing", "../stallwatch", "../admin", "../transport", "../siblings", "../snapshot", "../fleet"} {
 		files, err := filepath.Glob(filepath.Join(place, "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatal(place, err)
