--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -15,14 +15,14 @@
 
 func main() { server.Main(join) }
 
-func join(own fields.Values, name, zone, settings string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
-	f, err := fleet.Start(own, name, zone, settings, balancerAdapter{b}, log)
+func join(config fields.Values, name, zone, settings string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
+	f, err := fleet.Start(config, name, zone, settings, balancerAdapter{b}, log)
 	if err != nil {
 		return nil, err
 	}
 	b.SetLeaseCheck(func() { f.CheckLease() })
-	if fellows := f.OutlierExchange(); fellows != nil {
-		b.SetOutlierExchange(fellows)
+	if exchange := f.OutlierExchange(); exchange != nil {
+		b.SetOutlierExchange(exchange)
 	}
 	return f, nil
 }
@@ -30,25 +30,25 @@
 // acts puts what is agreed on before the balancer.
 type balancerAdapter struct{ *routing.Balancer }
 
-func (a balancerAdapter) ApplyConfig(what consensus.EffectiveConfig) {
-	a.Balancer.Heeds(what.EjectedEndpoints, what.Limits, what.DiscoverySource, what.MinListIndex)
+func (a balancerAdapter) ApplyConfig(config consensus.EffectiveConfig) {
+	a.Balancer.Heeds(config.EjectedEndpoints, config.Limits, config.DiscoverySource, config.MinListIndex)
 }
 
 func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
 
 func (a balancerAdapter) Endpoints() []subset.Endpoint {
 	var all []subset.Endpoint
-	for _, l := range a.Balancer.Servers() {
-		all = append(all, subset.Endpoint(l))
+	for _, listed := range a.Balancer.Servers() {
+		all = append(all, subset.Endpoint(listed))
 	}
 	return all
 }
 
 func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
 	index, digest, drains := a.Lists()
-	out := make([]membership.DrainedEndpoint, len(drains))
-	for n, d := range drains {
-		out[n] = membership.DrainedEndpoint(d)
+	converted := make([]membership.DrainedEndpoint, len(drains))
+	for i, drain := range drains {
+		converted[i] = membership.DrainedEndpoint(drain)
 	}
-	return index, digest, out
+	return index, digest, converted
 }
--- a/fleet/connections.go
+++ b/fleet/connections.go
@@ -8,22 +8,27 @@
 	"hollylever/subset"
 )
 
-// connectionSubset is to which endpoints this process keeps idle connections, and what that was computed from. It is Run's own.
+// connectionSubset is what the endpoints to which this process keeps idle connections were computed from. Run alone
+// uses it.
 type connectionSubset struct {
-	rule      subset.Config // Hosts 0: to all
+	config    subset.Config // MinEndpoints 0: there are no subsets
 	balancers []subset.Balancer
 	endpoints []subset.Endpoint
 }
 
 func newConnectionSubset(own fields.Values) connectionSubset {
-	return connectionSubset{rule: subset.Config{MinEndpoints: int(own.Count("fleet.tends")), MinBalancers: subset.DefaultConfig.MinBalancers, ZoneLocal: own.Yes("fleet.tends_near")}}
+	return connectionSubset{config: subset.Config{
+		MinEndpoints: int(own.Count("fleet.tends")),
+		MinBalancers: subset.DefaultConfig.MinBalancers,
+		ZoneLocal:    own.Yes("fleet.tends_near"),
+	}}
 }
 
-// updateConnectionSubset computes the subset anew if members or endpoints have changed, and tells the balancer. While no other member is heard it is all
-// endpoints: alone, a process has to be able to reach any of them at once.
+// updateConnectionSubset computes the subset anew if members or endpoints have changed, and tells the balancer. While
+// no other member is heard the subset is all endpoints, since nobody else would keep connections to the rest of them.
 func (f *Fleet) updateConnectionSubset(live []membership.Member, endpoints []subset.Endpoint) {
 	c := &f.connections
-	if c.rule.MinEndpoints == 0 {
+	if c.config.MinEndpoints == 0 {
 		return
 	}
 	balancers := []subset.Balancer{{Name: f.name, Zone: f.zone}}
@@ -36,13 +41,13 @@
 		return
 	}
 	c.balancers, c.endpoints = balancers, endpoints
-	own := subset.New(balancers, endpoints, c.rule).EndpointsOf(f.name, endpoints)
+	own := subset.New(balancers, endpoints, c.config).EndpointsOf(f.name, endpoints)
 	names := map[string]bool{}
 	for _, name := range own {
 		names[name] = true
 	}
 	isAlone := len(balancers) == 1
-	f.acts.SetConnectionSubset(names, isAlone)
+	f.balancer.SetConnectionSubset(names, isAlone)
 	f.mu.Lock()
 	f.subset = own
 	f.mu.Unlock()
--- a/fleet/decides_test.go
+++ b/fleet/decides_test.go
@@ -15,11 +15,11 @@
 func TestDecidesAllocatesNothing(t *testing.T) {
 	f := &Fleet{}
 	f.lease.expiry.Store(1 << 62)
-	if n := testing.AllocsPerRun(100, func() { f.CheckLease() }); n != 0 || f.lease.decisionsUnder.Load() == 0 || f.lease.decisionsWithout.Load() != 0 {
-		t.Errorf("%v allocations; %d under a lease, %d alone", n, f.lease.decisionsUnder.Load(), f.lease.decisionsWithout.Load())
+	if n := testing.AllocsPerRun(100, func() { f.CheckLease() }); n != 0 || f.lease.decisionsUnderLease.Load() == 0 || f.lease.decisionsWithoutLease.Load() != 0 {
+		t.Errorf("%v allocations; %d under a lease, %d alone", n, f.lease.decisionsUnderLease.Load(), f.lease.decisionsWithoutLease.Load())
 	}
 	f.lease.expiry.Store(1)
-	if f.CheckLease() || f.lease.decisionsWithout.Load() != 1 {
+	if f.CheckLease() || f.lease.decisionsWithoutLease.Load() != 1 {
 		t.Error("a lease that is over counts")
 	}
 }
--- a/fleet/driver.go
+++ b/fleet/driver.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// announceInterval is how often a process tells the others its card: a peer counts as gone after a few of these without one.
+// announceInterval is how often a process publishes its state to the other members, which take it for gone after a
+// few of these without one.
 const announceInterval = time.Second
 
 // Run drives the process's part until ctx ends, and leaves the fleet then. It is called once, after Start.
 func (f *Fleet) Run(ctx context.Context) {
 	wake := time.NewTimer(0) // The next time that the lease holder or the replica has something due.
 	defer wake.Stop()
-	f.peerLists.timer = time.NewTimer(time.Hour) // Set as cards come.
+	f.peerLists.timer = time.NewTimer(time.Hour) // Set as states of members come.
 	defer f.peerLists.timer.Stop()
 	announce := time.NewTicker(announceInterval)
 	defer announce.Stop()
 	f.startRetry = time.NewTicker(startRetryInterval)
 	defer f.startRetry.Stop()
-	f.updateMembers() // Before any message: a zone that is evacuated must not get requests because its endpoints are not known yet.
+	f.updateMembers() // Before any message: an evacuated zone must not get requests as its endpoints are not known.
 	var outlierTick <-chan time.Time
 	var outlierMessages <-chan []byte
 	if f.outliers != nil {
@@ -41,7 +42,7 @@
 			f.updateOutliers()
 			f.updateEvacuation(ctx)
 		case <-wake.C:
-		case <-f.inbox.cardReceived:
+		case <-f.inbox.stateReceived:
 			f.peerLists.scheduleComparison(Now())
 		case <-f.peerLists.timer.C:
 			f.comparePeerLists()
@@ -55,26 +56,26 @@
 	}
 }
 
-// announce tells the others this process's card, and does what is due once a second beside it.
+// announce publishes this process's state, and does what else is due once a second.
 func (f *Fleet) announce() {
 	if f.exchange == nil {
 		return
 	}
-	f.exchange.PublishState(f.card())
+	f.exchange.PublishState(f.memberState())
 	f.comparePeerLists()
 	f.measureLoad()
 }
 
-// updateMembers takes up which members and endpoints there are, for the connection subset and for outlier detection.
+// updateMembers returns the members and endpoints of the moment to the connection subset and to outlier detection.
 func (f *Fleet) updateMembers() {
-	endpoints, live := f.acts.Endpoints(), f.liveMembers()
+	endpoints, live := f.balancer.Endpoints(), f.liveMembers()
 	f.updateConnectionSubset(live, endpoints)
 	if f.outliers != nil {
 		f.outliers.update(live, endpoints)
 	}
 }
 
-// shutDown ends the exchange and the replica, so that the next process of this name can have their address and log.
+// shutDown closes the exchange and the replica, so that the next process of this name can open their address and log.
 func (f *Fleet) shutDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -14,68 +14,80 @@
 )
 
 const (
-	evacuationTime  = 10 * time.Second // out of a zone that an operator evacuates: the other zones' caches fill meanwhile
-	automaticAuthor = "fleet"          // of a proposal, in the history, that no operator made
+	// evacuationDuration is that of the ramp out of a zone which an operator evacuates: the other zones' caches fill
+	// meanwhile.
+	evacuationDuration = 10 * time.Second
 
-	// maxRampAdoption is how long a process that starts takes over from its peers where their ramps are; after that it goes on by itself, whoever it has heard.
+	// maxRampAdoption is how long a process that starts keeps to its peers' ramps; after that it goes on by itself,
+	// whether it has heard any or not.
 	maxRampAdoption = int64(3 * time.Second)
 
-	reapplyInterval = int64(time.Second) // between two tellings of the same shares: the list may have new endpoints
+	// reapplyInterval is how often the same shares are set at the balancer again: its list may have new endpoints.
+	reapplyInterval = int64(time.Second)
+
+	automaticAuthor = "fleet" // in the history, of proposals that no operator made
 )
 
-// evacuationState is this process's ramp for each zone, and the detector of failing zones that it has while it leads. It is Run's own, but for hasProposal.
+// evacuationState is this process's ramp for each zone, and the controller that proposes evacuations while it leads.
+// Run alone uses it.
 type evacuationState struct {
 	isAutomatic bool // the fleet may evacuate zones by itself
-	terms       evacuation.RampDurations
-	watch       evacuation.Controller
+	durations   evacuation.RampDurations
+	controller  evacuation.Controller
 	wasLeader   bool
-	hasProposal bool // one of a zone waits for its answer; under Fleet.mu
-	paths       map[string]*evacuation.Ramp
+	ramps       map[string]*evacuation.Ramp
 
-	adoptionBegan  int64 // when peers could be heard first; 0: not yet
-	isAdoptionOver bool  // the ramps go on by themselves
+	adoptionBegan  int64 // on Now's clock; 0: the exchange is not open yet
+	isAdoptionOver bool  // the ramps advance without the peers
 
 	applied   map[string]float64 // shares, as the balancer has them
 	appliedAt int64
-	logged    []string // evacuated zones, as the log has them
+	logged    []string // zones that are evacuated, as logged last
 }
 
-func newEvacuationState(isAutomatic bool, warmUp time.Duration) evacuationState {
-	recovery := warmUp * 3 / 2 // As long as an endpoint takes to be warm, and half of that more: each step finds the keys of the one before cached.
-	return evacuationState{isAutomatic: isAutomatic, terms: evacuation.RampDurations{EvacuationNanos: int64(evacuationTime), RecoveryNanos: int64(recovery)}, paths: map[string]*evacuation.Ramp{}}
+// newEvacuationState begins without any ramp. The ramp back into a zone takes one and a half times as long as an
+// endpoint needs to warm up, so that each step comes when the keys of the one before are cached.
+func newEvacuationState(isAutomatic bool, slowStart time.Duration) evacuationState {
+	recovery := slowStart * 3 / 2
+	return evacuationState{
+		isAutomatic: isAutomatic,
+		durations:   evacuation.RampDurations{EvacuationNanos: int64(evacuationDuration), RecoveryNanos: int64(recovery)},
+		ramps:       map[string]*evacuation.Ramp{},
+	}
 }
 
-// ZoneStatus is the status of a zone, for people.
+// ZoneStatus is what the admin endpoint shows of a zone.
 type ZoneStatus struct {
 	Zone                   string  `json:"zone"`
 	Endpoints              int     `json:"hosts"`
-	Failing                int     `json:"failing"` // of its endpoints, by several processes' verdicts
+	Failing                int     `json:"failing"` // endpoints that are ejected, on peers' reports too
 	IsOwn                  bool    `json:"own"`     // this process is in it
 	EvacuatedByOperator    bool    `json:"left_by_hand"`
 	EvacuatedAutomatically bool    `json:"left_as_it_fails"`
-	Share                  float64 `json:"part_away"` // of the keys, that does not go there now
+	Share                  float64 `json:"part_away"` // of the keys that does not go there now
 }
 
-// zoneInput is what a look at the zones goes by.
+// zoneInput is what the ramps and the controller go by.
 type zoneInput struct {
-	now          int64
-	views        []evacuation.ZoneHealth // endpoints by zone, sorted by name
-	evacuated    []string                // by the configuration in effect
-	ownZoneFails bool                    // for this process too
-	isMissing    bool                    // reads miss at many processes at once
-	isLeader     bool                    // this process leads, under a lease
-	hasProposal  bool
+	now              int64
+	zones            []evacuation.ZoneHealth // sorted by name
+	evacuated        []string                // by the effective configuration
+	ownZoneFails     bool                    // for this process itself
+	widespreadMisses bool                    // reads miss at many processes at once
+	isLeader         bool                    // this process leads, under a lease
+	hasProposal      bool                    // one of a zone waits for its answer
 }
 
-// updateEvacuation moves the ramp of each zone on, and proposes evacuations and returns if this process leads. Run calls it.
+// updateEvacuation advances the ramp of each zone, and proposes evacuations and their end if this process leads. Run
+// calls it.
 func (f *Fleet) updateEvacuation(ctx context.Context) {
 	in, ok := f.zoneInput()
 	if !ok {
 		return
 	}
-	peerRamps := f.adoptPeerRamps(in.now)
+	peers := f.peersToAdopt(in.now)
 	f.proposeEvacuations(ctx, in)
-	shares, statuses := f.advanceRamps(in, peerRamps)
+	shares, statuses := f.advanceRamps(in, peers)
 	f.mu.Lock()
 	f.zoneStatuses = statuses
 	f.mu.Unlock()
@@ -83,85 +95,93 @@
 	f.logEvacuated(in.evacuated)
 }
 
-// zoneInput puts the input together; false: there is nothing to look at. With one zone there is nowhere to go, and a process that knows no configuration yet
-// must not take a zone that is evacuated already for one that is left now, with a ramp.
+// zoneInput collects the input; false: nothing is to be done. With one zone there is nowhere else to send; and a
+// process that knows no configuration yet must not begin the ramp out of a zone that the fleet evacuated long ago.
 func (f *Fleet) zoneInput() (in zoneInput, ok bool) {
 	in.now = Now()
-	in.views, in.ownZoneFails, in.isMissing = f.outliers.zoneViews(in.now, f.zone)
+	in.zones, in.ownZoneFails, in.widespreadMisses = f.outliers.zoneHealth(in.now, f.zone)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	in.evacuated, in.hasProposal = f.effective.EvacuatedZones, f.evacuation.hasProposal
+	in.evacuated, in.hasProposal = f.effective.EvacuatedZones, f.hasZoneProposal
 	in.isLeader = f.isLeader() && f.effective.IsLeased
-	return in, len(in.views) >= 2 && f.effective.LatestRevision > 0
+	return in, len(in.zones) >= 2 && f.effective.LatestRevision > 0
 }
 
-// proposeEvacuations proposes what the zone detector finds, if this process leads. The detector is begun anew with each term as leader, since what another
-// leader saw is not known here.
+// proposeEvacuations proposes what the controller asks for, if this process leads. The controller starts empty
+// whenever that begins or ends, since what another leader observed meanwhile is not known here.
 func (f *Fleet) proposeEvacuations(ctx context.Context, in zoneInput) {
 	e := &f.evacuation
 	if in.isLeader != e.wasLeader {
-		e.wasLeader, e.watch = in.isLeader, evacuation.Controller{}
+		e.wasLeader, e.controller = in.isLeader, evacuation.Controller{}
 	}
 	if !in.isLeader || !e.isAutomatic || in.hasProposal {
 		return
 	}
-	proposals, rejected := e.watch.Tick(in.now, in.views, in.evacuated)
-	for _, view := range rejected {
-		f.log.Warn().Str("zone", view.Zone).Int("endpoints", view.Endpoints).Int("failing", view.Failing).Msg("zone evacuation rejected: too few endpoints would remain")
+	proposals, rejected := e.controller.Tick(in.now, in.zones, in.evacuated)
+	for _, zone := range rejected {
+		f.log.Warn().Str("zone", zone.Zone).Int("endpoints", zone.Endpoints).Int("failing", zone.Failing).
+			Msg("zone evacuation rejected: too few endpoints would remain")
 	}
 	for _, proposal := range proposals {
 		f.proposeZone(ctx, proposal)
 	}
 }
 
-// proposeZone proposes to evacuate a zone or to return to it, in the background: Run must not wait for the majority's answer.
+// proposeZone proposes to evacuate a zone or to end that, in the background: Run must not wait for the majority's
+// answer.
 func (f *Fleet) proposeZone(ctx context.Context, p evacuation.Proposal) {
-	change := consensus.Proposal{ID: crand.Text(), Author: automaticAuthor, Reason: fmt.Sprintf("%s: %d of %d", p.Reason, p.Failing, p.Endpoints)}
+	proposal := consensus.Proposal{
+		ID: crand.Text(), Author: automaticAuthor, Reason: fmt.Sprintf("%s: %d of %d", p.Reason, p.Failing, p.Endpoints),
+	}
 	if zone := []string{evacuation.AutomaticPrefix + p.Zone}; p.Evacuate {
-		change.EvacuateZones = zone
+		proposal.EvacuateZones = zone
 	} else {
-		change.RestoreZones = zone
+		proposal.RestoreZones = zone
 	}
 	f.setHasProposal(true)
 	go func() {
-		result := f.Propose(ctx, change)
+		result := f.Propose(ctx, proposal)
 		f.setHasProposal(false)
-		f.log.Info().Str("zone", p.Zone).Bool("evacuate", p.Evacuate).Int("endpoints", p.Endpoints).Int("failing", p.Failing).Uint64("revision", result.Revision).
-			Msg("zone evacuation proposed")
+		f.log.Info().Str("zone", p.Zone).Bool("evacuate", p.Evacuate).Int("endpoints", p.Endpoints).
+			Int("failing", p.Failing).Uint64("revision", result.Revision).Msg("zone evacuation proposed")
 	}()
 }
 
 func (f *Fleet) setHasProposal(has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.evacuation.hasProposal = has
+	f.hasZoneProposal = has
 }
 
-// advanceRamps gives, for each zone, the share of the keys that does not go there now.
-func (f *Fleet) advanceRamps(in zoneInput, peerRamps peerRamps) (shares map[string]float64, statuses []ZoneStatus) {
+// advanceRamps returns, for each zone, the share of the keys that does not go there now.
+func (f *Fleet) advanceRamps(in zoneInput, peers peerRamps) (shares map[string]float64, statuses []ZoneStatus) {
 	e := &f.evacuation
 	shares = map[string]float64{}
-	for _, view := range in.views {
-		path := e.paths[view.Zone]
-		if path == nil {
-			path = &evacuation.Ramp{}
-			e.paths[view.Zone] = path
+	for _, zone := range in.zones {
+		ramp := e.ramps[zone.Zone]
+		if ramp == nil {
+			ramp = &evacuation.Ramp{}
+			e.ramps[zone.Zone] = ramp
 		}
-		if share, known := peerRamps.median(view.Zone); known {
-			path.Start(share)
+		if share, known := peers.median(zone.Zone); known {
+			ramp.Start(share)
 		}
-		// A process stays in its own zone while that works for itself, even if the fleet evacuates it: once out, it would observe nothing of it any more.
-		staysInOwn := view.Zone == f.zone && (view.Failing*2 < view.Endpoints || !in.ownZoneFails)
-		share := path.Advance(in.now, view.Zone, in.evacuated, staysInOwn, in.isMissing, e.terms)
-		shares[view.Zone] = share
-		statuses = append(statuses, ZoneStatus{Zone: view.Zone, Endpoints: view.Endpoints, Failing: view.Failing, IsOwn: view.Zone == f.zone,
-			EvacuatedByOperator: slices.Contains(in.evacuated, view.Zone), EvacuatedAutomatically: slices.Contains(in.evacuated, evacuation.AutomaticPrefix+view.Zone), Share: share})
+		// A process stays in its own zone while that works for it, even if the fleet evacuates the zone: once out, it
+		// would observe nothing of the zone any more.
+		staysInOwn := zone.Zone == f.zone && (zone.Failing*2 < zone.Endpoints || !in.ownZoneFails)
+		share := ramp.Advance(in.now, zone.Zone, in.evacuated, staysInOwn, in.widespreadMisses, e.durations)
+		shares[zone.Zone] = share
+		statuses = append(statuses, ZoneStatus{
+			Zone: zone.Zone, Endpoints: zone.Endpoints, Failing: zone.Failing, IsOwn: zone.Zone == f.zone, Share: share,
+			EvacuatedByOperator:    slices.Contains(in.evacuated, zone.Zone),
+			EvacuatedAutomatically: slices.Contains(in.evacuated, evacuation.AutomaticPrefix+zone.Zone),
+		})
 	}
 	return shares, statuses
 }
 
-// applyEvacuation tells the balancer the shares if they have changed, and again each second while any is over 0, as the list may have new endpoints. Changed
-// ones are left to the next process.
+// applyEvacuation sets the shares at the balancer if any has changed, and again each reapplyInterval while one is
+// over 0. Changes go into the handover file.
 func (f *Fleet) applyEvacuation(now int64, shares map[string]float64, statuses []ZoneStatus) {
 	e := &f.evacuation
 	isDue := false
@@ -174,7 +194,7 @@
 	if !isDue {
 		return
 	}
-	f.acts.SetEvacuation(shares, time.Duration(e.terms.RecoveryNanos))
+	f.balancer.SetEvacuation(shares, time.Duration(e.durations.RecoveryNanos))
 	haveChanged := !maps.Equal(shares, e.applied)
 	e.applied, e.appliedAt = shares, now
 	if haveChanged {
@@ -190,16 +210,17 @@
 	f.log.Info().Strs("zones", evacuated).Msg("evacuated zones changed")
 }
 
-// peerRamps are the members whose ramps a process that starts takes over.
+// peerRamps are the members whose ramps a process that starts keeps to.
 type peerRamps []membership.Member
 
-// adoptPeerRamps gives the peers whose ramps are taken over now; none once this process has gone on by itself.
+// peersToAdopt returns the peers whose ramps this process keeps to now; none once its own ramps advance by
+// themselves.
 //
-// What the process before left may be old. A process that began at the end of a ramp while the others are still on it would send all its keys to
-// endpoints that are cold.
-func (f *Fleet) adoptPeerRamps(now int64) (peers peerRamps) {
+// The handover file may be old. A process that started at the end of a ramp while the others are in the middle of it
+// would send all its keys to a zone whose caches are cold.
+func (f *Fleet) peersToAdopt(now int64) (peers peerRamps) {
 	e := &f.evacuation
-	if e.isAdoptionOver || f.exchange == nil { // Over an upgrade there is no exchange until the process before has gone.
+	if e.isAdoptionOver || f.exchange == nil { // During an upgrade there is none until the previous process has gone.
 		return nil
 	}
 	if e.adoptionBegan == 0 {
@@ -215,7 +236,7 @@
 			peers = append(peers, m)
 		}
 	}
-	f.requestFullCards(now, partial)
+	f.requestFullStates(now, partial)
 	f.mu.Lock()
 	isLeased := f.effective.IsLeased
 	f.mu.Unlock()
@@ -223,8 +244,8 @@
 	return peers
 }
 
-// median gives the share of the keys that the middle one of the peers does not send to a zone: some may not know the last revision. false: there are no
-// peers.
+// median returns the median of the shares of the keys that the peers do not send to a zone: some may not know the
+// last revision yet. false: there are no peers.
 func (peers peerRamps) median(zone string) (share float64, known bool) {
 	if len(peers) == 0 {
 		return 0, false
@@ -232,9 +253,9 @@
 	shares := make([]float64, 0, len(peers))
 	for _, m := range peers {
 		share := 0.0
-		for _, way := range m.Evacuations {
-			if way.Zone == zone {
-				share = way.KeyFraction
+		for _, evacuated := range m.Evacuations {
+			if evacuated.Zone == zone {
+				share = evacuated.KeyFraction
 			}
 		}
 		shares = append(shares, share)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,10 +1,13 @@
-// Package fleet drives a process's part in a fleet of balancers. It gives the pure packages (lease and replica, outlier detection, zone evacuation,
-// connection subsets) their clock, sockets and disk, and tells the balancer what follows from them; it decides nothing itself.
+// Package fleet drives a process's part in a fleet of balancers. It gives the pure packages (lease and replica,
+// outlier detection, zone evacuation, connection subsets) their clock, sockets and disk, and tells the balancer what
+// follows from them; it decides nothing itself.
 //
-// One goroutine, Run, handles all messages and timers. Other goroutines only put messages into the inbox (the exchange), look at the lease
-// (CheckLease, by the balancer), report attempts (OutlierExchange, by the balancer), propose changes and read the status (the admin endpoint).
+// One goroutine, Run, handles all messages and timers. Other goroutines only put messages into the inbox (the
+// exchange), look at the lease (CheckLease, by the balancer), report attempts (OutlierExchange, by the balancer),
+// propose changes and read the status (the admin endpoint).
 //
-// Lock order: the balancer's lock, then Fleet.mu, then OutlierExchange.mu. The balancer is therefore never called with either of the latter held.
+// Lock order: the balancer's lock, then Fleet.mu, then OutlierExchange.mu. The balancer is therefore never called
+// with either of the latter held.
 package fleet
 
 import (
@@ -29,43 +32,49 @@
 	"hollylever/subset"
 )
 
-// Acts is the balancer as the fleet sees it. All methods are called without any lock of this package held.
+// Balancer is what the fleet needs of the balancer: what the process acts on goes in, and what it knows comes out.
+// Each method takes the balancer's own lock, so that none is called with a lock of this package held.
 type Balancer interface {
-	// Heeds takes the configuration in effect, each time that its revisions change.
+	// ApplyConfig takes the effective configuration, each time that its revisions change.
 	ApplyConfig(consensus.EffectiveConfig)
-	// Drained takes the endpoints that peers' later lists call draining or gone.
+	// ApplyPeerDrains takes the endpoints that peers' later lists call draining or gone.
 	ApplyPeerDrains(names []string)
-	// List gives the index of the endpoint list in use, a digest of it, and the drains that it told last.
+	// EndpointList returns the index of the endpoint list in use, a digest of it, and the endpoints that it drained
+	// last.
 	EndpointList() (index, digest uint64, drains []membership.DrainedEndpoint)
-	// Servers gives the endpoints of that list.
+	// Endpoints returns the endpoints of that list.
 	Endpoints() []subset.Endpoint
-	// Tends sets to which endpoints idle connections are kept: the named ones, or all.
+	// SetConnectionSubset sets to which endpoints idle connections are kept: the named ones, or all.
 	SetConnectionSubset(names map[string]bool, all bool)
-	// Heard takes, for each endpoint with a peer verdict, the share of its traffic that is suppressed.
-	ApplyPeerVerdicts(shares map[string]float64)
-	// Portion sets this process's share of the fleet's budgets; 0: they are not divided.
+	// ApplyPeerVerdicts takes, for each endpoint that is ejected or was lately, what peers' reports take from its
+	// chance of success, from 0 to 1; under 0: this process has the probe lease of the endpoint, and sends it one
+	// attempt.
+	ApplyPeerVerdicts(penalties map[string]float64)
+	// SetBudgetShare sets this process's share of the fleet's budgets; 0: they are not divided.
 	SetBudgetShare(share float64)
-	// Came gives how many requests have come since the start.
+	// RequestCount returns how many requests have come since the start.
 	RequestCount() int
-	// Leaves sets, for each zone, the share of the keys that is not sent there, and how long its caches may take to fill.
+	// SetEvacuation sets, for each zone, the share of the keys that is not sent there, and how long its caches may
+	// take to fill when they come back.
 	SetEvacuation(shares map[string]float64, fillTime time.Duration)
-	// WarmUp gives how long a cold endpoint takes until it is warm.
+	// SlowStartDuration returns how long a cold endpoint takes until it is warm.
 	SlowStartDuration() time.Duration
-	// Missed gives how many reads have settled since the start, and how many of these missed the cache.
+	// ReadCounts returns how many reads have settled since the start, and how many of these missed the cache.
 	ReadCounts() (reads, misses int)
-	// Scarce tells whether reads miss at many processes of the fleet at once.
+	// SetWidespreadMisses tells whether reads miss at many processes of the fleet at once.
 	SetWidespreadMisses(widespread bool)
 }
 
-// Fleet is one process's part in the fleet. It is safe for use by several goroutines; the comments below say who may touch what.
+// Fleet is one process's part in the fleet. It is safe for use by several goroutines; the comments below say who may
+// touch what.
 type Fleet struct {
 	// Set by Start, constant after it.
 	name, zone     string
 	settingsDigest string
 	incarnation    uint64
-	terms          consensus.LeaseTiming
+	leaseTiming    consensus.LeaseTiming
 	voters         []string // names of the processes that may have a replica
-	acts           Balancer
+	balancer       Balancer
 	log            zerolog.Logger
 	trace          *os.File     // nil: decisions are not traced
 	handover       handoverFile // for the next process of this name
@@ -85,30 +94,33 @@
 	load        loadMeter
 	startRetry  *time.Ticker // of the exchange and the replica, while either could not be started
 
-	mu           sync.Mutex          // guards what follows; nothing blocks under it but a replica's writes to its log
-	exchange     membership.Exchange // nil: not joined yet; set once, by Start or Run
-	holder       *consensus.LeaseHolder
-	replica      replica
-	effective    consensus.EffectiveConfig // the configuration in effect
-	proposals    map[string]chan reply     // where the answers to this process's own proposals go, by the proposal's id
-	cardsSent    uint64
-	peerDrains   []string     // endpoints that peers' later lists call draining or gone
-	zoneStatuses []ZoneStatus // as of the last look at zones
-	subset       []string     // endpoints of the connection subset; nil: all
+	mu              sync.Mutex          // guards what follows; nothing blocks under it but a replica's writes to its log
+	exchange        membership.Exchange // nil: not joined yet; set once, by Start or Run
+	holder          *consensus.LeaseHolder
+	replica         replica
+	effective       consensus.EffectiveConfig // the configuration in effect
+	proposals       map[string]chan reply     // for the answers to this process's own proposals, by id
+	stateSeq        uint64                    // of the last MemberState that was published
+	hasZoneProposal bool                      // this process's own proposal of a zone waits for its answer
+	peerDrains      []string                  // endpoints that peers' later lists call draining or gone
+	zoneStatuses    []ZoneStatus              // as of the last look at zones
+	subset          []string                  // endpoints of the connection subset; nil: all
 }
 
-// startRetryInterval is how often the exchange and the replica are tried again while the process that had their address or log, before an
-// upgrade, has not gone: short against the second or so that the new process serves without a lease.
+// startRetryInterval is how often opening the exchange and the replica is retried while the previous process, during
+// an upgrade, still has the address or the log. It is short against the second or so that the new process serves
+// without a lease.
 const startRetryInterval = 50 * time.Millisecond
 
 // clockRate is 1 but where a test has clocks that are off.
 var clockRate = 1.0
 
-// ClockOff makes the clock of this process run at so many times the true rate. Tests call it before Start; nothing else may.
+// SetClockRate makes the clock of this process run at so many times the true rate. Tests call it before Start;
+// nothing else may.
 func SetClockRate(rate float64) { clockRate = rate }
 
-// Now is the clock that leases run on, in nanoseconds since the machine's start. It goes on while the process or the machine is suspended, so
-// that a lease cannot outlast its time by that.
+// Now is the clock that leases run on, in nanoseconds since the machine's start. It goes on while the process or the
+// machine is suspended, so that a lease cannot outlast its time by that.
 func Now() int64 {
 	now := monotime.Now()
 	if clockRate != 1 {
@@ -117,9 +129,12 @@
 	return now
 }
 
-// Start joins the fleet as the own settings say, for the balancer of this name, and recalls what the process before left. settingsDigest is
-// of the operators' settings file. The caller then calls Run, once. Errors name the setting at fault.
-func Start(own fields.Values, name, zone, settingsDigest string, acts Balancer, log zerolog.Logger) (*Fleet, error) {
+// Start joins the fleet as the own settings say, for the balancer of this name, and resumes from the previous
+// process's handover file. settingsDigest is of the operators' settings file. The caller then calls Run, once. Errors
+// name the setting at fault.
+func Start(
+	own fields.Values, name, zone, settingsDigest string, balancer Balancer, log zerolog.Logger,
+) (*Fleet, error) {
 	if err := fleetconfig.Validate(own, name); err != nil {
 		return nil, err
 	}
@@ -137,33 +152,40 @@
 	queue := queueSize(len(peers), int(own.Count("fleet.most")))
 	f := &Fleet{
 		name: name, zone: zone, settingsDigest: settingsDigest, incarnation: incarnation,
-		terms: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Word("fleet.keepers")), acts: acts, log: log, trace: trace, handover: handoverIn(folder),
-		inbox: newInbox(queue), peerLists: peerLists{maxBehind: own.Duration("fleet.behind")}, connections: newConnectionSubset(own),
-		evacuation: newEvacuationState(own.Yes("fleet.zones"), acts.SlowStartDuration()), proposals: map[string]chan reply{},
+		leaseTiming: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Word("fleet.keepers")),
+		balancer: balancer, log: log, trace: trace, handover: handoverIn(folder), inbox: newInbox(queue),
+		peerLists:   peerLists{maxBehind: own.Duration("fleet.behind")},
+		connections: newConnectionSubset(own),
+		evacuation:  newEvacuationState(own.Yes("fleet.zones"), balancer.SlowStartDuration()),
+		proposals:   map[string]chan reply{},
 	}
 	if own.Yes("fleet.signals") {
 		f.outliers = newOutlierExchange(name, zone, f.incarnation, own.Duration("fleet.signal_delay"), queue)
 	}
 	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.terms, f.voters, f, source.IntN) // The source is drawn from under mu alone.
+	// The source is not safe for use by several goroutines: the lease holder and the replica draw from it under mu
+	// alone.
+	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.leaseTiming, f.voters, f, source.IntN)
 	f.recallHandover()
 	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
 	f.openReplica = func() error { return f.startReplica(own.Word("fleet.state"), source.IntN) }
 	if err := f.startFirst(); err != nil {
 		return nil, err
 	}
-	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).Dur("staleness_bound_ms", f.terms.MaxDisagreement()).Msg("fleet joined")
+	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).
+		Dur("max_disagreement_ms", f.leaseTiming.MaxDisagreement()).Msg("fleet joined")
 	return f, nil
 }
 
-// drawSeed draws what numbers this incarnation and seeds the source of its random choices.
+// drawSeed draws the low bits of the incarnation and the seed of the source of random choices.
 func drawSeed() (seed [16]byte) {
 	_, _ = crand.Read(seed[:]) // It does not fail; crypto/rand ends the program instead.
 	return seed
 }
 
-// startFirst opens the exchange and the replica as the process starts. Over an upgrade the process before may have both still: the two are one
-// member, so this one serves without a lease, on the handover file, until Run gets hold of them.
+// startFirst opens the exchange and the replica as the process starts. During an upgrade the previous process may
+// still have the address and the log: the two are one member, so this one serves without a lease, on the handed-over
+// configuration, until Run can open both.
 func (f *Fleet) startFirst() error {
 	switch err := f.join(); {
 	case errors.Is(err, unix.EADDRINUSE):
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -40,23 +40,27 @@
 }
 
 // idle is a balancer that counts what it is told and does nothing.
-type idle struct {
-	heeds int
-	last  consensus.EffectiveConfig
+type recordingBalancer struct {
+	configsApplied int
+	lastConfig     consensus.EffectiveConfig
 }
 
-func (i *idle) ApplyConfig(a consensus.EffectiveConfig)                    { i.heeds, i.last = i.heeds+1, a }
-func (*idle) ApplyPeerDrains([]string)                                     {}
-func (*idle) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) { return 7, 8, nil }
-func (*idle) Endpoints() []subset.Endpoint                                 { return nil }
-func (*idle) SetConnectionSubset(map[string]bool, bool)                    {}
-func (*idle) ApplyPeerVerdicts(map[string]float64)                         {}
-func (*idle) SetBudgetShare(float64)                                       {}
-func (*idle) RequestCount() int                                            { return 0 }
-func (*idle) SetEvacuation(map[string]float64, time.Duration)              {}
-func (*idle) SlowStartDuration() time.Duration                             { return time.Second }
-func (*idle) ReadCounts() (int, int)                                       { return 0, 0 }
-func (*idle) SetWidespreadMisses(bool)                                     {}
+func (i *recordingBalancer) ApplyConfig(a consensus.EffectiveConfig) {
+	i.configsApplied, i.lastConfig = i.configsApplied+1, a
+}
+func (*recordingBalancer) ApplyPeerDrains([]string) {}
+func (*recordingBalancer) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
+	return 7, 8, nil
+}
+func (*recordingBalancer) Endpoints() []subset.Endpoint                    { return nil }
+func (*recordingBalancer) SetConnectionSubset(map[string]bool, bool)       {}
+func (*recordingBalancer) ApplyPeerVerdicts(map[string]float64)            {}
+func (*recordingBalancer) SetBudgetShare(float64)                          {}
+func (*recordingBalancer) RequestCount() int                               { return 0 }
+func (*recordingBalancer) SetEvacuation(map[string]float64, time.Duration) {}
+func (*recordingBalancer) SlowStartDuration() time.Duration                { return time.Second }
+func (*recordingBalancer) ReadCounts() (int, int)                          { return 0, 0 }
+func (*recordingBalancer) SetWidespreadMisses(bool)                        {}
 
 var document = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
 	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
@@ -66,10 +70,10 @@
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
 	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4}}
-	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: document}, StalenessBound: "1.986s",
-		LeaseLeftMS: 321, DecisionsWithout: 1, DecisionsUnder: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, Gone: true}}, PeerDrains: []string{"h9"},
-		Replica: &ReplicaStatus{Leads: true, Bootstrapped: true, LeaseHolders: 6}, Versions: versions,
-		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, IsMissing: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
+	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: document}, MaxDisagreement: "1.986s",
+		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
+		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: versions,
+		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
 			OwnConsecutiveFailures: 5, Ejected: true, Turn: true, Part: 0.75, ForMS: 66}, {Endpoint: "h2", Ejected: true, Part: 0.5, ForMS: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
 			{Zone: "z2", Endpoints: 4, Failing: 4, EvacuatedAutomatically: true, Share: 1}, {Zone: "z3", Endpoints: 5, Share: 0.25}, {Zone: "z4", Endpoints: 2, EvacuatedByOperator: true, EvacuatedAutomatically: true, Share: 1}}}
@@ -86,7 +90,7 @@
 
 // A call that is none has its code and its words, which scripts look for.
 func TestFleetCallsKeepTheirAnswers(t *testing.T) {
-	f := fleetAt(t, "", &idle{})
+	f := fleetAt(t, "", &recordingBalancer{})
 	var out strings.Builder
 	for _, call := range []struct{ method, path, body string }{
 		{"POST", "/fleet", ""}, {"DELETE", "/fleet/history", ""}, {"GET", "/fleet/propose", ""}, {"GET", "/fleet/x", ""}, {"GET", "/fleet/", ""},
@@ -107,11 +111,11 @@
 }
 
 // fleetAt is a process's part that has not joined: with a place for what it leaves, or none.
-func fleetAt(t *testing.T, left string, acts Balancer) *Fleet {
+func fleetAt(t *testing.T, left string, balancer Balancer) *Fleet {
 	t.Helper()
 	terms := consensus.LeaseTiming{LeaseDuration: 1500 * time.Millisecond, ClockRateError: 0.001, MaxPause: 300 * time.Millisecond}
-	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", terms: terms, voters: []string{"b1"}, acts: acts, log: zerolog.Nop(), handover: handoverFile(left),
-		proposals: map[string]chan reply{}, evacuation: evacuationState{paths: map[string]*evacuation.Ramp{}}}
+	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", leaseTiming: terms, voters: []string{"b1"}, balancer: balancer, log: zerolog.Nop(), handover: handoverFile(left),
+		proposals: map[string]chan reply{}, evacuation: evacuationState{ramps: map[string]*evacuation.Ramp{}}}
 	f.holder = consensus.NewLeaseHolder(Now(), f.name, 1, terms, f.voters, f, func(n int) int { return n - 1 })
 	return f
 }
@@ -120,38 +124,38 @@
 func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
 	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
 	var many []consensus.Revision
-	for n := range uint64(maxPlainVersions + 1) {
+	for n := range uint64(maxPlainRevisions + 1) {
 		many = append(many, consensus.Revision{Number: n + 3, ProposalID: fmt.Sprint("p", n), Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{fmt.Sprint("h", n)}, MinListIndex: n}})
 	}
 	for name, versions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
-			f := fleetAt(t, filepath.Join("testdata", name), &idle{})
+			f := fleetAt(t, filepath.Join("testdata", name), &recordingBalancer{})
 			f.holder.Restore(3, versions)
 			f.effective = f.holder.EffectiveConfig(Now())
-			f.evacuation.paths["z2"] = &evacuation.Ramp{}
-			f.evacuation.paths["z2"].Resume(0.25, 1, 2)
+			f.evacuation.ramps["z2"] = &evacuation.Ramp{}
+			f.evacuation.ramps["z2"].Resume(0.25, 1, 2)
 			f.writeHandover()
 		}
 		text, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		left, acts := filepath.Join(t.TempDir(), "hollylever.fleet"), &idle{}
+		left, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
 		if err := os.WriteFile(left, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := fleetAt(t, left, acts)
+		f := fleetAt(t, left, balancer)
 		f.recallHandover()
 		latest := versions[len(versions)-1].Number
-		if a := acts.last; acts.heeds != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
-			t.Errorf("%s: %d times, %+v", name, acts.heeds, a)
+		if a := balancer.lastConfig; balancer.configsApplied != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
+			t.Errorf("%s: %d times, %+v", name, balancer.configsApplied, a)
 		}
 		for n, v := range f.holder.Revisions() {
 			if v.Digest() != versions[n].Digest() {
 				t.Errorf("%s: version %d is another", name, v.Number)
 			}
 		}
-		if part, at := f.evacuation.paths["z2"].Position(); part != 0.25 || at != 1 {
+		if part, at := f.evacuation.ramps["z2"].Position(); part != 0.25 || at != 1 {
 			t.Errorf("%s: %v of z2 at %d", name, part, at)
 		}
 		f.writeHandover()
@@ -160,12 +164,12 @@
 		}
 	}
 	for _, spoilt := range []string{"", "{", `{"floor":5,"versions":[{"version":4}]}`, `{"floor":4,"versions":[{"version":4},{"version":6}]}`, `{"floor":1,"chain":"AAAA"}`} {
-		left, acts := filepath.Join(t.TempDir(), "hollylever.fleet"), &idle{}
+		left, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
 		if err := os.WriteFile(left, []byte(spoilt), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if f := fleetAt(t, left, acts); true {
-			if f.recallHandover(); acts.heeds != 0 || f.effective.LatestRevision != 0 {
+		if f := fleetAt(t, left, balancer); true {
+			if f.recallHandover(); balancer.configsApplied != 0 || f.effective.LatestRevision != 0 {
 				t.Errorf("%q is acted on", spoilt)
 			}
 		}
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -12,17 +12,22 @@
 const (
 	handoverName = "hollylever.fleet"
 
-	maxHandoverBytes   = 4 << 20 // a chain of versions and the ramps of all zones; what is longer is no file of ours
-	maxPlainVersions   = 64      // versions that are written one by one, as the version of this program before the chain read them
-	maxPlainNames      = 4096    // names in all of these
-	handoverPermission = 0o600   // it names endpoints
+	maxHandoverBytes   = 4 << 20 // the longest chain of revisions and all ramps; a longer file is not read
+	handoverPermission = 0o600
+
+	// Up to so many revisions, with so many names in all, are written one by one, as older versions of this program
+	// read them. More would make the file hundreds of megabytes long, and go as a chain: the first revision, and what
+	// each later one changed.
+	maxPlainRevisions = 64
+	maxPlainNames     = 4096
 )
 
-// handoverFile is where a process leaves the configuration in effect for the next process of its name. Without it an endpoint that was disabled by the fleet
-// would get requests again after an upgrade, until the new process has its first lease. "": it leaves nothing.
+// handoverFile is the path of the file with the effective configuration of a process, for the next process of its
+// name. Without the file an endpoint that the fleet ejected would get requests again after an upgrade, until the new
+// process has its first lease. "": there is none.
 type handoverFile string
 
-// handoverIn is the file in a folder; none where there is no folder.
+// handoverIn returns the file in a folder; none where there is no folder.
 func handoverIn(folder string) handoverFile {
 	if folder == "" {
 		return ""
@@ -33,19 +38,20 @@
 // handoverState is the content of the file.
 type handoverState struct {
 	MinRevision uint64               `json:"floor"`
-	Versions    []consensus.Revision `json:"versions,omitempty"`
-	Chain       []byte               `json:"chain,omitempty"` // the versions in a shorter form, where they are many
+	Revisions   []consensus.Revision `json:"versions,omitempty"`
+	Chain       []byte               `json:"chain,omitempty"` // the revisions in a shorter form, where they are many
 	Ramps       []rampState          `json:"ways,omitempty"`
 }
 
-// rampState is which share of the keys did not go to a zone, and when, by the machine's clock since its start.
+// rampState is the position of a zone's ramp: the share of the keys that did not go there, and when, in nanoseconds
+// since the machine's start.
 type rampState struct {
 	Zone  string  `json:"zone"`
 	Share float64 `json:"part"`
 	At    int64   `json:"at"`
 }
 
-// write replaces the file at one stroke, so that a crash leaves the one before whole.
+// write replaces the file by a rename, so that a crash leaves either the old content or the new.
 func (h handoverFile) write(state handoverState) error {
 	content, err := json.Marshal(state)
 	if err != nil {
@@ -58,7 +64,8 @@
 	return os.Rename(aside, string(h))
 }
 
-// read gives what the process before left; false where there is nothing that a process writes.
+// read returns what the previous process left; false where the file is missing, too long or malformed: the process
+// then starts as without it.
 func (h handoverFile) read() (state handoverState, ok bool) {
 	if h == "" {
 		return state, false
@@ -72,35 +79,36 @@
 		return state, false
 	}
 	if len(state.Chain) > 0 {
-		if state.Versions, err = consensus.UnmarshalRevisions(state.Chain); err != nil {
+		if state.Revisions, err = consensus.UnmarshalRevisions(state.Chain); err != nil {
 			return state, false
 		}
 	}
 	return state, state.isConsecutive()
 }
 
-// isConsecutive tells whether the versions follow each other, from the minimum revision on.
+// isConsecutive tells whether the revisions follow each other, from the minimum revision on.
 func (s *handoverState) isConsecutive() bool {
-	for n, version := range s.Versions {
-		if n > 0 && version.Number != s.Versions[n-1].Number+1 || version.Number < s.MinRevision {
+	for n, revision := range s.Revisions {
+		if n > 0 && revision.Number != s.Revisions[n-1].Number+1 || revision.Number < s.MinRevision {
 			return false
 		}
 	}
 	return true
 }
 
-// shorten puts many versions into the shorter form.
+// shorten turns many revisions into the shorter form.
 func (s *handoverState) shorten() {
 	names := 0
-	for _, version := range s.Versions {
-		names += len(version.Config.EjectedEndpoints) + len(version.Config.EvacuatedZones) + len(version.Config.Limits)
+	for _, revision := range s.Revisions {
+		names += len(revision.Config.EjectedEndpoints) + len(revision.Config.EvacuatedZones) + len(revision.Config.Limits)
 	}
-	if len(s.Versions) > maxPlainVersions || names > maxPlainNames {
-		s.Versions, s.Chain = nil, consensus.MarshalRevisions(s.Versions)
+	if len(s.Revisions) > maxPlainRevisions || names > maxPlainNames {
+		s.Revisions, s.Chain = nil, consensus.MarshalRevisions(s.Revisions)
 	}
 }
 
-// writeHandover leaves the configuration in effect and the position of each zone's ramp to the next process. Run calls it as either changes.
+// writeHandover writes the effective configuration and the position of each zone's ramp for the next process. Run
+// calls it as either changes.
 func (f *Fleet) writeHandover() {
 	if f.handover == "" {
 		return
@@ -112,32 +120,32 @@
 
 func (f *Fleet) handoverState() handoverState {
 	var ramps []rampState
-	for zone, path := range f.evacuation.paths {
-		if share, at := path.Position(); share > 0 {
+	for zone, ramp := range f.evacuation.ramps {
+		if share, at := ramp.Position(); share > 0 {
 			ramps = append(ramps, rampState{zone, share, at})
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state := handoverState{MinRevision: f.effective.MinRevision, Versions: f.holder.Revisions(), Ramps: ramps}
+	state := handoverState{MinRevision: f.effective.MinRevision, Revisions: f.holder.Revisions(), Ramps: ramps}
 	state.shorten()
 	return state
 }
 
-// recallHandover acts on what the process before left, until there is a lease. Start calls it.
+// recallHandover has the process act on what the previous one left, until it has a lease. Start calls it.
 func (f *Fleet) recallHandover() {
 	state, ok := f.handover.read()
 	if !ok {
 		return
 	}
-	for _, ramp := range state.Ramps {
-		path := &evacuation.Ramp{}
-		path.Resume(ramp.Share, ramp.At, Now())
-		f.evacuation.paths[ramp.Zone] = path
+	for _, left := range state.Ramps {
+		ramp := &evacuation.Ramp{}
+		ramp.Resume(left.Share, left.At, Now())
+		f.evacuation.ramps[left.Zone] = ramp
 	}
-	f.holder.Restore(state.MinRevision, state.Versions)
+	f.holder.Restore(state.MinRevision, state.Revisions)
 	f.effective = f.holder.EffectiveConfig(Now())
 	if f.effective.LatestRevision > 0 {
-		f.acts.ApplyConfig(f.effective)
+		f.balancer.ApplyConfig(f.effective)
 	}
 }
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -9,7 +9,11 @@
 )
 
 // calls are those that the admin endpoint hands on, and the method of each.
-var calls = map[string]string{"/fleet": http.MethodGet, "/fleet/history": http.MethodGet, "/fleet/propose": http.MethodPost}
+var calls = map[string]string{
+	"/fleet":         http.MethodGet,
+	"/fleet/history": http.MethodGet,
+	"/fleet/propose": http.MethodPost,
+}
 
 // ServeHTTP answers the operators' calls under /fleet. The admin endpoint bounds the body and the time of each.
 func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -38,10 +42,14 @@
 		return
 	}
 	result := f.Propose(r.Context(), consensus.Proposal{
-		ID: p.ID, Author: p.Author, Reason: p.Reason, BaseRevision: p.BaseRevision, EjectEndpoints: p.EjectEndpoints, UnejectEndpoints: p.UnejectEndpoints, Limits: p.Limits,
-		SettingsDigest: p.SettingsDigest, DiscoverySource: p.DiscoverySource, MinListIndex: p.MinListIndex, EvacuateZones: p.EvacuateZones, RestoreZones: p.RestoreZones,
+		ID: p.ID, Author: p.Author, Reason: p.Reason, BaseRevision: p.BaseRevision,
+		EjectEndpoints: p.EjectEndpoints, UnejectEndpoints: p.UnejectEndpoints,
+		EvacuateZones: p.EvacuateZones, RestoreZones: p.RestoreZones, Limits: p.Limits,
+		SettingsDigest: p.SettingsDigest, DiscoverySource: p.DiscoverySource, MinListIndex: p.MinListIndex,
+	})
+	writeJSON(w, fleetconfig.ProposalResult{
+		ID: result.ID, Revision: result.Revision, Reason: result.Reason, IsFinal: result.IsFinal,
 	})
-	writeJSON(w, fleetconfig.ProposalResult{ID: result.ID, Revision: result.Revision, Reason: result.Reason, IsFinal: result.IsFinal})
 }
 
 // writeJSON writes an answer in lines for people. A caller that has gone is owed nothing.
--- a/fleet/inbox.go
+++ b/fleet/inbox.go
@@ -11,35 +11,40 @@
 )
 
 const (
-	minQueue          = 256                        // messages: room for a burst in a small fleet
-	maxQueue          = 4 * fleetconfig.MaxMembers // messages: as many of each member of the largest fleet as messagesPerMember says
-	messagesPerMember = 4                          // that wait: a lease request, a proposal and two of the voters
+	messagesPerMember = 4 // that may wait: a lease request, a proposal and two messages between voters
+	minQueue          = 256
+	maxQueue          = messagesPerMember * fleetconfig.MaxMembers
 )
 
-// queueSize is how many messages may wait for Run: a few of each process that the settings name or allow.
+// queueSize returns how many messages may wait for Run: messagesPerMember of each process that the settings name or
+// allow.
 func queueSize(peers, maxProcesses int) int {
 	return min(maxQueue, max(minQueue, messagesPerMember*peers, messagesPerMember*maxProcesses))
 }
 
-// inbox is what the exchange has received and Run has not handled yet. It is filled by any goroutine without waiting: a sender that could
-// block here would stop the exchange for all members. What does not fit is dropped and counted; every message is sent again.
+// inbox holds what the exchange has received and Run has not handled yet. Any goroutine fills it without blocking:
+// one that waited here would stall the exchange for all members. What does not fit is dropped and counted, as if the
+// network had lost it; each message is sent again.
 type inbox struct {
-	messages     chan []byte
-	cardReceived chan struct{} // at least one card came since the last look
-	dropped      atomic.Int64
+	messages      chan []byte
+	stateReceived chan struct{} // at least one member published its state since the last comparison
+	dropped       atomic.Int64
 }
 
 func newInbox(size int) inbox {
-	return inbox{messages: make(chan []byte, size), cardReceived: make(chan struct{}, 1)}
+	return inbox{messages: make(chan []byte, size), stateReceived: make(chan struct{}, 1)}
 }
 
-// openExchange opens the exchange between members in the way that the settings name. received is told of what comes.
-func openExchange(own fields.Values, name string, peers []membership.Peer, received membership.Delegate) (membership.Exchange, error) {
+// openExchange opens the exchange between members that the settings name, gossip or plain. delegate gets what it
+// receives.
+func openExchange(
+	own fields.Values, name string, peers []membership.Peer, delegate membership.Delegate,
+) (membership.Exchange, error) {
 	listen, rate := own.Word("fleet.listen"), fleetconfig.SendRate(own, len(peers))
 	if own.Word("fleet.way") == "gossip" {
-		return membership.OpenGossip(name, listen, peers, rate, received)
+		return membership.OpenGossip(name, listen, peers, rate, delegate)
 	}
-	return membership.OpenPlain(name, listen, peers, rate, received)
+	return membership.OpenPlain(name, listen, peers, rate, delegate)
 }
 
 // join opens the exchange if it is not open yet. It is called by Start and by Run.
@@ -57,7 +62,8 @@
 	return nil
 }
 
-// Message implements members.Ears: it queues a message between lease holders and replicas. It does not block.
+// NotifyMessage implements membership.Delegate: it queues a message between lease holders and replicas. It does not
+// block.
 func (f *Fleet) NotifyMessage(message []byte) {
 	select {
 	case f.inbox.messages <- message:
@@ -66,15 +72,15 @@
 	}
 }
 
-// Card implements members.Ears: it has the peers' endpoint lists compared soon. It does not block.
+// NotifyState implements membership.Delegate: it has the peers' endpoint lists compared soon. It does not block.
 func (f *Fleet) NotifyState(membership.MemberState) {
 	select {
-	case f.inbox.cardReceived <- struct{}{}:
+	case f.inbox.stateReceived <- struct{}{}:
 	default: // A comparison is due already.
 	}
 }
 
-// Signal implements members.Ears: it queues a message of outlier detection. It does not block.
+// NotifyBroadcast implements membership.Delegate: it queues a message of outlier detection. It does not block.
 func (f *Fleet) NotifyBroadcast(message []byte) {
 	if f.outliers == nil {
 		return
@@ -86,8 +92,9 @@
 	}
 }
 
-// Send implements agreed.Sender for the lease holder and the replica, which are called with mu held. A message to this process itself goes the
-// way of all others, so that no handler calls another. What cannot be sent is lost, as on any network, and sent again by its sender.
+// Send implements consensus.Sender for the lease holder and the replica, which are called with mu held. A message to
+// this process itself is queued like all others, so that no handler calls another. An error is not reported: the
+// protocols take it for a lost message and send again.
 func (f *Fleet) Send(to string, m *consensus.Message) {
 	message := m.Marshal()
 	if to == f.name {
@@ -99,7 +106,8 @@
 	}
 }
 
-// handleMessage gives one message to whom it is for: the lease holder, the proposal that waits for it, or the replica. Run calls it.
+// handleMessage passes one message to the lease holder, to the proposal that waits for it, or to the replica. Run
+// calls it.
 func (f *Fleet) handleMessage(message []byte) {
 	m, err := consensus.UnmarshalMessage(message)
 	if err != nil {
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -8,16 +8,20 @@
 )
 
 const (
-	incarnationName     = "hollylever.incarnation"
-	incarnationBytes    = 8  // of the file: one number, little-endian
-	incarnationDrawBits = 22 // the low bits are drawn, so that no two processes of one millisecond have the same; 42 bits of milliseconds last until 2109
+	incarnationName  = "hollylever.incarnation"
+	incarnationBytes = 8 // of the file: one number, little-endian
+
+	// incarnationDrawBits is how many low bits are drawn, so that no two processes of one millisecond have the same
+	// incarnation. The 42 bits of milliseconds above them last until 2109.
+	incarnationDrawBits = 22
 )
 
-// nextIncarnation numbers a process of a balancer above all before it, also above one that was killed within the same second: by the wall clock, or,
-// where that was stepped back, by the last number, which is kept in folder. Without a folder the clock alone counts. draw gives the low bits.
+// nextIncarnation numbers a process of a balancer above all before it, also above one that was killed within the same
+// second: by the wall clock, or, where that was stepped back, by the last number, which is kept in folder. Without a
+// folder the clock alone counts. draw gives the low bits.
 //
-// Peers take what has a lower incarnation for the past. A process with a number at or under the last one's would be ignored until its clock had
-// passed that.
+// Peers take what has a lower incarnation for the past. A process with a number at or under the last one's would be
+// ignored until its clock had passed that.
 func nextIncarnation(folder string, now time.Time, draw uint32) uint64 {
 	millisecond := uint64(now.UnixMilli())
 	if last, ok := readIncarnation(folder); ok {
@@ -39,7 +43,8 @@
 	return binary.LittleEndian.Uint64(content), true
 }
 
-// writeIncarnation keeps the number for the next process. Where it cannot be written the next one goes by its clock, as without a folder.
+// writeIncarnation keeps the number for the next process. Where it cannot be written the next one goes by its clock,
+// as without a folder.
 func writeIncarnation(folder string, incarnation uint64) {
 	if folder == "" {
 		return
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	minTickInterval = time.Millisecond // Run wakes up no more often, whatever is due, so that it cannot take a core
+	minTickInterval = time.Millisecond // between two wake-ups of Run, so that it cannot use up a core
 
-	// minShareChange is by what part a share of the budgets has to grow before the balancer is told: each change has it compute its quotas anew.
-	// One that shrinks is told at once, as the sum of all shares must never be over the whole.
+	// minShareChange is the fraction by which the share of the budgets has to grow before the balancer is told, as
+	// each change has it compute its quotas again. One that shrinks is told at once: the sum of all shares must never
+	// be over the whole.
 	minShareChange = 0.01
 )
 
-// leaseView is what the balancer's decisions read of the lease, without a lock.
+// leaseView is what CheckLease reads and counts, without a lock.
 type leaseView struct {
-	expiry           atomic.Int64 // on Now's clock; 0: no lease yet
-	decisionsUnder   atomic.Int64 // under a lease, since the start
-	decisionsWithout atomic.Int64
+	expiry                atomic.Int64 // on Now's clock; 0: no lease yet
+	decisionsUnderLease   atomic.Int64 // under a lease, since the start
+	decisionsWithoutLease atomic.Int64
 }
 
-// appliedState is what the balancer and the log were told last. It is Run's own.
+// appliedState is what the balancer and the log were told last. Run alone uses it.
 type appliedState struct {
-	share              float64 // of the fleet's budgets
-	settingsDiffer     bool
-	rejectedAsConflict int // grants of another history, as counted by the lease holder
+	share                float64 // of the fleet's budgets
+	settingsDiffer       bool
+	conflictingResponses int // of another history, as counted by the lease holder
 }
 
-// Decides is called by the balancer before each decision, under its lock: it tells whether the lease lasts. It takes no lock, unless decisions are
-// traced, and allocates nothing.
+// CheckLease tells whether the process is under a lease, and counts the decision. The balancer calls it before each
+// decision, under its own lock. It allocates nothing and takes no lock, but for mu where decisions are traced.
 func (f *Fleet) CheckLease() (leased bool) {
 	if leased = Now() < f.lease.expiry.Load(); leased {
-		f.lease.decisionsUnder.Add(1)
+		f.lease.decisionsUnderLease.Add(1)
 	} else {
-		f.lease.decisionsWithout.Add(1)
+		f.lease.decisionsWithoutLease.Add(1)
 	}
 	if f.trace != nil {
 		f.writeTrace(leased)
@@ -43,7 +44,8 @@
 	return leased
 }
 
-// tick has the lease holder and the replica do what is due, and tells the balancer what has changed. It gives the time until something is due again.
+// tick has the lease holder and the replica do what is due, tells the balancer what has changed, and returns the time
+// until something is due again.
 func (f *Fleet) tick() (wait time.Duration) {
 	f.mu.Lock()
 	now := Now()
@@ -65,7 +67,8 @@
 	return max(wait, minTickInterval)
 }
 
-// tickConsensus ticks the lease holder and the replica, and stops a replica whose log has failed. The caller holds mu.
+// tickConsensus ticks the lease holder and the replica, and stops a replica whose log has failed. The caller holds
+// mu.
 func (f *Fleet) tickConsensus(now int64) (wait time.Duration) {
 	f.holder.Tick(now)
 	wait = f.holder.TimeUntilTick(now)
@@ -80,23 +83,25 @@
 	return wait
 }
 
-// reportConflicts logs grants of another history. They are rejected: a voter's log was lost and a new history begun, whose revisions say nothing of
-// the bans and limits that are in effect here.
+// reportConflicts logs lease responses of another history, which the lease holder rejects. They come when the voters'
+// logs were lost and the voters have bootstrapped a new history, which knows nothing of the ejections and limits in
+// effect here.
 func (f *Fleet) reportConflicts(conflicts int) {
-	if conflicts <= f.applied.rejectedAsConflict {
+	if conflicts <= f.applied.conflictingResponses {
 		return
 	}
-	f.applied.rejectedAsConflict = conflicts
+	f.applied.conflictingResponses = conflicts
 	f.log.Error().Msg("conflicting history rejected: this process acts on another's")
 }
 
-// applyRevisions has the balancer act on another configuration, and leaves it to the next process.
+// applyRevisions has the balancer act on another effective configuration, and writes that to the handover file.
 func (f *Fleet) applyRevisions(before, after consensus.EffectiveConfig) {
 	if before.MinRevision == after.MinRevision && before.LatestRevision == after.LatestRevision {
 		return
 	}
-	f.log.Info().Uint64("min_revision", after.MinRevision).Uint64("revision", after.LatestRevision).Int("disabled", len(after.EjectedEndpoints)).Msg("effective configuration changed")
-	f.acts.ApplyConfig(after)
+	f.log.Info().Uint64("min_revision", after.MinRevision).Uint64("revision", after.LatestRevision).
+		Int("ejected", len(after.EjectedEndpoints)).Msg("effective configuration changed")
+	f.balancer.ApplyConfig(after)
 	f.writeHandover()
 }
 
@@ -105,7 +110,7 @@
 	change := share - f.applied.share
 	if change > minShareChange*f.applied.share || change < 0 {
 		f.applied.share = share
-		f.acts.SetBudgetShare(share)
+		f.balancer.SetBudgetShare(share)
 	}
 }
 
@@ -113,7 +118,8 @@
 func (f *Fleet) reportSettings(now consensus.EffectiveConfig) {
 	differ := now.IsLeased && now.SettingsDigest != "" && now.SettingsDigest != f.settingsDigest
 	if differ && !f.applied.settingsDiffer {
-		f.log.Warn().Str("own_digest", f.settingsDigest).Str("fleet_digest", now.SettingsDigest).Msg("settings differ from the fleet's")
+		f.log.Warn().Str("own_digest", f.settingsDigest).Str("fleet_digest", now.SettingsDigest).
+			Msg("settings differ from the fleet's")
 	}
 	f.applied.settingsDiffer = differ
 }
@@ -125,20 +131,21 @@
 	case after.IsLeased:
 		f.log.Info().Uint64("revision", after.LatestRevision).Msg("lease acquired")
 	default:
-		f.log.Warn().Uint64("revision", after.LatestRevision).Msg("lease expired: acting on the strictest known configuration")
+		f.log.Warn().Uint64("revision", after.LatestRevision).
+			Msg("lease expired: acting on the strictest known configuration")
 	}
 }
 
-// loadMeter measures the rate of requests between two looks. It is Run's own.
+// loadMeter is the count of requests as it was measured last. Run alone uses it.
 type loadMeter struct {
 	requests int
-	at       int64 // 0: not looked yet
+	at       int64 // 0: not measured yet
 }
 
-// measureLoad updates the rate of requests that goes with the next request for a lease: the budgets are divided by it. The rate is the mean of the last one
-// and of what came since, so that a burst of a second does not move the shares of all.
+// measureLoad updates the rate of requests that goes with the next lease request: the budgets are divided by it. It
+// is an average in which the last second counts for a half, so that one burst does not move the shares of all.
 func (f *Fleet) measureLoad() {
-	requests, now := f.acts.RequestCount(), Now()
+	requests, now := f.balancer.RequestCount(), Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.load.at != 0 && now > f.load.at {
--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -16,42 +16,46 @@
 )
 
 const (
-	// outlierInterval is how often outlier detection is looked at where no message comes: short against the second after which an ejected endpoint
-	// gets its first probe.
+	// outlierInterval is how often the outlier detector is ticked where no message comes: short against the second
+	// after which an ejected endpoint gets its first probe.
 	outlierInterval = 50 * time.Millisecond
 
-	maxZones = 4096 // zones that are told apart; there are no more than endpoints that a balancer knows
+	maxZones = 4096 // that are told apart: as many as endpoints that a balancer knows
 )
 
-// OutlierExchange is what this process and its peers observed of endpoints. It gives the detector, which counts endpoints and zones by number, the
-// names of both.
+// OutlierExchange connects the balancer and the peers with the outlier detector, which knows endpoints and zones by
+// number.
 //
-// Its lock is held for moments only; the balancer calls Sent and Saw with its own lock held, so this one is never held around a call of the balancer.
+// The balancer calls HandleAttemptStarted and HandleAttemptEnded with its own lock held; so the lock here is never
+// held around a call of the balancer, and is held for moments only.
 type OutlierExchange struct {
-	messages chan []byte // of peers, that Run has not handled yet
+	messages chan []byte // of peers, not handled by Run yet
 	dropped  atomic.Int64
 
-	mu          sync.Mutex // guards what follows
-	detector    *outlier.Detector
-	ids         map[string]uint32 // of endpoints, by name
-	names       map[uint32]string // and back
-	zoneNumbers map[string]uint16
-	zoneCounts  []evacuation.ZoneHealth // endpoints by zone, sorted by its name, as of the last list
-	zoneOf      map[uint32]int          // index into zoneCounts, by endpoint
-	ejected     map[uint32]bool         // as the log tells
-	malformed   int                     // messages that could not be read
-	isMissing   bool                    // reads miss at many processes at once
+	mu               sync.Mutex // guards what follows
+	detector         *outlier.Detector
+	idByName         map[string]uint32 // endpoints, by name
+	nameByID         map[uint32]string // and back
+	zoneNumbers      map[string]uint16
+	zones            []evacuation.ZoneHealth // sorted by name, with the endpoints of the last list
+	zoneIndex        map[uint32]int          // into zones, by endpoint
+	ejected          map[uint32]bool         // as logged last
+	malformed        int                     // messages that could not be decoded
+	widespreadMisses bool                    // reads miss at many processes at once
 }
 
 func newOutlierExchange(name, zone string, incarnation uint64, delay time.Duration, queue int) *OutlierExchange {
-	e := &OutlierExchange{messages: make(chan []byte, queue), ids: map[string]uint32{}, names: map[uint32]string{}, zoneNumbers: map[string]uint16{},
-		ejected: map[uint32]bool{}}
+	e := &OutlierExchange{
+		messages: make(chan []byte, queue), idByName: map[string]uint32{}, nameByID: map[uint32]string{},
+		zoneNumbers: map[string]uint16{}, ejected: map[uint32]bool{},
+	}
 	e.detector = outlier.New(outlier.Member{ID: outlier.HashName(name), Zone: e.zoneNumber(zone)}, incarnation)
 	e.detector.SetMessageDelay(int64(delay))
 	return e
 }
 
-// zoneNumber gives a zone's number in this process; a zone that is not stated, and any beyond the bound, has none. The caller holds mu.
+// zoneNumber returns a zone's number in this process: UnknownZone for one that is not stated, and for any beyond
+// maxZones. The caller holds mu, but in the constructor.
 func (e *OutlierExchange) zoneNumber(name string) uint16 {
 	number, known := e.zoneNumbers[name]
 	switch {
@@ -61,24 +65,26 @@
 		return outlier.UnknownZone
 	}
 	if number = uint16(len(e.zoneNumbers)); number >= outlier.UnknownZone {
-		number++ // That number says that there is none.
+		number++ // That number is taken.
 	}
 	e.zoneNumbers[name] = number
 	return number
 }
 
-// Fellows gives what the balancer reports its attempts to; nil where outliers are not shared.
+// OutlierExchange returns what the balancer reports its attempts to; nil where outliers are not shared.
 func (f *Fleet) OutlierExchange() *OutlierExchange { return f.outliers }
 
-// Sent tells that an attempt goes to an endpoint. It gives which share of the endpoint's traffic peers' verdicts suppress now, and whether it is ejected.
-// The balancer calls it under its lock.
-func (e *OutlierExchange) HandleAttemptStarted(endpoint string) (share float64, ejected bool) {
+// HandleAttemptStarted records that an attempt goes to an endpoint. It returns what peers' reports take from the
+// endpoint's chance of success (see ApplyPeerVerdicts) and whether it is ejected. The balancer calls it under its own
+// lock.
+func (e *OutlierExchange) HandleAttemptStarted(endpoint string) (penalty float64, ejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.detector.RecordAttempt(Now(), e.ids[endpoint])
+	return e.detector.RecordAttempt(Now(), e.idByName[endpoint])
 }
 
-// Saw tells how an attempt ended, and how long it took and was expected to take, in nanoseconds. The balancer calls it under its lock.
+// HandleAttemptEnded records how an attempt ended, and how long it took and was expected to take, in nanoseconds. The
+// balancer calls it under its own lock.
 func (e *OutlierExchange) HandleAttemptEnded(endpoint string, outcome policy.Outcome, took, expected int64) {
 	observation := outlier.Classify(outcome, took, expected)
 	if observation == outlier.Inconclusive {
@@ -86,10 +92,10 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.detector.Observe(Now(), e.ids[endpoint], observation)
+	e.detector.Observe(Now(), e.idByName[endpoint], observation)
 }
 
-// handleMessage takes a peer's message; false: it could not be read.
+// handleMessage takes a peer's message; false: it could not be decoded.
 func (e *OutlierExchange) handleMessage(message []byte) bool {
 	m, err := outlier.DecodeMessage(message)
 	e.mu.Lock()
@@ -102,7 +108,7 @@
 	return true
 }
 
-// update takes which members may report and which endpoints there are.
+// update takes the members that may report, and the endpoints.
 func (e *OutlierExchange) update(live []membership.Member, endpoints []subset.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,14 +121,15 @@
 	e.countZones(endpoints)
 }
 
-// numberEndpoints gives each endpoint its number. The caller holds mu.
+// numberEndpoints numbers the endpoints by a hash of their names, which is the same at all processes. The caller
+// holds mu.
 func (e *OutlierExchange) numberEndpoints(endpoints []subset.Endpoint) []uint32 {
-	clear(e.ids)
-	clear(e.names)
+	clear(e.idByName)
+	clear(e.nameByID)
 	numbers := make([]uint32, len(endpoints))
 	for n, endpoint := range endpoints {
 		numbers[n] = outlier.HashName(endpoint.Name)
-		e.ids[endpoint.Name], e.names[numbers[n]] = numbers[n], endpoint.Name
+		e.idByName[endpoint.Name], e.nameByID[numbers[n]] = numbers[n], endpoint.Name
 	}
 	return numbers
 }
@@ -135,44 +142,51 @@
 			counts[endpoint.Zone]++
 		}
 	}
-	e.zoneCounts, e.zoneOf = nil, map[uint32]int{}
+	e.zones, e.zoneIndex = nil, map[uint32]int{}
 	for _, zone := range slices.Sorted(maps.Keys(counts)) {
-		e.zoneCounts = append(e.zoneCounts, evacuation.ZoneHealth{Zone: zone, Endpoints: counts[zone]})
+		e.zones = append(e.zones, evacuation.ZoneHealth{Zone: zone, Endpoints: counts[zone]})
 	}
 	for _, endpoint := range endpoints {
-		at, known := slices.BinarySearchFunc(e.zoneCounts, endpoint.Zone, func(v evacuation.ZoneHealth, zone string) int { return cmp.Compare(v.Zone, zone) })
+		at, known := slices.BinarySearchFunc(e.zones, endpoint.Zone, compareZone)
 		if known {
-			e.zoneOf[outlier.HashName(endpoint.Name)] = at
+			e.zoneIndex[outlier.HashName(endpoint.Name)] = at
 		}
 	}
 }
 
-// outlierUpdate is what a look at the detector gives the balancer, the peers and the log.
+// compareZone orders zones by name, for a search.
+func compareZone(health evacuation.ZoneHealth, zone string) int {
+	return cmp.Compare(health.Zone, zone)
+}
+
+// outlierUpdate is what a tick of the detector has for the balancer, the peers and the log.
 type outlierUpdate struct {
-	shares        map[string]float64 // of traffic that is suppressed, by endpoint
-	message       []byte             // for the peers; nil: nothing is due
-	changes       []ejectionChange   // sorted by endpoint
-	missesChanged bool
-	isMissing     bool
+	penalties        map[string]float64 // as for ApplyPeerVerdicts, by endpoint
+	message          []byte             // for the peers; nil: none is due
+	changes          []ejectionChange   // sorted by endpoint
+	missesChanged    bool
+	widespreadMisses bool
 }
 
-// ejectionChange is an endpoint that was ejected, or is not any more.
+// ejectionChange is an endpoint that was ejected, or whose ejection has ended.
 type ejectionChange struct {
 	endpoint  string
 	isEjected bool
 	status    outlier.EndpointStatus // of one that was ejected
 }
 
-// updateOutliers ticks the detector, tells the balancer and the peers what follows, and logs what changed. Run calls it.
+// updateOutliers ticks the detector, tells the balancer and the peers what follows, and logs what changed. Run calls
+// it.
 func (f *Fleet) updateOutliers() {
-	reads, misses := f.acts.ReadCounts()
+	reads, misses := f.balancer.ReadCounts()
 	u := f.outliers.tick(reads, misses)
 	if u.missesChanged {
-		f.acts.SetWidespreadMisses(u.isMissing)
-		f.log.Info().Bool("active", u.isMissing).Int("reads", reads).Int("misses", misses).Msg("widespread cache misses")
+		f.balancer.SetWidespreadMisses(u.widespreadMisses)
+		f.log.Info().Bool("active", u.widespreadMisses).Int("reads", reads).Int("misses", misses).
+			Msg("widespread cache misses")
 	}
-	if len(u.shares) > 0 {
-		f.acts.ApplyPeerVerdicts(u.shares)
+	if len(u.penalties) > 0 {
+		f.balancer.ApplyPeerVerdicts(u.penalties)
 	}
 	if u.message != nil && f.exchange != nil {
 		f.exchange.Broadcast(u.message)
@@ -183,8 +197,9 @@
 func (f *Fleet) logEjections(changes []ejectionChange) {
 	for _, c := range changes {
 		if c.isEjected {
-			f.log.Info().Str("endpoint", c.endpoint).Int("reporters", c.status.Witnesses).Int("reporter_zones", c.status.Zones).
-				Int("consecutive_failures", c.status.ConsecutiveFailures).Int("own_consecutive_failures", c.status.OwnConsecutiveFailures).Msg("outlier ejected")
+			f.log.Info().Str("endpoint", c.endpoint).Int("reporters", c.status.Witnesses).
+				Int("reporter_zones", c.status.Zones).Int("consecutive_failures", c.status.ConsecutiveFailures).
+				Int("own_consecutive_failures", c.status.OwnConsecutiveFailures).Msg("outlier ejected")
 			continue
 		}
 		f.log.Info().Str("endpoint", c.endpoint).Msg("outlier ejection ended")
@@ -196,21 +211,21 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := Now()
-	u := outlierUpdate{shares: map[string]float64{}, isMissing: e.detector.UpdateMissRate(now, reads, misses)}
-	u.missesChanged = u.isMissing != e.isMissing
-	e.isMissing = u.isMissing
+	u := outlierUpdate{penalties: map[string]float64{}, widespreadMisses: e.detector.UpdateMissRate(now, reads, misses)}
+	u.missesChanged = u.widespreadMisses != e.widespreadMisses
+	e.widespreadMisses = u.widespreadMisses
 	e.detector.Tick(now)
-	e.detector.EachEjection(now, func(id uint32, share float64) { u.shares[e.names[id]] = share })
+	e.detector.EachEjection(now, func(id uint32, penalty float64) { u.penalties[e.nameByID[id]] = penalty })
 	if m := e.detector.NextMessage(now); m != nil {
 		u.message = m.Encode()
 	}
-	if len(u.shares) > 0 || len(e.ejected) > 0 {
+	if len(u.penalties) > 0 || len(e.ejected) > 0 {
 		u.changes = e.ejectionChanges(now)
 	}
 	return u
 }
 
-// ejectionChanges gives which endpoints were ejected, and which are not any more, since it was called last. The caller holds mu.
+// ejectionChanges returns the ejections that began or ended since it was called last. The caller holds mu.
 func (e *OutlierExchange) ejectionChanges(now int64) (changes []ejectionChange) {
 	ejected := map[uint32]bool{}
 	for _, status := range e.detector.Status(now) {
@@ -219,12 +234,12 @@
 		}
 		ejected[status.ID] = true
 		if !e.ejected[status.ID] {
-			changes = append(changes, ejectionChange{e.names[status.ID], true, status})
+			changes = append(changes, ejectionChange{e.nameByID[status.ID], true, status})
 		}
 	}
 	for id := range e.ejected {
 		if !ejected[id] {
-			changes = append(changes, ejectionChange{endpoint: e.names[id]})
+			changes = append(changes, ejectionChange{endpoint: e.nameByID[id]})
 		}
 	}
 	e.ejected = ejected
@@ -232,47 +247,53 @@
 	return changes
 }
 
-// zoneViews gives the endpoints of each zone and how many of them are ejected by peers' verdicts too, sorted by zone; whether an endpoint of ownZone fails
-// for this process; and whether reads miss at many processes at once.
-func (e *OutlierExchange) zoneViews(now int64, ownZone string) (views []evacuation.ZoneHealth, ownZoneFails, isMissing bool) {
+// zoneHealth returns the zones, sorted by name, with how many endpoints each has and how many of these are ejected on
+// peers' reports too; whether an endpoint of ownZone fails for this process; and whether reads miss at many processes
+// at once.
+func (e *OutlierExchange) zoneHealth(
+	now int64, ownZone string,
+) (zones []evacuation.ZoneHealth, ownZoneFails, widespreadMisses bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	views = slices.Clone(e.zoneCounts)
+	zones = slices.Clone(e.zones)
 	for _, status := range e.detector.Status(now) {
-		at, known := e.zoneOf[status.ID]
+		at, known := e.zoneIndex[status.ID]
 		if !known {
 			continue
 		}
 		if status.Ejected && status.Witnesses > 0 {
-			views[at].Failing++
+			zones[at].Failing++
 		}
-		if status.OwnConsecutiveFailures > 0 && views[at].Zone == ownZone {
+		if status.OwnConsecutiveFailures > 0 && zones[at].Zone == ownZone {
 			ownZoneFails = true
 		}
 	}
-	return views, ownZoneFails, e.isMissing
+	return zones, ownZoneFails, e.widespreadMisses
 }
 
-// OutlierStatus is what the admin endpoint shows of outlier detection.
+// OutlierStatus is what the admin endpoint shows of outlier detection. The counts are of messages, since the start.
 type OutlierStatus struct {
-	Sent      int                      `json:"told"`
-	Accepted  int                      `json:"taken"`
-	Stale     int                      `json:"older_than_known"`
-	Invalid   int                      `json:"of_nobody_or_none"`
-	Dropped   int64                    `json:"lost"`
-	IsMissing bool                     `json:"reads_miss_for_all"`
-	Endpoints []outlier.EndpointStatus `json:"hosts,omitempty"`
+	Sent             int                      `json:"told"`
+	Accepted         int                      `json:"taken"`
+	Stale            int                      `json:"older_than_known"`
+	Invalid          int                      `json:"of_nobody_or_none"`
+	Dropped          int64                    `json:"lost"`
+	WidespreadMisses bool                     `json:"reads_miss_for_all"`
+	Endpoints        []outlier.EndpointStatus `json:"hosts,omitempty"`
 }
 
-// status gives the counts since the start and the endpoints of which anybody reports something, by name.
+// status returns the counts, and the endpoints of which any process reports something, sorted by name.
 func (e *OutlierExchange) status() *OutlierStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	d := e.detector
-	s := &OutlierStatus{Sent: d.MessagesSent, Accepted: d.MessagesAccepted, Stale: d.MessagesStale, Invalid: d.MessagesFromUnknown + e.malformed, Dropped: e.dropped.Load(), IsMissing: e.isMissing,
-		Endpoints: d.Status(Now())}
+	s := &OutlierStatus{
+		Sent: d.MessagesSent, Accepted: d.MessagesAccepted, Stale: d.MessagesStale,
+		Invalid: d.MessagesFromUnknown + e.malformed, Dropped: e.dropped.Load(),
+		WidespreadMisses: e.widespreadMisses, Endpoints: d.Status(Now()),
+	}
 	for n := range s.Endpoints {
-		s.Endpoints[n].Endpoint = e.names[s.Endpoints[n].ID]
+		s.Endpoints[n].Endpoint = e.nameByID[s.Endpoints[n].ID]
 	}
 	slices.SortFunc(s.Endpoints, func(a, b outlier.EndpointStatus) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return s
--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -9,13 +9,22 @@
 )
 
 const (
-	proposalTimeout       = 4900 * time.Millisecond // an operator has some answer within 5 s
-	proposalRetryInterval = 250 * time.Millisecond  // a message may be lost, and a new leader is there within a few of these
-	maxPendingProposals   = 64                      // that wait for an answer here; the admin endpoint takes fewer callers
-	fallbackEvery         = 4                       // attempts; each so many, one goes to another voter: the leader that is known may be gone
-	maxPendingReplies     = 4                       // for one proposal; more are repetitions
+	// proposalTimeout is a little under the 5 s within which an operator is promised an answer.
+	proposalTimeout = 4900 * time.Millisecond
 
-	// noLeaderPrefix begins a replica's answer that it does not lead and knows nobody who does. It is part of the protocol between processes.
+	// proposalRetryInterval is between two attempts: a message may be lost, and a new leader is elected within a few
+	// of these.
+	proposalRetryInterval = 250 * time.Millisecond
+
+	// fallbackEvery is each how many attempts one goes to another voter than the leader that is known, as that may be
+	// gone.
+	fallbackEvery = 4
+
+	maxPendingProposals = 64 // at this process; the admin endpoint takes fewer callers at once
+	maxPendingReplies   = 4  // to one proposal; more are repetitions
+
+	// noLeaderPrefix begins a replica's answer that it does not lead and knows nobody who does. It is part of the
+	// protocol between processes.
 	noLeaderPrefix = "nobody leads"
 )
 
@@ -25,22 +34,23 @@
 	from string
 }
 
-// Propose asks the voters to accept a change, and waits for the answer, proposalTimeout at most. A result that is not final (Sure) may become either: the
-// history tells. It is called by the admin endpoint and by the evacuation of zones, from goroutines of their own.
-func (f *Fleet) Propose(ctx context.Context, change consensus.Proposal) consensus.ProposalResult {
-	if err := change.Validate(); err != nil {
-		return consensus.ProposalResult{ID: change.ID, Reason: err.Error(), IsFinal: true}
+// Propose asks the voters to accept a proposal, and waits for the answer, proposalTimeout at most. A result that is
+// not final is unknown: the proposal may have been accepted or not, and the history tells. The admin endpoint and
+// zone evacuation call it, from goroutines of their own.
+func (f *Fleet) Propose(ctx context.Context, proposal consensus.Proposal) consensus.ProposalResult {
+	if err := proposal.Validate(); err != nil {
+		return consensus.ProposalResult{ID: proposal.ID, Reason: err.Error(), IsFinal: true}
 	}
 	replies := make(chan reply, maxPendingReplies)
-	if !f.registerProposal(change.ID, replies) {
-		return consensus.ProposalResult{ID: change.ID, Reason: "too many proposals wait", IsFinal: true}
+	if !f.registerProposal(proposal.ID, replies) {
+		return consensus.ProposalResult{ID: proposal.ID, Reason: "too many proposals wait", IsFinal: true}
 	}
-	defer f.unregisterProposal(change.ID)
+	defer f.unregisterProposal(proposal.ID)
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	retry := time.NewTicker(proposalRetryInterval)
 	defer retry.Stop()
-	p := newProposer(f, change)
+	p := newProposer(f, proposal)
 	for {
 		p.send()
 		select {
@@ -67,9 +77,9 @@
 	}
 }
 
-// isNoLeader tells whether an outcome says that no replica was there to decide.
-func isNoLeader(o consensus.ProposalResult) bool {
-	return o.Revision == 0 && strings.HasPrefix(o.Reason, noLeaderPrefix)
+// isNoLeader tells whether a result says that no replica was there to decide.
+func isNoLeader(result consensus.ProposalResult) bool {
+	return result.Revision == 0 && strings.HasPrefix(result.Reason, noLeaderPrefix)
 }
 
 // registerProposal has answers to the proposal put into replies; false: too many wait.
@@ -89,7 +99,7 @@
 	delete(f.proposals, id)
 }
 
-// deliverReply gives an answer to the proposal that waits for it, if one does. The caller holds mu.
+// deliverReply returns an answer to the proposal that waits for it, if one does. The caller holds mu.
 func (f *Fleet) deliverReply(r reply) {
 	replies := f.proposals[r.ID]
 	if replies == nil {
@@ -103,23 +113,30 @@
 
 // proposer sends one proposal until it has an answer.
 //
-// A proposal is written in two steps: the leader first gives a ticket, which lasts as long as the answer is waited for, and writes the proposal only with it.
-// Until it has gone out with a ticket nobody can have written it, so a negative answer is final.
+// A proposal takes two steps: the leader first gives a ticket, which is valid for as long as the answer is waited
+// for, and writes the proposal to its log only with that. Until the proposal has gone out with a ticket no replica
+// can have written it, so a negative result is final.
 type proposer struct {
 	fleet      *Fleet
-	change     *consensus.Proposal
+	proposal   *consensus.Proposal
 	attempts   int
 	target     string // whom it is sent to
 	ticket     *consensus.ProposalTicket
 	unanswered consensus.ProposalResult // the result if no answer comes any more
 }
 
-func newProposer(f *Fleet, change consensus.Proposal) *proposer {
-	return &proposer{fleet: f, change: &change,
-		unanswered: consensus.ProposalResult{ID: change.ID, Reason: noLeaderPrefix + ": no majority of the keepers is heard", IsFinal: true}}
+func newProposer(f *Fleet, proposal consensus.Proposal) *proposer {
+	return &proposer{
+		fleet:    f,
+		proposal: &proposal,
+		unanswered: consensus.ProposalResult{
+			ID: proposal.ID, Reason: noLeaderPrefix + ": no majority of the keepers is heard", IsFinal: true,
+		},
+	}
 }
 
-// send sends the proposal once more: with a ticket to whoever gave it, else to the leader, or to one voter after the other where none is known.
+// send sends the proposal once more: with a ticket to the replica that gave it, else to the leader, or to the voters
+// in turn where none is known.
 func (p *proposer) send() {
 	f := p.fleet
 	f.mu.Lock()
@@ -130,20 +147,21 @@
 			p.target = f.voters[p.attempts%len(f.voters)]
 		}
 	}
-	f.Send(p.target, &consensus.Message{From: f.name, Proposal: p.change, Ticket: p.ticket})
+	f.Send(p.target, &consensus.Message{From: f.name, Proposal: p.proposal, Ticket: p.ticket})
 	p.attempts++
 }
 
 // isFallback tells whether the next attempt is one that goes to the voters in turn.
 func (p *proposer) isFallback() bool { return p.attempts%fallbackEvery == fallbackEvery-1 }
 
-// acceptTicket has the proposal sent with the ticket from now on. From then on it may have been written whenever no answer comes.
+// acceptTicket has the proposal sent with the ticket from now on. If no answer comes any more, it may have been
+// written: the result is not final.
 func (p *proposer) acceptTicket(r reply) {
 	p.ticket, p.target = r.Ticket, r.from
-	p.unanswered = consensus.ProposalResult{ID: p.change.ID, Reason: "no word of a majority"}
+	p.unanswered = consensus.ProposalResult{ID: p.proposal.ID, Reason: "no word of a majority"}
 }
 
-// handleRetry gives up the ticket now and then: whoever gave it may be gone, and another replica lead.
+// handleRetry returns up the ticket with each fallback attempt: the replica that gave it may be gone, and another lead.
 func (p *proposer) handleRetry() {
 	if p.isFallback() {
 		p.ticket = nil
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -10,11 +10,11 @@
 	"hollylever/store"
 )
 
-// replicaRestartInterval is how often a replica whose log has failed is started again: a full disk or a lost mount is over within seconds, and
-// until then the fleet has one voter less.
+// replicaRestartInterval is how often a replica whose log has failed is started again: a full disk or a lost mount is
+// over within seconds, and until then the fleet has one voter less.
 const replicaRestartInterval = 250 * time.Millisecond
 
-// replica is this process's replica and the log that it writes. Run alone changes it, under Fleet.mu.
+// replica is this process's replica and the log that it writes. Start and Run change it, under Fleet.mu.
 type replica struct {
 	state *consensus.Replica // nil: this process has none, or it does not run now
 	log   *store.Log         // nil: it has no log, or it does not run now
@@ -23,7 +23,8 @@
 	isLost    bool // its log was found corrupt after such a failure: only a restart of the process helps
 }
 
-// closeLog gives the log's lock back. What it could not write was never acknowledged to anybody, so the error changes nothing.
+// closeLog returns the log's lock back. What it could not write was never acknowledged to anybody, so the error changes
+// nothing.
 func (r *replica) closeLog() {
 	if r.log != nil {
 		r.log.Close()
@@ -31,8 +32,8 @@
 	}
 }
 
-// volatileStorage is where a replica without a log writes: what it voted for lasts as long as its process, and its incarnation tells the other
-// voters that a later process knows nothing of it.
+// volatileStorage is the storage of a replica without a log: its votes last as long as its process, and the
+// incarnation tells the other voters that a later process knows nothing of them.
 type volatileStorage struct{}
 
 // Append implements consensus.Storage.
@@ -41,9 +42,10 @@
 // Replace implements consensus.Storage.
 func (volatileStorage) Replace([][]byte) error { return nil }
 
-// startReplica starts this process's replica from its log, if it is to have one that does not run. path is the log's; "": no log. draw draws below n,
-// under mu. The error is store.ErrHeld while the process before, over an upgrade, still runs the replica.
-func (f *Fleet) startReplica(path string, draw func(n int) int) error {
+// startReplica starts this process's replica from its log, if it is a voter and the replica does not run. path names
+// the log; "": no log. intN draws below n, under mu. The error is store.ErrLocked while the previous process, during
+// an upgrade, still runs the replica.
+func (f *Fleet) startReplica(path string, intN func(n int) int) error {
 	r := &f.replica
 	if r.state != nil || r.isLost || !slices.Contains(f.voters, f.name) {
 		return nil
@@ -54,7 +56,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state, err := consensus.NewReplica(Now(), f.name, f.incarnation, f.terms, f.voters, records, storage, f, draw)
+	state, err := consensus.NewReplica(Now(), f.name, f.incarnation, f.leaseTiming, f.voters, records, storage, f, intN)
 	if err != nil {
 		r.closeLog()
 		return fmt.Errorf("fleet.state: %w", err)
@@ -63,11 +65,12 @@
 	return nil
 }
 
-// openReplicaLog opens the log and gives what it holds.
+// openReplicaLog opens the log and returns its records.
 //
-// A corrupt log is put aside and the replica starts empty, which is safe as the process has a new incarnation: the others do not count the votes
-// of the one before. After a failure within this process's own life it is not safe: the replica would vote again under an incarnation whose
-// votes are lost, and two leaders could be elected. It then stays down (isLost) until the process is restarted.
+// A corrupt log is put aside and the replica starts empty. At the start of a process that is safe: the process has a
+// new incarnation, and the other voters do not count the votes of the one before. After a failure during the
+// process's life it is not: the replica would vote again under an incarnation whose votes are lost, and two leaders
+// could be elected in one term. It then stays down (isLost) until the process is restarted.
 func (f *Fleet) openReplicaLog(path string) (consensus.Storage, [][]byte, error) {
 	if path == "" {
 		return volatileStorage{}, nil, nil
@@ -90,8 +93,9 @@
 	return log, records, nil
 }
 
-// stopReplica stops the replica, whose log has failed with err, and has it started again from what is on the disk, as a restart of the process would.
-// Without this, disks that fill up for a moment cost the fleet its majority until somebody restarts each voter. The caller holds mu.
+// stopReplica stops the replica, whose log has failed with err, and has it started again from what is on the disk, as
+// a restart of the process would. Otherwise disks that are full for a moment would cost the fleet its majority until
+// somebody restarts each voter. The caller holds mu.
 func (f *Fleet) stopReplica(err error) {
 	r := &f.replica
 	if !r.hasFailed {
--- a/fleet/trace.go
+++ b/fleet/trace.go
@@ -9,8 +9,8 @@
 	"hollylever/budgets"
 )
 
-// openTrace opens the file that each decision is traced to; none where the setting is empty. It is for tests, which merge the traces of all
-// processes and look for two that contradicted each other.
+// openTrace opens the file that each decision is traced to; none where the setting is empty. It is for tests, which
+// merge the traces of all processes and look for two that contradicted each other.
 func openTrace(path string) (*os.File, error) {
 	if path == "" {
 		return nil, nil
@@ -22,20 +22,22 @@
 	return file, nil
 }
 
-// writeTrace writes what a decision was made on: the time by the machine's true clock, the name, the revisions, whether under a lease, the share of
-// the budgets and the digest of the latest revision. A line that cannot be written is missed by the test, not by the balancer.
+// writeTrace writes what a decision was made on: the time by the machine's true clock, the name, the revisions,
+// whether under a lease, the share of the budgets and the digest of the latest revision. A line that cannot be
+// written is missed by the test, not by the balancer.
 func (f *Fleet) writeTrace(leased bool) {
 	f.mu.Lock()
-	acting := f.effective
+	effective := f.effective
 	digest := ""
-	if versions := f.holder.Revisions(); len(versions) > 0 {
-		digest = versions[len(versions)-1].Digest()
+	if revisions := f.holder.Revisions(); len(revisions) > 0 {
+		digest = revisions[len(revisions)-1].Digest()
 	}
 	f.mu.Unlock()
 	var at unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) // It fails for a clock that there is not; this one is read by Now, too.
-	if !leased && f.terms.MaxMembers > 0 {
-		acting.BudgetShare = budgets.ShareWithoutLease(f.terms.MaxMembers)
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) // It fails for an unknown clock; Now reads this one, too.
+	if !leased && f.leaseTiming.MaxMembers > 0 {
+		effective.BudgetShare = budgets.ShareWithoutLease(f.leaseTiming.MaxMembers)
 	}
-	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", at.Nano(), f.name, acting.MinRevision, acting.LatestRevision, leased, acting.BudgetShare, digest)
+	fmt.Fprintf(f.trace, "%d %s %d %d %t %g %s\n", at.Nano(), f.name, effective.MinRevision, effective.LatestRevision,
+		leased, effective.BudgetShare, digest)
 }
