--- /dev/null
+++ b/cmd/hollyfleet/cluster_test.go
@@ -0,0 +1,345 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"hollylever/fakes"
+	"hollylever/fakes/between"
+	"hollylever/fakes/syscalls"
+	"hollylever/fleet"
+	"hollylever/fleetconfig"
+)
+
+// The tests start the program itself (this binary, by a variable), several of it, with a relay for each ordered pair
+// of them between.
+const (
+	runAsProgram      = "HOLLYFLEET_TEST_AS_PROGRAM"
+	clockRateVariable = "HOLLYFLEET_TEST_CLOCK" // how fast a process's clock runs; only this binary reads it
+)
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runAsProgram) != "" {
+		if err := syscalls.Install(); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		if rate, err := strconv.ParseFloat(os.Getenv(clockRateVariable), 64); err == nil {
+			fleet.SetClockRate(rate)
+		}
+		main()
+		os.Exit(0)
+	}
+	os.Exit(m.Run())
+}
+
+// leaseTiming of the tests is shorter than the defaults, so that a plan of faults has room for many leases.
+var leaseTiming = fleetconfig.LeaseTiming{LeaseDuration: 700 * time.Millisecond, ClockRateError: 0.01, MaxPause: 150 * time.Millisecond}
+
+type process struct {
+	name, configFile, settingsFile, adminAddress, clientAddress string
+	clockRate                                                   float64
+	cmd                                                         *exec.Cmd
+	logFile                                                     string
+	isSuspended                                                 bool
+	syscallFaults                                               *syscalls.Faults // of its system calls, where the test asked for that; nil: none
+	hasSyscallFaults                                            bool             // its system calls can be made to fail
+}
+
+// cluster is a fleet of processes, with a relay for each ordered pair of them.
+type cluster struct {
+	t            testing.TB
+	dir          string
+	random       *rand.Rand
+	processes    []*process
+	relays       [][]*between.Relay
+	voterCount   int
+	stopRequests chan struct{}
+	logsShown    bool // what the processes wrote, after a failure
+}
+
+func freeAddress(t testing.TB) string {
+	at, err := between.Free()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return at
+}
+
+// newCluster starts n processes, of which the first are voters, and sends them requests; clocks are off by the stated
+// error, either way.
+func newCluster(t testing.TB, seed uint64, n, keepers int, change func(p *process)) *cluster {
+	w := newIdleCluster(t, seed, n, keepers, change)
+	for _, p := range w.processes {
+		go w.sendRequests(p)
+	}
+	return w
+}
+
+// newIdleCluster sends no requests.
+func newIdleCluster(t testing.TB, seed uint64, n, keepers int, change func(p *process)) *cluster {
+	w := &cluster{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(seed, 1)), voterCount: keepers, stopRequests: make(chan struct{})}
+	addresses := make([]string, n)
+	var names []string
+	for i := range n {
+		addresses[i] = freeAddress(t)
+		w.processes = append(w.processes, &process{name: fmt.Sprint("b", i), adminAddress: freeAddress(t), clientAddress: freeAddress(t), clockRate: []float64{0.99, 1.01}[i%2]})
+		names = append(names, w.processes[i].name)
+	}
+	for i := range n {
+		var row []*between.Relay
+		for j := range n {
+			r, err := between.New(addresses[j], seed+uint64(i*n+j))
+			if err != nil {
+				t.Fatal(err)
+			}
+			row = append(row, r)
+		}
+		w.relays = append(w.relays, row)
+	}
+	for i, p := range w.processes {
+		var peers []string
+		for j := range n {
+			at := w.relays[i][j].Address()
+			if i == j {
+				at = addresses[j]
+			}
+			peers = append(peers, names[j]+"="+at)
+		}
+		p.configFile, p.settingsFile, p.logFile = filepath.Join(w.dir, p.name+".json"), filepath.Join(w.dir, p.name+".toml"), filepath.Join(w.dir, p.name+".log")
+		config := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
+"known":{"index":1,"snapshot":true,"endpoints":[]},"settings":%s}`, p.name, p.clientAddress, p.adminAddress, fakes.Settings)
+		own := fmt.Sprintf("[log]\nlevel = \"info\"\n[watch]\non = false\n[fleet]\non = true\nlisten = %q\npeers = %q\nkeepers = %q\nstate = %q\nlease = %q\nrate_error = 10\n"+
+			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:keepers], ", "), filepath.Join(w.dir, p.name+".state"),
+			leaseTiming.LeaseDuration, leaseTiming.MaxPause, filepath.Join(w.dir, p.name+".trace"), n)
+		if err := os.Mkdir(filepath.Join(w.dir, p.name), 0o700); err != nil {
+			t.Fatal(err)
+		}
+		for file, text := range map[string]string{p.configFile: config, p.settingsFile: own} {
+			if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if change != nil {
+			change(p)
+		}
+		w.start(p)
+	}
+	t.Cleanup(w.shutDown)
+	return w
+}
+
+func (w *cluster) start(p *process) {
+	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	defer log.Close()
+	p.cmd = exec.Command(os.Args[0])
+	p.cmd.Env = append(os.Environ(), runAsProgram+"=1", "LB_CONFIG="+p.configFile, "LB_EXTRA="+p.settingsFile, "LB_LISTEN="+p.clientAddress, "LB_DISCOVERY=", "LB_NAME=",
+		"LB_MGMT="+p.adminAddress, "TMPDIR="+filepath.Join(w.dir, p.name), fmt.Sprint(clockRateVariable, "=", p.clockRate))
+	p.cmd.Stderr = log
+	if p.hasSyscallFaults {
+		p.syscallFaults, err = syscalls.Start(p.cmd, 1)
+	} else {
+		err = p.cmd.Start()
+	}
+	if err != nil {
+		w.t.Fatal(err)
+	}
+	p.isSuspended = false
+}
+
+func (w *cluster) kill(p *process) {
+	if p.cmd != nil {
+		p.cmd.Process.Signal(syscall.SIGCONT)
+		p.cmd.Process.Kill()
+		p.cmd.Wait()
+		p.cmd = nil
+		if p.syscallFaults != nil {
+			p.syscallFaults.Close()
+			p.syscallFaults = nil
+		}
+	}
+}
+
+func (w *cluster) suspend(p *process) {
+	if p.cmd != nil {
+		p.cmd.Process.Signal(syscall.SIGSTOP)
+		p.isSuspended = true
+	}
+}
+
+func (w *cluster) resume(p *process) {
+	if p.cmd != nil && p.isSuspended {
+		p.cmd.Process.Signal(syscall.SIGCONT)
+		p.isSuspended = false
+	}
+}
+
+func (w *cluster) shutDown() {
+	close(w.stopRequests)
+	for _, p := range w.processes {
+		w.kill(p)
+	}
+	for _, row := range w.relays {
+		for _, r := range row {
+			r.Close()
+		}
+	}
+}
+
+// sendRequests sends requests to a process, so that it decides: some two hundred a second, one at a time.
+func (w *cluster) sendRequests(p *process) {
+	beat := time.NewTicker(5 * time.Millisecond * time.Duration(max(1, len(w.processes)/6)))
+	defer beat.Stop()
+	var c net.Conn
+	var in *bufio.Reader
+	for n := 0; ; n++ {
+		select {
+		case <-w.stopRequests:
+			if c != nil {
+				c.Close()
+			}
+			return
+		case <-beat.C:
+		}
+		if c == nil {
+			var err error
+			if c, err = net.DialTimeout("tcp", p.clientAddress, time.Second); err != nil {
+				c = nil
+				continue
+			}
+			in = bufio.NewReader(c)
+		}
+		c.SetDeadline(time.Now().Add(time.Second))
+		io.WriteString(c, fakes.Words("C.GET", fmt.Sprint("k", n%50), fmt.Sprintf("%s-%d-%d", p.name, time.Now().UnixNano(), n), "c=read,d=1000"))
+		if _, err := fakes.Message(in); err != nil && !strings.Contains(err.Error(), "BUSY") && !strings.Contains(err.Error(), "ERR") {
+			c.Close()
+			c = nil
+		}
+	}
+}
+
+// setFaults sets what each relay does.
+func (w *cluster) setFaults(of func(i, j int) between.Faults) {
+	for i, row := range w.relays {
+		for j, r := range row {
+			r.Set(of(i, j))
+		}
+	}
+}
+
+func (w *cluster) heal() { w.setFaults(func(int, int) between.Faults { return between.Faults{} }) }
+
+type status struct {
+	PeerDrains []string `json:"drains_by_others"`
+	Leader     string   `json:"leads"`
+	Effective  struct {
+		Floor  uint64   `json:"Floor"`
+		Latest uint64   `json:"Latest"`
+		Leased bool     `json:"Leased"`
+		Bans   []string `json:"bans"`
+		Part   float64  `json:"Part"`
+	} `json:"acting"`
+}
+
+func (p *process) status() (s status, err error) {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := client.Get("http://" + p.adminAddress + "/fleet")
+	if err != nil {
+		return s, err
+	}
+	defer answer.Body.Close()
+	return s, json.NewDecoder(answer.Body).Decode(&s)
+}
+
+// propose sends a proposal to a process's admin endpoint, and returns the answer.
+func (p *process) propose(c fleetconfig.Proposal) (a fleetconfig.ProposalResult, err error) {
+	body, _ := json.Marshal(c)
+	client := http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := client.Post("http://"+p.adminAddress+"/fleet/propose", "application/json", bytes.NewReader(body))
+	if err != nil {
+		return a, err
+	}
+	defer answer.Body.Close()
+	return a, json.NewDecoder(answer.Body).Decode(&a)
+}
+
+// history returns the ids of the proposals that were accepted, as a process knows them.
+func (p *process) history(t testing.TB) (ids []string) {
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := client.Get("http://" + p.adminAddress + "/fleet/history")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer answer.Body.Close()
+	var all []struct {
+		ID string `json:"id"`
+	}
+	if err := json.NewDecoder(answer.Body).Decode(&all); err != nil || len(all) == 0 {
+		t.Fatal(all, err)
+	}
+	for _, v := range all {
+		if v.ID != "" {
+			ids = append(ids, v.ID)
+		}
+	}
+	return ids
+}
+
+// waitFor waits until something has happened; the time is only a bound.
+func waitFor(t testing.TB, what string, come func() bool) {
+	t.Helper()
+	for end := time.Now().Add(60 * time.Second); !come(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s does not come", what)
+		}
+	}
+}
+
+// waitForAgreement waits until all processes act on this revision or a later one, the same one, under leases.
+func (w *cluster) waitForAgreement(version uint64) {
+	w.t.Helper()
+	w.t.Cleanup(func() {
+		if w.t.Failed() && !w.logsShown {
+			w.logsShown = true
+			w.t.Log(w.logs())
+		}
+	})
+	waitFor(w.t, fmt.Sprintf("agreement on version %d", version), func() bool {
+		latest := uint64(0)
+		for _, p := range w.processes {
+			s, err := p.status()
+			if err != nil || !s.Effective.Leased || s.Effective.Latest < version || s.Effective.Floor != s.Effective.Latest || latest != 0 && s.Effective.Latest != latest {
+				return false
+			}
+			latest = s.Effective.Latest
+		}
+		return true
+	})
+}
+
+// logs are what the processes wrote, for a failure.
+func (w *cluster) logs() string {
+	var out strings.Builder
+	for _, p := range w.processes {
+		text, _ := os.ReadFile(p.logFile)
+		fmt.Fprintf(&out, "--- %s\n%s\n", p.name, text[max(0, len(text)-2000):])
+	}
+	return out.String()
+}
--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -1,4 +1,5 @@
-// Command hollyfleet is a balancer that is one of a fleet: hollylever with the parts by which many agree.
+// Command hollyfleet is hollylever as a member of a fleet: processes that agree on a configuration under leases, and
+// share outlier detection, zone evacuation and budgets. Commands, settings and signals are those of hollylever.
 package main
 
 import (
@@ -15,8 +16,11 @@
 
 func main() { server.Main(join) }
 
-func join(config fields.Values, name, zone, settings string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
-	f, err := fleet.Start(config, name, zone, settings, balancerAdapter{b}, log)
+// join implements server.Join. settingsDigest is of the operators' settings file.
+func join(
+	config fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger,
+) (server.Fleet, error) {
+	f, err := fleet.Start(config, name, zone, settingsDigest, balancerAdapter{b}, log)
 	if err != nil {
 		return nil, err
 	}
@@ -27,15 +31,18 @@
 	return f, nil
 }
 
-// acts puts what is agreed on before the balancer.
+// balancerAdapter gives the balancer the types of the fleet: it implements fleet.Balancer.
 type balancerAdapter struct{ *routing.Balancer }
 
+// ApplyConfig implements fleet.Balancer.
 func (a balancerAdapter) ApplyConfig(config consensus.EffectiveConfig) {
 	a.Balancer.Heeds(config.EjectedEndpoints, config.Limits, config.DiscoverySource, config.MinListIndex)
 }
 
+// ApplyPeerDrains implements fleet.Balancer.
 func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
 
+// Endpoints implements fleet.Balancer.
 func (a balancerAdapter) Endpoints() []subset.Endpoint {
 	var all []subset.Endpoint
 	for _, listed := range a.Balancer.Servers() {
@@ -44,6 +51,7 @@
 	return all
 }
 
+// EndpointList implements fleet.Balancer.
 func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
 	index, digest, drains := a.Lists()
 	converted := make([]membership.DrainedEndpoint, len(drains))
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -65,7 +65,8 @@
 var document = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
 	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
 
-// An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a renamed field emptied them.
+// An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a
+// renamed field emptied them.
 func TestFleetStatusKeepsItsJSON(t *testing.T) {
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
@@ -120,7 +121,8 @@
 	return f
 }
 
-// A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a ban lapse.
+// A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a
+// ban lapse.
 func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
 	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
 	var many []consensus.Revision
@@ -176,7 +178,8 @@
 	}
 }
 
-// A process that took a number at or below that of the one before it would be taken for that one's past: the file's form has to stay readable.
+// A process that took a number at or below that of the one before it would be taken for that one's past: the file's
+// form has to stay readable.
 func TestIncarnationFileIsReadAndWrittenAsBefore(t *testing.T) {
 	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	first := nextIncarnation(folder, now, 12345)
