--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -24,7 +24,7 @@
 
 var update = flag.Bool("update", false, "write testdata anew")
 
-// golden holds what is given against a file of testdata.
+// golden compares got with a file of testdata.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -39,14 +39,15 @@
 	}
 }
 
-// idle is a balancer that counts what it is told and does nothing.
+// recordingBalancer notes the configuration that it is given, and does nothing else.
 type recordingBalancer struct {
 	configsApplied int
 	lastConfig     consensus.EffectiveConfig
 }
 
-func (i *recordingBalancer) ApplyConfig(a consensus.EffectiveConfig) {
-	i.configsApplied, i.lastConfig = i.configsApplied+1, a
+func (b *recordingBalancer) ApplyConfig(config consensus.EffectiveConfig) {
+	b.configsApplied++
+	b.lastConfig = config
 }
 func (*recordingBalancer) ApplyPeerDrains([]string) {}
 func (*recordingBalancer) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
@@ -62,16 +63,16 @@
 func (*recordingBalancer) ReadCounts() (int, int)                          { return 0, 0 }
 func (*recordingBalancer) SetWidespreadMisses(bool)                        {}
 
-var document = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
+var sampleConfig = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
 	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
 
 // An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a
 // renamed field emptied them.
-func TestFleetStatusKeepsItsJSON(t *testing.T) {
+func TestStatusKeepsItsJSONKeys(t *testing.T) {
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
-	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4}}
-	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: document}, MaxDisagreement: "1.986s",
+	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4}}
+	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: sampleConfig}, MaxDisagreement: "1.986s",
 		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
 		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: versions,
 		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
@@ -90,8 +91,8 @@
 }
 
 // A call that is none has its code and its words, which scripts look for.
-func TestFleetCallsKeepTheirAnswers(t *testing.T) {
-	f := fleetAt(t, "", &recordingBalancer{})
+func TestCallsKeepTheirAnswers(t *testing.T) {
+	f := newUnjoinedFleet(t, "", &recordingBalancer{})
 	var out strings.Builder
 	for _, call := range []struct{ method, path, body string }{
 		{"POST", "/fleet", ""}, {"DELETE", "/fleet/history", ""}, {"GET", "/fleet/propose", ""}, {"GET", "/fleet/x", ""}, {"GET", "/fleet/", ""},
@@ -111,8 +112,8 @@
 	golden(t, "calls.golden", []byte(out.String()))
 }
 
-// fleetAt is a process's part that has not joined: with a place for what it leaves, or none.
-func fleetAt(t *testing.T, left string, balancer Balancer) *Fleet {
+// newUnjoinedFleet makes a process's part that has not joined; left is the path of its handover file, "": none.
+func newUnjoinedFleet(t *testing.T, left string, balancer Balancer) *Fleet {
 	t.Helper()
 	terms := consensus.LeaseTiming{LeaseDuration: 1500 * time.Millisecond, ClockRateError: 0.001, MaxPause: 300 * time.Millisecond}
 	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", leaseTiming: terms, voters: []string{"b1"}, balancer: balancer, log: zerolog.Nop(), handover: handoverFile(left),
@@ -123,15 +124,15 @@
 
 // A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a
 // ban lapse.
-func TestHandoverFilesAreReadAndWrittenAsBefore(t *testing.T) {
-	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: document}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
+func TestHandoverFileKeepsItsForm(t *testing.T) {
+	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
 	var many []consensus.Revision
 	for n := range uint64(maxPlainRevisions + 1) {
 		many = append(many, consensus.Revision{Number: n + 3, ProposalID: fmt.Sprint("p", n), Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{fmt.Sprint("h", n)}, MinListIndex: n}})
 	}
 	for name, versions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
-			f := fleetAt(t, filepath.Join("testdata", name), &recordingBalancer{})
+			f := newUnjoinedFleet(t, filepath.Join("testdata", name), &recordingBalancer{})
 			f.holder.Restore(3, versions)
 			f.effective = f.holder.EffectiveConfig(Now())
 			f.evacuation.ramps["z2"] = &evacuation.Ramp{}
@@ -146,7 +147,7 @@
 		if err := os.WriteFile(left, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := fleetAt(t, left, balancer)
+		f := newUnjoinedFleet(t, left, balancer)
 		f.recallHandover()
 		latest := versions[len(versions)-1].Number
 		if a := balancer.lastConfig; balancer.configsApplied != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
@@ -170,7 +171,7 @@
 		if err := os.WriteFile(left, []byte(spoilt), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if f := fleetAt(t, left, balancer); true {
+		if f := newUnjoinedFleet(t, left, balancer); true {
 			if f.recallHandover(); balancer.configsApplied != 0 || f.effective.LatestRevision != 0 {
 				t.Errorf("%q is acted on", spoilt)
 			}
@@ -180,7 +181,7 @@
 
 // A process that took a number at or below that of the one before it would be taken for that one's past: the file's
 // form has to stay readable.
-func TestIncarnationFileIsReadAndWrittenAsBefore(t *testing.T) {
+func TestIncarnationFileKeepsItsForm(t *testing.T) {
 	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	first := nextIncarnation(folder, now, 12345)
 	text, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
