--- a/cmd/hollyfleet/agreement_test.go
+++ b/cmd/hollyfleet/agreement_test.go
@@ -136,7 +136,7 @@
 			if porcupine.CheckOperationsTimeout(revisionOrder, accepted, 20*time.Second) == porcupine.Illegal {
 				t.Errorf("no one history: %v", accepted)
 			}
-			t.Logf("%d decisions, %d versions, longest contradiction %v of T %v", len(all), most, worst, leaseTiming.MaxDisagreement())
+			t.Logf("%d decisions, %d revisions, longest contradiction %v of T %v", len(all), most, worst, leaseTiming.MaxDisagreement())
 		})
 	}
 }
@@ -160,7 +160,7 @@
 	for n := range 3 {
 		w.kill(w.processes[n])
 		w.suspend(w.processes[4])
-		waitFor(t, "a version without two", func() bool {
+		waitFor(t, "a revision without two", func() bool {
 			a, err := w.processes[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("g", n), EjectEndpoints: []string{fmt.Sprint("g", n)}})
 			version = max(version, a.Revision)
 			return err == nil && a.Revision != 0
@@ -207,7 +207,7 @@
 	w.waitForAgreement(1)
 	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
 	var a fleetconfig.ProposalResult
-	waitFor(t, "a version without the one that is cut off", func() bool {
+	waitFor(t, "a revision without the one that is cut off", func() bool {
 		a, _ = w.processes[0].propose(fleetconfig.Proposal{ID: "x", EjectEndpoints: []string{"h"}})
 		return a.Revision != 0
 	})
@@ -235,10 +235,10 @@
 		w.start(&next)
 		waitFor(t, "the new process", func() bool {
 			s, err := next.status()
-			return err == nil && s.Effective.Latest >= version && slices.Contains(s.Effective.Bans, "h")
+			return err == nil && s.Effective.LatestRevision >= version && slices.Contains(s.Effective.EjectedEndpoints, "h")
 		})
 		a := fleetconfig.ProposalResult{}
-		waitFor(t, "a version amid the upgrade", func() bool {
+		waitFor(t, "a revision amid the upgrade", func() bool {
 			var err error
 			a, err = w.processes[(n+1)%5].propose(fleetconfig.Proposal{ID: fmt.Sprint("u", n), EjectEndpoints: []string{fmt.Sprint("u", n)}})
 			return err == nil && a.Revision != 0
@@ -252,7 +252,7 @@
 	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
-	if s, err := w.processes[4].status(); err != nil || len(s.Effective.Bans) != 6 {
+	if s, err := w.processes[4].status(); err != nil || len(s.Effective.EjectedEndpoints) != 6 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -277,7 +277,7 @@
 		}()
 	}
 	for n := range 3 {
-		waitFor(t, "a version on the side of the many", func() bool {
+		waitFor(t, "a revision on the side of the many", func() bool {
 			a, err := w.processes[4].propose(fleetconfig.Proposal{ID: fmt.Sprint("many", n), EjectEndpoints: []string{fmt.Sprint("many", n)}})
 			return err == nil && a.Revision != 0
 		})
@@ -290,7 +290,7 @@
 	w.heal()
 	w.waitForAgreement(4)
 	for _, p := range w.processes {
-		if s, err := p.status(); err != nil || !slices.Equal(s.Effective.Bans, []string{"many0", "many1", "many2"}) {
+		if s, err := p.status(); err != nil || !slices.Equal(s.Effective.EjectedEndpoints, []string{"many0", "many1", "many2"}) {
 			t.Errorf("%s acts on %+v, %v", p.name, s.Effective, err)
 		}
 	}
@@ -318,13 +318,13 @@
 	}
 	waitFor(t, "being alone", func() bool {
 		s, err := w.processes[4].status()
-		return err == nil && !s.Effective.Leased && slices.Contains(s.Effective.Bans, "h")
+		return err == nil && !s.Effective.IsLeased && slices.Contains(s.Effective.EjectedEndpoints, "h")
 	})
 	w.start(w.processes[0])
 	w.start(w.processes[1])
 	w.waitForAgreement(2)
 	for _, p := range w.processes {
-		if s, err := p.status(); err != nil || !slices.Contains(s.Effective.Bans, "h") {
+		if s, err := p.status(); err != nil || !slices.Contains(s.Effective.EjectedEndpoints, "h") {
 			t.Errorf("%s: %+v, %v", p.name, s, err)
 		}
 	}
@@ -348,7 +348,7 @@
 	w.start(w.processes[4])
 	waitFor(t, "the late one", func() bool {
 		s, err := w.processes[4].status()
-		return err == nil && !s.Effective.Leased && s.Effective.Latest == 0
+		return err == nil && !s.Effective.IsLeased && s.Effective.LatestRevision == 0
 	})
 	w.heal()
 	w.waitForAgreement(2)
--- a/cmd/hollyfleet/cluster_test.go
+++ b/cmd/hollyfleet/cluster_test.go
@@ -82,8 +82,8 @@
 
 // newCluster starts n processes, of which the first are voters, and sends them requests; clocks are off by the stated
 // error, either way.
-func newCluster(t testing.TB, seed uint64, n, keepers int, change func(p *process)) *cluster {
-	w := newIdleCluster(t, seed, n, keepers, change)
+func newCluster(t testing.TB, seed uint64, n, voters int, change func(p *process)) *cluster {
+	w := newIdleCluster(t, seed, n, voters, change)
 	for _, p := range w.processes {
 		go w.sendRequests(p)
 	}
@@ -91,8 +91,8 @@
 }
 
 // newIdleCluster sends no requests.
-func newIdleCluster(t testing.TB, seed uint64, n, keepers int, change func(p *process)) *cluster {
-	w := &cluster{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(seed, 1)), voterCount: keepers, stopRequests: make(chan struct{})}
+func newIdleCluster(t testing.TB, seed uint64, n, voters int, change func(p *process)) *cluster {
+	w := &cluster{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(seed, 1)), voterCount: voters, stopRequests: make(chan struct{})}
 	addresses := make([]string, n)
 	var names []string
 	for i := range n {
@@ -124,7 +124,7 @@
 		config := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
 "known":{"index":1,"snapshot":true,"endpoints":[]},"settings":%s}`, p.name, p.clientAddress, p.adminAddress, fakes.Settings)
 		own := fmt.Sprintf("[log]\nlevel = \"info\"\n[watch]\non = false\n[fleet]\non = true\nlisten = %q\npeers = %q\nkeepers = %q\nstate = %q\nlease = %q\nrate_error = 10\n"+
-			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:keepers], ", "), filepath.Join(w.dir, p.name+".state"),
+			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:voters], ", "), filepath.Join(w.dir, p.name+".state"),
 			leaseTiming.LeaseDuration, leaseTiming.MaxPause, filepath.Join(w.dir, p.name+".trace"), n)
 		if err := os.Mkdir(filepath.Join(w.dir, p.name), 0o700); err != nil {
 			t.Fatal(err)
@@ -250,11 +250,11 @@
 	PeerDrains []string `json:"drains_by_others"`
 	Leader     string   `json:"leads"`
 	Effective  struct {
-		Floor  uint64   `json:"Floor"`
-		Latest uint64   `json:"Latest"`
-		Leased bool     `json:"Leased"`
-		Bans   []string `json:"bans"`
-		Part   float64  `json:"Part"`
+		MinRevision      uint64   `json:"Floor"`
+		LatestRevision   uint64   `json:"Latest"`
+		IsLeased         bool     `json:"Leased"`
+		EjectedEndpoints []string `json:"bans"`
+		BudgetShare      float64  `json:"Part"`
 	} `json:"acting"`
 }
 
@@ -321,14 +321,14 @@
 			w.t.Log(w.logs())
 		}
 	})
-	waitFor(w.t, fmt.Sprintf("agreement on version %d", version), func() bool {
+	waitFor(w.t, fmt.Sprintf("agreement on revision %d", version), func() bool {
 		latest := uint64(0)
 		for _, p := range w.processes {
 			s, err := p.status()
-			if err != nil || !s.Effective.Leased || s.Effective.Latest < version || s.Effective.Floor != s.Effective.Latest || latest != 0 && s.Effective.Latest != latest {
+			if err != nil || !s.Effective.IsLeased || s.Effective.LatestRevision < version || s.Effective.MinRevision != s.Effective.LatestRevision || latest != 0 && s.Effective.LatestRevision != latest {
 				return false
 			}
-			latest = s.Effective.Latest
+			latest = s.Effective.LatestRevision
 		}
 		return true
 	})
--- a/cmd/hollyfleet/deployment_test.go
+++ b/cmd/hollyfleet/deployment_test.go
@@ -140,20 +140,20 @@
 // adminStatus is what a process's admin endpoint shows of zones and outliers.
 type adminStatus struct {
 	Zones []struct {
-		Zone   string  `json:"zone"`
-		ByHand bool    `json:"left_by_hand"`
-		Fails  bool    `json:"left_as_it_fails"`
-		Part   float64 `json:"part_away"`
+		Zone                   string  `json:"zone"`
+		EvacuatedByOperator    bool    `json:"left_by_hand"`
+		EvacuatedAutomatically bool    `json:"left_as_it_fails"`
+		Share                  float64 `json:"part_away"`
 	} `json:"zones"`
 	Outliers struct {
-		Odd   int  `json:"of_nobody_or_none"`
-		Took  int  `json:"taken"`
-		Miss  bool `json:"reads_miss_for_all"`
-		Hosts []struct {
-			Host   string `json:"host"`
-			Heeded bool   `json:"heeded"`
-			Turn   bool   `json:"turn"`
-			Own    int    `json:"own_failures_in_a_row"`
+		Invalid          int  `json:"of_nobody_or_none"`
+		Accepted         int  `json:"taken"`
+		WidespreadMisses bool `json:"reads_miss_for_all"`
+		Hosts            []struct {
+			Endpoint               string `json:"host"`
+			Ejected                bool   `json:"heeded"`
+			HasProbeLease          bool   `json:"turn"`
+			OwnConsecutiveFailures int    `json:"own_failures_in_a_row"`
 		} `json:"hosts"`
 	} `json:"signals"`
 }
@@ -183,8 +183,8 @@
 			continue
 		}
 		for _, h := range p.adminStatus().Outliers.Hosts {
-			if (h.Host == host || host == "") && h.Heeded {
-				if n++; h.Turn {
+			if (h.Endpoint == host || host == "") && h.Ejected {
+				if n++; h.HasProbeLease {
 					prober = p
 				}
 			}
--- a/cmd/hollyfleet/endpointlists_test.go
+++ b/cmd/hollyfleet/endpointlists_test.go
@@ -60,7 +60,7 @@
 	waitFor(t, "drains of both lists", func() bool { return out(0, "h2") && out(1, "h1") && out(2, "h1", "h2") })
 	waitFor(t, "saying that they contradict", func() bool { return w.processes[0].hasLogged("endpoint list differs from a peer's of the same index") })
 	drains(2, "h3")
-	lists[0].Count(1) // It begins anew, and knows of no drain.
+	lists[0].Count(1) // It starts anew, and knows of no drain.
 	lists[0].Tell(entries)
 	waitFor(t, "saying that it went back", func() bool { return w.processes[0].hasLogged("endpoint list index went back") })
 	waitFor(t, "what it had drained staying out", func() bool { s, _ := w.processes[0].status(); return slices.Contains(s.PeerDrains, "h1") })
@@ -81,7 +81,7 @@
 			w.start(p)
 		}
 		began := time.Now()
-		waitFor(t, "a version", func() bool {
+		waitFor(t, "a revision", func() bool {
 			a, err := w.processes[round%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("c", round), EjectEndpoints: []string{fmt.Sprint("c", round)}})
 			version = max(version, a.Revision)
 			return err == nil && a.Revision != 0
--- a/cmd/hollyfleet/evacuation_test.go
+++ b/cmd/hollyfleet/evacuation_test.go
@@ -20,11 +20,11 @@
 			if z.Zone != zone {
 				continue
 			}
-			least, most = min(least, z.Part), max(most, z.Part)
-			if z.Fails {
+			least, most = min(least, z.Share), max(most, z.Share)
+			if z.EvacuatedAutomatically {
 				fails++
 			}
-			if z.ByHand {
+			if z.EvacuatedByOperator {
 				byHand++
 			}
 		}
@@ -91,7 +91,7 @@
 		}
 	}
 	if ids := d.processes[0].history(t); len(ids) != 4 {
-		t.Errorf("%d versions, not one for each way: %v", len(ids), ids)
+		t.Errorf("%d revisions, not one for each direction: %v", len(ids), ids)
 	}
 	if f := d.stopLoad(); f.Wrong > 0 || d.origin.Twice() > 0 || f.Settled < f.Asked*8/10 {
 		t.Errorf("%+v, %d twice", f, d.origin.Twice())
@@ -146,7 +146,7 @@
 	before := count()
 	time.Sleep(4 * time.Second) // That long nothing goes there, though the hosts are well.
 	if went := count() - before; went > 0 {
-		t.Errorf("%d trips went there", went)
+		t.Errorf("%d attempts went there", went)
 	}
 	if killed != nil { // One that starts does not go there to leave it in steps.
 		d.start(killed)
@@ -154,7 +154,7 @@
 		waitFor(t, "the one that starts", func() bool {
 			for _, z := range killed.adminStatus().Zones {
 				if z.Zone == "z2" && part < 0 {
-					part = z.Part
+					part = z.Share
 				}
 			}
 			return part >= 0
@@ -169,7 +169,7 @@
 	})
 	waitFor(t, "being back", func() bool { _, most, _, _ := d.evacuation("z2"); return most == 0 })
 	before = count()
-	waitFor(t, "trips there", func() bool { return count() > before+20 })
+	waitFor(t, "attempts there", func() bool { return count() > before+20 })
 	d.stopLoad()
 }
 
@@ -189,7 +189,7 @@
 		for n, p := range d.processes {
 			left := 0
 			for _, h := range p.adminStatus().Outliers.Hosts {
-				if h.Heeded {
+				if h.Ejected {
 					left++
 				}
 			}
@@ -202,7 +202,7 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // That long its own go on.
 		for n, p := range d.processes {
 			for _, z := range p.adminStatus().Zones {
-				if n%d.zoneCount == 1 && z.Zone == "z1" && z.Part > 0 {
+				if n%d.zoneCount == 1 && z.Zone == "z1" && z.Share > 0 {
 					t.Fatalf("%s leaves its own zone: %+v", p.name, z)
 				}
 			}
@@ -291,7 +291,7 @@
 		}
 	}
 	if ids := d.processes[0].history(t); len(ids) != 2 {
-		t.Errorf("%d versions, not one for each way: %v", len(ids), ids)
+		t.Errorf("%d revisions, not one for each direction: %v", len(ids), ids)
 	}
 	f := d.stopLoad()
 	if f.Wrong > 0 || d.origin.Twice() > 0 || f.Settled < f.Asked*8/10 {
--- a/cmd/hollyfleet/measure_test.go
+++ b/cmd/hollyfleet/measure_test.go
@@ -80,7 +80,7 @@
 		took = append(took, last[v])
 	}
 	slices.Sort(took)
-	t.Logf("%d processes, loss %v: from propose to the last of them acting on it, median %v, 99%% %v, over %d versions", n, loss,
+	t.Logf("%d processes, loss %v: from propose to the last of them acting on it, median %v, 99%% %v, over %d revisions", n, loss,
 		time.Duration(took[len(took)/2]).Round(time.Millisecond), time.Duration(took[len(took)*99/100]).Round(time.Millisecond), len(took))
 	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
@@ -126,16 +126,16 @@
 			d := newDeployment(t, 1, n, 24, fmt.Sprintf("signals = %t\n", on))
 			d.startLoad(rate, 3000)
 			time.Sleep(5 * time.Second) // Until the caches know most.
-			var trips []int
+			var attempts []int
 			var left []time.Duration
 			for _, host := range []int{4, 11, 18} {
 				n, after := d.measureHang(host, 10*time.Second)
-				trips, left = append(trips, n), append(left, after.Round(10*time.Millisecond))
+				attempts, left = append(attempts, n), append(left, after.Round(10*time.Millisecond))
 				time.Sleep(6 * time.Second)
 			}
 			f := d.stopLoad()
-			t.Logf("%d processes, 24 hosts, %d retrievals a second each, signals %t: trips to a host that hangs for 10 s %v; all had left it after %v; %d asked, %d settled, %d dismissed, %d late",
-				n, rate, on, trips, left, f.Asked, f.Settled, f.Dismissed, f.Late+f.Door)
+			t.Logf("%d processes, 24 hosts, %d retrievals a second each, signals %t: attempts at a host that hangs for 10 s %v; all had ejected it after %v; %d asked, %d settled, %d dismissed, %d late",
+				n, rate, on, attempts, left, f.Asked, f.Settled, f.Dismissed, f.Late+f.Door)
 			if held := d.countEjections(d.hosts[18].Name); held > 0 {
 				t.Logf("%d still hold it back", held)
 			}
@@ -232,7 +232,7 @@
 }
 
 // TestMeasureZone is not for CI: a zone hangs for 8 s and comes back cold, while the list calls it ready throughout;
-// its part of the trips over time.
+// its share of the attempts over time.
 func TestMeasureZone(t *testing.T) {
 	for _, word := range sizesFrom(t, "HOLLYFLEET_ZONE") {
 		var n, rate, parts int // 0: nothing, 1: signals, 2: zones too
@@ -243,18 +243,18 @@
 		}
 		d.startLoad(rate, 3000)
 		time.Sleep(10 * time.Second)
-		share := func(over time.Duration) (zone, trips int) {
+		share := func(over time.Duration) (zone, attempts int) {
 			before := d.requestsPerHost()
 			time.Sleep(over)
 			for h, asked := range d.requestsPerHost() {
-				if trips += asked - before[h]; h%3 == 0 {
+				if attempts += asked - before[h]; h%3 == 0 {
 					zone += asked - before[h]
 				}
 			}
-			return zone, trips
+			return zone, attempts
 		}
-		zone, trips := share(2 * time.Second)
-		t.Logf("%s: the zone has %.1f%% of the trips before", word, 100*float64(zone)/float64(trips))
+		zone, attempts := share(2 * time.Second)
+		t.Logf("%s: the zone has %.1f%% of the attempts before", word, 100*float64(zone)/float64(attempts))
 		var goOn []func()
 		for h := 0; h < 24; h += 3 {
 			goOn = append(goOn, d.hosts[h].Hang())
@@ -275,8 +275,8 @@
 			out <- "not left as a zone"
 		}()
 		for range 4 {
-			zone, trips = share(2 * time.Second)
-			t.Logf("%s: hanging, %d of %d trips in 2 s go there; %d dismissed", word, zone, trips, d.dismissed())
+			zone, attempts = share(2 * time.Second)
+			t.Logf("%s: hanging, %d of %d attempts in 2 s go there; %d dismissed", word, zone, attempts, d.dismissed())
 		}
 		t.Log(<-out)
 		entries := map[string]string{}
@@ -290,13 +290,13 @@
 		d.discovery.Tell(entries)
 		back := time.Now()
 		for time.Since(back) < 40*time.Second {
-			zone, trips = share(4 * time.Second)
+			zone, attempts = share(4 * time.Second)
 			pushed := 0
 			for h := 0; h < 24; h += 3 {
 				pushed += d.hosts[h].Figures().Pushed
 			}
 			fetches, _ := d.origin.Fetches()
-			t.Logf("%s: %2.0f s after its return %.1f%%; %d over what they can; %d fetches in all; left %d; %d dismissed", word, time.Since(back).Seconds(), 100*float64(zone)/float64(trips), pushed, fetches, d.countEjections(""), d.dismissed())
+			t.Logf("%s: %2.0f s after its return %.1f%%; %d over what they can; %d fetches in all; left %d; %d dismissed", word, time.Since(back).Seconds(), 100*float64(zone)/float64(attempts), pushed, fetches, d.countEjections(""), d.dismissed())
 		}
 		f := d.stopLoad()
 		t.Logf("%s: %d asked, %d settled, %d dismissed, %d given up, %d late", word, f.Asked, f.Settled, f.Dismissed, f.GivenUp, f.Late+f.Door)
--- a/cmd/hollyfleet/outliers_test.go
+++ b/cmd/hollyfleet/outliers_test.go
@@ -35,15 +35,15 @@
 		d.setFaults(func(int, int) between.Faults { return faults })
 		began := time.Now()
 		goOn := host.Hang()
-		waitFor(t, "all leaving it", func() bool { return d.countEjections(host.Name) == len(d.processes) })
+		waitFor(t, "ejection at all", func() bool { return d.countEjections(host.Name) == len(d.processes) })
 		if n := d.countEjections(""); n > len(d.processes) {
-			t.Errorf("others are left too: %d", n-len(d.processes))
+			t.Errorf("others are ejected too: %d", n-len(d.processes))
 		}
-		t.Logf("all had left it after %v", time.Since(began))
+		t.Logf("all had ejected it after %v", time.Since(began))
 		var prober *process
-		waitFor(t, "a turn", func() bool { _, prober = d.ejectionsOf(host.Name); return prober != nil })
+		waitFor(t, "a probe", func() bool { _, prober = d.ejectionsOf(host.Name); return prober != nil })
 		d.suspend(prober)
-		t.Logf("a turn after %v", time.Since(began))
+		t.Logf("a probe after %v", time.Since(began))
 		goOn()
 		waitFor(t, "all but the stopped one coming back", func() bool { return d.countEjections(host.Name) == 0 })
 		t.Logf("all but one are back after %v", time.Since(began))
@@ -65,19 +65,19 @@
 	defer d.restartUnableToReach(broken, func(h int) bool { return h < 4 }).Close() // A third: where more fail it keeps silent, as it is its own fault.
 	d.waitForAgreement(1)
 	d.startLoad(60, 500)
-	before := d.processes[0].adminStatus().Outliers.Took
-	waitFor(t, "its word", func() bool {
+	before := d.processes[0].adminStatus().Outliers.Accepted
+	waitFor(t, "its reports", func() bool {
 		n := 0
 		for _, h := range broken.adminStatus().Outliers.Hosts {
-			if h.Own > 0 {
+			if h.OwnConsecutiveFailures > 0 {
 				n++
 			}
 		}
-		return n >= 3 && d.processes[0].adminStatus().Outliers.Took > before+5
+		return n >= 3 && d.processes[0].adminStatus().Outliers.Accepted > before+5
 	})
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // That long nobody follows.
 		if n := d.countEjections(""); n > 0 {
-			t.Fatalf("%d hosts are left on the word of one", n)
+			t.Fatalf("%d hosts are ejected on the reports of one", n)
 		}
 	}
 	d.requireAllAnswered()
@@ -128,7 +128,7 @@
 		for n := range 20 {
 			fmt.Fprintf(c, "\x03%s", strings.Repeat(string(rune(n)), n*20))
 		}
-		return d.processes[0].adminStatus().Outliers.Odd >= 20
+		return d.processes[0].adminStatus().Outliers.Invalid >= 20
 	})
 	d.startLoad(50, 100)
 	waitFor(t, "retrievals all the same", func() bool { return d.clients[0].Figures().Settled > 50 })
@@ -162,13 +162,13 @@
 			sum, least, most := 0.0, 1.0, 0.0
 			for _, p := range w.processes[:n] {
 				s, err := p.status()
-				if err != nil || !s.Effective.Leased {
+				if err != nil || !s.Effective.IsLeased {
 					return false
 				}
-				sum, least, most = sum+s.Effective.Part, min(least, s.Effective.Part), max(most, s.Effective.Part)
+				sum, least, most = sum+s.Effective.BudgetShare, min(least, s.Effective.BudgetShare), max(most, s.Effective.BudgetShare)
 			}
 			busy, err := w.processes[1].status()
-			return err == nil && sum > 0.98-0.5*float64(12-n)/12 && least >= 0.5/12 && busy.Effective.Part == most && most > 1.3*sum/float64(n)
+			return err == nil && sum > 0.98-0.5*float64(12-n)/12 && least >= 0.5/12 && busy.Effective.BudgetShare == most && most > 1.3*sum/float64(n)
 		})
 	}
 	for _, n := range []int{12, 3, 12, 5} {
@@ -186,7 +186,7 @@
 	d := newDeployment(t, 11, 6, 12, "")
 	d.startLoad(100, 500)
 	all := func(is bool) bool {
-		return !slices.ContainsFunc(d.processes, func(p *process) bool { return p.adminStatus().Outliers.Miss != is })
+		return !slices.ContainsFunc(d.processes, func(p *process) bool { return p.adminStatus().Outliers.WidespreadMisses != is })
 	}
 	for range 2 {
 		waitFor(t, "all saying so", func() bool {
--- a/cmd/hollyfleet/replicalog_test.go
+++ b/cmd/hollyfleet/replicalog_test.go
@@ -21,7 +21,7 @@
 		return err == nil && a.Revision != 0
 	}
 	w.waitForAgreement(1)
-	waitFor(t, "a version before the faults", func() bool { return propose("before") })
+	waitFor(t, "a revision before the faults", func() bool { return propose("before") })
 	for _, p := range w.processes {
 		p.syscallFaults.Fail("syncs", syscalls.Syncs, 1)
 	}
@@ -37,11 +37,11 @@
 		}
 		return failed >= 2
 	})
-	time.Sleep(time.Second) // The faults last: replicas are begun again, and fail again.
+	time.Sleep(time.Second) // The faults last: replicas are restarted, and fail again.
 	for _, p := range w.processes {
 		p.syscallFaults.Fail("syncs", syscalls.Syncs, 0)
 	}
-	waitFor(t, "a version after the faults", func() bool { return propose("after") })
+	waitFor(t, "a revision after the faults", func() bool { return propose("after") })
 	history := w.processes[0].history(t)
 	if !slices.Contains(history, "before") || !slices.Contains(history, "after") {
 		t.Errorf("the history is %q", history)
--- a/cmd/hollyfleet/scale_test.go
+++ b/cmd/hollyfleet/scale_test.go
@@ -102,20 +102,20 @@
 		waitFor(t, "all members being heard, under leases", func() bool {
 			var s struct {
 				Acting struct {
-					Leased bool `json:"Leased"`
+					IsLeased bool `json:"Leased"`
 				} `json:"acting"`
 				Members []struct {
-					Gone bool `json:"gone"`
+					IsGone bool `json:"gone"`
 				} `json:"members"`
 			}
 			p.readStatus(t, &s)
 			gone := 0
 			for _, m := range s.Members {
-				if m.Gone {
+				if m.IsGone {
 					gone++
 				}
 			}
-			return s.Acting.Leased && len(s.Members) == len(w.processes) && gone == 0
+			return s.Acting.IsLeased && len(s.Members) == len(w.processes) && gone == 0
 		})
 	}
 }
@@ -149,16 +149,16 @@
 	w.waitForAgreement(version)
 	type stands struct {
 		Acting struct {
-			Bans []string `json:"bans"`
-			Left []string `json:"zones_left"`
+			EjectedEndpoints []string `json:"bans"`
+			EvacuatedZones   []string `json:"zones_left"`
 		} `json:"acting"`
 		Zones []struct {
-			Part float64 `json:"part_away"`
+			Share float64 `json:"part_away"`
 		} `json:"zones"`
 	}
 	away := func(s stands) (n int) {
 		for _, z := range s.Zones {
-			if z.Part > 0 {
+			if z.Share > 0 {
 				n++
 			}
 		}
@@ -168,7 +168,7 @@
 		waitFor(t, "going out of all zones", func() bool {
 			var s stands
 			p.readStatus(t, &s)
-			return len(s.Acting.Bans) == largeSize && len(s.Acting.Left) == len(zones) && away(s) == len(zones)
+			return len(s.Acting.EjectedEndpoints) == largeSize && len(s.Acting.EvacuatedZones) == len(zones) && away(s) == len(zones)
 		})
 	}
 	last := w.processes[3]
@@ -176,9 +176,9 @@
 	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3} })
 	w.start(last)
 	var s stands
-	waitFor(t, "its first word", func() bool { last.readStatus(t, &s); return len(s.Acting.Bans) > 0 })
-	if len(s.Acting.Bans) != largeSize || len(s.Acting.Left) != len(zones) {
-		t.Errorf("alone it acts on %d hosts out and %d zones left", len(s.Acting.Bans), len(s.Acting.Left))
+	waitFor(t, "its first status", func() bool { last.readStatus(t, &s); return len(s.Acting.EjectedEndpoints) > 0 })
+	if len(s.Acting.EjectedEndpoints) != largeSize || len(s.Acting.EvacuatedZones) != len(zones) {
+		t.Errorf("alone it acts on %d hosts out and %d zones left", len(s.Acting.EjectedEndpoints), len(s.Acting.EvacuatedZones))
 	}
 	w.heal()
 	w.waitForAgreement(version)
--- a/cmd/hollyfleet/startup_test.go
+++ b/cmd/hollyfleet/startup_test.go
@@ -13,12 +13,12 @@
 // evacuated it. known: the process has a lease, and a status of the zone.
 func (p *process) evacuationOf(zone string) (share float64, byHand, known bool) {
 	s, err := p.status()
-	if err != nil || !s.Effective.Leased {
+	if err != nil || !s.Effective.IsLeased {
 		return 0, false, false
 	}
 	for _, z := range p.adminStatus().Zones {
 		if z.Zone == zone {
-			return z.Part, z.ByHand, true
+			return z.Share, z.EvacuatedByOperator, true
 		}
 	}
 	return 0, false, false
@@ -54,7 +54,7 @@
 	d.start(&young)
 	waitFor(t, "the new process knowing", func() bool {
 		z := young.adminStatus().Zones
-		return len(z) == 3 && z[2].ByHand && z[2].Part == 1
+		return len(z) == 3 && z[2].EvacuatedByOperator && z[2].Share == 1
 	})
 	there := func() (n int) {
 		for _, h := range d.hostsOfZone(2) {
@@ -69,7 +69,7 @@
 	enough()
 	clients.Wait()
 	if went := there() - before; went > 0 {
-		t.Errorf("%d trips went to the zone that is left", went)
+		t.Errorf("%d attempts went to the evacuated zone", went)
 	}
 	d.kill(&young)
 	waitFor(t, "accepting the return", func() bool {
@@ -92,7 +92,7 @@
 	d.requireRampNear(t, "the new one", d.processes[1], func() float64 {
 		for _, z := range next.adminStatus().Zones {
 			if z.Zone == "z2" {
-				return z.Part
+				return z.Share
 			}
 		}
 		return 1 // It knows of none: all of the zone's keys would be away.
--- a/cmd/hollyfleet/trace_test.go
+++ b/cmd/hollyfleet/trace_test.go
@@ -61,7 +61,7 @@
 		}
 		last = max(last, d.latestRevision)
 		if was, known := digests[d.latestRevision]; known && was != d.digest {
-			wrong = fmt.Sprintf("version %d is %s and %s", d.latestRevision, was, d.digest)
+			wrong = fmt.Sprintf("revision %d is %s and %s", d.latestRevision, was, d.digest)
 		}
 		digests[d.latestRevision] = d.digest
 		if !d.isLeased || d.latestRevision >= last {
--- a/fleet/connections.go
+++ b/fleet/connections.go
@@ -24,8 +24,8 @@
 	}}
 }
 
-// updateConnectionSubset computes the subset anew if members or endpoints have changed, and tells the balancer. While
-// no other member is heard the subset is all endpoints, since nobody else would keep connections to the rest of them.
+// updateConnectionSubset recomputes the subset if members or endpoints have changed, and tells the balancer. While no
+// other member is heard the subset is all endpoints, since nobody else would keep connections to the rest of them.
 func (f *Fleet) updateConnectionSubset(live []membership.Member, endpoints []subset.Endpoint) {
 	c := &f.connections
 	if c.config.MinEndpoints == 0 {
--- a/fleet/driver.go
+++ b/fleet/driver.go
@@ -66,7 +66,7 @@
 	f.measureLoad()
 }
 
-// updateMembers returns the members and endpoints of the moment to the connection subset and to outlier detection.
+// updateMembers passes the present members and endpoints to the connection subset and to outlier detection.
 func (f *Fleet) updateMembers() {
 	endpoints, live := f.balancer.Endpoints(), f.liveMembers()
 	f.updateConnectionSubset(live, endpoints)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -98,7 +98,7 @@
 	exchange        membership.Exchange // nil: not joined yet; set once, by Start or Run
 	holder          *consensus.LeaseHolder
 	replica         replica
-	effective       consensus.EffectiveConfig // the configuration in effect
+	effective       consensus.EffectiveConfig // as of the last tick
 	proposals       map[string]chan reply     // for the answers to this process's own proposals, by id
 	stateSeq        uint64                    // of the last MemberState that was published
 	hasZoneProposal bool                      // this process's own proposal of a zone waits for its answer
--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -27,7 +27,7 @@
 // number.
 //
 // The balancer calls HandleAttemptStarted and HandleAttemptEnded with its own lock held; so the lock here is never
-// held around a call of the balancer, and is held for moments only.
+// held around a call of the balancer, and only for a few steps of computation.
 type OutlierExchange struct {
 	messages chan []byte // of peers, not handled by Run yet
 	dropped  atomic.Int64
--- a/fleet/peerlists.go
+++ b/fleet/peerlists.go
@@ -59,8 +59,8 @@
 // isLeader tells whether this process's replica leads. The caller holds mu.
 func (f *Fleet) isLeader() bool { return f.replica.state != nil && f.replica.state.IsLeader() }
 
-// liveMembers returns the members that were heard within maxSilence, this process among them; none while the previous
-// process, during an upgrade, still has the address.
+// liveMembers returns the members that were heard within maxSilence; none while the previous process, during an
+// upgrade, still has the address.
 func (f *Fleet) liveMembers() (live []membership.Member) {
 	if f.exchange == nil {
 		return nil
@@ -99,7 +99,7 @@
 	f.peerLists.comparedAt = Now()
 	index, digest, drains := f.balancer.EndpointList()
 	own := consensus.EndpointListState{Name: f.name, Index: index, Digest: digest, Drained: convertDrains(drains)}
-	lists := f.highestOwnList(own)
+	lists := f.earlierOwnList(own)
 	peers, partial := f.laterLists(index, digest)
 	lists = append(lists, peers...)
 	f.requestFullStates(f.peerLists.comparedAt, partial)
@@ -108,10 +108,10 @@
 	f.reportListState(index, result)
 }
 
-// highestOwnList returns this process's own earlier list where the present one has a lower index: what that one
+// earlierOwnList returns this process's own earlier list where the present one has a lower index: what that one
 // drained stays drained for a while. Otherwise a discovery server that answers from an old state would bring back
 // endpoints that have shut down.
-func (f *Fleet) highestOwnList(present consensus.EndpointListState) []consensus.EndpointListState {
+func (f *Fleet) earlierOwnList(present consensus.EndpointListState) []consensus.EndpointListState {
 	earlier, wentBack := f.peerLists.rollbackGuard.Observe(Now(), present)
 	if wentBack {
 		f.log.Warn().Uint64("index", present.Index).Uint64("previous_index", earlier[0].Index).
--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -62,7 +62,7 @@
 			case !isNoLeader(r.ProposalResult):
 				return r.ProposalResult
 			}
-			p.ticket = nil // Another replica may lead in a moment.
+			p.ticket = nil // Another replica may be elected soon.
 		case <-retry.C:
 			p.handleRetry()
 			continue
@@ -99,7 +99,7 @@
 	delete(f.proposals, id)
 }
 
-// deliverReply returns an answer to the proposal that waits for it, if one does. The caller holds mu.
+// deliverReply passes an answer to the proposal that waits for it, if one does. The caller holds mu.
 func (f *Fleet) deliverReply(r reply) {
 	replies := f.proposals[r.ID]
 	if replies == nil {
@@ -161,7 +161,7 @@
 	p.unanswered = consensus.ProposalResult{ID: p.proposal.ID, Reason: "no word of a majority"}
 }
 
-// handleRetry returns up the ticket with each fallback attempt: the replica that gave it may be gone, and another lead.
+// handleRetry drops the ticket with each fallback attempt: the replica that gave it may be gone, and another lead.
 func (p *proposer) handleRetry() {
 	if p.isFallback() {
 		p.ticket = nil
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -23,8 +23,8 @@
 	isLost    bool // its log was found corrupt after such a failure: only a restart of the process helps
 }
 
-// closeLog returns the log's lock back. What it could not write was never acknowledged to anybody, so the error changes
-// nothing.
+// closeLog closes the log and releases its lock. What it could not write was never acknowledged to anybody, so the
+// error changes nothing.
 func (r *replica) closeLog() {
 	if r.log != nil {
 		r.log.Close()
