--- a/cmd/hollyfleet/agreement_test.go
+++ b/cmd/hollyfleet/agreement_test.go
@@ -19,68 +19,68 @@
 
 // playFaults plays a seed's faults between the processes, with proposals all the while, and then heals all. It
 // returns the proposals that got a final answer.
-func playFaults(w *cluster, seconds int) (asked []porcupine.Operation) {
+func playFaults(c *cluster, seconds int) (asked []porcupine.Operation) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	began := time.Now()
 	propose := func(n int) {
-		p, host := w.processes[w.random.IntN(len(w.processes))], fmt.Sprint("h", w.random.IntN(5))
-		c := fleetconfig.Proposal{ID: fmt.Sprint("p", n), Reason: "plan"}
-		if c.EjectEndpoints = []string{host}; w.random.IntN(2) == 0 {
-			c.EjectEndpoints, c.UnejectEndpoints = nil, c.EjectEndpoints
+		p, host := c.processes[c.random.IntN(len(c.processes))], fmt.Sprint("h", c.random.IntN(5))
+		proposal := fleetconfig.Proposal{ID: fmt.Sprint("p", n), Reason: "plan"}
+		if proposal.EjectEndpoints = []string{host}; c.random.IntN(2) == 0 {
+			proposal.EjectEndpoints, proposal.UnejectEndpoints = nil, proposal.EjectEndpoints
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			call := time.Since(began)
-			a, err := p.propose(c)
+			a, err := p.propose(proposal)
 			if end := time.Since(began); err == nil && (a.Revision != 0 || a.IsFinal) {
 				mu.Lock()
-				asked = append(asked, porcupine.Operation{ClientId: n, Input: c.ID, Call: int64(call), Output: a.Revision, Return: int64(end)})
+				asked = append(asked, porcupine.Operation{ClientId: n, Input: proposal.ID, Call: int64(call), Output: a.Revision, Return: int64(end)})
 				mu.Unlock()
 			}
 		}()
 	}
 	for n := 0; time.Since(began) < time.Duration(seconds)*time.Second; n++ {
-		p := w.processes[w.random.IntN(len(w.processes))]
-		switch w.random.IntN(12) {
+		p := c.processes[c.random.IntN(len(c.processes))]
+		switch c.random.IntN(12) {
 		case 0, 1:
 			side := []bool{}
-			for range w.processes {
-				side = append(side, w.random.IntN(2) == 0)
+			for range c.processes {
+				side = append(side, c.random.IntN(2) == 0)
 			}
-			w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: side[i] != side[j]} })
+			c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: side[i] != side[j]} })
 		case 2: // What it sends is lost; it hears all.
-			at := slices.Index(w.processes, p)
-			w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == at} })
+			at := slices.Index(c.processes, p)
+			c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == at} })
 		case 3:
-			w.setFaults(func(int, int) between.Faults {
+			c.setFaults(func(int, int) between.Faults {
 				return between.Faults{Loss: 0.3, Repeats: 0.3, Spread: 60 * time.Millisecond}
 			})
 		case 4, 5:
-			w.heal()
+			c.heal()
 		case 6:
-			w.kill(p)
+			c.kill(p)
 		case 7, 8:
-			for _, p := range w.processes {
+			for _, p := range c.processes {
 				if p.cmd == nil {
-					w.start(p)
+					c.start(p)
 				}
-				w.resume(p)
+				c.resume(p)
 			}
 		case 9:
-			w.suspend(p)
+			c.suspend(p)
 		}
 		propose(2 * n)
 		propose(2*n + 1)
-		time.Sleep(time.Duration(150+w.random.IntN(400)) * time.Millisecond)
+		time.Sleep(time.Duration(150+c.random.IntN(400)) * time.Millisecond)
 	}
-	w.heal()
-	for _, p := range w.processes {
+	c.heal()
+	for _, p := range c.processes {
 		if p.cmd == nil {
-			w.start(p)
+			c.start(p)
 		}
-		w.resume(p)
+		c.resume(p)
 	}
 	wait.Wait()
 	return asked
@@ -111,9 +111,9 @@
 	for seed := range planCount() {
 		t.Run(fmt.Sprint(from+seed), func(t *testing.T) {
 			t.Parallel()
-			w := newCluster(t, uint64(from+seed), 5, 3, nil)
-			w.waitForAgreement(1)
-			asked := playFaults(w, 5)
+			c := newCluster(t, uint64(from+seed), 5, 3, nil)
+			c.waitForAgreement(1)
+			asked := playFaults(c, 5)
 			most, refused, accepted := uint64(1), map[string]bool{}, []porcupine.Operation{}
 			for _, o := range asked {
 				if most = max(most, o.Output.(uint64)); o.Output.(uint64) == 0 {
@@ -122,16 +122,16 @@
 					accepted = append(accepted, o)
 				}
 			}
-			w.waitForAgreement(most)
-			for _, id := range w.processes[0].history(t) {
+			c.waitForAgreement(most)
+			for _, id := range c.processes[0].history(t) {
 				if refused[id] {
 					t.Errorf("%s was answered no for sure, and is in the history", id)
 				}
 			}
-			all := w.mergedTrace()
+			all := c.mergedTrace()
 			worst, wrong := checkTrace(all, leaseTiming.MaxPause)
 			if wrong != "" || worst > leaseTiming.MaxDisagreement() {
-				t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, w.logs())
+				t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, c.logs())
 			}
 			if porcupine.CheckOperationsTimeout(revisionOrder, accepted, 20*time.Second) == porcupine.Illegal {
 				t.Errorf("no one history: %v", accepted)
@@ -146,7 +146,7 @@
 // then on they talk directly.)
 func TestGossipMembersAgreeAcrossRestarts(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 7, 5, 3, func(p *process) {
+	c := newCluster(t, 7, 5, 3, func(p *process) {
 		text, err := os.ReadFile(p.settingsFile)
 		if err != nil {
 			t.Fatal(err)
@@ -155,22 +155,22 @@
 			t.Fatal(err)
 		}
 	})
-	w.waitForAgreement(1)
+	c.waitForAgreement(1)
 	version := uint64(1)
 	for n := range 3 {
-		w.kill(w.processes[n])
-		w.suspend(w.processes[4])
+		c.kill(c.processes[n])
+		c.suspend(c.processes[4])
 		waitFor(t, "a revision without two", func() bool {
-			a, err := w.processes[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("g", n), EjectEndpoints: []string{fmt.Sprint("g", n)}})
+			a, err := c.processes[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("g", n), EjectEndpoints: []string{fmt.Sprint("g", n)}})
 			version = max(version, a.Revision)
 			return err == nil && a.Revision != 0
 		})
-		w.start(w.processes[n])
-		w.resume(w.processes[4])
-		w.waitForAgreement(version)
+		c.start(c.processes[n])
+		c.resume(c.processes[4])
+		c.waitForAgreement(version)
 	}
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
-		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, w.logs())
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, c.logs())
 	}
 }
 
@@ -178,20 +178,20 @@
 // another leader had accepted proposals. It must find its lease expired before it decides anything.
 func TestSuspendedLeaderDecidesNothingOnItsOldLease(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 1, 5, 3, nil)
-	w.waitForAgreement(1)
-	s, _ := w.processes[4].status()
-	at := slices.IndexFunc(w.processes, func(p *process) bool { return p.name == s.Leader })
-	w.suspend(w.processes[at])
+	c := newCluster(t, 1, 5, 3, nil)
+	c.waitForAgreement(1)
+	s, _ := c.processes[4].status()
+	at := slices.IndexFunc(c.processes, func(p *process) bool { return p.name == s.Leader })
+	c.suspend(c.processes[at])
 	waitFor(t, "another leader", func() bool {
-		a, err := w.processes[(at+1)%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("x", time.Now().UnixNano()), EjectEndpoints: []string{fmt.Sprint("h", time.Now().UnixNano())}})
+		a, err := c.processes[(at+1)%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("x", time.Now().UnixNano()), EjectEndpoints: []string{fmt.Sprint("h", time.Now().UnixNano())}})
 		return err == nil && a.Revision != 0
 	})
 	time.Sleep(2 * leaseTiming.LeaseDuration) // It is stopped for longer than a lease lasts: that is the fault, not a wait for something.
-	w.resume(w.processes[at])
-	w.waitForAgreement(2)
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
-		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, w.logs())
+	c.resume(c.processes[at])
+	c.waitForAgreement(2)
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+		t.Errorf("longest contradiction %v of %v; %s\n%s", worst, leaseTiming.MaxDisagreement(), wrong, c.logs())
 	}
 }
 
@@ -199,20 +199,20 @@
 // The check of traces has to find the contradiction, or it would find none in the other tests either.
 func TestTraceCheckFindsAClockBeyondItsStatedError(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 2, 5, 3, func(p *process) {
+	c := newCluster(t, 2, 5, 3, func(p *process) {
 		if p.name == "b4" {
 			p.clockRate = 0.05
 		}
 	})
-	w.waitForAgreement(1)
-	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
+	c.waitForAgreement(1)
+	c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
 	var a fleetconfig.ProposalResult
 	waitFor(t, "a revision without the one that is cut off", func() bool {
-		a, _ = w.processes[0].propose(fleetconfig.Proposal{ID: "x", EjectEndpoints: []string{"h"}})
+		a, _ = c.processes[0].propose(fleetconfig.Proposal{ID: "x", EjectEndpoints: []string{"h"}})
 		return a.Revision != 0
 	})
 	waitFor(t, "a contradiction", func() bool {
-		worst, _ := checkTrace(w.mergedTrace(), leaseTiming.MaxPause)
+		worst, _ := checkTrace(c.mergedTrace(), leaseTiming.MaxPause)
 		return worst > leaseTiming.MaxDisagreement()
 	})
 }
@@ -222,17 +222,17 @@
 // soon as the old process has gone.
 func TestUpgradesKeepEjectionsAndMembership(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 5, 5, 3, nil)
-	w.waitForAgreement(1)
-	if a, err := w.processes[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
+	c := newCluster(t, 5, 5, 3, nil)
+	c.waitForAgreement(1)
+	if a, err := c.processes[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.waitForAgreement(2)
+	c.waitForAgreement(2)
 	version := uint64(2)
-	for n, old := range w.processes {
+	for n, old := range c.processes {
 		next := *old
 		next.clientAddress, next.adminAddress = freeAddress(t), freeAddress(t)
-		w.start(&next)
+		c.start(&next)
 		waitFor(t, "the new process", func() bool {
 			s, err := next.status()
 			return err == nil && s.Effective.LatestRevision >= version && slices.Contains(s.Effective.EjectedEndpoints, "h")
@@ -240,19 +240,19 @@
 		a := fleetconfig.ProposalResult{}
 		waitFor(t, "a revision amid the upgrade", func() bool {
 			var err error
-			a, err = w.processes[(n+1)%5].propose(fleetconfig.Proposal{ID: fmt.Sprint("u", n), EjectEndpoints: []string{fmt.Sprint("u", n)}})
+			a, err = c.processes[(n+1)%5].propose(fleetconfig.Proposal{ID: fmt.Sprint("u", n), EjectEndpoints: []string{fmt.Sprint("u", n)}})
 			return err == nil && a.Revision != 0
 		})
 		version = a.Revision
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		old.cmd.Wait()
-		w.processes[n] = &next
-		w.waitForAgreement(version)
+		c.processes[n] = &next
+		c.waitForAgreement(version)
 	}
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
-	if s, err := w.processes[4].status(); err != nil || len(s.Effective.EjectedEndpoints) != 6 {
+	if s, err := c.processes[4].status(); err != nil || len(s.Effective.EjectedEndpoints) != 6 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -261,24 +261,24 @@
 // majority are accepted; the others must not be, then or after the partition, although the leader was on their side.
 func TestMinoritySideOfAPartitionAcceptsNothing(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 6, 5, 3, nil)
-	w.waitForAgreement(1)
-	s, _ := w.processes[3].status()
-	leads := slices.IndexFunc(w.processes, func(p *process) bool { return p.name == s.Leader })
+	c := newCluster(t, 6, 5, 3, nil)
+	c.waitForAgreement(1)
+	s, _ := c.processes[3].status()
+	leads := slices.IndexFunc(c.processes, func(p *process) bool { return p.name == s.Leader })
 	few := []int{leads, 3} // Who leads is on the side of the few.
-	w.setFaults(func(i, j int) between.Faults {
+	c.setFaults(func(i, j int) between.Faults {
 		return between.Faults{Cut: slices.Contains(few, i) != slices.Contains(few, j)}
 	})
 	lost := make(chan fleetconfig.ProposalResult, 3)
 	for n := range 3 {
 		go func() {
-			a, _ := w.processes[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("few", n), UnejectEndpoints: []string{"h"}, EjectEndpoints: []string{fmt.Sprint("few", n)}})
+			a, _ := c.processes[3].propose(fleetconfig.Proposal{ID: fmt.Sprint("few", n), UnejectEndpoints: []string{"h"}, EjectEndpoints: []string{fmt.Sprint("few", n)}})
 			lost <- a
 		}()
 	}
 	for n := range 3 {
 		waitFor(t, "a revision on the side of the many", func() bool {
-			a, err := w.processes[4].propose(fleetconfig.Proposal{ID: fmt.Sprint("many", n), EjectEndpoints: []string{fmt.Sprint("many", n)}})
+			a, err := c.processes[4].propose(fleetconfig.Proposal{ID: fmt.Sprint("many", n), EjectEndpoints: []string{fmt.Sprint("many", n)}})
 			return err == nil && a.Revision != 0
 		})
 	}
@@ -287,14 +287,14 @@
 			t.Errorf("the few had %+v accepted", a)
 		}
 	}
-	w.heal()
-	w.waitForAgreement(4)
-	for _, p := range w.processes {
+	c.heal()
+	c.waitForAgreement(4)
+	for _, p := range c.processes {
 		if s, err := p.status(); err != nil || !slices.Equal(s.Effective.EjectedEndpoints, []string{"many0", "many1", "many2"}) {
 			t.Errorf("%s acts on %+v, %v", p.name, s.Effective, err)
 		}
 	}
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
@@ -303,27 +303,27 @@
 // must not take effect later, and the ejection stays, also without leases.
 func TestProposalWithoutMajorityIsAnsweredInTime(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 3, 5, 3, nil)
-	w.waitForAgreement(1)
-	if a, err := w.processes[3].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
+	c := newCluster(t, 3, 5, 3, nil)
+	c.waitForAgreement(1)
+	if a, err := c.processes[3].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.waitForAgreement(2)
-	w.kill(w.processes[0])
-	w.kill(w.processes[1])
+	c.waitForAgreement(2)
+	c.kill(c.processes[0])
+	c.kill(c.processes[1])
 	began := time.Now()
-	a, err := w.processes[4].propose(fleetconfig.Proposal{ID: "second", UnejectEndpoints: []string{"h"}})
+	a, err := c.processes[4].propose(fleetconfig.Proposal{ID: "second", UnejectEndpoints: []string{"h"}})
 	if took := time.Since(began); err != nil || a.Revision != 0 || took > 5500*time.Millisecond {
 		t.Fatalf("%+v after %v, %v", a, took, err)
 	}
 	waitFor(t, "being alone", func() bool {
-		s, err := w.processes[4].status()
+		s, err := c.processes[4].status()
 		return err == nil && !s.Effective.IsLeased && slices.Contains(s.Effective.EjectedEndpoints, "h")
 	})
-	w.start(w.processes[0])
-	w.start(w.processes[1])
-	w.waitForAgreement(2)
-	for _, p := range w.processes {
+	c.start(c.processes[0])
+	c.start(c.processes[1])
+	c.waitForAgreement(2)
+	for _, p := range c.processes {
 		if s, err := p.status(); err != nil || !slices.Contains(s.Effective.EjectedEndpoints, "h") {
 			t.Errorf("%s: %+v, %v", p.name, s, err)
 		}
@@ -334,41 +334,41 @@
 // process has to serve without a lease and join by itself when it can; the history has to survive the restarts.
 func TestProcessesThatStartLateOrAgainCatchUp(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 4, 5, 3, nil)
-	w.waitForAgreement(1)
-	if a, err := w.processes[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
+	c := newCluster(t, 4, 5, 3, nil)
+	c.waitForAgreement(1)
+	if a, err := c.processes[0].propose(fleetconfig.Proposal{ID: "first", EjectEndpoints: []string{"h"}}); err != nil || a.Revision != 2 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	w.waitForAgreement(2)
-	w.kill(w.processes[4])
-	if err := os.Remove(filepath.Join(w.dir, "b4", "hollylever.fleet")); err != nil { // What it would know from before.
+	c.waitForAgreement(2)
+	c.kill(c.processes[4])
+	if err := os.Remove(filepath.Join(c.dir, "b4", "hollylever.fleet")); err != nil { // What it would know from before.
 		t.Error(err)
 	}
-	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
-	w.start(w.processes[4])
+	c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 4 || j == 4} })
+	c.start(c.processes[4])
 	waitFor(t, "the late one", func() bool {
-		s, err := w.processes[4].status()
+		s, err := c.processes[4].status()
 		return err == nil && !s.Effective.IsLeased && s.Effective.LatestRevision == 0
 	})
-	w.heal()
-	w.waitForAgreement(2)
+	c.heal()
+	c.waitForAgreement(2)
 	for n := range 3 {
-		w.kill(w.processes[n])
-		w.start(w.processes[n])
-		w.waitForAgreement(2)
+		c.kill(c.processes[n])
+		c.start(c.processes[n])
+		c.waitForAgreement(2)
 	}
 	for n := range 3 {
-		w.kill(w.processes[n])
+		c.kill(c.processes[n])
 	}
 	for n := range 3 {
-		w.start(w.processes[n])
+		c.start(c.processes[n])
 	}
-	w.waitForAgreement(2)
-	if a, err := w.processes[3].propose(fleetconfig.Proposal{ID: "last", UnejectEndpoints: []string{"h"}}); err != nil || a.Revision != 3 {
+	c.waitForAgreement(2)
+	if a, err := c.processes[3].propose(fleetconfig.Proposal{ID: "last", UnejectEndpoints: []string{"h"}}); err != nil || a.Revision != 3 {
 		t.Errorf("%+v, %v", a, err)
 	}
-	w.waitForAgreement(3)
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+	c.waitForAgreement(3)
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
--- a/cmd/hollyfleet/cluster_test.go
+++ b/cmd/hollyfleet/cluster_test.go
@@ -83,22 +83,22 @@
 // newCluster starts n processes, of which the first are voters, and sends them requests; clocks are off by the stated
 // error, either way.
 func newCluster(t testing.TB, seed uint64, n, voters int, change func(p *process)) *cluster {
-	w := newIdleCluster(t, seed, n, voters, change)
-	for _, p := range w.processes {
-		go w.sendRequests(p)
+	c := newIdleCluster(t, seed, n, voters, change)
+	for _, p := range c.processes {
+		go c.sendRequests(p)
 	}
-	return w
+	return c
 }
 
 // newIdleCluster sends no requests.
 func newIdleCluster(t testing.TB, seed uint64, n, voters int, change func(p *process)) *cluster {
-	w := &cluster{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(seed, 1)), voterCount: voters, stopRequests: make(chan struct{})}
+	c := &cluster{t: t, dir: t.TempDir(), random: rand.New(rand.NewPCG(seed, 1)), voterCount: voters, stopRequests: make(chan struct{})}
 	addresses := make([]string, n)
 	var names []string
 	for i := range n {
 		addresses[i] = freeAddress(t)
-		w.processes = append(w.processes, &process{name: fmt.Sprint("b", i), adminAddress: freeAddress(t), clientAddress: freeAddress(t), clockRate: []float64{0.99, 1.01}[i%2]})
-		names = append(names, w.processes[i].name)
+		c.processes = append(c.processes, &process{name: fmt.Sprint("b", i), adminAddress: freeAddress(t), clientAddress: freeAddress(t), clockRate: []float64{0.99, 1.01}[i%2]})
+		names = append(names, c.processes[i].name)
 	}
 	for i := range n {
 		var row []*between.Relay
@@ -109,24 +109,24 @@
 			}
 			row = append(row, r)
 		}
-		w.relays = append(w.relays, row)
+		c.relays = append(c.relays, row)
 	}
-	for i, p := range w.processes {
+	for i, p := range c.processes {
 		var peers []string
 		for j := range n {
-			at := w.relays[i][j].Address()
+			at := c.relays[i][j].Address()
 			if i == j {
 				at = addresses[j]
 			}
 			peers = append(peers, names[j]+"="+at)
 		}
-		p.configFile, p.settingsFile, p.logFile = filepath.Join(w.dir, p.name+".json"), filepath.Join(w.dir, p.name+".toml"), filepath.Join(w.dir, p.name+".log")
+		p.configFile, p.settingsFile, p.logFile = filepath.Join(c.dir, p.name+".json"), filepath.Join(c.dir, p.name+".toml"), filepath.Join(c.dir, p.name+".log")
 		config := fmt.Sprintf(`{"name":%q,"listen":%q,"mgmt":%q,"discovery":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":256},
 "known":{"index":1,"snapshot":true,"endpoints":[]},"settings":%s}`, p.name, p.clientAddress, p.adminAddress, fakes.Settings)
 		own := fmt.Sprintf("[log]\nlevel = \"info\"\n[watch]\non = false\n[fleet]\non = true\nlisten = %q\npeers = %q\nkeepers = %q\nstate = %q\nlease = %q\nrate_error = 10\n"+
-			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:voters], ", "), filepath.Join(w.dir, p.name+".state"),
-			leaseTiming.LeaseDuration, leaseTiming.MaxPause, filepath.Join(w.dir, p.name+".trace"), n)
-		if err := os.Mkdir(filepath.Join(w.dir, p.name), 0o700); err != nil {
+			"pause = %q\ntrace = %q\nmost = %d\n", addresses[i], strings.Join(peers, ", "), strings.Join(names[:voters], ", "), filepath.Join(c.dir, p.name+".state"),
+			leaseTiming.LeaseDuration, leaseTiming.MaxPause, filepath.Join(c.dir, p.name+".trace"), n)
+		if err := os.Mkdir(filepath.Join(c.dir, p.name), 0o700); err != nil {
 			t.Fatal(err)
 		}
 		for file, text := range map[string]string{p.configFile: config, p.settingsFile: own} {
@@ -137,21 +137,21 @@
 		if change != nil {
 			change(p)
 		}
-		w.start(p)
+		c.start(p)
 	}
-	t.Cleanup(w.shutDown)
-	return w
+	t.Cleanup(c.shutDown)
+	return c
 }
 
-func (w *cluster) start(p *process) {
+func (c *cluster) start(p *process) {
 	log, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer log.Close()
 	p.cmd = exec.Command(os.Args[0])
 	p.cmd.Env = append(os.Environ(), runAsProgram+"=1", "LB_CONFIG="+p.configFile, "LB_EXTRA="+p.settingsFile, "LB_LISTEN="+p.clientAddress, "LB_DISCOVERY=", "LB_NAME=",
-		"LB_MGMT="+p.adminAddress, "TMPDIR="+filepath.Join(w.dir, p.name), fmt.Sprint(clockRateVariable, "=", p.clockRate))
+		"LB_MGMT="+p.adminAddress, "TMPDIR="+filepath.Join(c.dir, p.name), fmt.Sprint(clockRateVariable, "=", p.clockRate))
 	p.cmd.Stderr = log
 	if p.hasSyscallFaults {
 		p.syscallFaults, err = syscalls.Start(p.cmd, 1)
@@ -159,12 +159,12 @@
 		err = p.cmd.Start()
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	p.isSuspended = false
 }
 
-func (w *cluster) kill(p *process) {
+func (c *cluster) kill(p *process) {
 	if p.cmd != nil {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		p.cmd.Process.Kill()
@@ -177,26 +177,26 @@
 	}
 }
 
-func (w *cluster) suspend(p *process) {
+func (c *cluster) suspend(p *process) {
 	if p.cmd != nil {
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 		p.isSuspended = true
 	}
 }
 
-func (w *cluster) resume(p *process) {
+func (c *cluster) resume(p *process) {
 	if p.cmd != nil && p.isSuspended {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 		p.isSuspended = false
 	}
 }
 
-func (w *cluster) shutDown() {
-	close(w.stopRequests)
-	for _, p := range w.processes {
-		w.kill(p)
+func (c *cluster) shutDown() {
+	close(c.stopRequests)
+	for _, p := range c.processes {
+		c.kill(p)
 	}
-	for _, row := range w.relays {
+	for _, row := range c.relays {
 		for _, r := range row {
 			r.Close()
 		}
@@ -204,47 +204,47 @@
 }
 
 // sendRequests sends requests to a process, so that it decides: some two hundred a second, one at a time.
-func (w *cluster) sendRequests(p *process) {
-	beat := time.NewTicker(5 * time.Millisecond * time.Duration(max(1, len(w.processes)/6)))
+func (c *cluster) sendRequests(p *process) {
+	beat := time.NewTicker(5 * time.Millisecond * time.Duration(max(1, len(c.processes)/6)))
 	defer beat.Stop()
-	var c net.Conn
+	var connection net.Conn
 	var in *bufio.Reader
 	for n := 0; ; n++ {
 		select {
-		case <-w.stopRequests:
-			if c != nil {
-				c.Close()
+		case <-c.stopRequests:
+			if connection != nil {
+				connection.Close()
 			}
 			return
 		case <-beat.C:
 		}
-		if c == nil {
+		if connection == nil {
 			var err error
-			if c, err = net.DialTimeout("tcp", p.clientAddress, time.Second); err != nil {
-				c = nil
+			if connection, err = net.DialTimeout("tcp", p.clientAddress, time.Second); err != nil {
+				connection = nil
 				continue
 			}
-			in = bufio.NewReader(c)
+			in = bufio.NewReader(connection)
 		}
-		c.SetDeadline(time.Now().Add(time.Second))
-		io.WriteString(c, fakes.Words("C.GET", fmt.Sprint("k", n%50), fmt.Sprintf("%s-%d-%d", p.name, time.Now().UnixNano(), n), "c=read,d=1000"))
+		connection.SetDeadline(time.Now().Add(time.Second))
+		io.WriteString(connection, fakes.Words("C.GET", fmt.Sprint("k", n%50), fmt.Sprintf("%s-%d-%d", p.name, time.Now().UnixNano(), n), "c=read,d=1000"))
 		if _, err := fakes.Message(in); err != nil && !strings.Contains(err.Error(), "BUSY") && !strings.Contains(err.Error(), "ERR") {
-			c.Close()
-			c = nil
+			connection.Close()
+			connection = nil
 		}
 	}
 }
 
 // setFaults sets what each relay does.
-func (w *cluster) setFaults(of func(i, j int) between.Faults) {
-	for i, row := range w.relays {
+func (c *cluster) setFaults(of func(i, j int) between.Faults) {
+	for i, row := range c.relays {
 		for j, r := range row {
 			r.Set(of(i, j))
 		}
 	}
 }
 
-func (w *cluster) heal() { w.setFaults(func(int, int) between.Faults { return between.Faults{} }) }
+func (c *cluster) heal() { c.setFaults(func(int, int) between.Faults { return between.Faults{} }) }
 
 type status struct {
 	PeerDrains []string `json:"drains_by_others"`
@@ -269,8 +269,8 @@
 }
 
 // propose sends a proposal to a process's admin endpoint, and returns the answer.
-func (p *process) propose(c fleetconfig.Proposal) (a fleetconfig.ProposalResult, err error) {
-	body, _ := json.Marshal(c)
+func (p *process) propose(proposal fleetconfig.Proposal) (a fleetconfig.ProposalResult, err error) {
+	body, _ := json.Marshal(proposal)
 	client := http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	answer, err := client.Post("http://"+p.adminAddress+"/fleet/propose", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -313,17 +313,17 @@
 }
 
 // waitForAgreement waits until all processes act on this revision or a later one, the same one, under leases.
-func (w *cluster) waitForAgreement(version uint64) {
-	w.t.Helper()
-	w.t.Cleanup(func() {
-		if w.t.Failed() && !w.logsShown {
-			w.logsShown = true
-			w.t.Log(w.logs())
+func (c *cluster) waitForAgreement(version uint64) {
+	c.t.Helper()
+	c.t.Cleanup(func() {
+		if c.t.Failed() && !c.logsShown {
+			c.logsShown = true
+			c.t.Log(c.logs())
 		}
 	})
-	waitFor(w.t, fmt.Sprintf("agreement on revision %d", version), func() bool {
+	waitFor(c.t, fmt.Sprintf("agreement on revision %d", version), func() bool {
 		latest := uint64(0)
-		for _, p := range w.processes {
+		for _, p := range c.processes {
 			s, err := p.status()
 			if err != nil || !s.Effective.IsLeased || s.Effective.LatestRevision < version || s.Effective.MinRevision != s.Effective.LatestRevision || latest != 0 && s.Effective.LatestRevision != latest {
 				return false
@@ -335,9 +335,9 @@
 }
 
 // logs are what the processes wrote, for a failure.
-func (w *cluster) logs() string {
+func (c *cluster) logs() string {
 	var out strings.Builder
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		text, _ := os.ReadFile(p.logFile)
 		fmt.Fprintf(&out, "--- %s\n%s\n", p.name, text[max(0, len(text)-2000):])
 	}
--- a/cmd/hollyfleet/endpointlists_test.go
+++ b/cmd/hollyfleet/endpointlists_test.go
@@ -29,7 +29,7 @@
 	for h := range 4 {
 		entries[fmt.Sprint("h", h)] = fakes.Entry(fmt.Sprint("h", h), freeAddress(t), "Ready")
 	}
-	w := newIdleCluster(t, 8, 3, 3, func(p *process) {
+	c := newIdleCluster(t, 8, 3, 3, func(p *process) {
 		list := fakes.NewDiscovery()
 		lists = append(lists, list)
 		list.Count(4)
@@ -45,9 +45,9 @@
 	for _, list := range lists {
 		defer list.Close()
 	}
-	w.waitForAgreement(1)
+	c.waitForAgreement(1)
 	out := func(n int, hosts ...string) bool {
-		s, err := w.processes[n].status()
+		s, err := c.processes[n].status()
 		return err == nil && slices.Equal(s.PeerDrains, hosts)
 	}
 	drains := func(n int, host string) {
@@ -55,46 +55,46 @@
 	}
 	drains(0, "h1") // Index 6; the others have 5.
 	waitFor(t, "a drain of a later list", func() bool { return out(1, "h1") && out(2, "h1") })
-	waitFor(t, "saying that it is behind", func() bool { return w.processes[1].hasLogged("endpoint list behind a peer's") })
+	waitFor(t, "saying that it is behind", func() bool { return c.processes[1].hasLogged("endpoint list behind a peer's") })
 	drains(1, "h2") // Index 6 too, and another list.
 	waitFor(t, "drains of both lists", func() bool { return out(0, "h2") && out(1, "h1") && out(2, "h1", "h2") })
-	waitFor(t, "saying that they contradict", func() bool { return w.processes[0].hasLogged("endpoint list differs from a peer's of the same index") })
+	waitFor(t, "saying that they contradict", func() bool { return c.processes[0].hasLogged("endpoint list differs from a peer's of the same index") })
 	drains(2, "h3")
 	lists[0].Count(1) // It starts anew, and knows of no drain.
 	lists[0].Tell(entries)
-	waitFor(t, "saying that it went back", func() bool { return w.processes[0].hasLogged("endpoint list index went back") })
-	waitFor(t, "what it had drained staying out", func() bool { s, _ := w.processes[0].status(); return slices.Contains(s.PeerDrains, "h1") })
+	waitFor(t, "saying that it went back", func() bool { return c.processes[0].hasLogged("endpoint list index went back") })
+	waitFor(t, "what it had drained staying out", func() bool { s, _ := c.processes[0].status(); return slices.Contains(s.PeerDrains, "h1") })
 }
 
 // Members without a replica are killed and started every half second while proposals are accepted. All that are up
 // have to act on each revision, and no two contradict each other for longer than MaxDisagreement.
 func TestMembersThatComeAndGoAgree(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 10, 6, 3, nil)
-	w.waitForAgreement(1)
+	c := newCluster(t, 10, 6, 3, nil)
+	c.waitForAgreement(1)
 	version := uint64(1)
 	for round := range 8 {
-		p := w.processes[3+round%3]
+		p := c.processes[3+round%3]
 		if p.cmd != nil {
-			w.kill(p)
+			c.kill(p)
 		} else {
-			w.start(p)
+			c.start(p)
 		}
 		began := time.Now()
 		waitFor(t, "a revision", func() bool {
-			a, err := w.processes[round%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("c", round), EjectEndpoints: []string{fmt.Sprint("c", round)}})
+			a, err := c.processes[round%3].propose(fleetconfig.Proposal{ID: fmt.Sprint("c", round), EjectEndpoints: []string{fmt.Sprint("c", round)}})
 			version = max(version, a.Revision)
 			return err == nil && a.Revision != 0
 		})
 		time.Sleep(max(0, 500*time.Millisecond-time.Since(began))) // How long each stays or is gone: the fault.
 	}
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		if p.cmd == nil {
-			w.start(p)
+			c.start(p)
 		}
 	}
-	w.waitForAgreement(version)
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+	c.waitForAgreement(version)
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v of %v; %s", worst, leaseTiming.MaxDisagreement(), wrong)
 	}
 }
--- a/cmd/hollyfleet/measure_test.go
+++ b/cmd/hollyfleet/measure_test.go
@@ -39,12 +39,12 @@
 }
 
 func measure(t *testing.T, n int, loss float64) {
-	w := newCluster(t, 1, n, 3, func(p *process) { p.clockRate = 1 })
-	w.waitForAgreement(1)
-	w.setFaults(func(int, int) between.Faults { return between.Faults{Loss: loss} })
-	cpu, datagrams, bytes, began := w.cpuSeconds(), 0, 0, time.Now()
+	c := newCluster(t, 1, n, 3, func(p *process) { p.clockRate = 1 })
+	c.waitForAgreement(1)
+	c.setFaults(func(int, int) between.Faults { return between.Faults{Loss: loss} })
+	cpu, datagrams, bytes, began := c.cpuSeconds(), 0, 0, time.Now()
 	count := func() (d, b int) {
-		for _, row := range w.relays {
+		for _, row := range c.relays {
 			for _, r := range row {
 				x, y := r.Count()
 				d, b = d+x, b+y
@@ -57,19 +57,19 @@
 	d, b := count()
 	seconds := time.Since(began).Seconds()
 	t.Logf("%d processes, loss %v, at rest: %.0f bytes and %.1f datagrams a process and second; CPU with the tests' retrievals %.1f ms a process and second",
-		n, loss, float64(b-bytes)/seconds/float64(n), float64(d-datagrams)/seconds/float64(n), (w.cpuSeconds()-cpu)/seconds/float64(n)*1000)
+		n, loss, float64(b-bytes)/seconds/float64(n), float64(d-datagrams)/seconds/float64(n), (c.cpuSeconds()-cpu)/seconds/float64(n)*1000)
 	at := map[uint64]int64{}
 	for v := range 40 {
 		began := fleet.Now()
-		a, err := w.processes[v%n].propose(fleetconfig.Proposal{ID: fmt.Sprint("m", v), EjectEndpoints: []string{fmt.Sprint("h", v)}})
+		a, err := c.processes[v%n].propose(fleetconfig.Proposal{ID: fmt.Sprint("m", v), EjectEndpoints: []string{fmt.Sprint("h", v)}})
 		if err == nil && a.Revision != 0 {
 			at[a.Revision] = began
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	w.waitForAgreement(uint64(len(at)))
+	c.waitForAgreement(uint64(len(at)))
 	last, heard := map[uint64]int64{}, map[string]uint64{}
-	for _, x := range w.mergedTrace() {
+	for _, x := range c.mergedTrace() {
 		for v := heard[x.name] + 1; v <= x.latestRevision; v++ {
 			last[v] = max(last[v], x.at-at[v])
 			heard[x.name] = v
@@ -82,14 +82,14 @@
 	slices.Sort(took)
 	t.Logf("%d processes, loss %v: from propose to the last of them acting on it, median %v, 99%% %v, over %d revisions", n, loss,
 		time.Duration(took[len(took)/2]).Round(time.Millisecond), time.Duration(took[len(took)*99/100]).Round(time.Millisecond), len(took))
-	if worst, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
+	if worst, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" || worst > leaseTiming.MaxDisagreement() {
 		t.Errorf("longest contradiction %v; %s", worst, wrong)
 	}
 }
 
 // cpuSeconds returns the CPU time of all processes.
-func (w *cluster) cpuSeconds() (seconds float64) {
-	for _, p := range w.processes {
+func (c *cluster) cpuSeconds() (seconds float64) {
+	for _, p := range c.processes {
 		text, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "stat"))
 		if f := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:])); len(f) > 13 {
 			for _, word := range f[11:13] {
--- a/cmd/hollyfleet/outliers_test.go
+++ b/cmd/hollyfleet/outliers_test.go
@@ -140,18 +140,18 @@
 // the whole after each change, and follow the traffic.
 func TestBudgetSharesNeverExceedTheWhole(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 9, 12, 3, nil)
-	w.waitForAgreement(1)
+	c := newCluster(t, 9, 12, 3, nil)
+	c.waitForAgreement(1)
 	for range 2 {
-		go w.sendRequests(w.processes[1])
+		go c.sendRequests(c.processes[1])
 	}
 	up := func(n int) {
-		for i, p := range w.processes {
+		for i, p := range c.processes {
 			switch {
 			case i < n && p.cmd == nil:
-				w.start(p)
+				c.start(p)
 			case i >= n && p.cmd != nil && i%2 == 0:
-				w.kill(p)
+				c.kill(p)
 			case i >= n && p.cmd != nil:
 				p.cmd.Process.Signal(syscall.SIGTERM)
 				p.cmd.Wait()
@@ -160,21 +160,21 @@
 		}
 		waitFor(t, fmt.Sprint("the parts of ", n), func() bool {
 			sum, least, most := 0.0, 1.0, 0.0
-			for _, p := range w.processes[:n] {
+			for _, p := range c.processes[:n] {
 				s, err := p.status()
 				if err != nil || !s.Effective.IsLeased {
 					return false
 				}
 				sum, least, most = sum+s.Effective.BudgetShare, min(least, s.Effective.BudgetShare), max(most, s.Effective.BudgetShare)
 			}
-			busy, err := w.processes[1].status()
+			busy, err := c.processes[1].status()
 			return err == nil && sum > 0.98-0.5*float64(12-n)/12 && least >= 0.5/12 && busy.Effective.BudgetShare == most && most > 1.3*sum/float64(n)
 		})
 	}
 	for _, n := range []int{12, 3, 12, 5} {
 		up(n)
 	}
-	if _, wrong := checkTrace(w.mergedTrace(), leaseTiming.MaxPause); wrong != "" {
+	if _, wrong := checkTrace(c.mergedTrace(), leaseTiming.MaxPause); wrong != "" {
 		t.Error(wrong)
 	}
 }
--- a/cmd/hollyfleet/replicalog_test.go
+++ b/cmd/hollyfleet/replicalog_test.go
@@ -15,14 +15,14 @@
 // proposals have to be accepted without any restart.
 func TestReplicasRecoverFromFailedSyncs(t *testing.T) {
 	t.Parallel()
-	w := newCluster(t, 45, 3, 3, func(p *process) { p.hasSyscallFaults = true })
+	c := newCluster(t, 45, 3, 3, func(p *process) { p.hasSyscallFaults = true })
 	propose := func(id string) bool {
-		a, err := w.processes[0].propose(fleetconfig.Proposal{ID: id, Reason: "disk", EjectEndpoints: []string{id}})
+		a, err := c.processes[0].propose(fleetconfig.Proposal{ID: id, Reason: "disk", EjectEndpoints: []string{id}})
 		return err == nil && a.Revision != 0
 	}
-	w.waitForAgreement(1)
+	c.waitForAgreement(1)
 	waitFor(t, "a revision before the faults", func() bool { return propose("before") })
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		p.syscallFaults.Fail("syncs", syscalls.Syncs, 1)
 	}
 	for n := range 3 {
@@ -30,7 +30,7 @@
 	}
 	waitFor(t, "a sync that fails at a majority", func() bool { // The third has nothing to write once they are silent.
 		failed := 0
-		for _, p := range w.processes {
+		for _, p := range c.processes {
 			if p.syscallFaults.Failed() > 0 {
 				failed++
 			}
@@ -38,11 +38,11 @@
 		return failed >= 2
 	})
 	time.Sleep(time.Second) // The faults last: replicas are restarted, and fail again.
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		p.syscallFaults.Fail("syncs", syscalls.Syncs, 0)
 	}
 	waitFor(t, "a revision after the faults", func() bool { return propose("after") })
-	history := w.processes[0].history(t)
+	history := c.processes[0].history(t)
 	if !slices.Contains(history, "before") || !slices.Contains(history, "after") {
 		t.Errorf("the history is %q", history)
 	}
--- a/cmd/hollyfleet/scale_test.go
+++ b/cmd/hollyfleet/scale_test.go
@@ -36,14 +36,14 @@
 
 // newLargeCluster starts a few processes of a fleet that may have a thousand, each with a list of its own of a
 // thousand hosts, each of these in its own zone.
-func newLargeCluster(t *testing.T, seed uint64) (w *cluster, lists []*fakes.Discovery, entries map[string]string) {
+func newLargeCluster(t *testing.T, seed uint64) (c *cluster, lists []*fakes.Discovery, entries map[string]string) {
 	entries = map[string]string{}
 	for n := range largeSize {
 		name := fmt.Sprintf("host-%04d.a-name-as-machines-have-them.example", n)
 		entries[name] = fakes.EntryIn(largeZone(n), name, fmt.Sprintf("127.106.%d.%d:50000", 100+n/100, 100+n%100), "std", "Ready", 1, 0)
 	}
 	settings := largeSettings(t)
-	w = newIdleCluster(t, seed, 4, 3, func(p *process) {
+	c = newIdleCluster(t, seed, 4, 3, func(p *process) {
 		list := fakes.NewDiscovery()
 		t.Cleanup(list.Close)
 		list.Count(4)
@@ -60,8 +60,8 @@
 			}
 		}
 	})
-	w.waitForAgreement(1)
-	return w, lists, entries
+	c.waitForAgreement(1)
+	return c, lists, entries
 }
 
 // readStatus decodes the status of a process, however long it is; into stays as it is where the process does not
@@ -84,21 +84,21 @@
 // everywhere, and no member may be taken for gone meanwhile.
 func TestAThousandDrainsReachAllMembers(t *testing.T) {
 	t.Parallel()
-	w, lists, entries := newLargeCluster(t, 21)
-	w.setFaults(func(i, j int) between.Faults { return between.Faults{Loss: 0.3} })
+	c, lists, entries := newLargeCluster(t, 21)
+	c.setFaults(func(i, j int) between.Faults { return between.Faults{Loss: 0.3} })
 	drained := map[string]string{}
 	for name, entry := range entries {
 		drained[name] = strings.Replace(entry, "Ready", "Terminating", 1)
 	}
 	lists[0].Tell(drained)
-	for n, p := range w.processes[1:] {
+	for n, p := range c.processes[1:] {
 		waitFor(t, fmt.Sprintf("all drains counting for process %d", n+1), func() bool {
 			s, err := p.status()
 			return err == nil && len(s.PeerDrains) == largeSize
 		})
 	}
-	w.heal()
-	for _, p := range w.processes {
+	c.heal()
+	for _, p := range c.processes {
 		waitFor(t, "all members being heard, under leases", func() bool {
 			var s struct {
 				Acting struct {
@@ -115,7 +115,7 @@
 					gone++
 				}
 			}
-			return s.Acting.IsLeased && len(s.Members) == len(w.processes) && gone == 0
+			return s.Acting.IsLeased && len(s.Members) == len(c.processes) && gone == 0
 		})
 	}
 }
@@ -125,7 +125,7 @@
 // first moment on, without a lease, from the handover file.
 func TestAThousandEjectionsAndEvacuationsApplyEverywhere(t *testing.T) {
 	t.Parallel()
-	w, _, entries := newLargeCluster(t, 22)
+	c, _, entries := newLargeCluster(t, 22)
 	var hosts, zones []string
 	for name := range entries {
 		hosts = append(hosts, name)
@@ -133,11 +133,11 @@
 	for n := range 2 * largeSize / 3 {
 		zones = append(zones, largeZone(n))
 	}
-	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3, Loss: 0.1} })
+	c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3, Loss: 0.1} })
 	version := uint64(1)
 	for _, p := range []fleetconfig.Proposal{{ID: "bans", EjectEndpoints: hosts}, {ID: "zones", EvacuateZones: zones}} {
 		waitFor(t, "accepting the "+p.ID, func() bool {
-			a, err := w.processes[0].propose(p)
+			a, err := c.processes[0].propose(p)
 			if err == nil && a.Reason != "" && a.IsFinal && !strings.HasPrefix(a.Reason, "nobody leads") {
 				t.Fatal(a.Reason)
 			}
@@ -145,8 +145,8 @@
 			return err == nil && a.Revision != 0
 		})
 	}
-	w.heal()
-	w.waitForAgreement(version)
+	c.heal()
+	c.waitForAgreement(version)
 	type stands struct {
 		Acting struct {
 			EjectedEndpoints []string `json:"bans"`
@@ -164,23 +164,23 @@
 		}
 		return n
 	}
-	for _, p := range w.processes {
+	for _, p := range c.processes {
 		waitFor(t, "going out of all zones", func() bool {
 			var s stands
 			p.readStatus(t, &s)
 			return len(s.Acting.EjectedEndpoints) == largeSize && len(s.Acting.EvacuatedZones) == len(zones) && away(s) == len(zones)
 		})
 	}
-	last := w.processes[3]
-	w.kill(last)
-	w.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3} })
-	w.start(last)
+	last := c.processes[3]
+	c.kill(last)
+	c.setFaults(func(i, j int) between.Faults { return between.Faults{Cut: i == 3 || j == 3} })
+	c.start(last)
 	var s stands
 	waitFor(t, "its first status", func() bool { last.readStatus(t, &s); return len(s.Acting.EjectedEndpoints) > 0 })
 	if len(s.Acting.EjectedEndpoints) != largeSize || len(s.Acting.EvacuatedZones) != len(zones) {
 		t.Errorf("alone it acts on %d hosts out and %d zones left", len(s.Acting.EjectedEndpoints), len(s.Acting.EvacuatedZones))
 	}
-	w.heal()
-	w.waitForAgreement(version)
+	c.heal()
+	c.waitForAgreement(version)
 	waitFor(t, "standing with the others", func() bool { s = stands{}; last.readStatus(t, &s); return away(s) == len(zones) })
 }
--- a/cmd/hollyfleet/trace_test.go
+++ b/cmd/hollyfleet/trace_test.go
@@ -20,9 +20,9 @@
 }
 
 // mergedTrace returns the decisions of all processes in the order of time.
-func (w *cluster) mergedTrace() (all []decision) {
-	for _, p := range w.processes {
-		text, _ := os.ReadFile(filepath.Join(w.dir, p.name+".trace"))
+func (c *cluster) mergedTrace() (all []decision) {
+	for _, p := range c.processes {
+		text, _ := os.ReadFile(filepath.Join(c.dir, p.name+".trace"))
 		lines := strings.Split(string(text), "\n")
 		for _, line := range lines[:max(0, len(lines)-1)] {
 			var d decision
--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -138,16 +138,16 @@
 	} else {
 		proposal.RestoreZones = zone
 	}
-	f.setHasProposal(true)
+	f.setHasZoneProposal(true)
 	go func() {
 		result := f.Propose(ctx, proposal)
-		f.setHasProposal(false)
+		f.setHasZoneProposal(false)
 		f.log.Info().Str("zone", p.Zone).Bool("evacuate", p.Evacuate).Int("endpoints", p.Endpoints).
 			Int("failing", p.Failing).Uint64("revision", result.Revision).Msg("zone evacuation proposed")
 	}()
 }
 
-func (f *Fleet) setHasProposal(has bool) {
+func (f *Fleet) setHasZoneProposal(has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hasZoneProposal = has
--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -149,7 +149,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.load.at != 0 && now > f.load.at {
-		rate := float64(requests-f.load.requests) / float64(now-f.load.at) * 1e9
+		rate := float64(requests-f.load.requests) / float64(now-f.load.at) * float64(time.Second)
 		f.holder.RequestRate += (rate - f.holder.RequestRate) / 2
 	}
 	f.load = loadMeter{requests, now}
