--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -70,13 +70,13 @@
 // renamed field emptied them.
 func TestStatusKeepsItsJSONKeys(t *testing.T) {
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
-		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, More: 12}
+		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, CompleteListsDigest: 12}
 	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4}}
 	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: sampleConfig}, MaxDisagreement: "1.986s",
 		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
 		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: versions,
 		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
-			OwnConsecutiveFailures: 5, Ejected: true, Turn: true, Part: 0.75, ForMS: 66}, {Endpoint: "h2", Ejected: true, Part: 0.5, ForMS: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
+			OwnConsecutiveFailures: 5, Ejected: true, HoldsProbeLease: true, Penalty: 0.75, EjectedMillis: 66}, {Endpoint: "h2", Ejected: true, Penalty: 0.5, EjectedMillis: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
 			{Zone: "z2", Endpoints: 4, Failing: 4, EvacuatedAutomatically: true, Share: 1}, {Zone: "z3", Endpoints: 5, Share: 0.25}, {Zone: "z4", Endpoints: 2, EvacuatedByOperator: true, EvacuatedAutomatically: true, Share: 1}}}
 	w := httptest.NewRecorder()
