--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -14,7 +14,8 @@
 // over within seconds, and until then the fleet has one voter less.
 const replicaRestartInterval = 250 * time.Millisecond
 
-// replica is this process's replica and the log that it writes. Start and Run change it, under Fleet.mu.
+// replica is this process's replica and the log that it writes. Start and then Run alone change it; state under
+// Fleet.mu, as other goroutines read that.
 type replica struct {
 	state *consensus.Replica // nil: this process has none, or it does not run now
 	log   *store.Log         // nil: it has no log, or it does not run now
