--- /dev/null
+++ b/fleet/connections.go
@@ -0,0 +1,54 @@
+package fleet
+
+import (
+	"slices"
+
+	"hollylever/fields"
+	"hollylever/membership"
+	"hollylever/subset"
+)
+
+// connectionSubset is what the endpoints to which this process keeps idle connections were computed from. Run alone
+// uses it.
+type connectionSubset struct {
+	config    subset.Config // MinEndpoints 0: there are no subsets
+	balancers []subset.Balancer
+	endpoints []subset.Endpoint
+}
+
+func newConnectionSubset(own fields.Values) connectionSubset {
+	return connectionSubset{config: subset.Config{
+		MinEndpoints: int(own.Count("fleet.tends")),
+		MinBalancers: subset.DefaultConfig.MinBalancers,
+		ZoneLocal:    own.Yes("fleet.tends_near"),
+	}}
+}
+
+// updateConnectionSubset recomputes the subset if members or endpoints have changed, and tells the balancer. While no
+// other member is heard the subset is all endpoints, since nobody else would keep connections to the rest of them.
+func (f *Fleet) updateConnectionSubset(live []membership.Member, endpoints []subset.Endpoint) {
+	c := &f.connections
+	if c.config.MinEndpoints == 0 {
+		return
+	}
+	balancers := []subset.Balancer{{Name: f.name, Zone: f.zone}}
+	for _, m := range live {
+		if m.Name != f.name {
+			balancers = append(balancers, subset.Balancer{Name: m.Name, Zone: m.Zone})
+		}
+	}
+	if slices.Equal(balancers, c.balancers) && slices.Equal(endpoints, c.endpoints) {
+		return
+	}
+	c.balancers, c.endpoints = balancers, endpoints
+	own := subset.New(balancers, endpoints, c.config).EndpointsOf(f.name, endpoints)
+	names := map[string]bool{}
+	for _, name := range own {
+		names[name] = true
+	}
+	isAlone := len(balancers) == 1
+	f.balancer.SetConnectionSubset(names, isAlone)
+	f.mu.Lock()
+	f.subset = own
+	f.mu.Unlock()
+}
--- /dev/null
+++ b/fleet/http.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"hollylever/consensus"
+	"hollylever/fleetconfig"
+)
+
+// calls are those that the admin endpoint hands on, and the method of each.
+var calls = map[string]string{
+	"/fleet":         http.MethodGet,
+	"/fleet/history": http.MethodGet,
+	"/fleet/propose": http.MethodPost,
+}
+
+// ServeHTTP answers the operators' calls under /fleet. The admin endpoint bounds the body and the time of each.
+func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	method, known := calls[r.URL.Path]
+	switch {
+	case !known:
+		http.Error(w, "unknown call", http.StatusNotFound)
+	case r.Method != method:
+		http.Error(w, "this call is for another method", http.StatusMethodNotAllowed)
+	case r.URL.Path == "/fleet":
+		writeJSON(w, f.Status())
+	case r.URL.Path == "/fleet/history":
+		writeJSON(w, f.History())
+	default:
+		f.servePropose(w, r)
+	}
+}
+
+// servePropose answers with what became of a proposal, in proposalTimeout at most.
+func (f *Fleet) servePropose(w http.ResponseWriter, r *http.Request) {
+	var p fleetconfig.Proposal
+	decoder := json.NewDecoder(r.Body)
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&p); err != nil {
+		http.Error(w, "not a proposal: "+err.Error(), http.StatusBadRequest)
+		return
+	}
+	result := f.Propose(r.Context(), consensus.Proposal{
+		ID: p.ID, Author: p.Author, Reason: p.Reason, BaseRevision: p.BaseRevision,
+		EjectEndpoints: p.EjectEndpoints, UnejectEndpoints: p.UnejectEndpoints,
+		EvacuateZones: p.EvacuateZones, RestoreZones: p.RestoreZones, Limits: p.Limits,
+		SettingsDigest: p.SettingsDigest, DiscoverySource: p.DiscoverySource, MinListIndex: p.MinListIndex,
+	})
+	writeJSON(w, fleetconfig.ProposalResult{
+		ID: result.ID, Revision: result.Revision, Reason: result.Reason, IsFinal: result.IsFinal,
+	})
+}
+
+// writeJSON writes an answer in lines for people. A caller that has gone is owed nothing.
+func writeJSON(w http.ResponseWriter, content any) {
+	w.Header().Set("Content-Type", "application/json")
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	_ = encoder.Encode(content)
+}
