--- /dev/null
+++ b/benchlink/adapter.go
@@ -0,0 +1,110 @@
+// Package benchlink is the adapter between the operators' simulator and the decision module: it reads batches of events, calls the module for each,
+// and writes what the module does. The wire's words are translated in wire.go. It decides nothing.
+package benchlink
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"strconv"
+)
+
+// readBufferBytes holds most batches whole: they can be megabytes long.
+const readBufferBytes = 1 << 20
+
+// Run plays batches until the input ends between two of them. A batch that breaks the wire's form ends it with a MalformedError.
+func Run(input io.Reader, output io.Writer) error {
+	a := &adapter{
+		in:        &reader{in: bufio.NewReaderSize(input, readBufferBytes)},
+		reply:     &writer{},
+		instances: map[string]*instance{},
+	}
+	for {
+		if err := a.in.next(); errors.Is(err, io.EOF) {
+			return nil
+		} else if err != nil {
+			return err
+		}
+		if a.in.message == "" {
+			continue // The line between batches.
+		}
+		if err := a.playBatch(output); err != nil {
+			return err
+		}
+	}
+}
+
+// adapter plays batches for many instances. They share nothing but the reply's buffer.
+type adapter struct {
+	in        *reader
+	reply     *writer
+	instances map[string]*instance
+}
+
+// playBatch plays one batch, whose first line has been read, and writes its reply.
+func (a *adapter) playBatch(output io.Writer) error {
+	in := a.in
+	if in.message != batchBegins {
+		in.fail(in.message, "a batch starts with 'sync'")
+	}
+	now := in.duration("wall", true)
+	round, _ := in.integer("round", true)
+	a.reply.out = a.reply.out[:0]
+	if err := a.playEvents(now); err != nil {
+		return err
+	}
+	if in.err != nil {
+		return in.err
+	}
+	a.reply.out = append(a.reply.out, replyEnds...)
+	a.reply.integer("round", round)
+	a.reply.end()
+	_, err := output.Write(a.reply.out)
+	return err
+}
+
+// playEvents plays events up to the batch's end, or the first that is malformed.
+func (a *adapter) playEvents(now int64) error {
+	for a.in.err == nil {
+		if err := a.in.next(); errors.Is(err, io.EOF) {
+			a.in.line++
+			a.in.fail(batchEnds, "the input ends within a batch")
+			return nil
+		} else if err != nil {
+			return err
+		}
+		if a.in.message == batchEnds {
+			return nil
+		}
+		a.playEvent(now)
+	}
+	return nil
+}
+
+// playEvent calls the module of the instance that the event is for.
+func (a *adapter) playEvent(now int64) {
+	in := a.in
+	handle := handlers[in.message]
+	if handle == nil && in.message != eventInit && in.message != eventDown {
+		in.fail(in.message, "unknown event")
+		return
+	}
+	name := string(in.text("balancer"))
+	if in.message == eventInit {
+		if n := newInstance(in, a.reply, name, now); n != nil {
+			a.instances[name] = n
+		}
+		return
+	}
+	n := a.instances[name]
+	if in.err == nil && n == nil {
+		in.fail("balancer", "not begun: "+strconv.Quote(name))
+	}
+	switch {
+	case in.err != nil:
+	case in.message == eventDown:
+		delete(a.instances, name)
+	default:
+		handle(n, in, now)
+	}
+}
--- a/benchlink/link_test.go
+++ b/benchlink/adapter_test.go
@@ -28,7 +28,8 @@
 	return out.String(), err
 }
 
-func TestRoundTrip(t *testing.T) {
+// A batch of an instance from its beginning to its end is answered as the wire's page says.
+func TestBatchesAreAnswered(t *testing.T) {
 	first := batch(begun...)
 	out, err := run(first + strings.Replace(batch("aborted\tbalancer=balancer/1\tid=78",
 		"completed\tbalancer=balancer/1\tid=77\tleg=0\thost=10.0.0.1:80\thow=60\ttook=4.5",
@@ -67,7 +68,8 @@
 	}
 }
 
-func TestMalformedNamesLineAndField(t *testing.T) {
+// Whoever writes a batch is told the line and the field that break the form.
+func TestMalformedBatchNamesLineAndField(t *testing.T) {
 	good := batch(begun...)
 	for _, c := range []struct{ old, new, want string }{
 		{"id=77\t", "", "line 6, field id: missing"},
--- /dev/null
+++ b/benchlink/instance.go
@@ -0,0 +1,329 @@
+package benchlink
+
+import (
+	"encoding/base64"
+	"strconv"
+
+	"github.com/tidwall/gjson"
+
+	"hollylever/policy"
+	"hollylever/tables"
+)
+
+// requestSlot ties a request's small index to its id. It is free again once the request has ended and no attempt is in flight.
+type requestSlot struct {
+	id       uint64
+	inFlight int // attempts
+	hasEnded bool
+	class    int
+}
+
+// instance is one simulated balancer: the decision module and the tables that turn the wire's names into small indices.
+type instance struct {
+	name   string
+	module *policy.Balancer
+	reply  *writer
+
+	endpoints map[string]int // by address
+	addresses []string       // by index
+
+	requests map[uint64]int // open ones, by id
+	slots    []requestSlot
+	indices  tables.Indices
+
+	classes      map[string]int
+	tenants      map[string]int
+	machineTypes map[string]int
+	zones        map[string]int
+	reportFields map[string]int
+	figures      []float64 // of a load report; used again
+
+	peers *peers // nil: balancers may not talk
+}
+
+// newInstance begins an instance with nothing known; nil where the event is malformed.
+func newInstance(in *reader, reply *writer, name string, now int64) *instance {
+	seed, _ := in.integer("randomSeed", true)
+	env := in.text(textField)
+	if in.err == nil && (!gjson.ValidBytes(env) || !gjson.ParseBytes(env).IsObject()) {
+		in.fail(textField, "not a JSON object")
+	}
+	if in.err != nil {
+		return nil
+	}
+	settings := tables.Flat(gjson.ParseBytes(env))
+	n := &instance{
+		name:         name,
+		reply:        reply,
+		endpoints:    map[string]int{},
+		requests:     map[uint64]int{},
+		classes:      tables.Places(settings, "workloads", ".name"),
+		tenants:      tables.Places(settings, "tenants", ".name"),
+		machineTypes: tables.Places(settings, "hostTypes", ""),
+		zones:        tables.Places(settings, "zones", ""),
+		reportFields: tables.Places(settings, "report.fields", ""),
+	}
+	n.figures = make([]float64, len(n.reportFields))
+	n.module = policy.New(now, seed, settings, n)
+	n.peers = newPeers(now, settings)
+	return n
+}
+
+// openRequest gives a request an index.
+func (n *instance) openRequest(id uint64) int {
+	index := n.indices.Take()
+	if index == len(n.slots) {
+		n.slots = append(n.slots, requestSlot{})
+	}
+	n.slots[index] = requestSlot{id: id}
+	n.requests[id] = index
+	return index
+}
+
+// releaseRequest frees a request's index once nothing more can come of it.
+func (n *instance) releaseRequest(index int) {
+	slot := &n.slots[index]
+	if at, isOpen := n.requests[slot.id]; isOpen && at == index && slot.hasEnded && slot.inFlight == 0 {
+		delete(n.requests, slot.id)
+		n.indices.Give(index)
+	}
+}
+
+// Send is the module's Executor, as are the methods after it.
+func (n *instance) Send(request, endpoint int, until int64) {
+	n.slots[request].inFlight++
+	n.reportAttempt(endpoint)
+	n.reply.begin("issue", n.name)
+	n.reply.integer("id", n.slots[request].id)
+	n.reply.text("host", n.addresses[endpoint])
+	if until > 0 {
+		n.reply.duration("until", until)
+	}
+	n.reply.end()
+}
+
+// Reject answers a request with the promise of no effect.
+func (n *instance) Reject(request int, _ policy.Reason, retryAfter int64) {
+	n.reply.begin("push_back", n.name)
+	n.reply.integer("id", n.slots[request].id)
+	if retryAfter > 0 {
+		n.reply.duration("coolDown", retryAfter)
+	}
+	n.reply.end()
+	n.endRequest(request)
+}
+
+// Fail answers a request with an error: it may have had its effect.
+func (n *instance) Fail(request int, _ policy.Reason) {
+	n.reply.begin("finish_error", n.name)
+	n.reply.integer("id", n.slots[request].id)
+	n.reply.end()
+	n.endRequest(request)
+}
+
+// Cancel ends an attempt whose answer nobody needs.
+func (n *instance) Cancel(request, attempt int) {
+	n.reply.begin("revoke", n.name)
+	n.reply.integer("id", n.slots[request].id)
+	n.reply.integer("leg", uint64(attempt))
+	n.reply.end()
+}
+
+// SetTimer sets a timer.
+func (n *instance) SetTimer(tag int, after int64) {
+	n.reply.begin("schedule", n.name)
+	n.reply.integer("tag", uint64(tag))
+	n.reply.duration("offset", after)
+	n.reply.end()
+}
+
+// WatchEndpoints has changes of the endpoint list told.
+func (n *instance) WatchEndpoints() {
+	n.reply.begin("stream_changes", n.name)
+	n.reply.text("on", "1")
+	n.reply.end()
+}
+
+func (n *instance) endRequest(request int) {
+	n.slots[request].hasEnded = true
+	n.releaseRequest(request)
+}
+
+// endpoint reads which endpoint an event is about.
+func (n *instance) endpoint(in *reader) int { return in.index("host", n.endpoints, true) }
+
+func readOutcome(in *reader) policy.Outcome {
+	code, _ := in.integer("how", true)
+	outcome, isKnown := outcomes[code]
+	if !isKnown {
+		in.fail("how", "unknown outcome")
+	}
+	return outcome
+}
+
+// handleMembers takes an update of the endpoint list, entry by entry.
+func (n *instance) handleMembers(in *reader, now int64) {
+	kind, isKnown := updateKinds[string(in.text("scope"))]
+	if !isKnown {
+		in.failUnknown("scope")
+	}
+	hasList := kind != policy.UpdateFailed
+	in.integer("rev", hasList)
+	entries, _ := in.integer("lines", hasList)
+	if in.err != nil {
+		return
+	}
+	n.module.BeginEndpointUpdate(kind)
+	for range entries {
+		if in.next() != nil || in.message != listEntry {
+			in.fail("lines", "fewer rows than it says")
+			return
+		}
+		info := n.readEntry(in)
+		if in.err != nil {
+			return
+		}
+		n.module.UpdateEndpoint(now, n.endpointIndex(info.Address), info)
+	}
+	n.module.CommitEndpointUpdate(now)
+	n.peers.setEndpoints(n.addresses)
+}
+
+// readEntry reads one entry of the endpoint list.
+func (n *instance) readEntry(in *reader) policy.EndpointInfo {
+	address := string(in.text("host"))
+	health, isKnown := healths[string(in.text("health"))]
+	if !isKnown {
+		in.failUnknown("health")
+	}
+	machineType := in.index("machine", n.machineTypes, false)
+	zone := in.index("regionPart", n.zones, false)
+	replicaGroup, _ := in.integer("stripe", false)
+	return policy.EndpointInfo{
+		Address:      address,
+		Health:       health,
+		StartedAt:    in.duration("bootTime", false),
+		MachineType:  machineType,
+		Zone:         zone,
+		ReplicaGroup: int(replicaGroup),
+		Weight:       in.number("heft", false),
+	}
+}
+
+// endpointIndex gives an address its index, the next one if it is new.
+func (n *instance) endpointIndex(address string) int {
+	index, isKnown := n.endpoints[address]
+	if !isKnown {
+		index = len(n.addresses)
+		n.endpoints[address] = index
+		n.addresses = append(n.addresses, address)
+	}
+	return index
+}
+
+func (n *instance) handleAsk(in *reader, now int64) {
+	id, _ := in.integer("id", true)
+	remaining := in.duration("patienceLeft", true)
+	class := in.index("category", n.classes, true)
+	tenant := in.index("owner", n.tenants, false)
+	key, hasKey := in.integer("pathKey", false)
+	isWrite, predicted := in.boolean("update"), in.duration("predicted", false)
+	if in.err != nil {
+		return
+	}
+	index := n.openRequest(id)
+	n.talk(now)
+	n.module.HandleRequest(now, index, policy.RequestInfo{
+		Remaining:     remaining,
+		Class:         class,
+		Tenant:        tenant,
+		Key:           key,
+		HasKey:        hasKey,
+		IsWrite:       isWrite,
+		PredictedWork: predicted,
+	})
+	n.slots[index].class = class
+	n.releaseRequest(index)
+}
+
+func (n *instance) handleWake(in *reader, now int64) {
+	if tag, _ := in.integer("tag", true); in.err == nil {
+		n.module.HandleTimer(now, int(tag))
+	}
+}
+
+// handleCheckResult takes a load report. Nothing is probed: how a probe ended and how long it took tell nothing more.
+func (n *instance) handleCheckResult(in *reader, _ int64) {
+	endpoint := n.endpoint(in)
+	readOutcome(in)
+	in.duration("took", true)
+	if in.err == nil {
+		n.handleReport(in, endpoint)
+	}
+}
+
+func (n *instance) handleFirstByte(in *reader, _ int64) {
+	id, _ := in.integer("id", true)
+	attempt, _ := in.integer("leg", true)
+	n.endpoint(in)
+	if index, isOpen := n.requests[id]; isOpen && in.err == nil {
+		n.module.HandleResponseStarted(index, int(attempt))
+	}
+}
+
+func (n *instance) handleCompleted(in *reader, now int64) {
+	id, _ := in.integer("id", true)
+	attempt, _ := in.integer("leg", true)
+	endpoint, outcome := n.endpoint(in), readOutcome(in)
+	cacheResult, _ := in.integer("info", false)
+	latency, isAnswered := in.duration("took", true), in.boolean("noMore")
+	index, isOpen := n.requests[id]
+	if in.err != nil || !isOpen {
+		return
+	}
+	n.handleReport(in, endpoint)
+	slot := &n.slots[index]
+	slot.inFlight--
+	slot.hasEnded = slot.hasEnded || isAnswered
+	n.observe(now, endpoint, slot.class, outcome, latency)
+	n.module.HandleAttemptEnded(now, index, policy.AttemptResult{
+		Attempt:     int(attempt),
+		Endpoint:    endpoint,
+		CacheResult: int(cacheResult),
+		Outcome:     outcome,
+		Latency:     latency,
+		IsAnswered:  isAnswered,
+	})
+	n.releaseRequest(index)
+}
+
+func (n *instance) handleAborted(in *reader, now int64) {
+	id, _ := in.integer("id", true)
+	if index, isOpen := n.requests[id]; isOpen && in.err == nil {
+		n.slots[index].hasEnded = true
+		n.module.HandleClientCancelled(now, index)
+		n.releaseRequest(index)
+	}
+}
+
+func (n *instance) handleNeighbourSays(in *reader, now int64) {
+	from, _ := in.integer("from", true)
+	blob := in.text("blob")
+	if string(blob) == "-" {
+		blob = nil
+	}
+	data, err := base64.StdEncoding.DecodeString(string(blob))
+	if err != nil {
+		in.fail("blob", "not base64: "+strconv.Quote(string(blob)))
+	}
+	if in.err == nil {
+		n.receive(now, from, data)
+	}
+}
+
+// handleReport hands over the load report that came along, if it can be read.
+func (n *instance) handleReport(in *reader, endpoint int) {
+	if tables.Report(in.find("usage"), ":", n.reportFields, n.figures) {
+		n.module.HandleLoadReport(endpoint, n.figures)
+	}
+}
--- a/benchlink/peers.go
+++ b/benchlink/peers.go
@@ -9,120 +9,144 @@
 )
 
 // Speaks is whether balancers use what the settings let them tell each other. Off: on the deployments where they may, it gains nothing
-// (docs/results.md), as their hosts seldom fail one trip after another, and each balancer has enough to go by.
+// (docs/results.md), as their endpoints seldom fail one attempt after another, and each balancer has enough to go by.
 var Speaks bool
 
-// peers is what one balancer sees, tells and hears of hosts, where the settings let balancers talk.
-type peers struct {
-	board    *outlier.Detector
-	expected []int64  // by workload
-	ids      []uint32 // of hosts, by index
-	at       map[uint32]int
-	now      int64
-	next     int64 // when it looks again
-	others   int
-	saved    float64 // bytes that may be delivered: so many for each retrieval
-}
-
 const (
-	looksEvery = 20 * int64(1e6)
-	bytesEach  = 8.0 // of the 256 whose price is a point for each first try
-	mostSaved  = 4 * outlier.MaxMessageBytes
+	// tickInterval is how often the detector is looked at: a fraction of the time that reports take.
+	tickInterval = 20 * int64(1e6)
+
+	// bytesPerAttempt is what each attempt earns for messages, of the 256 bytes whose price is a point for each first attempt.
+	bytesPerAttempt = 8.0
+
+	// maxSavedBytes bounds what is saved up to a few messages.
+	maxSavedBytes = 4 * outlier.MaxMessageBytes
 )
 
+// peers is what one balancer observes, tells and hears of endpoints, where the settings let balancers talk. A nil one does nothing.
+type peers struct {
+	detector   *outlier.Detector
+	objectives []int64  // by class
+	ids        []uint32 // of endpoints, by index
+	indices    map[uint32]int
+	now        int64
+	nextTick   int64
+	others     int     // balancers
+	savedBytes float64 // that may be delivered: so many for each attempt
+}
+
 func newPeers(now int64, settings map[string]any) *peers {
 	number := func(name string) float64 { x, _ := settings[name].(float64); return x }
-	if may, _ := settings["allowed.peers"].(bool); !may || !Speaks {
+	if mayTalk, _ := settings["allowed.peers"].(bool); !mayTalk || !Speaks {
 		return nil
 	}
-	p := &peers{at: map[uint32]int{}}
-	zone := uint16(outlier.UnknownZone)
-	for z := range int(number("zones")) {
-		if settings["zones."+strconv.Itoa(z)] == settings["zone"] {
-			if zone = uint16(z); z >= outlier.UnknownZone {
-				zone++ // That number says that there is none.
-			}
-		}
-	}
-	// A balancer that begins anew has the number of the one before: later lives have higher numbers.
-	p.board = outlier.New(outlier.Member{ID: uint32(number("me")), Zone: zone}, uint64(now))
-	var all []outlier.Member
-	for m := range int(min(number("balancers"), outlier.MaxMembers)) {
-		all = append(all, outlier.Member{ID: uint32(m), Zone: outlier.UnknownZone})
+	p := &peers{indices: map[uint32]int{}}
+	// A balancer that begins anew has the number of the one before: later incarnations have higher numbers.
+	self := outlier.Member{ID: uint32(number("me")), Zone: ownZone(settings, int(number("zones")))}
+	p.detector = outlier.New(self, uint64(now))
+	var members []outlier.Member
+	for id := range int(min(number("balancers"), outlier.MaxMembers)) {
+		members = append(members, outlier.Member{ID: uint32(id), Zone: outlier.UnknownZone})
 	}
-	p.board.SetMembers(all)
-	p.others = max(1, len(all)-1)
-	for w := range int(number("workloads")) {
-		p.expected = append(p.expected, int64(number("workloads."+strconv.Itoa(w)+".expectedTime")*1e6))
+	p.detector.SetMembers(members)
+	p.others = max(1, len(members)-1)
+	for class := range int(number("workloads")) {
+		p.objectives = append(p.objectives, int64(number("workloads."+strconv.Itoa(class)+".expectedTime")*1e6))
 	}
 	return p
 }
 
-// listed takes the hosts that there are.
-func (p *peers) listed(addresses []string) {
+// ownZone is the number of this balancer's zone.
+func ownZone(settings map[string]any, zones int) uint16 {
+	own := uint16(outlier.UnknownZone)
+	for zone := range zones {
+		if settings["zones."+strconv.Itoa(zone)] != settings["zone"] {
+			continue
+		}
+		own = uint16(zone)
+		if zone >= outlier.UnknownZone {
+			own++ // That number says that there is none.
+		}
+	}
+	return own
+}
+
+// setEndpoints takes the endpoints that are known; those that were keep their indices.
+func (p *peers) setEndpoints(addresses []string) {
 	if p == nil {
 		return
 	}
-	for s := len(p.ids); s < len(addresses); s++ {
-		p.ids = append(p.ids, outlier.HashName(addresses[s]))
-		p.at[p.ids[s]] = s
+	for index := len(p.ids); index < len(addresses); index++ {
+		p.ids = append(p.ids, outlier.HashName(addresses[index]))
+		p.indices[p.ids[index]] = index
 	}
-	p.board.SetEndpoints(p.ids)
+	p.detector.SetEndpoints(p.ids)
 }
 
-// saw takes how a trip ended.
-func (n *instance) saw(now int64, server, workload int, how policy.Outcome, took int64) {
-	if p := n.peers; p != nil {
-		p.saved = min(mostSaved, p.saved+bytesEach)
-		p.board.Observe(now, p.ids[server], outlier.Classify(how, took, p.expected[workload]))
-		n.talks(now)
+// observe takes how an attempt ended.
+func (n *instance) observe(now int64, endpoint, class int, outcome policy.Outcome, latency int64) {
+	p := n.peers
+	if p == nil {
+		return
 	}
+	p.savedBytes = min(maxSavedBytes, p.savedBytes+bytesPerAttempt)
+	p.detector.Observe(now, p.ids[endpoint], outlier.Classify(outcome, latency, p.objectives[class]))
+	n.talk(now)
 }
 
-// tries tells that a trip goes to a server.
-func (n *instance) tries(server int) {
-	if p := n.peers; p != nil {
-		if part, heeded := p.board.RecordAttempt(p.now, p.ids[server]); heeded {
-			n.module.UpdatePeerVerdict(server, part)
-		}
+// reportAttempt tells the detector that an attempt goes to an endpoint: a probe lease is used by that.
+func (n *instance) reportAttempt(endpoint int) {
+	p := n.peers
+	if p == nil {
+		return
+	}
+	if penalty, isEjected := p.detector.RecordAttempt(p.now, p.ids[endpoint]); isEjected {
+		n.module.UpdatePeerVerdict(endpoint, penalty)
 	}
 }
 
-// hears takes a message of another balancer; what is none is passed over, as it would be between processes.
-func (n *instance) hears(now int64, from uint64, data []byte) {
+// receive takes a message of another balancer; one that is none is passed over, as it would be between processes.
+func (n *instance) receive(now int64, from uint64, data []byte) {
 	if n.peers == nil {
 		return
 	}
-	if m, err := outlier.DecodeMessage(data); err == nil && uint64(m.From) == from {
-		n.peers.board.HandleMessage(now, m)
-		n.peers.next = now
-		n.talks(now)
+	message, err := outlier.DecodeMessage(data)
+	if err != nil || uint64(message.From) != from {
+		return
 	}
+	n.peers.detector.HandleMessage(now, message)
+	n.peers.nextTick = now
+	n.talk(now)
 }
 
-// talks tells what is due, and hands the module what is heeded.
-func (n *instance) talks(now int64) {
+// talk hands the module what is ejected, and sends the message that is due. It guards the price of messages, which attempts pay for: in a large fleet
+// few balancers speak, and seldom.
+func (n *instance) talk(now int64) {
 	p := n.peers
 	if p == nil {
 		return
 	}
-	if p.now = now; now < p.next {
+	p.now = now
+	if now < p.nextTick {
 		return
 	}
-	p.next = now + looksEvery
-	// Guards the price of messages, which all are paid for by their retrievals: in a large fleet few balancers speak, and seldom.
-	may := p.saved >= 0
-	p.board.Tick(now)
-	p.board.EachEjection(now, func(id uint32, part float64) { n.module.UpdatePeerVerdict(p.at[id], part) })
-	if !may {
+	p.nextTick = now + tickInterval
+	maySend := p.savedBytes >= 0
+	p.detector.Tick(now)
+	p.detector.EachEjection(now, func(id uint32, penalty float64) {
+		n.module.UpdatePeerVerdict(p.indices[id], penalty)
+	})
+	if !maySend {
 		return
 	}
-	if m := p.board.NextMessage(now); m != nil {
-		bytes := m.Encode()
-		p.saved -= float64(len(bytes) * p.others)
-		n.reply.start("memo_to", n.name)
-		n.reply.text("to", "all")
-		n.reply.text("blob", base64.StdEncoding.EncodeToString(bytes))
-		n.reply.end()
+	message := p.detector.NextMessage(now)
+	if message == nil {
+		return
 	}
+	encoded := message.Encode()
+	p.savedBytes -= float64(len(encoded) * p.others)
+	n.reply.begin("memo_to", n.name)
+	n.reply.text("to", "all")
+	n.reply.text("blob", base64.StdEncoding.EncodeToString(encoded))
+	n.reply.end()
 }
--- a/fields/explain.go
+++ b/fields/explain.go
@@ -5,40 +5,45 @@
 	"strings"
 )
 
-// Example is a file with every field at its default.
+// Example is a file with every field at its default, and comments that explain it.
 func Example(parts []Part) string {
 	var out strings.Builder
 	out.WriteString("# Settings of hollylever's own, named by LB_EXTRA or --extra. Every field is shown at its default.\n")
-	for _, p := range parts {
-		fmt.Fprintf(&out, "\n# %s\n[%s]\n", p.Help, p.Table)
-		for n := range p.Fields {
-			f := &p.Fields[n]
-			fmt.Fprintf(&out, "\n# %s\n# %s. A change counts %s.\n%s = %s\n", f.Help, strings.ToUpper(f.bounds()[:1])+f.bounds()[1:], f.When, f.Name, f.written())
+	for _, part := range parts {
+		fmt.Fprintf(&out, "\n# %s\n[%s]\n", part.Help, part.Table)
+		for n := range part.Fields {
+			field := &part.Fields[n]
+			bounds := field.describeBounds()
+			fmt.Fprintf(&out, "\n# %s\n# %s. A change counts %s.\n%s = %s\n",
+				field.Help, strings.ToUpper(bounds[:1])+bounds[1:], field.When, field.Name, field.writtenDefault())
 		}
 	}
 	return out.String()
 }
 
-// Explain tells of the fields whose name, or whose table, is given; all if none is.
-func Explain(parts []Part, name string) (found string) {
+// Explain describes the field or the table of a name, or all for an empty one; empty if there is none.
+func Explain(parts []Part, name string) string {
 	var out strings.Builder
-	for _, p := range parts {
-		for n := range p.Fields {
-			f := &p.Fields[n]
-			if full := p.Table + "." + f.Name; name == "" || name == full || name == p.Table {
-				fmt.Fprintf(&out, "%s\n  %s\n  default  %s\n  bounds   %s\n  counts   %s\n", full, f.Help, f.written(), f.bounds(), f.When)
+	for _, part := range parts {
+		for n := range part.Fields {
+			field := &part.Fields[n]
+			full := part.Table + "." + field.Name
+			if name != "" && name != full && name != part.Table {
+				continue
 			}
+			fmt.Fprintf(&out, "%s\n  %s\n  default  %s\n  bounds   %s\n  counts   %s\n",
+				full, field.Help, field.writtenDefault(), field.describeBounds(), field.When)
 		}
 	}
 	return out.String()
 }
 
-// Names are all tables and fields.
+// Names are all tables and fields, for the completion of commands.
 func Names(parts []Part) (names []string) {
-	for _, p := range parts {
-		names = append(names, p.Table)
-		for _, f := range p.Fields {
-			names = append(names, p.Table+"."+f.Name)
+	for _, part := range parts {
+		names = append(names, part.Table)
+		for _, field := range part.fieldNames() {
+			names = append(names, part.Table+"."+field)
 		}
 	}
 	return names
--- a/fields/fields_test.go
+++ b/fields/fields_test.go
@@ -21,7 +21,8 @@
 		{Name: "most", Kind: Size, Default: "8 MiB", Least: "1 KiB", Most: "8 MiB", When: AtOnce, Help: "How much."}}},
 }
 
-func TestMistakesAreNamedWithTheirPlace(t *testing.T) {
+// Who mends a settings file is told of each error in one line that names the place and the field.
+func TestErrorsNameTheirPlaceAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevle = \"info\"":                  "f.toml:2:1: log.levle: no such field; there are level, lines",
 		"\n[logs]\nlevel = \"info\"":               "f.toml:2:2: logs: no such table; there are log, keep",
@@ -55,7 +56,8 @@
 	}
 }
 
-func TestValues(t *testing.T) {
+// Values are the file's, or the defaults; the example file is the defaults, and a change is told by when it takes effect.
+func TestValuesDefaultsAndChanges(t *testing.T) {
 	v, wrong := Parse("f", []byte("keep.every = \"250ms\"\n[log]\nlevel = \"debug\""), parts)
 	if len(wrong) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Word("log.level") != "debug" || v.Count("log.lines") != 512 ||
 		!v.Yes("keep.on") || v.Count("keep.most") != 8<<20 {
@@ -74,7 +76,7 @@
 }
 
 // Whatever a file is, it is refused in one line and changes nothing.
-func TestWhatIsNoFile(t *testing.T) {
+func TestUnreadableFilesAreRefusedInOneLine(t *testing.T) {
 	place, noise := t.TempDir(), make([]byte, 10<<20)
 	chance := rand.NewChaCha8([32]byte{1})
 	chance.Read(noise)
@@ -90,7 +92,7 @@
 }
 
 // A file that is replaced, written over and cut while it is read gives what was written whole, or mistakes.
-func TestReplacedWhileItIsRead(t *testing.T) {
+func TestFileReplacedWhileItIsReadIsTakenWholeOrRefused(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "extra.toml")
 	whole := func(n string) []byte {
 		return []byte("[keep]\nevery = \"" + n + "\"\n" + strings.Repeat("# long\n", 20_000) + "most = \"" + n[:1] + " KiB\"\n")
--- a/fields/read.go
+++ b/fields/read.go
@@ -1,223 +1,191 @@
 package fields
 
 import (
-	"bytes"
+	"cmp"
 	"errors"
 	"fmt"
-	"io"
-	"os"
 	"slices"
 	"strings"
 
 	"github.com/pelletier/go-toml/v2"
 	"github.com/pelletier/go-toml/v2/unstable"
-	"golang.org/x/sys/unix"
 )
 
-// Most is how many bytes a file may have.
-const Most = 1 << 20
-
-const mostMistakes = 20 // told of one file
+// maxErrors is how many errors are told of one file: who mends it reads the first ones.
+const maxErrors = 20
 
 // FieldError is what is wrong with a field, and where it stands.
 type FieldError struct {
 	File         string
-	Line, Column int // from 1; 0: of the whole file
-	Field, Why   string
+	Line, Column int    // from 1; 0: of the whole file
+	Field        string // table and field; empty: the file as a whole
+	Why          string
 }
 
-func (m FieldError) Error() string {
-	at := m.File
-	if m.Line > 0 {
-		at = fmt.Sprintf("%s:%d:%d", m.File, m.Line, m.Column)
+// Error is one line: file, place, field and what is wrong.
+func (e FieldError) Error() string {
+	text := e.File
+	if e.Line > 0 {
+		text = fmt.Sprintf("%s:%d:%d", e.File, e.Line, e.Column)
 	}
-	if m.Field != "" {
-		at += ": " + m.Field
+	if e.Field != "" {
+		text += ": " + e.Field
 	}
-	return at + ": " + m.Why
+	return text + ": " + e.Why
 }
 
-// Standard gives the defaults: what holds without a file.
-func Standard(parts []Part) Values {
-	v := Values{map[string]string{}, map[string]int64{}}
-	for _, p := range parts {
-		for n := range p.Fields {
-			f := &p.Fields[n]
-			word, whole, err := f.take(f.standard())
-			if err != nil {
-				panic(p.Table + "." + f.Name + ": " + err.Error()) // A defect of the declaration, which tests find.
-			}
-			v.words[p.Table+"."+f.Name], v.whole[p.Table+"."+f.Name] = word, whole
-		}
+// Read reads a file. It gives all values, or all that is wrong with it.
+func Read(file string, parts []Part) (Values, []FieldError) {
+	content, err := Whole(file)
+	if err != nil {
+		return Values{}, []FieldError{{File: file, Why: err.Error()}}
 	}
-	return v
+	return Parse(file, content, parts)
 }
 
-// Whole reads a file that is one, and not too long.
-func Whole(file string) ([]byte, error) {
-	at, err := os.OpenFile(file, os.O_RDONLY|unix.O_NONBLOCK, 0)
-	if err != nil {
-		var path *os.PathError
-		if errors.As(err, &path) {
-			err = path.Err // The name stands in front already.
-		}
-		return nil, err
+// Parse is Read of content that is there already. file only names it in errors.
+func Parse(file string, content []byte, parts []Part) (Values, []FieldError) {
+	var tree map[string]any
+	if err := toml.Unmarshal(content, &tree); err != nil {
+		return Values{}, []FieldError{syntaxError(file, err)}
+	}
+	p := parser{file: file, parts: parts, values: Standard(parts)}
+	p.tables, p.fields = findKeys(content)
+	for table, inner := range tree {
+		p.parseTable(table, inner)
 	}
-	defer at.Close()
-	if what, err := at.Stat(); err != nil {
-		return nil, err
-	} else if !what.Mode().IsRegular() {
-		return nil, errors.New("not a regular file")
+	if len(p.errors) == 0 {
+		return p.values, nil
 	}
-	text, err := io.ReadAll(io.LimitReader(at, Most+1))
-	if err == nil && len(text) > Most {
-		err = fmt.Errorf("over %d bytes", Most)
+	slices.SortFunc(p.errors, func(a, b FieldError) int {
+		return cmp.Or(cmp.Compare(a.Line, b.Line), strings.Compare(a.Field, b.Field))
+	})
+	return Values{}, p.errors[:min(len(p.errors), maxErrors)]
+}
+
+// syntaxError is what the TOML library says of a file's form, and of keys that stand twice.
+func syntaxError(file string, err error) FieldError {
+	e := FieldError{File: file, Why: strings.TrimPrefix(err.Error(), "toml: ")}
+	var decode *toml.DecodeError
+	if errors.As(err, &decode) {
+		e.Line, e.Column = decode.Position()
+	}
+	return e
+}
+
+// keyPlace is where a key stands in a file.
+type keyPlace struct {
+	name         string
+	line, column int
+}
+
+// parser holds the values of a file against the declarations.
+type parser struct {
+	file   string
+	parts  []Part
+	tables []keyPlace // headers, in their order
+	fields []keyPlace // "table.field", in their order
+	values Values
+	errors []FieldError
+}
+
+// parseTable takes one key of the file's root.
+func (p *parser) parseTable(table string, inner any) {
+	place := slices.IndexFunc(p.parts, func(part Part) bool { return part.Table == table })
+	fields, isTable := inner.(map[string]any)
+	switch {
+	case place < 0 && isTable:
+		p.add(p.findTable(table), "no such table; there are "+p.tableNames())
+	case place < 0:
+		p.add(find(table, p.fields), "no such field: fields stand in a table, of "+p.tableNames())
+	case !isTable:
+		p.add(find(table, p.fields, p.tables), "has to be a table")
+	default:
+		for name, raw := range fields {
+			p.parseField(&p.parts[place], name, raw)
+		}
 	}
+}
+
+// parseField takes one field of a known table.
+func (p *parser) parseField(part *Part, name string, raw any) {
+	full := part.Table + "." + name
+	at := find(full, p.fields, p.tables)
+	field := part.field(name)
+	if field == nil {
+		p.add(at, "no such field; there are "+strings.Join(part.fieldNames(), ", "))
+		return
+	}
+	parsed, err := field.parse(raw)
 	if err != nil {
-		return text, err
+		p.add(at, err.Error())
+		return
 	}
-	// Guards against a file that is written over in place: half of one and half of another can be a file too.
-	again, err := io.ReadAll(io.NewSectionReader(at, 0, Most+1))
-	if err == nil && !bytes.Equal(text, again) {
-		err = errors.New("it changed while it was read")
+	p.values.set(full, parsed)
+}
+
+func (p *parser) add(at keyPlace, why string) {
+	p.errors = append(p.errors, FieldError{p.file, at.line, at.column, at.name, why})
+}
+
+// findTable is where a table stands: its header, or, where it is written with dots, its first field.
+func (p *parser) findTable(table string) keyPlace {
+	if at := find(table, p.tables); at.column != 0 {
+		return at
+	}
+	for _, at := range p.fields {
+		if strings.HasPrefix(at.name, table+".") {
+			return keyPlace{table, at.line, at.column}
+		}
 	}
-	return text, err
+	return find(table, p.fields)
 }
 
-// Read reads a file. It gives all values, or all that is wrong with it.
-func Read(file string, parts []Part) (Values, []FieldError) {
-	text, err := Whole(file)
-	if err != nil {
-		return Values{}, []FieldError{{File: file, Why: err.Error()}}
+// find is where a key stands, in the first list that has it; without a place if none does.
+func find(name string, lists ...[]keyPlace) keyPlace {
+	for _, list := range lists {
+		for _, at := range list {
+			if at.name == name {
+				return at
+			}
+		}
 	}
-	return Parse(file, text, parts)
+	return keyPlace{name: name}
 }
 
-// place is where a name stands in a file.
-type place struct {
-	name         string
-	line, column int
+func (p *parser) tableNames() string {
+	names := make([]string, 0, len(p.parts))
+	for _, part := range p.parts {
+		names = append(names, part.Table)
+	}
+	return strings.Join(names, ", ")
 }
 
-// places gives each table and each field that a file names, in its order.
-func places(text []byte) (tables, names []place) {
-	p := unstable.Parser{}
-	p.Reset(text)
+// findKeys gives each table and each field that a file names, in its order.
+func findKeys(content []byte) (tables, fields []keyPlace) {
+	var scanner unstable.Parser
+	scanner.Reset(content)
 	table := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	for scanner.NextExpression() {
+		expression := scanner.Expression()
 		var path []string
 		var first *unstable.Node
-		for key := e.Key(); key.Next(); {
+		for key := expression.Key(); key.Next(); {
 			if first == nil {
 				first = key.Node()
 			}
 			path = append(path, string(key.Node().Data))
 		}
-		name, at := strings.Join(path, "."), p.Shape(first.Raw).Start
-		if e.Kind != unstable.KeyValue {
+		name, at := strings.Join(path, "."), scanner.Shape(first.Raw).Start
+		if expression.Kind != unstable.KeyValue {
 			table = name
-			tables = append(tables, place{name, at.Line, at.Column})
+			tables = append(tables, keyPlace{name, at.Line, at.Column})
 			continue
 		}
 		if table != "" {
 			name = table + "." + name
 		}
-		names = append(names, place{name, at.Line, at.Column})
-	}
-	return tables, names
-}
-
-// Parse is Read of a text that is there already.
-func Parse(file string, text []byte, parts []Part) (Values, []FieldError) {
-	var tree map[string]any
-	if err := toml.Unmarshal(text, &tree); err != nil { // Its form, and names that stand twice.
-		m := FieldError{File: file, Why: strings.TrimPrefix(err.Error(), "toml: ")}
-		var decode *toml.DecodeError
-		if errors.As(err, &decode) {
-			m.Line, m.Column = decode.Position()
-		}
-		return Values{}, []FieldError{m}
-	}
-	var wrong []FieldError
-	tables, names := places(text)
-	at := func(list []place, name string) (line, column int) {
-		for _, p := range list {
-			if p.name == name {
-				return p.line, p.column
-			}
-		}
-		return 0, 0
-	}
-	add := func(list []place, name, why string) {
-		line, column := at(list, name)
-		wrong = append(wrong, FieldError{file, line, column, name, why})
-	}
-	v := Standard(parts)
-	known := map[string]*Part{}
-	for n := range parts {
-		known[parts[n].Table] = &parts[n]
-	}
-	for table, inner := range tree {
-		part, is := known[table]
-		fields, isTable := inner.(map[string]any)
-		switch {
-		case !is && isTable:
-			list := tables
-			if _, column := at(tables, table); column == 0 {
-				list = names
-				for _, p := range names { // Written with dots.
-					if strings.HasPrefix(p.name, table+".") {
-						list = []place{{table, p.line, p.column}}
-						break
-					}
-				}
-			}
-			add(list, table, "no such table; there are "+strings.Join(tableNames(parts), ", "))
-			continue
-		case !is:
-			add(names, table, "no such field: fields stand in a table, of "+strings.Join(tableNames(parts), ", "))
-			continue
-		case !isTable:
-			add(append(names, tables...), table, "has to be a table")
-			continue
-		}
-		for name, value := range fields {
-			i := slices.IndexFunc(part.Fields, func(f Field) bool { return f.Name == name })
-			if i < 0 {
-				add(append(names, tables...), table+"."+name, "no such field; there are "+strings.Join(fieldNames(part), ", "))
-				continue
-			}
-			word, number, err := part.Fields[i].take(value)
-			if err != nil {
-				add(append(names, tables...), table+"."+name, err.Error())
-				continue
-			}
-			v.words[table+"."+name], v.whole[table+"."+name] = word, number
-		}
-	}
-	if len(wrong) > 0 {
-		slices.SortFunc(wrong, func(a, b FieldError) int {
-			if a.Line != b.Line {
-				return a.Line - b.Line
-			}
-			return strings.Compare(a.Field, b.Field)
-		})
-		return Values{}, wrong[:min(len(wrong), mostMistakes)]
-	}
-	return v, nil
-}
-
-func tableNames(parts []Part) (names []string) {
-	for _, p := range parts {
-		names = append(names, p.Table)
-	}
-	return names
-}
-
-func fieldNames(part *Part) (names []string) {
-	for _, f := range part.Fields {
-		names = append(names, f.Name)
+		fields = append(fields, keyPlace{name, at.Line, at.Column})
 	}
-	return names
+	return tables, fields
 }
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -1,5 +1,5 @@
-// Package tables holds what every driver of the decision module needs: the settings as a plain map, the tables
-// that turn names into small indices at the door, and small indices for what comes and goes.
+// Package tables holds what every driver of the decision module needs at the edge: the operators' settings as a plain map of dotted names, the
+// tables that turn their names into small indices, the reader of load reports, and small indices for requests and endpoints that come and go.
 package tables
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/tidwall/gjson"
 )
 
-// Flat turns the settings into a plain map: dotted names to values, a list's length under its own name.
+// Flat turns the settings into a plain map of dotted names to values ("workloads.0.name"), a list's length under its own name.
 func Flat(object gjson.Result) map[string]any {
 	settings := map[string]any{}
 	flatten(settings, "", object)
@@ -41,7 +41,7 @@
 	}
 }
 
-// Places gives each name of a list in the settings its place there; inner leads to the name within an entry.
+// Places gives each name of a list in the settings its place there. inner leads to the name within an entry (".name"); empty: the entry is the name.
 func Places(settings map[string]any, list, inner string) map[string]int {
 	count, _ := settings[list].(float64)
 	places := make(map[string]int, int(count))
@@ -52,46 +52,26 @@
 	return places
 }
 
-const mostReported = 1e9 // a figure over it is taken for noise
+// maxReportedFigure is the largest figure of a load report that is taken: no endpoint serves a billion requests a second.
+const maxReportedFigure = 1e9
 
-// Report reads a host's load report, names and values between commas, into the places that the settings give its
-// fields. What is missing, no plain number, negative or huge becomes NaN: none. It tells whether anything was read.
+// Report reads an endpoint's load report, names and values between commas, into the places that the settings give its
+// fields. A figure that is missing, no plain number, negative or huge becomes NaN: none. It tells whether anything was read. It guards the
+// decision module against whatever an endpoint sends.
 func Report(text []byte, between string, fields map[string]int, into []float64) bool {
 	for i := range into {
 		into[i] = math.NaN()
 	}
 	read := false
 	for len(text) > 0 && len(into) > 0 {
-		var part []byte
-		part, text, _ = bytes.Cut(text, []byte{','})
-		name, value, _ := bytes.Cut(part, []byte(between))
-		place, known := fields[string(name)]
-		if x, err := strconv.ParseFloat(string(value), 64); known && place < len(into) && err == nil && x >= 0 && x <= mostReported {
-			into[place], read = x, true
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte{','})
+		name, value, _ := bytes.Cut(pair, []byte(between))
+		place, isKnown := fields[string(name)]
+		figure, err := strconv.ParseFloat(string(value), 64)
+		if err == nil && isKnown && place < len(into) && figure >= 0 && figure <= maxReportedFigure {
+			into[place], read = figure, true
 		}
 	}
 	return read
 }
-
-// Indices gives out small indices; those given back are used again first.
-type Indices struct {
-	next int
-	free []int
-}
-
-// Take gives out an index. One that was never out before is the next higher number.
-func (x *Indices) Take() int {
-	if last := len(x.free) - 1; last >= 0 {
-		i := x.free[last]
-		x.free = x.free[:last]
-		return i
-	}
-	x.next++
-	return x.next - 1
-}
-
-// Give takes an index back.
-func (x *Indices) Give(i int) { x.free = append(x.free, i) }
-
-// Out tells how many are given out.
-func (x *Indices) Out() int { return x.next - len(x.free) }
