--- a/admin/door.go
+++ b/admin/door.go
@@ -26,7 +26,7 @@
 	answerFor   = 3 * time.Second
 	mostHead    = 4 << 10
 	mostBody    = 4 << 10
-	maxID       = routing.MaxServerName
+	maxID       = routing.MaxEndpointName
 	fleetFor    = 8 * time.Second
 	maxPropose  = 512 << 10 // 1,024 names as long as may be, and more
 )
@@ -36,7 +36,7 @@
 	Ready() bool
 	Figures() routing.Figures
 	Ban(server string, out bool) error
-	Hosts() []routing.HostStands
+	Hosts() []routing.EndpointStatus
 }
 
 // Open listens at the address and answers calls from now on. It gives where it listens.
--- a/admin/golden_test.go
+++ b/admin/golden_test.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-func (scripted) Hosts() []routing.HostStands {
-	return []routing.HostStands{{ID: "s/1", Address: "10.0.0.1:70", Kind: "std", Zone: "z", Listed: "Ready", ByHand: true, Avoided: true, Trips: 3, Started: 1_700_000_000_000},
+func (scripted) Hosts() []routing.EndpointStatus {
+	return []routing.EndpointStatus{{ID: "s/1", Address: "10.0.0.1:70", Kind: "std", Zone: "z", Listed: "Ready", ByHand: true, Avoided: true, Trips: 3, Started: 1_700_000_000_000},
 		{ID: "s2", Listed: "not listed"}}
 }
 
@@ -60,8 +60,8 @@
 		{"POST", "/cache-hosts/disable/a", "", door{scripted{}, nil}}, {"POST", "/cache-hosts/enable/a%2F1", "", door{scripted{}, nil}},
 		{"GET", "/cache-hosts/enable/a", "", door{scripted{}, nil}}, {"POST", "/cache-hosts/disable/", "", door{scripted{}, nil}},
 		{"POST", "/cache-hosts/disable/a/1", "", door{scripted{}, nil}}, {"POST", "/cache-hosts/disable/never", "", door{scripted{}, nil}},
-		{"POST", "/cache-hosts/disable/disk", "", door{scripted{}, nil}}, {"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxServerName), "", door{scripted{}, nil}},
-		{"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxServerName+1), "", door{scripted{}, nil}},
+		{"POST", "/cache-hosts/disable/disk", "", door{scripted{}, nil}}, {"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxEndpointName), "", door{scripted{}, nil}},
+		{"POST", "/cache-hosts/disable/" + strings.Repeat("i", routing.MaxEndpointName+1), "", door{scripted{}, nil}},
 		{"POST", "/cache-hosts/disable/a", strings.Repeat("b", mostBody+1), door{scripted{}, nil}},
 		{"GET", "/", "", door{scripted{}, nil}}, {"GET", "/fleet", "", door{scripted{}, nil}}, {"GET", "/fleet", "", door{scripted{}, fleet}},
 		{"POST", "/fleet/propose", "{}", door{scripted{}, fleet}}, {"GET", "/fleets", "", door{scripted{}, fleet}},
--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -31,11 +31,9 @@
 type balancerAdapter struct{ *routing.Balancer }
 
 func (a balancerAdapter) ApplyConfig(what consensus.EffectiveConfig) {
-	a.Balancer.Heeds(what.EjectedEndpoints, what.Limits, what.DiscoverySource, what.MinListIndex)
+	a.Balancer.ApplyFleetConfig(what.EjectedEndpoints, what.Limits, what.DiscoverySource, what.MinListIndex)
 }
 
-func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
-
 func (a balancerAdapter) Endpoints() []subset.Endpoint {
 	var all []subset.Endpoint
 	for _, l := range a.Balancer.Servers() {
@@ -45,7 +43,7 @@
 }
 
 func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
-	index, digest, drains := a.Lists()
+	index, digest, drains := a.ListState()
 	out := make([]membership.DrainedEndpoint, len(drains))
 	for n, d := range drains {
 		out[n] = membership.DrainedEndpoint(d)
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -7,68 +7,101 @@
 	"hollylever/protocol"
 )
 
-const answerReserveTime = int64(5 * time.Millisecond) // at most, for a final answer's way to its client
+// maxDeliveryReserve in ns is kept of a request's time at most, for its final answer to reach its client.
+const maxDeliveryReserve = int64(5 * time.Millisecond)
 
-// admit takes a request up: it gets a slot and the module is asked. A request that can't be taken up has its final answer at once.
-func (x *exchange) admit() (told chan news, isAdmitted bool) {
-	class, tenant, patience, predicted, err := protocol.Fields(x.words[3])
+// deliveryReserveFraction of a request's time is kept for that, up to maxDeliveryReserve.
+const deliveryReserveFraction = 64
+
+// admission is what admission decides on.
+type admission struct {
+	workload        int
+	isKnownWorkload bool
+	isDuplicate     bool // a request of this ID has no final answer yet
+	isFull          bool
+	isTooLate       bool  // no answer would come before the process ends
+	remaining       int64 // of the client's timeout, in ns
+}
+
+// admit admits a request: it gets a slot, and the policy decides on it. A request that is not admitted has its final answer at once.
+func (x *exchange) admit() bool {
+	workload, tenant, timeout, predictedWork, err := protocol.Fields(x.arguments[3])
 	if err != nil {
-		x.turn.answer <- reply{bytes: protocol.AppendWrong(nil, err.Error())}
-		return nil, false
+		x.reply.reply <- reply{bytes: protocol.AppendWrong(nil, err.Error())}
+		return false
 	}
-	for _, word := range x.words {
-		x.size += int64(len(word))
+	for _, argument := range x.arguments {
+		x.bytes += int64(len(argument))
 	}
-	x.record.patience = time.Duration(patience)
-	x.record.waited = time.Since(x.caller.received)
-	patience = max(0, patience-int64(x.record.waited))
+	x.record.timeout = time.Duration(timeout)
+	x.record.waited = time.Since(x.client.receivedAt)
+	x.id = string(x.arguments[2])
+	remaining := max(0, timeout-int64(x.record.waited))
 	b := x.balancer
 	b.mu.Lock()
-	w, known := b.workloads[string(class)]
-	x.class, x.id = w, string(x.words[2])
-	full := b.held.Out() >= b.mostHeld || b.decides != nil && b.held.Out() >= b.mostOpen || b.heap+x.size > b.mostHeap
-	stops := false
-	if ends := b.ends.Load(); ends > 0 && known {
-		// Guards a stop against clients that go on asking on connections on which something is out: these have to come to an end.
-		most := ends - b.now()
-		stops = most < min(patience, b.expected[w])
-		patience = min(patience, most)
-	}
-	if isTwice := b.open[x.id]; !known || isTwice || full || stops {
-		answer := b.refuse(w, known, isTwice, full)
+	a := x.assess(workload, remaining)
+	x.workload = a.workload
+	if answer := b.rejectionAnswer(a); answer != nil {
 		b.mu.Unlock()
-		x.turn.answer <- reply{bytes: answer}
-		return nil, false
-	}
-	owner, stated := b.tenants[string(tenant)]
-	if !stated {
-		owner = -1
+		x.reply.reply <- reply{bytes: answer}
+		return false
 	}
-	b.open[x.id] = true
-	b.heap += x.size
-	b.counts[count{"retrievals", none}]++
-	x.index, told = b.take()
-	b.slots[x.index].ends = b.now() + patience - min(answerReserveTime, patience/64) + b.drift
-	b.deciding()
-	b.module.HandleRequest(b.now(), x.index, policy.RequestInfo{Remaining: patience, Class: w, Tenant: owner, Key: protocol.Key(x.words[1]), HasKey: true, IsWrite: x.write, PredictedWork: predicted})
+	x.open(a, policy.RequestInfo{
+		Remaining:     a.remaining,
+		Class:         a.workload,
+		Tenant:        b.catalog.tenant(string(tenant)),
+		Key:           protocol.Key(x.arguments[1]),
+		HasKey:        true,
+		IsWrite:       x.isWrite,
+		PredictedWork: predictedWork,
+	})
 	b.mu.Unlock()
-	return told, true
+	return true
+}
+
+// assess finds what admission decides on; under the lock.
+func (x *exchange) assess(workload []byte, remaining int64) admission {
+	b := x.balancer
+	a := admission{remaining: remaining, isDuplicate: b.requests.openIDs[x.id], isFull: b.requests.isFull(x.bytes, b.leaseCheck != nil)}
+	a.workload, a.isKnownWorkload = b.catalog.workloads[string(workload)]
+	if answerBy := b.answerBy.Load(); answerBy > 0 && a.isKnownWorkload {
+		// Guards a shutdown against clients that go on sending requests on connections that are busy: these have to come to an end.
+		left := answerBy - b.now()
+		a.isTooLate = left < min(remaining, b.catalog.expectedTimes[a.workload])
+		a.remaining = min(remaining, left)
+	}
+	return a
 }
 
-// refuse counts a request that is not taken up and gives its answer; under the lock.
-func (b *Balancer) refuse(class int, isKnown, isTwice, isFull bool) []byte {
+// rejectionAnswer counts a request that is not admitted and returns its answer, nil for one that is admitted; under the lock.
+func (b *Balancer) rejectionAnswer(a admission) []byte {
 	switch {
-	case !isKnown:
-		b.counts[count{"sent_back_wrong", none}]++
+	case !a.isKnownWorkload:
+		b.counters.increment(counterMalformed)
 		return protocol.AppendWrong(nil, "unknown workload")
-	case isTwice: // Guards the one that is out: a server takes this for the same and could answer either.
-		b.counts[count{"sent_back_wrong", class}]++
+	case a.isDuplicate: // Guards the first request: a server takes the second for the same and could answer either.
+		b.counters.incrementFor(counterMalformed, a.workload)
 		return protocol.AppendWrong(nil, "a retrieval of this id is open")
-	case isFull: // Guards memory; it was never begun.
-		b.counts[count{rejectedForMemory, none}]++
+	case a.isFull: // Guards memory; the request has not begun.
+		b.counters.increment(counterRejectedMemory)
+	case a.isTooLate:
+		b.counters.increment(counterRejectedStop)
 	default:
-		b.counts[count{rejectedForStop, none}]++
+		return nil
 	}
-	b.counts[count{"sent_back", class}]++
+	b.counters.incrementFor(counterNotAdmitted, a.workload)
 	return protocol.AppendDismissed(nil, 0)
 }
+
+// open enters an admitted request into the table and has the policy decide on it; under the lock.
+func (x *exchange) open(a admission, request policy.RequestInfo) {
+	b := x.balancer
+	b.requests.openIDs[x.id] = true
+	b.requests.bytes += x.bytes
+	b.counters.increment(counterRequests)
+	x.slot, x.events = b.requests.allocate()
+	reserve := min(maxDeliveryReserve, a.remaining/deliveryReserveFraction)
+	b.requests.slots[x.slot].attemptDeadline = b.now() + a.remaining - reserve + b.deadlineDrift
+	b.checkLease()
+	b.policy.HandleRequest(b.now(), x.slot, request)
+}
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -1,8 +1,6 @@
 package routing
 
 import (
-	"errors"
-	"io"
 	"time"
 
 	"hollylever/protocol"
@@ -11,194 +9,151 @@
 )
 
 const (
-	// handOverTimeout bounds the time from when an attempt states how long it will be waited for until its last byte is handed over: the
-	// protocol allows it to state 150 ms too much. A large value takes longer: it states half of what is left and has the other half.
-	handOverTimeout = 100 * time.Millisecond
+	// maxSendTime bounds the time from when an attempt states its timeout to the server until its last byte is sent: the protocol
+	// allows the attempt to state 150 ms too much. A large value takes longer: it states half of what is left and has the other half.
+	maxSendTime = 100 * time.Millisecond
 
-	nextPieceTimeout      = 250 * time.Millisecond // for the next piece of an answer that has begun
-	nextLargePieceTimeout = 3 * time.Second        // for the next piece of a large value
-	// crossing: an attempt that begins to be handed over so long after its client went did not cross that.
-	crossing = int64(50 * time.Millisecond)
-)
+	// nextPieceTimeout bounds the wait for the next piece of an answer that has begun: a server that stops halfway must not take all
+	// the time that a retry needs.
+	nextPieceTimeout = 250 * time.Millisecond
 
-var errCut = errors.New("the value breaks off")
+	// sentAfterDisconnectTolerance in ns: an attempt that is sent so long after its client disconnected did not just cross that.
+	sentAfterDisconnectTolerance = int64(50 * time.Millisecond)
+)
 
-// begun is a large value that an attempt has the beginning of: the request takes it for its client, or not.
-type begun struct {
-	size  int
-	value *io.PipeReader
-	take  chan bool
+// runAttempt sends a request to an endpoint once, and sends the exchange how that ends. It is careful to send as little as possible of
+// which nobody can tell whether it ran.
+func (x *exchange) runAttempt(line *transport.Line, a attempt) {
+	result := attemptResult{attempt: a}
+	deadline := x.balancer.timeAt(a.deadline)
+	end, isUnused := x.connectAndSend(line, a, deadline)
+	isReusable := false
+	if end == transport.Open {
+		end, isReusable = x.readAnswer(line, deadline, &result)
+	}
+	line.Done(isUnused || isReusable && end <= transport.TurnedAway)
+	result.end = end
+	x.events <- attemptEnded{result}
 }
 
-// attempt sends a request to a server once and waits for how that ends. Careful: so that as little as can be is sent
-// of which nobody can tell whether it ran.
-func (x *exchange) attempt(line *transport.Line, n news, told chan<- news) {
-	until, clean := x.balancer.at(n.until), true
-	end := x.unlessGone(n, told)
-	if end == transport.Open {
-		end = line.Connect(transport.Peer{Server: n.server, Address: n.address}, until)
+// connectAndSend is Open once the request's last byte was sent. isUnused: it was not sent, and nothing was written to the connection.
+func (x *exchange) connectAndSend(line *transport.Line, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
+	if end := x.checkClient(); end != transport.Open {
+		return end, false
 	}
-	if end == transport.Open && x.balancer.leaves(n.server) {
-		end = transport.Withdrawn // It was told to go while the connection came up.
+	if end := line.Connect(transport.Peer{Server: a.endpoint, Address: a.address}, deadline); end != transport.Open {
+		return end, false
 	}
-	isUnused := false
-	if end == transport.Open {
-		end = x.unlessGone(n, told)
-		isUnused = end != transport.Open
+	if x.balancer.isDraining(a.endpoint) {
+		return transport.Withdrawn, false // The list said so while the connection came up.
 	}
-	if end == transport.Open {
-		end = x.send(line, until)
-	}
-	for end == transport.Open {
-		if large, from := protocol.Large(line.Unread()); large > 0 {
-			n.took = x.balancer.now() - n.at
-			line.Skip(from)
-			end, clean = x.balancer.pass(line, large, &n, told)
-			break
-		}
-		var value, report []byte
-		var length int
-		if end, value, report, n.note, length = protocol.Answer(line.Unread()); end == transport.Open {
-			end = more(line, until)
-			continue
-		}
-		if end == transport.Settled {
-			n.answer = protocol.AppendSettled(nil, value)
-		}
-		n.load = x.balancer.report(report)
-		line.Skip(length)
+	if end := x.checkClient(); end != transport.Open {
+		return end, true
 	}
-	line.Done(isUnused || clean && end <= transport.TurnedAway)
-	n.what, n.end = ended, end
-	told <- n
+	return x.writeRequest(line, deadline), false
 }
 
-// unlessGone is Open, or Withdrawn where the client has gone by now: nothing may be sent for it.
-func (x *exchange) unlessGone(n news, told chan<- news) transport.End {
-	if !x.caller.hasGone() {
+// checkClient is Open, or Withdrawn where the client has gone by now: nothing may be sent for it.
+func (x *exchange) checkClient() transport.End {
+	if !x.client.isGone() {
 		return transport.Open
 	}
 	b := x.balancer
 	b.mu.Lock()
-	b.counts[count{countWithheld, none}]++
+	b.counters.increment(counterWithheld)
 	b.mu.Unlock()
-	n.what = clientGone
-	told <- n
+	x.events <- clientGone{}
 	return transport.Withdrawn
 }
 
-// send writes the request to a server's connection: Open once its last byte was handed over.
-func (x *exchange) send(line *transport.Line, until time.Time) transport.End {
+// writeRequest writes the request to a server's connection: Open once its last byte was sent.
+func (x *exchange) writeRequest(line *transport.Line, deadline time.Time) transport.End {
 	b := x.balancer
-	begun := b.now()
-	left := time.Until(until)
-	told, handedBy := left, earliest(until, time.Now().Add(handOverTimeout))
-	if protocol.IsLarge(x.words) {
-		told = left / 2
-		handedBy = until.Add(-told)
-	}
-	message, follows := protocol.AppendRetrieval(nil, x.words, int64(told))
-	if follows != nil {
-		if end := line.Begin(message, handedBy); end != transport.Open {
+	startedAt := b.now()
+	left := time.Until(deadline)
+	statedTimeout, sendDeadline := left, earlier(deadline, time.Now().Add(maxSendTime))
+	if protocol.IsLarge(x.arguments) {
+		statedTimeout = left / 2
+		sendDeadline = deadline.Add(-statedTimeout)
+	}
+	message, rest := protocol.AppendRetrieval(nil, x.arguments, int64(statedTimeout))
+	if rest != nil {
+		if end := line.Begin(message, sendDeadline); end != transport.Open {
 			return end
 		}
-		message = follows
+		message = rest
 	}
 	var end transport.End
-	if b.oneShot[x.class] {
-		end = line.HandCarefully(message, handedBy, x.caller.hasGone)
+	if b.catalog.isSingleShot[x.workload] {
+		end = line.HandCarefully(message, sendDeadline, x.client.isGone)
 	} else {
-		end = line.Hand(message, handedBy)
+		end = line.Hand(message, sendDeadline)
 	}
 	if end == transport.Open {
-		b.mu.Lock()
-		b.counts[count{"handed", none}]++
-		if left := b.slots[x.index].left; left > 0 && begun > left+crossing {
-			b.counts[count{"sent_after_left", none}]++ // None is wanted.
-		}
-		b.mu.Unlock()
+		x.countSent(startedAt)
 	}
 	return end
 }
 
-func earliest(one, other time.Time) time.Time {
-	if one.Before(other) {
-		return one
+// countSent counts an attempt whose last byte was sent, and whether that began well after its client disconnected.
+func (x *exchange) countSent(startedAt int64) {
+	b := x.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.counters.increment(counterAttemptsSent)
+	if goneAt := b.requests.slots[x.slot].clientGoneAt; goneAt > 0 && startedAt > goneAt+sentAfterDisconnectTolerance {
+		b.counters.increment(counterSentAfterDisconnect)
 	}
-	return other
 }
 
-// more reads the next piece of an answer. Guards against an answer that begins and does not end.
-func more(line *transport.Line, until time.Time) transport.End {
-	begun := len(line.Unread()) > 0
-	if begun && time.Until(until) > nextPieceTimeout {
-		until = time.Now().Add(nextPieceTimeout)
-	}
-	end := line.Fill(until)
-	if end == transport.Silent && begun {
-		return transport.Garbled
+func earlier(one, other time.Time) time.Time {
+	if one.Before(other) {
+		return one
 	}
-	return end
+	return other
 }
 
-// pass hands a large value on as it comes, so that little of it is ever here, and reads what stands behind it. It says
-// how that ended, and whether the connection is clean.
-func (b *Balancer) pass(line *transport.Line, size int, n *news, told chan<- news) (end transport.End, clean bool) {
-	value, into := io.Pipe()
-	n.begun = &begun{size, value, make(chan bool, 1)}
-	n.what = begins
-	told <- *n
-	if !<-n.begun.take {
-		return transport.CalledOff, false
-	}
-	defer into.CloseWithError(errCut) // No more than a second Close where it is whole.
-	for ended := 0; ended < len("\r\n"); {
-		if line.Widen(); len(line.Unread()) == 0 {
-			if end = line.Fill(time.Now().Add(nextLargePieceTimeout)); end != transport.Open {
-				return end, false
-			}
+// readAnswer reads the server's answer into the result. isReusable: nothing but whole answers came on the connection.
+func (x *exchange) readAnswer(line *transport.Line, deadline time.Time, result *attemptResult) (end transport.End, isReusable bool) {
+	for {
+		if size, start := protocol.Large(line.Unread()); size > 0 {
+			result.latency = x.balancer.now() - result.startedAt
+			line.Skip(start)
+			return x.streamValue(line, size, result)
 		}
-		came := line.Unread()
-		if size > 0 {
-			came = came[:min(size, len(came))]
-			if _, err := into.Write(came); err != nil {
-				line.Cut() // Nobody reads it any more.
-				return transport.CalledOff, false
+		end, value, report, cacheResult, length := protocol.Answer(line.Unread())
+		result.cacheResult = cacheResult
+		if end == transport.Open {
+			if end := readMore(line, deadline); end != transport.Open {
+				return end, true
 			}
-			size -= len(came)
-			line.Skip(len(came))
 			continue
 		}
-		// Guards the client against a value that is not as long as was said: it must be able to tell.
-		if came[0] != "\r\n"[ended] {
-			return transport.Garbled, false
+		if end == transport.Settled {
+			result.answer = protocol.AppendSettled(nil, value)
 		}
-		ended++
-		line.Skip(1)
+		result.load = x.balancer.parseReport(report)
+		line.Skip(length)
+		return end, true
 	}
-	_, _ = into.Write([]byte("\r\n")) // The reader may have gone: its client left.
-	_ = into.Close()
-	return b.passRest(line, n)
 }
 
-// passRest reads what stands behind a large value: the value was whole, whatever comes of it.
-func (b *Balancer) passRest(line *transport.Line, n *news) (end transport.End, clean bool) {
-	for until := time.Now().Add(nextPieceTimeout); ; { // In all: a rest that trickles in must not keep the request's place.
-		how, report, note, length := protocol.Rest(line.Unread())
-		if how == transport.Settled {
-			n.note, n.load = note, b.report(report)
-			line.Skip(length)
-			return transport.Settled, true
-		}
-		if how != transport.Open || line.Fill(until) != transport.Open {
-			return transport.Settled, false
-		}
+// readMore reads the next piece of an answer. Guards against an answer that begins and does not end.
+func readMore(line *transport.Line, deadline time.Time) transport.End {
+	hasBegun := len(line.Unread()) > 0
+	if hasBegun && time.Until(deadline) > nextPieceTimeout {
+		deadline = time.Now().Add(nextPieceTimeout)
+	}
+	end := line.Fill(deadline)
+	if end == transport.Silent && hasBegun {
+		return transport.Garbled
 	}
+	return end
 }
 
-// report reads a server's load report, nil if there is none.
-func (b *Balancer) report(text []byte) []float64 {
-	if load := make([]float64, len(b.fields)); tables.Report(text, "=", b.fields, load) {
+// parseReport reads a server's load report, nil if there is none.
+func (b *Balancer) parseReport(text []byte) []float64 {
+	if load := make([]float64, len(b.catalog.reportFields)); tables.Report(text, "=", b.catalog.reportFields, load) {
 		return load
 	}
 	return nil
--- a/routing/bounds.go
+++ b/routing/bounds.go
@@ -1,14 +1,14 @@
 package routing
 
-// Bounds on what is kept of servers. They follow from maxServers alone, so that a list of any length up to it may drain, go or be taken out by
-// hand as a whole.
+// Bounds on what is kept of endpoints. They follow from maxEndpoints alone, so that all endpoints of any list up to it may drain, be removed
+// or be ejected by hand.
 const (
-	maxServers  = 4096                                   // names once listed that are known; as many may be out by hand, or gone and kept
-	maxBans     = maxServers                             // servers out by hand
-	maxBansFile = maxBans * (MaxServerName + len(`"",`)) // bytes of the file that names them
-	maxEntry    = 1 << 10                                // bytes of one entry of a list, in the mean
-	maxList     = maxServers * maxEntry                  // bytes of one list
+	maxEndpoints     = 4096                                          // names of the past that are known; as many may be ejected, or removed and kept
+	maxEjections     = maxEndpoints                                  // by hand
+	maxEjectionsFile = maxEjections * (MaxEndpointName + len(`"",`)) // bytes of the file that names them
+	maxEntryBytes    = 1 << 10                                       // of one entry of a list, in the mean
+	maxListBytes     = maxEndpoints * maxEntryBytes                  // of one list
 )
 
-// MaxServerName is how many bytes the name of a server may have that is taken out by hand.
-const MaxServerName = 512
+// MaxEndpointName is how many bytes the name of an endpoint may have that is ejected by hand.
+const MaxEndpointName = 512
--- /dev/null
+++ b/routing/catalog.go
@@ -0,0 +1,91 @@
+package routing
+
+import (
+	"strconv"
+
+	"hollylever/tables"
+)
+
+// catalog holds what the settings name, and the index by which the policy knows each name. It does not change after New.
+type catalog struct {
+	workloads         map[string]int
+	expectedTimes     []int64      // latency objectives in ns, by workload
+	isSingleShot      map[int]bool // workloads that must not run twice
+	tenants           map[string]int
+	machineTypes      map[string]int
+	machineTypeNames  []string // by index
+	zones             map[string]int
+	zoneNames         []string       // by index
+	reportFields      map[string]int // of load reports
+	onlyDrainingBinds bool           // an endpoint that the list removed without a drain is kept for removedRetention
+}
+
+// newCatalog reads the names from the settings.
+func newCatalog(settings map[string]any) catalog {
+	c := catalog{
+		workloads:    tables.Places(settings, "workloads", ".name"),
+		isSingleShot: map[int]bool{},
+		tenants:      tables.Places(settings, "tenants", ".name"),
+		machineTypes: tables.Places(settings, "hostTypes", ""),
+		zones:        tables.Places(settings, "zones", ""),
+		reportFields: tables.Places(settings, "report.fields", ""),
+	}
+	c.machineTypeNames, c.zoneNames = namesByIndex(c.machineTypes), namesByIndex(c.zones)
+	for _, w := range c.workloads {
+		c.isSingleShot[w] = settings["workloads."+strconv.Itoa(w)+".effect"] == "single_shot"
+	}
+	for w := range len(c.workloads) {
+		c.expectedTimes = append(c.expectedTimes, int64(settingNumber(settings, "workloads."+strconv.Itoa(w)+".expectedTime")*1e6))
+	}
+	c.onlyDrainingBinds, _ = settings["invariants.onlyDrainingBinds"].(bool)
+	return c
+}
+
+// machineType returns the index of a machine type. All types that the settings do not name share one index more.
+func (c *catalog) machineType(name string) int {
+	if index, isNamed := c.machineTypes[name]; isNamed {
+		return index
+	}
+	return len(c.machineTypes)
+}
+
+// zone returns the index of a zone, -1 where the settings do not name it.
+func (c *catalog) zone(name string) int { return indexOrUnknown(c.zones, name) }
+
+// tenant returns the index of a tenant, -1 where the settings do not name it.
+func (c *catalog) tenant(name string) int { return indexOrUnknown(c.tenants, name) }
+
+func indexOrUnknown(indices map[string]int, name string) int {
+	if index, isNamed := indices[name]; isNamed {
+		return index
+	}
+	return -1
+}
+
+// settingNumber returns a number of the settings, 0 where there is none.
+func settingNumber(settings map[string]any, name string) float64 {
+	number, _ := settings[name].(float64)
+	return number
+}
+
+// namesByIndex reverses a table of the settings. It is made once: a search for each of as many names as there are endpoints takes long
+// under the lock.
+func namesByIndex(indices map[string]int) []string {
+	size := 0
+	for _, index := range indices {
+		size = max(size, index+1)
+	}
+	names := make([]string, size)
+	for name, index := range indices {
+		names[index] = name
+	}
+	return names
+}
+
+// nameAt returns the name at an index of one of the settings' tables; "" where the settings do not have it.
+func nameAt(names []string, index int) string {
+	if index < 0 || index >= len(names) {
+		return ""
+	}
+	return names[index]
+}
--- a/routing/drains.go
+++ b/routing/drains.go
@@ -2,19 +2,19 @@
 
 import "container/list"
 
-// Drain is a host that the list called draining or gone, and under which index.
+// Drain is an endpoint that the list called draining or removed, and under which index.
 type Drain struct {
 	Host  string
 	Index uint64
 }
 
-// drainLog keeps the last drain of each host, the oldest first, for maxServers hosts at most.
+// drainLog keeps the last drain of each endpoint, the oldest first, for maxEndpoints endpoints at most. Balancer.mu guards it.
 type drainLog struct {
 	byHost map[string]*list.Element
 	order  list.List // of Drain
 }
 
-// add records a drain, in place of an earlier one of the same host. Beyond the bound the oldest is dropped.
+// add records a drain, in place of an earlier one of the same endpoint. Beyond the bound the oldest is dropped.
 func (l *drainLog) add(host string, index uint64) {
 	if l.byHost == nil {
 		l.byHost = map[string]*list.Element{}
@@ -23,7 +23,7 @@
 		l.order.Remove(earlier)
 	}
 	l.byHost[host] = l.order.PushBack(Drain{host, index})
-	if l.order.Len() > maxServers {
+	if l.order.Len() > maxEndpoints {
 		delete(l.byHost, l.order.Remove(l.order.Front()).(Drain).Host)
 	}
 }
--- /dev/null
+++ b/routing/endpointlist.go
@@ -0,0 +1,214 @@
+package routing
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"hollylever/policy"
+	"hollylever/protocol"
+	"hollylever/transport"
+)
+
+// listState is what is known of the endpoint list as a whole, and of the watches on it. Balancer.mu guards it.
+type listState struct {
+	discovery         string       // address of the discovery service
+	index             uint64       // of the list last applied
+	updates           int          // lists applied so far
+	watches           []*listWatch // open ones, oldest first; maxWatches at most
+	isFailing         bool         // the list cannot be followed
+	heardAt           time.Time    // when a watch last brought something complete, or broke off; zero after a change of discovery
+	requiredDiscovery string       // by the fleet's configuration; "": each process's own counts
+	minIndex          uint64       // of lists that count in full, by the fleet's configuration
+}
+
+// endpointList is a list, or the changes to one, as discovery sends it.
+type endpointList struct {
+	index   uint64
+	isFull  bool // it has all endpoints; else only those that changed
+	entries []listEntry
+}
+
+// listEntry is one endpoint of a list.
+type listEntry struct {
+	name, address, status, machineType, zone string
+	statedStart                              int64
+	replicaGroup                             int
+	weight                                   float64
+}
+
+// parseList reads a list in discovery's form.
+func parseList(text []byte) (endpointList, error) {
+	var list endpointList
+	begin := func(index uint64, isFull bool) { list.index, list.isFull = index, isFull }
+	entry := func(name, address, status string, start int64, machineType, zone string, group int, weight float64) {
+		list.entries = append(list.entries, listEntry{name, address, status, machineType, zone, start, group, weight})
+	}
+	return list, protocol.List(text, begin, entry)
+}
+
+// counts reports whether a list counts in full by the fleet's configuration.
+func (s *listState) counts(index uint64) bool {
+	return index >= s.minIndex && (s.requiredDiscovery == "" || s.requiredDiscovery == s.discovery)
+}
+
+// applyList applies a list to the endpoints and the policy. isSaved: it is from before the start. It fails where the list cannot be
+// read, or where its watch was cancelled. It takes the lock.
+func (b *Balancer) applyList(watch context.Context, text []byte, isSaved bool) error {
+	// A list of thousands of endpoints takes as long to read as many requests do: it is read before the lock is taken.
+	list, err := parseList(text)
+	if err != nil {
+		return err
+	}
+	update := listUpdate{balancer: b, list: list, isSaved: isSaved}
+	defer func() { update.changes.log(b.log) }() // Not under the lock: whoever reads the log may be slow.
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if err := watch.Err(); err != nil {
+		return err
+	}
+	update.now = b.now()
+	update.apply()
+	return nil
+}
+
+// listUpdate is a list while it is applied, under the lock.
+type listUpdate struct {
+	balancer *Balancer
+	list     endpointList
+	isSaved  bool  // the list is from before the start
+	now      int64 // by the policy's clock
+	changes  listChanges
+}
+
+func (u *listUpdate) apply() {
+	b := u.balancer
+	if !u.isSaved && !b.list.counts(u.list.index) {
+		u.keepDrainsOnly()
+	}
+	b.list.index, u.changes.index = u.list.index, u.list.index
+	b.list.updates++
+	b.policy.BeginEndpointUpdate(u.kind())
+	for i := range b.endpoints.all {
+		b.endpoints.all[i].isListed = false
+	}
+	for _, entry := range u.list.entries {
+		u.applyEntry(entry)
+	}
+	u.removeUnlistedAndDisplaced()
+	b.policy.CommitEndpointUpdate(u.now)
+	b.releaseRemovedEndpoints(u.now)
+}
+
+// keepDrainsOnly reduces a list that the fleet does not follow, or one before the index that it has agreed on, to its drains: an
+// endpoint that is about to stop must not get requests, whichever list says so.
+func (u *listUpdate) keepDrainsOnly() {
+	isReady := func(e listEntry) bool { return healthByStatus[e.status] == policy.Ready }
+	u.list.entries, u.list.isFull = slices.DeleteFunc(u.list.entries, isReady), false
+}
+
+func (u *listUpdate) kind() policy.UpdateKind {
+	switch {
+	case u.isSaved:
+		return policy.SavedList
+	case u.list.isFull:
+		return policy.FullList
+	}
+	return policy.IncrementalList
+}
+
+// applyEntry takes over one endpoint of the list.
+func (u *listUpdate) applyEntry(entry listEntry) {
+	b := u.balancer
+	health := healthByStatus[entry.status]
+	b.endpoints.everListed.add(entry.name)
+	i, isKnown := b.endpoints.byName[entry.name]
+	if !isKnown && health == policy.Removed {
+		return
+	}
+	previousStatus := ""
+	if isKnown {
+		previousStatus = statusByHealth[b.endpoints.all[i].health]
+		if address := b.endpoints.all[i].address; address != entry.address {
+			b.pool.Drop(transport.Peer{Server: i, Address: address})
+		}
+	} else {
+		i = b.endpoints.allocate()
+	}
+	previous := b.endpoints.all[i]
+	startedAt := previous.startedAt
+	if !isKnown || previous.statedStart != entry.statedStart {
+		startedAt = b.fromWallClock(entry.statedStart)
+	}
+	b.endpoints.byName[entry.name] = i
+	b.endpoints.all[i] = endpoint{
+		name:         entry.name,
+		address:      entry.address,
+		health:       health,
+		statedStart:  entry.statedStart,
+		startedAt:    startedAt,
+		machineType:  b.catalog.machineType(entry.machineType),
+		zone:         b.catalog.zone(entry.zone),
+		replicaGroup: entry.replicaGroup,
+		weight:       entry.weight,
+		isListed:     true,
+		attempts:     previous.attempts,
+		isRetired:    previous.isRetired,
+	}
+	u.setHealth(i, previousStatus, health)
+}
+
+// removeUnlistedAndDisplaced removes the endpoints that a full list does not have, and those whose address belongs to another by now.
+func (u *listUpdate) removeUnlistedAndDisplaced() {
+	b := u.balancer
+	removesUnlisted := u.isSaved || u.list.isFull
+	ownerByAddress := map[string]int{}
+	for i := range b.endpoints.all {
+		e := &b.endpoints.all[i]
+		if !e.isPresent() {
+			continue
+		}
+		if removesUnlisted && !e.isListed {
+			u.remove(i)
+			continue
+		}
+		// Guards a new endpoint against requests that are meant for the one that had its address: the list is late, and that one has
+		// gone. Whichever started last has the address.
+		owner, isShared := ownerByAddress[e.address]
+		switch {
+		case !isShared:
+			ownerByAddress[e.address] = i
+		case b.endpoints.all[owner].startedAt < e.startedAt:
+			u.displace(owner)
+			ownerByAddress[e.address] = i
+		case b.endpoints.all[owner].startedAt > e.startedAt:
+			u.displace(i)
+		}
+	}
+}
+
+// displace removes an endpoint whose address is another's.
+func (u *listUpdate) displace(i int) {
+	u.balancer.endpoints.all[i].isRetired = true
+	u.remove(i)
+}
+
+func (u *listUpdate) remove(i int) {
+	u.setHealth(i, statusByHealth[u.balancer.endpoints.all[i].health], policy.Removed)
+}
+
+// setHealth sets an endpoint's health by the list, records what changed, and passes it to the policy. previousStatus is "" for an
+// endpoint that was not known.
+func (u *listUpdate) setHealth(i int, previousStatus string, health policy.Health) {
+	b := u.balancer
+	e := &b.endpoints.all[i]
+	if statusByHealth[health] != previousStatus && !u.isSaved {
+		u.changes.add(e.name, health)
+		if health != policy.Ready && previousStatus == statusByHealth[policy.Ready] {
+			b.drains.add(e.name, b.list.index)
+		}
+	}
+	e.health, e.removedAt = health, u.now
+	e.isRetired = health == policy.Draining || health == policy.Removed && e.isRetired
+	b.updatePolicyEndpoint(u.now, i)
+}
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -8,238 +8,278 @@
 	"hollylever/transport"
 )
 
-// caller is the client of a request, as far as the request has to do with it.
-type caller struct {
-	received time.Time       // when the request's last byte arrived at this machine; its time counts from then
-	good     func()          // called once the request is taken up
-	left     <-chan struct{} // closed when the client goes away; nil: it never does
-	gone     func() bool     // looks at the connection itself; nil: there is none to look at
+// outcomeByEnd is what an attempt's end is to the policy. TurnedAway up to Withdrawn prove that it never ran: its last byte was not sent.
+var outcomeByEnd = map[transport.End]policy.Outcome{
+	transport.Settled:    policy.OK,
+	transport.Errored:    policy.Errored,
+	transport.TurnedAway: policy.Rejected,
+	transport.Refused:    policy.ConnectFailed,
+	transport.NeverUp:    policy.ConnectFailed,
+	transport.NoRoom:     policy.NotSent,
+	transport.CutShort:   policy.ConnectFailed,
+	transport.Stuck:      policy.ConnectFailed,
+	transport.Withdrawn:  policy.NotSent,
+	transport.Broken:     policy.Reset,
+	transport.Silent:     policy.TimedOut,
+	transport.CalledOff:  policy.Cancelled,
+	transport.Garbled:    policy.Reset,
 }
 
-// hasGone tells whether the client has gone by now, also where nobody has read its end yet. Both its end and what has an attempt sent
-// may have become due while the process was held up, and then come in any order.
-func (c caller) hasGone() bool { return c.gone != nil && c.gone() }
+// client is the client of a request, as far as the request depends on it.
+type client struct {
+	receivedAt   time.Time       // when the request's last byte arrived at this machine; its timeout counts from then
+	onAdmitted   func()          // called once the request is admitted
+	disconnected <-chan struct{} // closed when the client disconnects; nil: it never does
+	hasEnded     func() bool     // checks the connection itself; nil: there is none to check
+}
+
+// isGone reports whether the client has disconnected by now, also where nobody has read the end of its connection yet. Both that end and
+// what starts an attempt may have become due while the process was held up, and are then handled in any order.
+func (c client) isGone() bool { return c.hasEnded != nil && c.hasEnded() }
 
-// exchange is the life of one request: from its words over its attempts to its one final answer, and on until its last attempt has
-// ended. One goroutine runs it; all that it is told comes over one channel.
+// exchange is the life of one request: from its arguments over its attempts to its one final answer, and on until its last attempt has
+// ended. One goroutine, that of handleRequest, owns it; attempts read only what is set before they start.
 type exchange struct {
-	balancer *Balancer
-	words    [][]byte
-	write    bool
-	turn     turn
-	caller   caller
-
-	id         string
-	class      int
-	index      int   // of its slot
-	size       int64 // what it takes of the memory for requests
-	lines      []*transport.Line
-	over       int // attempts that have ended
-	isAnswered bool
-	hasLeft    bool   // its client
-	large      *begun // the large value that its client is being given
-	record     requestRecord
-}
-
-// retrieve runs a request to its end.
-func (b *Balancer) retrieve(words [][]byte, write bool, t turn, from caller) {
-	x := &exchange{balancer: b, words: words, write: write, turn: t, caller: from}
-	told, isAdmitted := x.admit()
-	if !isAdmitted {
+	balancer  *Balancer
+	arguments [][]byte
+	isWrite   bool
+	reply     pendingReply
+	client    client
+
+	id            string
+	workload      int
+	slot          int // in the request table
+	events        chan event
+	bytes         int64             // of memory that the request takes
+	lines         []*transport.Line // the connection of each attempt
+	attemptsEnded int
+	isAnswered    bool // it has its final answer, or its client has gone and needs none
+	isClientGone  bool
+	large         *largeValue // that its client is sent; nil without one
+	record        requestRecord
+}
+
+// handleRequest runs a request to its end.
+func (b *Balancer) handleRequest(arguments [][]byte, isWrite bool, reply pendingReply, from client) {
+	x := &exchange{balancer: b, arguments: arguments, isWrite: isWrite, reply: reply, client: from}
+	if !x.admit() {
 		return
 	}
-	from.good()
-	for left := from.left; !x.isAnswered || x.over < x.decided(); {
-		if x.hasLeft {
-			left = nil
+	from.onAdmitted()
+	x.handleEvents()
+	delivery := <-reply.delivery // Until then its answer takes memory.
+	x.record.answered = time.Since(x.client.receivedAt)
+	x.logEnd(delivery)
+	x.release()
+}
+
+// handleEvents returns once the request has its final answer and each attempt has ended.
+func (x *exchange) handleEvents() {
+	disconnected := x.client.disconnected
+	for !x.isAnswered || x.attemptsEnded < x.attemptsStarted() {
+		if x.isClientGone {
+			disconnected = nil
 		}
 		select {
-		case <-left:
-			x.clientLeft()
-		case n := <-told:
-			x.handle(n, told)
+		case <-disconnected:
+			x.disconnect()
+		case e := <-x.events:
+			e.handle(x)
 		}
 	}
-	how := <-t.written // Until then its answer takes memory.
-	x.record.written = time.Since(x.caller.received)
-	x.logEnd(how)
-	x.release()
 }
 
-// decided is how many attempts the module has decided on.
-func (x *exchange) decided() int {
+// attemptsStarted is how many attempts the policy has decided on.
+func (x *exchange) attemptsStarted() int {
 	x.balancer.mu.Lock()
 	defer x.balancer.mu.Unlock()
-	return len(x.balancer.slots[x.index].at)
+	return len(x.balancer.requests.slots[x.slot].attemptEndpoints)
 }
 
-// clientLeft ends what is under way for a client that has gone, once.
-func (x *exchange) clientLeft() {
-	if x.hasLeft {
+// disconnect ends what is under way for a client that has gone, once.
+func (x *exchange) disconnect() {
+	if x.isClientGone {
 		return
 	}
-	x.hasLeft = true
-	b := x.balancer
+	x.isClientGone = true
 	if !x.isAnswered {
-		x.record.how = "left"
+		x.record.outcome = outcomeDisconnected
 	}
 	x.isAnswered = true
+	x.cancelAfterDisconnect()
+	x.withdrawUnsent()
+	if x.large != nil {
+		_ = x.large.body.Close()
+	}
+}
+
+// cancelAfterDisconnect has the policy decide on no further attempt.
+func (x *exchange) cancelAfterDisconnect() {
+	b := x.balancer
 	b.mu.Lock()
-	delete(b.open, x.id)
-	if slot := &b.slots[x.index]; !slot.final {
-		slot.final = true
-		b.counts[count{"left", none}]++
-		if x.over == len(x.lines) {
-			b.counts[count{"left_waiting", none}]++
+	defer b.mu.Unlock()
+	delete(b.requests.openIDs, x.id)
+	slot := &b.requests.slots[x.slot]
+	if !slot.isFinal {
+		slot.isFinal = true
+		b.counters.increment(counterDisconnected)
+		if x.attemptsEnded == len(x.lines) {
+			b.counters.increment(counterDisconnectedWaiting)
 		}
-		b.module.HandleClientCancelled(b.now(), x.index)
-	}
-	b.slots[x.index].left = b.now()
-	b.mu.Unlock()
-	x.withdraw()
-	if x.large != nil {
-		_ = x.large.value.Close()
+		b.policy.HandleClientCancelled(b.now(), x.slot)
 	}
+	slot.clientGoneAt = b.now()
 }
 
-// withdraw calls off what has not been handed over.
-func (x *exchange) withdraw() {
+// withdrawUnsent ends the attempts whose last byte has not been sent.
+func (x *exchange) withdrawUnsent() {
 	for _, line := range x.lines {
 		line.Withdraw()
 	}
 }
 
-// handle does what the module decided, or takes in how an attempt went.
-func (x *exchange) handle(n news, told chan news) {
-	switch n.what {
-	case send:
-		line := x.balancer.pool.Line()
-		x.lines = append(x.lines, line)
-		x.record.attempts = append(x.record.attempts, attemptRecord{server: n.name, sent: time.Since(x.caller.received)})
-		if x.isAnswered {
-			line.Cut() // Its client went away between the decision and this.
-		}
-		go x.attempt(line, n, told)
-	case callOff:
-		x.lines[n.trip].Cut()
-	case dismiss:
-		x.finish(protocol.AppendDismissed(nil, n.until), "dismissed")
-	case giveUp:
-		x.finish(protocol.AppendGivenUp(nil), "given_up")
-	case begins:
-		x.largeBegins(n)
-	case clientGone:
-		x.clientLeft()
-	case ended:
-		x.attemptEnded(n)
+func (e attemptStarted) handle(x *exchange) {
+	line := x.balancer.pool.Line()
+	x.lines = append(x.lines, line)
+	x.record.attempts = append(x.record.attempts, attemptRecord{server: e.name, sent: time.Since(x.client.receivedAt)})
+	if x.isAnswered {
+		line.Cut() // The client disconnected between the decision and this.
 	}
+	go x.runAttempt(line, e.attempt)
+}
+
+func (e attemptCancelled) handle(x *exchange) { x.lines[e.number].Cut() }
+
+func (e requestRejected) handle(x *exchange) {
+	x.finish(protocol.AppendDismissed(nil, e.retryAfter), outcomeRejected)
 }
 
+func (requestFailed) handle(x *exchange) { x.finish(protocol.AppendGivenUp(nil), outcomeFailed) }
+
+func (clientGone) handle(x *exchange) { x.disconnect() }
+
 // finish gives the final answer, if none was given.
-func (x *exchange) finish(answer []byte, how string) {
+func (x *exchange) finish(answer []byte, outcome string) {
 	if x.isAnswered {
 		return
 	}
 	x.isAnswered = true
-	x.record.how = how
-	x.withdraw() // Nothing is sent for it from now on.
+	x.record.outcome = outcome
+	x.withdrawUnsent()
 	b := x.balancer
 	b.mu.Lock()
-	delete(b.open, x.id)
-	b.counts[count{how, x.class}]++
+	delete(b.requests.openIDs, x.id)
+	b.counters.incrementFor(outcome, x.workload)
 	b.mu.Unlock()
-	x.turn.answer <- reply{bytes: answer}
+	x.reply.reply <- reply{bytes: answer}
 }
 
-// largeBegins gives the client a large value as it comes, unless it has its final answer. It counts once it is whole.
-func (x *exchange) largeBegins(n news) {
-	b := x.balancer
-	b.mu.Lock()
-	takes := !b.slots[x.index].final
-	if takes {
-		b.slots[x.index].final = true
-		b.heap += 2 * pieceOf
-		x.size += 2 * pieceOf
-		b.module.HandleResponseStarted(x.index, n.trip)
-	}
-	b.mu.Unlock()
-	if n.begun.take <- takes; !takes {
+// handle passes a large value on to the client as it comes, unless the request has its final answer. It counts as answered once the value
+// is complete.
+func (e responseStarted) handle(x *exchange) {
+	isAccepted := x.acceptLargeValue(e.number)
+	if e.value.isAccepted <- isAccepted; !isAccepted {
 		return
 	}
-	x.large, x.isAnswered, x.record.how = n.begun, true, "settled"
-	for trip, line := range x.lines {
-		if trip != n.trip {
+	x.large, x.isAnswered, x.record.outcome = e.value, true, outcomeAnswered
+	for number, line := range x.lines {
+		if number != e.number {
 			line.Cut()
 		}
 	}
-	x.turn.answer <- reply{bytes: protocol.AppendBegun(nil, x.large.size), value: x.large.value}
+	x.reply.reply <- reply{bytes: protocol.AppendBegun(nil, x.large.size), value: x.large.body}
+}
+
+// acceptLargeValue makes an attempt's large value the final answer, unless there is one.
+func (x *exchange) acceptLargeValue(number int) bool {
+	b := x.balancer
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	slot := &b.requests.slots[x.slot]
+	if slot.isFinal {
+		return false
+	}
+	slot.isFinal = true
+	b.requests.bytes += 2 * pieceSize // One piece is read while one is written.
+	x.bytes += 2 * pieceSize
+	b.policy.HandleResponseStarted(x.slot, number)
+	return true
+}
+
+// handle passes an attempt's end to the policy. The first value that comes is the final answer.
+func (e attemptEnded) handle(x *exchange) {
+	x.attemptsEnded++
+	if isFinal := x.recordResult(e.attemptResult); isFinal {
+		x.finish(e.answer, outcomeAnswered)
+	}
 }
 
-// attemptEnded tells the module how an attempt ended. The first value that comes is the final answer.
-func (x *exchange) attemptEnded(n news) {
-	x.over++
+// recordResult counts an attempt's end and passes it to the policy. It reports whether it has the final answer.
+func (x *exchange) recordResult(r attemptResult) (isFinal bool) {
 	b := x.balancer
 	b.mu.Lock()
-	now, outcome, took := b.now(), x.outcomeOf(n), n.took
-	if took == 0 {
-		took = now - n.at
+	defer b.mu.Unlock()
+	now, outcome, latency := b.now(), x.outcomeOf(r), r.latency
+	if latency == 0 {
+		latency = now - r.startedAt
 	}
-	x.record.attempts[n.trip].end, x.record.attempts[n.trip].took = n.end, time.Duration(took)
-	isFinal := outcome == policy.OK && !b.slots[x.index].final
+	x.record.attempts[r.number].end, x.record.attempts[r.number].took = r.end, time.Duration(latency)
+	slot := &b.requests.slots[x.slot]
+	isFinal = outcome == policy.OK && !slot.isFinal
 	if isFinal {
-		b.slots[x.index].final = true
-		x.size += int64(len(n.answer))
-		b.heap += int64(len(n.answer))
+		slot.isFinal = true
+		x.bytes += int64(len(r.answer))
+		b.requests.bytes += int64(len(r.answer))
 	} else if outcome != policy.OK {
-		b.counts[count{"trip_" + n.end.String(), none}]++
+		b.counters.increment(counterAttemptPrefix + r.end.String())
 	}
-	if n.load != nil {
-		b.module.HandleLoadReport(n.server, n.load)
+	if r.load != nil {
+		b.policy.HandleLoadReport(r.endpoint, r.load)
 	}
-	if outcome == policy.OK && !x.write {
-		if b.reads++; n.note > 1 {
-			b.misses++
-		}
-	}
-	if b.fellows != nil {
-		b.fellows.HandleAttemptEnded(b.servers[n.server].name, outcome, took, b.expected[x.class])
+	if outcome == policy.OK && !x.isWrite {
+		b.counters.countRead(r.cacheResult)
 	}
-	b.deciding()
-	b.module.HandleAttemptEnded(now, x.index, policy.AttemptResult{Attempt: n.trip, Endpoint: n.server, CacheResult: n.note, Outcome: outcome, Latency: took, IsAnswered: b.slots[x.index].final})
-	b.mu.Unlock()
-	if isFinal {
-		x.finish(n.answer, "settled")
+	if b.outlierExchange != nil {
+		b.outlierExchange.HandleAttemptEnded(b.endpoints.all[r.endpoint].name, outcome, latency, b.catalog.expectedTimes[x.workload])
 	}
+	b.checkLease()
+	b.policy.HandleAttemptEnded(now, x.slot, policy.AttemptResult{Attempt: r.number, Endpoint: r.endpoint, CacheResult: r.cacheResult,
+		Outcome: outcome, Latency: latency, IsAnswered: b.requests.slots[x.slot].isFinal})
+	return isFinal
 }
 
-// outcomeOf is what an attempt's end means to the module; under the lock.
-func (x *exchange) outcomeOf(n news) policy.Outcome {
-	b, outcome := x.balancer, outcomes[n.end]
+// outcomeOf is what an attempt's end is to the policy; under the lock.
+func (x *exchange) outcomeOf(r attemptResult) policy.Outcome {
+	outcome := outcomeByEnd[r.end]
 	switch {
 	case x.large == nil:
-	case n.begun == x.large:
-		delete(b.open, x.id)
-		how := "given_up"
-		if outcome == policy.OK {
-			how = "settled"
-		}
-		b.counts[count{how, x.class}]++
+	case r.value == x.large:
+		x.countLargeValue(outcome)
 	case outcome == policy.OK:
-		return policy.Cancelled // It came while the large value was begun: nobody waits for it.
+		return policy.Cancelled // It came after the large value had begun: nobody waits for it.
 	}
 	return outcome
 }
 
+// countLargeValue counts the final answer of a request whose client is sent a large value; under the lock.
+func (x *exchange) countLargeValue(outcome policy.Outcome) {
+	b := x.balancer
+	delete(b.requests.openIDs, x.id)
+	if outcome == policy.OK {
+		b.counters.incrementFor(outcomeAnswered, x.workload)
+	} else {
+		b.counters.incrementFor(outcomeFailed, x.workload)
+	}
+}
+
 // release gives back what the request took.
 func (x *exchange) release() {
 	b := x.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.heap -= x.size
-	for _, s := range b.slots[x.index].at {
-		b.servers[s].trips--
-		b.forgets(b.now(), s, 0)
+	b.requests.bytes -= x.bytes
+	for _, endpoint := range b.requests.slots[x.slot].attemptEndpoints {
+		b.releaseAttempt(endpoint)
 	}
-	b.slots[x.index] = slot{}
-	b.held.Give(x.index)
+	b.requests.release(x.slot)
 }
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -8,167 +8,164 @@
 	"hollylever/policy"
 )
 
-// What a fleet of balancers agrees on, laid over what this one knows. Without a fleet nothing of this is called.
+// The methods in this file are called by a fleet's member. Without a fleet none of them is.
 
-// Fellows is what a fleet is told of trips, and what it knows of servers. It is called under the lock, and may not call back.
+// OutlierExchange is the fleet's shared outlier detection. It is called under Balancer.mu, and may not call back.
 type OutlierExchange interface {
-	HandleAttemptStarted(server string) (part float64, heeded bool)
-	HandleAttemptEnded(server string, how policy.Outcome, took, expected int64)
+	// HandleAttemptStarted is told of an attempt. It returns by which part the endpoint's chance of success is to be reduced from
+	// now on, if isSuppressed.
+	HandleAttemptStarted(endpoint string) (part float64, isSuppressed bool)
+	// HandleAttemptEnded is told of an attempt's outcome, its latency and the latency objective, both in ns.
+	HandleAttemptEnded(endpoint string, outcome policy.Outcome, latency, objective int64)
 }
 
-// Joins has a fleet told of trips from now on.
-func (b *Balancer) SetOutlierExchange(f OutlierExchange) {
+// SetOutlierExchange has a fleet told of attempts from now on.
+func (b *Balancer) SetOutlierExchange(exchange OutlierExchange) {
 	b.mu.Lock()
-	b.fellows = f
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	b.outlierExchange = exchange
 }
 
-// Portion takes which part of what all balancers may do is this one's; 0: as the settings state.
-func (b *Balancer) SetBudgetShare(part float64) {
-	if part <= 0 {
-		part = 1 / max(1, number(b.settings, "balancers"))
+// ApplyPeerVerdicts passes on by which part other members' reports reduce endpoints' chances of success.
+func (b *Balancer) ApplyPeerVerdicts(parts map[string]float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for name, part := range parts {
+		if i, isListed := b.endpoints.byName[name]; isListed {
+			b.policy.UpdatePeerVerdict(i, part)
+		}
 	}
+}
+
+// SetLeaseCheck has check called before each decision, under Balancer.mu.
+func (b *Balancer) SetLeaseCheck(check func()) {
 	b.mu.Lock()
-	b.module.SetFleetShare(part)
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	if b.leaseCheck == nil && b.requests.maxHeldByFleet == 0 {
+		b.requests.maxHeldByFleet = b.requests.maxHeld
+	}
+	b.leaseCheck = check
 }
 
-// Missed is how many reads were settled since the start, and how many of them by a fetch, or by waiting for one.
-func (b *Balancer) ReadCounts() (reads, misses int) {
+// checkLease calls the lease check, if there is one; under the lock.
+func (b *Balancer) checkLease() {
+	if b.leaseCheck != nil {
+		b.leaseCheck()
+	}
+}
+
+// SetBudgetShare sets which part of what all balancers may do is this one's; 0: as the settings state.
+func (b *Balancer) SetBudgetShare(share float64) {
+	if share <= 0 {
+		share = 1 / max(1, settingNumber(b.settings, "balancers"))
+	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.reads, b.misses
+	b.policy.SetFleetShare(share)
 }
 
-// Scarce takes that reads miss for all balancers.
-func (b *Balancer) SetWidespreadMisses(is bool) {
+// SetWidespreadMisses sets whether reads miss for all balancers.
+func (b *Balancer) SetWidespreadMisses(isWidespread bool) {
 	b.mu.Lock()
-	b.module.SetWidespreadMisses(is)
-	b.mu.Unlock()
+	defer b.mu.Unlock()
+	b.policy.SetWidespreadMisses(isWidespread)
 }
 
-// Leaves takes which part of the keys does not go to each zone's servers now.
-// For the time of fills after that its servers are not passed over as slow.
-func (b *Balancer) SetEvacuation(parts map[string]float64, fills time.Duration) {
+// SetEvacuation sets which part of the keys does not go to each zone's endpoints now. For the time of refill after that the zone's
+// endpoints are not passed over as slow.
+func (b *Balancer) SetEvacuation(parts map[string]float64, refill time.Duration) {
 	b.mu.Lock()
-	for zone, part := range parts {
-		if z, stated := b.zones[zone]; stated {
-			b.module.SetEvacuation(z, part, int64(fills))
+	defer b.mu.Unlock()
+	for name, part := range parts {
+		if zone, isNamed := b.catalog.zones[name]; isNamed {
+			b.policy.SetEvacuation(zone, part, int64(refill))
 		}
 	}
-	b.mu.Unlock()
 }
 
-// WarmUp is how long a server takes until it is warm.
+// SlowStartDuration returns how long an endpoint takes until it is warm.
 func (b *Balancer) SlowStartDuration() time.Duration {
-	return time.Duration(number(b.settings, "invariants.warmUp") * 1e6)
+	return time.Duration(settingNumber(b.settings, "invariants.warmUp") * 1e6)
 }
 
-// Came is how many retrievals have come since the start.
-func (b *Balancer) RequestCount() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.counts[count{"retrievals", none}]
-}
-
-// Listed is a server that the list has.
-type Listed struct {
+// ListedEndpoint is an endpoint that the list has.
+type ListedEndpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// Servers are those that the list has.
-func (b *Balancer) Servers() (all []Listed) {
+// Servers returns the endpoints that the list has, ready or draining.
+func (b *Balancer) Servers() (all []ListedEndpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && h.health != policy.Removed {
-			all = append(all, Listed{Name: h.name, Zone: named(b.zoneNames, h.zone), Weight: h.weight})
+	for i := range b.endpoints.all {
+		if e := &b.endpoints.all[i]; e.isPresent() {
+			all = append(all, ListedEndpoint{Name: e.name, Zone: nameAt(b.catalog.zoneNames, e.zone), Weight: e.weight})
 		}
 	}
 	return all
 }
 
-// Tends takes which servers this balancer keeps idle connections to; those to others end after a moment. all: to all.
-func (b *Balancer) SetConnectionSubset(names map[string]bool, all bool) {
-	brief := map[int]bool{}
-	b.mu.Lock()
-	for s := range b.servers {
-		if h := &b.servers[s]; !all && h.name != "" && !names[h.name] {
-			brief[s] = true
-		}
-	}
-	b.mu.Unlock()
-	b.pool.Briefly(brief)
-}
-
-// Heard takes what others' word takes from servers' chances.
-func (b *Balancer) ApplyPeerVerdicts(parts map[string]float64) {
+// SetConnectionSubset sets to which endpoints this balancer keeps idle connections; those to others end soon. isAll: to all.
+func (b *Balancer) SetConnectionSubset(names map[string]bool, isAll bool) {
+	others := map[int]bool{}
 	b.mu.Lock()
-	for name, part := range parts {
-		if s, known := b.byName[name]; known {
-			b.module.UpdatePeerVerdict(s, part)
+	for i := range b.endpoints.all {
+		if e := &b.endpoints.all[i]; !isAll && e.name != "" && !names[e.name] {
+			others[i] = true
 		}
 	}
 	b.mu.Unlock()
+	b.pool.Briefly(others)
 }
 
-// Decides has f called before each decision, under the lock: it looks at the lease.
-func (b *Balancer) SetLeaseCheck(f func()) {
-	b.mu.Lock()
-	if b.decides == nil && b.mostOpen == 0 {
-		b.mostOpen = b.mostHeld
-	}
-	b.decides = f
-	b.mu.Unlock()
-}
+// The limits of the fleet's configuration.
+const (
+	limitHeld        = "held"   // requests held at most
+	limitQuotaPrefix = "quota." // and a tenant's name: the tenant's requests a second, over all balancers
+)
 
-func (b *Balancer) deciding() {
-	if b.decides != nil {
-		b.decides()
-	}
-}
+// minQuota stands for a quota of none at all, as a quota of 0 would mean that there is no limit; in requests a second.
+const minQuota = 1e-9
 
-// Heeds takes what the fleet agreed on: hosts that are out, and limits by name. held: how many retrievals are held at most; quota.T: tenant T's
-// retrievals a second, for all balancers. Where the settings have a smaller one, that counts. Of a list that is another discovery's
-// than listOf, or of an index under listFrom, only drains are taken.
-func (b *Balancer) Heeds(out []string, limits map[string]int64, listOf string, listFrom uint64) {
+// ApplyFleetConfig applies the fleet's configuration: ejected endpoints, and limits by name. Where the settings have a smaller limit,
+// that counts. Of a list that is another discovery's, or of an index under minListIndex, only drains are applied; "" as discovery:
+// each process's own counts.
+func (b *Balancer) ApplyFleetConfig(ejected []string, limits map[string]int64, discovery string, minListIndex uint64) {
 	b.mu.Lock()
-	b.listOf, b.listFrom = listOf, listFrom
-	b.mostOpen = b.mostHeld
-	if most, stated := limits["held"]; stated {
-		b.mostOpen = int(min(int64(b.mostHeld), most))
+	b.list.requiredDiscovery, b.list.minIndex = discovery, minListIndex
+	b.requests.maxHeldByFleet = b.requests.maxHeld
+	if limit, isSet := limits[limitHeld]; isSet {
+		b.requests.maxHeldByFleet = int(min(int64(b.requests.maxHeld), limit))
 	}
-	for name, t := range b.tenants {
-		quota := number(b.settings, "tenants."+strconv.Itoa(t)+".quotaRps")
-		if most, stated := limits["quota."+name]; stated && (quota <= 0 || float64(most) < quota) {
-			quota = max(float64(most), 1e-9) // None at all would mean no limit.
+	for name, tenant := range b.catalog.tenants {
+		quota := settingNumber(b.settings, "tenants."+strconv.Itoa(tenant)+".quotaRps")
+		if limit, isSet := limits[limitQuotaPrefix+name]; isSet && (quota <= 0 || float64(limit) < quota) {
+			quota = max(float64(limit), minQuota)
 		}
-		b.module.SetQuota(t, quota)
+		b.policy.SetQuota(tenant, quota)
 	}
 	b.mu.Unlock()
-	b.layOver(&b.byFleet, out)
+	b.setEjections(fleetEjections, ejected)
 }
 
-// News takes what others' later lists call draining or gone.
-func (b *Balancer) News(out []string) { b.layOver(&b.byNews, out) }
-
-// Lists tells the index of the list that is acted on, a digest that tells it from another of that index, and its last drains.
-func (b *Balancer) Lists() (index, digest uint64, drains []Drain) {
+// ListState returns the index of the list that is in force, a digest that differs for another list of the same index, and its last
+// drains, without those of endpoints that are ready again.
+func (b *Balancer) ListState() (index, digest uint64, drains []Drain) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for s := range b.servers {
-		if h := &b.servers[s]; h.name != "" && h.health != policy.Removed {
-			of := fnv.New64a()
-			of.Write([]byte(h.name))
-			of.Write([]byte{byte(h.health)})
-			digest ^= of.Sum64()
+	for i := range b.endpoints.all {
+		if e := &b.endpoints.all[i]; e.isPresent() {
+			hash := fnv.New64a()
+			hash.Write([]byte(e.name))
+			hash.Write([]byte{byte(e.health)})
+			digest ^= hash.Sum64()
 		}
 	}
-	b.drains.each(func(d Drain) { // One that is ready again is no news any more.
-		if s, known := b.byName[d.Host]; !known || b.servers[s].health != policy.Ready {
+	b.drains.each(func(d Drain) {
+		if i, isListed := b.endpoints.byName[d.Host]; !isListed || b.endpoints.all[i].health != policy.Ready {
 			drains = append(drains, d)
 		}
 	})
-	return b.index, digest, drains
+	return b.list.index, digest, drains
 }
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -13,35 +13,35 @@
 	"hollylever/policy"
 )
 
-// What the protocol says of a watch on the list of hosts.
+// What discovery's protocol says of a watch on the endpoint list.
 const (
-	emptyLineEvery = 2 * time.Second // while nothing changes
-	notifiedWithin = 6 * time.Second // a change counts as told so long after discovery had it and could be reached
+	emptyLineInterval = 2 * time.Second // of a watch while nothing changes
+	notifiedTimeout   = 6 * time.Second // a balancer must act on a change so long after discovery had it and could be reached
 )
 
-// The time of notifiedWithin is divided for the worst case, a watch that falls silent and a call after it that is never answered:
-// lineDue, callSpread, answerDue, callSpread and answerReserve add up to it.
+// notifiedTimeout is divided for the worst case, a watch that falls silent and a call after it that is never answered:
+// lineTimeout, callSpread, answerTimeout, callSpread and answerReserve add up to it.
 const (
-	lineLateness  = emptyLineEvery / 4     // an empty line may be so late; the scheduling of a busy machine
-	callSpread    = 500 * time.Millisecond // balancers whose watches break in one moment call again over this time
-	answerReserve = time.Second            // for the last call's turn at discovery and its answer
-	lineDue       = emptyLineEvery + lineLateness
-	lastCallDue   = notifiedWithin - answerReserve - callSpread // since the last word
-	answerDue     = lastCallDue - lineDue - callSpread          // 1.5 s
-	giveUpAfter   = notifiedWithin - lineDue                    // an answer later than that comes too late for a silent watch
-	maxWatches    = 2                                           // open at once: discovery has a capacity
+	lineTolerance   = emptyLineInterval / 4  // an empty line may be so late: the scheduling of a busy machine
+	callSpread      = 500 * time.Millisecond // balancers whose watches break at the same moment call again over this time
+	answerReserve   = time.Second            // for the last call's wait in discovery's queue, and its answer
+	lineTimeout     = emptyLineInterval + lineTolerance
+	lastCallTimeout = notifiedTimeout - answerReserve - callSpread // since a watch was last heard
+	answerTimeout   = lastCallTimeout - lineTimeout - callSpread   // 1.5 s
+	giveUpTimeout   = notifiedTimeout - lineTimeout                // a later answer comes too late for a silent watch
+	maxWatches      = 2                                            // open at once: discovery's capacity is limited
 )
 
 // watchTimeouts bound how long a watch may bring nothing.
 type watchTimeouts struct {
-	line     time.Duration // after the last whole list or empty line: a further call is made beside the watch
-	answer   time.Duration // the same after the start of a call that has brought nothing whole
-	lastCall time.Duration // after a watch was last heard or broke off: a call may wait its turn until then, if that is later
-	spread   time.Duration // the further call is put off by a random part of this
+	line     time.Duration // after the last complete list or empty line: a further call is made beside the watch
+	answer   time.Duration // the same after the start of a call that has brought nothing complete
+	lastCall time.Duration // after a watch was last heard or broke off: a call may wait in discovery's queue until then, if that is later
+	spread   time.Duration // the further call is delayed by a random part of this
 	giveUp   time.Duration // a watch on which nothing begins or ends for so long is closed
 }
 
-var protocolTimeouts = watchTimeouts{line: lineDue, answer: answerDue, lastCall: lastCallDue, spread: callSpread, giveUp: giveUpAfter}
+var protocolTimeouts = watchTimeouts{line: lineTimeout, answer: answerTimeout, lastCall: lastCallTimeout, spread: callSpread, giveUp: giveUpTimeout}
 
 var (
 	errMoved    = errors.New("discovery has moved")
@@ -49,20 +49,22 @@
 	errSilent   = errors.New("discovery is silent")
 )
 
-// follower makes the calls for the list. While nothing whole is heard it makes a further call beside the one that is open, as a
-// call may wait its turn at discovery and must not lose it; the first to be heard stays and the others are closed. After a
-// refusal, with no call open, the module says when to call again. Soon after a watch was heard there is time to let a call wait its
-// turn before a further one is made: when all balancers call at once, discovery is spared calls that nobody needs.
+// follower opens the watches on the endpoint list. While nothing complete is heard it opens a further one beside the one that is open:
+// a call that waits in discovery's queue must not lose its place. The first watch to be heard stays and the others are closed. After a
+// refusal, with no watch open, the policy says when to call again (WatchEndpoints). Soon after a watch was heard a call is given more
+// time before a further one is made: when all balancers call at once, that spares discovery calls that nobody needs.
+//
+// One goroutine, that of Follow, uses it.
 type follower struct {
 	balancer *Balancer
 	client   *http.Client
-	ended    chan *listWatch
-	running  sync.WaitGroup
+	ended    chan *listWatch // watches that have ended
+	running  sync.WaitGroup  // a goroutine for each watch
 	lastCall time.Time
-	delay    time.Duration // random, drawn with each call
+	delay    time.Duration // of a further call: a random part of watchTimeouts.spread, drawn with each call
 }
 
-// Follow keeps a watch on the list at discovery until the context ends.
+// Follow keeps a watch on the endpoint list at discovery until the context ends. It is called once.
 func (b *Balancer) Follow(ctx context.Context) {
 	f := &follower{balancer: b, ended: make(chan *listWatch)}
 	f.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: f.dial}}
@@ -73,12 +75,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-b.follow:
-			f.call(ctx)
+		case <-b.watchRequested:
+			f.openFirst(ctx)
 		case watch := <-f.ended:
-			f.fail(watch)
+			f.watchEnded(watch)
 		case <-overdue.C:
-			f.callBeside(ctx)
+			f.openFurther(ctx)
 		}
 		if wait, isPlanned := f.nextCall(); isPlanned {
 			overdue.Reset(wait)
@@ -90,30 +92,30 @@
 
 // dial opens a connection to discovery. It has a time limit of its own, as net/http does not end it with its request.
 func (f *follower) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.balancer.timeouts.giveUp)
+	ctx, cancel := context.WithTimeout(ctx, f.balancer.watchTimeouts.giveUp)
 	defer cancel()
-	return f.balancer.dial(ctx, network, address)
+	return f.balancer.dialDiscovery(ctx, network, address)
 }
 
-// call begins a watch, if none is open.
-func (f *follower) call(ctx context.Context) {
+// openFirst opens a watch, if none is open.
+func (f *follower) openFirst(ctx context.Context) {
 	f.balancer.mu.Lock()
 	defer f.balancer.mu.Unlock()
-	if len(f.balancer.watches) == 0 {
-		f.begin(ctx)
+	if len(f.balancer.list.watches) == 0 {
+		f.open(ctx)
 	}
 }
 
-// callBeside begins a further watch, if it is still time for it.
-func (f *follower) callBeside(ctx context.Context) {
+// openFurther opens a further watch, if one is still due.
+func (f *follower) openFurther(ctx context.Context) {
 	b := f.balancer
 	b.mu.Lock()
 	wait, isPlanned := f.untilNextCall()
 	isLost := false
 	if isPlanned && wait <= 0 {
-		isLost = b.watches[0].isEstablished && !b.failing
-		b.failing = b.failing || isLost
-		f.begin(ctx)
+		isLost = b.list.watches[0].isEstablished && !b.list.isFailing
+		b.list.isFailing = b.list.isFailing || isLost
+		f.open(ctx)
 	}
 	b.mu.Unlock()
 	if isLost {
@@ -121,17 +123,17 @@
 	}
 }
 
-// begin starts a watch. It is called under the lock.
-func (f *follower) begin(ctx context.Context) {
+// open starts a watch; under the lock.
+func (f *follower) open(ctx context.Context) {
 	b := f.balancer
 	select {
-	case <-b.follow: // Asked for in between, as by Move: this is the watch. Later it would follow a refusal with no wait.
+	case <-b.watchRequested: // Requested meanwhile, as by SetDiscovery: this is the watch. Later it would follow a refusal without backoff.
 	default:
 	}
 	watching, cancel := context.WithCancelCause(ctx)
-	watch := &listWatch{balancer: b, ctx: watching, cancel: cancel, discovery: b.discovery, index: b.index, heardAt: time.Now()}
-	b.watches = append(b.watches, watch)
-	f.lastCall, f.delay = watch.heardAt, time.Duration(rand.Float64()*float64(b.timeouts.spread))
+	watch := &listWatch{balancer: b, ctx: watching, cancel: cancel, discovery: b.list.discovery, index: b.list.index, heardAt: time.Now()}
+	b.list.watches = append(b.list.watches, watch)
+	f.lastCall, f.delay = watch.heardAt, time.Duration(rand.Float64()*float64(b.watchTimeouts.spread))
 	f.running.Go(func() {
 		watch.err = watch.run(f.client)
 		cancel(nil)
@@ -142,7 +144,7 @@
 	})
 }
 
-// nextCall tells in how long a further call is to be made beside what is open, if one is to be.
+// nextCall returns in how long a further watch is due beside those that are open, if one is.
 func (f *follower) nextCall() (wait time.Duration, isPlanned bool) {
 	f.balancer.mu.Lock()
 	defer f.balancer.mu.Unlock()
@@ -152,34 +154,35 @@
 // untilNextCall is nextCall under the lock.
 func (f *follower) untilNextCall() (wait time.Duration, isPlanned bool) {
 	b := f.balancer
-	if len(b.watches) == 0 || len(b.watches) >= maxWatches {
+	if len(b.list.watches) == 0 || len(b.list.watches) >= maxWatches {
 		return 0, false
 	}
-	due := f.lastCall.Add(b.timeouts.answer)
-	for _, watch := range b.watches {
-		if at := watch.overdueAt(b.timeouts, b.listHeardAt); at.After(due) {
+	due := f.lastCall.Add(b.watchTimeouts.answer)
+	for _, watch := range b.list.watches {
+		if at := watch.overdueAt(b.watchTimeouts, b.list.heardAt); at.After(due) {
 			due = at
 		}
 	}
 	return time.Until(due.Add(f.delay)), true
 }
 
-// fail notes the end of a watch that was not let go on purpose. If it was the last, the module plans the next call.
-func (f *follower) fail(watch *listWatch) {
+// watchEnded records the end of a watch, unless it was cancelled on purpose. If it was the last, the policy plans the next call.
+func (f *follower) watchEnded(watch *listWatch) {
 	b := f.balancer
 	b.mu.Lock()
-	i := slices.Index(b.watches, watch)
-	isLost := i >= 0 && !b.failing
+	i := slices.Index(b.list.watches, watch)
+	isLost := i >= 0 && !b.list.isFailing
 	if i >= 0 {
-		if b.watches = slices.Delete(b.watches, i, i+1); watch.isEstablished && !errors.Is(context.Cause(watch.ctx), errSilent) {
-			b.listHeardAt = time.Now() // Its end was said: until then it told what there was.
+		b.list.watches = slices.Delete(b.list.watches, i, i+1)
+		if watch.isEstablished && !errors.Is(context.Cause(watch.ctx), errSilent) {
+			b.list.heardAt = time.Now() // It ended openly: until then it brought all changes.
 		}
-		b.failing = true
-		b.counts[count{"lists_failed", none}]++
+		b.list.isFailing = true
+		b.counters.increment(counterWatchesFailed)
 	}
-	if i >= 0 && len(b.watches) == 0 {
-		b.module.BeginEndpointUpdate(policy.UpdateFailed)
-		b.module.CommitEndpointUpdate(b.now())
+	if i >= 0 && len(b.list.watches) == 0 {
+		b.policy.BeginEndpointUpdate(policy.UpdateFailed)
+		b.policy.CommitEndpointUpdate(b.now())
 	}
 	b.mu.Unlock()
 	if isLost {
@@ -187,61 +190,62 @@
 	}
 }
 
-// heard notes that a watch brought something whole, and lets go of all others: from now on this one alone tells the list.
-func (b *Balancer) heard(watch *listWatch) {
+// watchHeard records that a watch brought something complete, and cancels all others: from now on this one alone brings the list.
+func (b *Balancer) watchHeard(watch *listWatch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if watch.ctx.Err() != nil {
 		return
 	}
 	watch.heardAt, watch.isEstablished = time.Now(), true
-	b.listHeardAt = watch.heardAt
+	b.list.heardAt = watch.heardAt
 	isOlder := true
-	for _, other := range b.watches {
+	for _, other := range b.list.watches {
 		if other == watch {
 			isOlder = false
 			continue
 		}
 		other.cancel(errReplaced)
 		if isOlder {
-			b.counts[count{"lists_failed", none}]++
+			b.counters.increment(counterWatchesFailed)
 		}
 	}
-	b.watches = append(b.watches[:0], watch)
+	b.list.watches = append(b.list.watches[:0], watch)
 }
 
-// regained notes that what a watch brought was good: the module's growing waits begin anew.
-func (b *Balancer) regained(watch *listWatch) {
+// watchRecovered records that what a watch brought was good: the policy's backoff starts again from its beginning.
+func (b *Balancer) watchRecovered(watch *listWatch) {
 	b.mu.Lock()
-	isRegained := b.failing && watch.ctx.Err() == nil
-	if isRegained {
-		b.failing = false
+	isRecovered := b.list.isFailing && watch.ctx.Err() == nil
+	if isRecovered {
+		b.list.isFailing = false
 		b.resetBackoff()
 	}
 	b.mu.Unlock()
-	if isRegained {
+	if isRecovered {
 		b.log.Info().Str("discovery", watch.discovery).Msg("list followed again")
 	}
 }
 
-// resetBackoff tells the module that nothing changed, so that its growing waits begin anew. It is called under the lock.
+// resetBackoff has the policy apply an empty update, so that its backoff starts again from its beginning; under the lock.
 func (b *Balancer) resetBackoff() {
-	b.module.BeginEndpointUpdate(policy.IncrementalList)
-	b.module.CommitEndpointUpdate(b.now())
+	b.policy.BeginEndpointUpdate(policy.IncrementalList)
+	b.policy.CommitEndpointUpdate(b.now())
 }
 
-// Move follows the list at another address from now on. The old watches are let go at once: they may stay open for a
-// while and tell nothing more.
-func (b *Balancer) Move(discovery string) {
+// SetDiscovery follows the list at another address from now on. The old watches are cancelled at once: they may stay open for a while,
+// and nothing more that they bring is applied.
+func (b *Balancer) SetDiscovery(discovery string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.discovery, b.index = discovery, 0 // Another discovery may count its lists in its own way.
-	for _, watch := range b.watches {
+	b.list.discovery, b.list.index = discovery, 0 // Another discovery may count its lists in its own way.
+	for _, watch := range b.list.watches {
 		watch.cancel(errMoved)
 	}
-	b.watches, b.listHeardAt = nil, time.Time{}
+	b.list.watches, b.list.heardAt = nil, time.Time{}
 	b.resetBackoff() // Failures at the old address must not delay the new one.
 	b.WatchEndpoints()
 }
 
+// dialDiscovery connects without TCP keep-alive: the watch has timeouts of its own.
 var dialDiscovery = (&net.Dialer{KeepAlive: -1}).DialContext
--- a/routing/follow_budget_test.go
+++ b/routing/follow_budget_test.go
@@ -37,8 +37,8 @@
 
 // lost are the plans that are of no use, and of these those that say so.
 var (
-	lost    = []callPlan{noConnection, refusedAtOnce, refusedLate, refusedLast, reset, unanswered, headOnly, trickles}
-	refuses = map[callPlan]time.Duration{refusedAtOnce: 0, refusedLate: time.Second, refusedLast: 3 * time.Second, reset: 0}
+	lostPlans    = []callPlan{noConnection, refusedAtOnce, refusedLate, refusedLast, reset, unanswered, headOnly, trickles}
+	refusalDelay = map[callPlan]time.Duration{refusedAtOnce: 0, refusedLate: time.Second, refusedLast: 3 * time.Second, reset: 0}
 )
 
 // pipeDiscovery takes calls over pipes: the first ones are good watches, those after them go by plan, and the rest are answered.
@@ -121,18 +121,18 @@
 			case <-d.breaks:
 				<-r.Context().Done()
 				return
-			case <-time.After(emptyLineEvery):
+			case <-time.After(emptyLineInterval):
 			}
 		}
 	case refusedAtOnce, refusedLate, refusedLast:
-		time.Sleep(refuses[plan])
+		time.Sleep(refusalDelay[plan])
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case unanswered:
 	case headOnly:
 		say("")
 	case trickles:
-		for say("{"); r.Context().Err() == nil; time.Sleep(emptyLineEvery / 20) {
+		for say("{"); r.Context().Err() == nil; time.Sleep(emptyLineInterval / 20) {
 			say(" ")
 		}
 	case isAnswered:
@@ -161,7 +161,7 @@
 
 // followOver has a balancer follow what dial leads to.
 func followOver(t *testing.T, b *Balancer, dial func(ctx context.Context, network, address string) (net.Conn, error)) {
-	b.discovery, b.dial = "discovery:1", dial
+	b.list.discovery, b.dialDiscovery = "discovery:1", dial
 	ctx, end := context.WithCancel(context.Background())
 	followed := make(chan struct{})
 	go func() { b.Follow(ctx); close(followed) }()
@@ -171,7 +171,7 @@
 // untilKnown waits on the test's clock for the change.
 func untilKnown(b *Balancer) (took time.Duration) {
 	from := time.Now()
-	for !b.knows("new") && time.Since(from) < time.Minute {
+	for !b.isReadyInList("new") && time.Since(from) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(from)
@@ -183,9 +183,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1, plans: plans}
 		d.start(t)
-		b := before(t, "127.0.0.1:1", settings)
+		b := newBalancerBefore(t, "127.0.0.1:1", settings)
 		followOver(t, b, d.dial)
-		time.Sleep(5 * emptyLineEvery)
+		time.Sleep(5 * emptyLineInterval)
 		synctest.Wait() // An empty line has just come.
 		close(d.breaks)
 		from := time.Now()
@@ -197,10 +197,10 @@
 
 // A change is known 6 s after a watch fell silent also when the call after it is lost as well, however that goes.
 func TestTwoLostWatchesAreWithinTheTerm(t *testing.T) {
-	for _, plan := range lost {
+	for _, plan := range lostPlans {
 		t.Run(string(plan), func(t *testing.T) {
 			for range 20 { // The waits are drawn by chance.
-				if calls, took := notified(t, []callPlan{plan}, nil); took > notifiedWithin {
+				if calls, took := notified(t, []callPlan{plan}, nil); took > notifiedTimeout {
 					t.Fatalf("known after %v; calls at %v", took, calls)
 				}
 			}
@@ -216,11 +216,11 @@
 		var plans []callPlan
 		for range 1 + n%7 {
 			pick = pick*1664525 + 1013904223
-			plans = append(plans, lost[pick>>16%uint32(len(lost))])
+			plans = append(plans, lostPlans[pick>>16%uint32(len(lostPlans))])
 		}
 		mode := []string{"subscribe", "automatic"}[n%2]
 		calls, took := notified(t, plans, map[string]any{"registryMode": mode})
-		if reachable := calls[len(plans)-1]; took > reachable+notifiedWithin {
+		if reachable := calls[len(plans)-1]; took > reachable+notifiedTimeout {
 			t.Fatalf("%s, %s: known %v after the last lost call began; calls at %v", mode, fmt.Sprintf("%q", plans), took-reachable, calls)
 		}
 	}
@@ -232,24 +232,24 @@
 	const movedWithin = 4 * time.Second
 	for n := range 200 {
 		at := time.Duration(n) * 67 * time.Millisecond // after the watch fell silent
-		olds, plan := []callPlan{lost[n/2%len(lost)], lost[n/3%len(lost)], lost[n/5%len(lost)], lost[n/7%len(lost)]}, lost[n%len(lost)]
+		olds, plan := []callPlan{lostPlans[n/2%len(lostPlans)], lostPlans[n/3%len(lostPlans)], lostPlans[n/5%len(lostPlans)], lostPlans[n/7%len(lostPlans)]}, lostPlans[n%len(lostPlans)]
 		synctest.Test(t, func(t *testing.T) {
 			old := &pipeDiscovery{good: 1, plans: append(olds, slices.Repeat([]callPlan{unanswered}, 20)...)}
 			moved := &pipeDiscovery{plans: []callPlan{plan}}
 			old.start(t)
 			moved.start(t)
-			b := before(t, "127.0.0.1:1", nil)
+			b := newBalancerBefore(t, "127.0.0.1:1", nil)
 			followOver(t, b, func(ctx context.Context, network, address string) (net.Conn, error) {
 				if address == "moved:1" {
 					return moved.dial(ctx, network, address)
 				}
 				return old.dial(ctx, network, address)
 			})
-			time.Sleep(5 * emptyLineEvery)
+			time.Sleep(5 * emptyLineInterval)
 			synctest.Wait()
 			close(old.breaks)
 			time.Sleep(at)
-			b.Move("moved:1")
+			b.SetDiscovery("moved:1")
 			if took := untilKnown(b); took > movedWithin {
 				t.Fatalf("moved %v after the silence amid %q: known after %v, when the first call goes by %q", at, olds, took, plan)
 			}
@@ -267,9 +267,9 @@
 				d := &pipeDiscovery{good: balancers, plans: slices.Repeat([]callPlan{plan}, 100*balancers)}
 				d.start(t)
 				for n := range balancers {
-					followOver(t, beforeWith(t, uint64(n), "127.0.0.1:1", nil), d.dial)
+					followOver(t, newBalancerWithSeed(t, uint64(n), "127.0.0.1:1", nil), d.dial)
 				}
-				time.Sleep(5 * emptyLineEvery)
+				time.Sleep(5 * emptyLineInterval)
 				synctest.Wait()
 				close(d.breaks)
 				from := time.Now()
@@ -283,7 +283,7 @@
 						t.Fatalf("%d of %d balancers call within 100 ms", last-first+1, balancers)
 					}
 				}
-				if most := 20 * balancers * int(time.Second) / int(answerDue); len(calls) > most {
+				if most := 20 * balancers * int(time.Second) / int(answerTimeout); len(calls) > most {
 					t.Fatalf("%d calls of %d balancers in 20 s", len(calls), balancers)
 				}
 			})
@@ -296,7 +296,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1}
 		d.start(t)
-		followOver(t, before(t, "127.0.0.1:1", nil), d.dial)
+		followOver(t, newBalancerBefore(t, "127.0.0.1:1", nil), d.dial)
 		time.Sleep(time.Hour)
 		if calls := d.lastCalls(time.Now()); len(calls) > 0 {
 			t.Fatalf("%d further calls in an hour", len(calls))
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -11,17 +11,17 @@
 	"hollylever/fakes"
 )
 
-const patience = 20 * time.Second // for what has to come, though it may take its time
+const slowEventTimeout = 20 * time.Second // for what has to come, though it may take its time
 
 // alone has a silent watch closed after so long, with no further call beside it before.
-func alone(giveUp time.Duration) watchTimeouts {
+func singleWatchTimeouts(giveUp time.Duration) watchTimeouts {
 	return watchTimeouts{line: time.Hour, answer: time.Hour, giveUp: giveUp}
 }
 
 // follows has a balancer follow a discovery that the test speaks for.
-func follows(t *testing.T, timeouts watchTimeouts, changes map[string]any) (*Balancer, *fakes.Discovery) {
-	b, d := before(t, "127.0.0.1:1", changes), fakes.ScriptedDiscovery()
-	b.discovery, b.timeouts = d.Address, timeouts
+func followScripted(t *testing.T, timeouts watchTimeouts, changes map[string]any) (*Balancer, *fakes.Discovery) {
+	b, d := newBalancerBefore(t, "127.0.0.1:1", changes), fakes.ScriptedDiscovery()
+	b.list.discovery, b.watchTimeouts = d.Address, timeouts
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { b.Follow(ctx); close(ended) }()
@@ -29,21 +29,21 @@
 	return b, d
 }
 
-func next[T any](t *testing.T, from <-chan T, what string) (x T) {
+func receive[T any](t *testing.T, from <-chan T, what string) (x T) {
 	t.Helper()
 	select {
 	case x = <-from:
-	case <-time.After(patience):
+	case <-time.After(slowEventTimeout):
 		t.Fatalf("%s does not come", what)
 	}
 	return x
 }
 
-func (b *Balancer) knows(name string) bool {
+func (b *Balancer) isReadyInList(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s, known := b.byName[name]
-	return known && names[b.servers[s].health] == "Ready"
+	s, known := b.endpoints.byName[name]
+	return known && statusByHealth[b.endpoints.all[s].health] == "Ready"
 }
 
 // A watch is a stream of JSON values: indented or not, several on a line, cut anywhere.
@@ -65,8 +65,8 @@
 		{"with empty lines", func(n int) string { return "\n\r\n" + indented(n, fmt.Sprint("n", n)) + "\n\n" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, d := follows(t, alone(time.Hour), nil)
-			w := next(t, d.Calls, "a watch")
+			b, d := followScripted(t, singleWatchTimeouts(time.Hour), nil)
+			w := receive(t, d.Calls, "a watch")
 			const lists = 20
 			text := ""
 			for n := range lists {
@@ -78,7 +78,7 @@
 				text = text[cut:]
 			}
 			for n := range lists { // The last one too, though nothing comes behind it.
-				until(t, fmt.Sprint("list ", n), func() bool { return b.knows(fmt.Sprint("n", n+2)) })
+				until(t, fmt.Sprint("list ", n), func() bool { return b.isReadyInList(fmt.Sprint("n", n+2)) })
 			}
 			if n := b.counted("lists_failed"); n > 0 {
 				t.Errorf("%d watches failed", n)
@@ -104,13 +104,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			_, d := follows(t, alone(100*time.Millisecond), nil)
+			_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
 			for n := range 3 {
-				w := next(t, d.Calls, fmt.Sprint("watch ", n))
+				w := receive(t, d.Calls, fmt.Sprint("watch ", n))
 				for _, piece := range c.gives {
 					w.Give(piece)
 				}
-				next(t, w.Ended, "the end of a silent watch")
+				receive(t, w.Ended, "the end of a silent watch")
 			}
 		})
 	}
@@ -118,8 +118,8 @@
 
 // A list that trickles in counts as silent from its beginning on, so that what it holds up is heard by another watch.
 func TestAListThatTricklesIsNotWaitedFor(t *testing.T) {
-	_, d := follows(t, alone(100*time.Millisecond), nil)
-	w := next(t, d.Calls, "a watch")
+	_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
+	w := receive(t, d.Calls, "a watch")
 	w.Give("{")
 	for trickles := time.NewTicker(10 * time.Millisecond); ; {
 		select {
@@ -128,7 +128,7 @@
 			return
 		case <-trickles.C:
 			w.Give(" ")
-		case <-time.After(patience):
+		case <-time.After(slowEventTimeout):
 			t.Fatal("it is waited for")
 		}
 	}
@@ -139,24 +139,24 @@
 func TestAMoveLeavesNoWatchOver(t *testing.T) {
 	d := fakes.ScriptedDiscovery()
 	t.Cleanup(d.Close)
-	b := before(t, "127.0.0.1:1", nil)
+	b := newBalancerBefore(t, "127.0.0.1:1", nil)
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	b.mu.Lock()
 	go func() { b.Follow(ctx); close(ended) }()
 	t.Cleanup(func() { end(); <-ended })
-	until(t, "the beginning of a watch", func() bool { return len(b.follow) == 0 })
-	b.discovery = d.Address // What Move does, between the two lines of Follow.
+	until(t, "the beginning of a watch", func() bool { return len(b.watchRequested) == 0 })
+	b.list.discovery = d.Address // What Move does, between the two lines of Follow.
 	b.WatchEndpoints()
 	b.mu.Unlock()
-	next(t, d.Calls, "a watch at the new address")
-	if len(b.follow) > 0 {
+	receive(t, d.Calls, "a watch at the new address")
+	if len(b.watchRequested) > 0 {
 		t.Fatal("another watch is asked for already")
 	}
 }
 
 // besides has a further call made beside a watch that brings nothing for a moment, and no watch closed for its silence.
-var besides = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
+var twoWatchTimeouts = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
 
 // A further call is made beside a watch that says nothing, and the first of the two to be heard is the one that stays: a silent
 // watch is not waited for, and a call that waits its turn at discovery keeps it.
@@ -177,15 +177,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b, d := follows(t, besides, nil)
-			first := next(t, d.Calls, "a watch")
+			b, d := followScripted(t, twoWatchTimeouts, nil)
+			first := receive(t, d.Calls, "a watch")
 			for _, piece := range c.first {
 				first.Give(piece)
 			}
-			calls := []fakes.Call{first, next(t, d.Calls, "a further call")}
+			calls := []fakes.Call{first, receive(t, d.Calls, "a further call")}
 			calls[c.heard].Give(list)
-			next(t, calls[1-c.heard].Ended, "the end of the other one")
-			until(t, "the list", func() bool { return b.knows("new") })
+			receive(t, calls[1-c.heard].Ended, "the end of the other one")
+			until(t, "the list", func() bool { return b.isReadyInList("new") })
 			select {
 			case <-calls[c.heard].Ended:
 				t.Fatal("the one that was heard is closed")
@@ -197,18 +197,18 @@
 
 // A new configuration lets go of all watches that are open; what they tell then counts no more.
 func TestAMoveLetsGoOfAllWatches(t *testing.T) {
-	b, d := follows(t, besides, nil)
+	b, d := followScripted(t, twoWatchTimeouts, nil)
 	moved := fakes.ScriptedDiscovery()
 	t.Cleanup(moved.Close)
-	calls := []fakes.Call{next(t, d.Calls, "a watch"), next(t, d.Calls, "a further call")}
-	b.Move(moved.Address)
+	calls := []fakes.Call{receive(t, d.Calls, "a watch"), receive(t, d.Calls, "a further call")}
+	b.SetDiscovery(moved.Address)
 	for _, call := range calls {
 		call.Give(fakes.List(9, true, fakes.Entry("old", "127.0.0.1:1", "Ready")) + "\n")
-		next(t, call.Ended, "the end of a watch")
+		receive(t, call.Ended, "the end of a watch")
 	}
-	next(t, moved.Calls, "a watch at the new address").Give(fakes.List(2, true, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n")
-	until(t, "the new list", func() bool { return b.knows("new") })
-	if b.knows("old") {
+	receive(t, moved.Calls, "a watch at the new address").Give(fakes.List(2, true, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n")
+	until(t, "the new list", func() bool { return b.isReadyInList("new") })
+	if b.isReadyInList("old") {
 		t.Fatal("a watch that was let go told a list")
 	}
 }
--- a/routing/following_golden_test.go
+++ b/routing/following_golden_test.go
@@ -64,8 +64,8 @@
 			}
 		}
 	}
-	long := &listStream{body: bytes.NewReader(bytes.Repeat([]byte("["), maxList+1)), progress: func() {}, emptyLine: func() {}}
-	n, err := long.Read(make([]byte, maxList+1))
+	long := &listStream{body: bytes.NewReader(bytes.Repeat([]byte("["), maxListBytes+1)), progress: func() {}, emptyLine: func() {}}
+	n, err := long.Read(make([]byte, maxListBytes+1))
 	fmt.Fprintln(&lines, n, err)
 	changes := listChanges{index: 7}
 	for n := range 2*changesPerLine + 3 {
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -23,7 +23,7 @@
 var update = flag.Bool("update", false, "write testdata anew")
 
 // golden holds what is given against a file of testdata.
-func golden(t *testing.T, name string, got []byte) {
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "hollylever.bans", text)
+	compareGolden(t, "hollylever.bans", text)
 	fixture, _ := os.ReadFile("testdata/hollylever.bans")
 	if err := os.WriteFile(file, fixture, 0o600); err != nil {
 		t.Fatal(err)
@@ -78,12 +78,12 @@
 
 // Clients tell by the words of an answer whether they may ask again, and on which connection: an answer to bad bytes that changes breaks them.
 func TestAnswersToBadBytesAreAsBefore(t *testing.T) {
-	at := front(t, before(t, closed(t), nil))
+	at := serveClients(t, newBalancerBefore(t, closedAddress(t), nil))
 	var out strings.Builder
-	for _, bytes := range []string{wire("HELLO", "3"), wire("C.GET", "k", "id"), wire("C.GET", "k", "id", "c=novel,d=5"), wire("C.GET", "k", "id", "c=read,d=soon"),
-		wire("C.GET", "k", "id", "c=read"), wire("C.GET", "k", "", "c=read,d=5"), wire("C.GET", "k", "id", "c=read,d=inf"), wire("C.GET", strings.Repeat("k", 1000), "id", "c=read,d=5"),
-		wire("C.SET", "k", "id", "c=read,d=5"), wire("C.GET", "k", "id", "c=read,d=5", "v"), wire("C.GET", "k", "id", "c=read,d"), wire("C.GET", "k", "id", ""), wire("PING"),
-		wire("ping"), wire("\x00\r\n"), wire(strings.Repeat("x", 300)), "PING\r\n", "*1\r\n$-7\r\nx\r\n", "*3\r\n$65537\r\n", "*1000\r\n", "*1\r\n:5\r\n", "*0\r\n", "\r\n",
+	for _, bytes := range []string{command("HELLO", "3"), command("C.GET", "k", "id"), command("C.GET", "k", "id", "c=novel,d=5"), command("C.GET", "k", "id", "c=read,d=soon"),
+		command("C.GET", "k", "id", "c=read"), command("C.GET", "k", "", "c=read,d=5"), command("C.GET", "k", "id", "c=read,d=inf"), command("C.GET", strings.Repeat("k", 1000), "id", "c=read,d=5"),
+		command("C.SET", "k", "id", "c=read,d=5"), command("C.GET", "k", "id", "c=read,d=5", "v"), command("C.GET", "k", "id", "c=read,d"), command("C.GET", "k", "id", ""), command("PING"),
+		command("ping"), command("\x00\r\n"), command(strings.Repeat("x", 300)), "PING\r\n", "*1\r\n$-7\r\nx\r\n", "*3\r\n$65537\r\n", "*1000\r\n", "*1\r\n:5\r\n", "*0\r\n", "\r\n",
 		"*1\r\n*1\r\n$1\r\na\r\n", "*1\r\n$5\r\nabcdefgh\r\n", "*+1\r\n$1\r\na\r\n", "\x89?d\xfcD\r\n\xcb%mq"} {
 		c := dial(t, at)
 		io.WriteString(c, bytes)
@@ -94,7 +94,7 @@
 		fmt.Fprintf(&out, "%.80q: %.200q %v %q\n", bytes, answer, err, rest)
 		c.Close()
 	}
-	golden(t, "bad_bytes.golden", []byte(out.String()))
+	compareGolden(t, "bad_bytes.golden", []byte(out.String()))
 }
 
-func wire(list ...string) string { return fakes.Words(list...) }
+func command(list ...string) string { return fakes.Words(list...) }
--- a/routing/gone_test.go
+++ b/routing/gone_test.go
@@ -14,16 +14,16 @@
 )
 
 // attempts are the commands that reached hosts whole, in their order, by id.
-type attempts struct {
+type receivedAttempts struct {
 	seen map[string][]fakes.Command
 	came <-chan fakes.Command
 }
 
 // await reads what reaches hosts until one id has come so often, and handles each.
-func (a *attempts) await(t *testing.T, id string, often int, handle func(fakes.Command)) {
+func (a *receivedAttempts) await(t *testing.T, id string, often int, handle func(fakes.Command)) {
 	t.Helper()
 	for len(a.seen[id]) < often {
-		c := next(t, a.came, fmt.Sprintf("attempt %d of %s", len(a.seen[id])+1, id))
+		c := receive(t, a.came, fmt.Sprintf("attempt %d of %s", len(a.seen[id])+1, id))
 		a.seen[c.Words[2]] = append(a.seen[c.Words[2]], c)
 		if handle != nil {
 			handle(c)
@@ -52,43 +52,43 @@
 
 func TestNoAttemptBeginsOnceItsClientHasGone(t *testing.T) {
 	for _, due := range attemptsDue {
-		for _, l := range leaves {
+		for _, l := range clientDisconnects {
 			if strings.Contains(l.name, "burst") || strings.Contains(l.name, "kernel") {
 				continue // What they send before they go takes longer than a backoff: TestWhoeverLeftWhileItWaitedIsNotSentOn has them.
 			}
 			t.Run(due.name+", "+l.name, func(t *testing.T) {
 				t.Parallel()
-				h, other := scripted(t), scripted(t)
+				h, other := scriptedServer(t), scriptedServer(t)
 				address, hears := h.Address, func(func(net.Conn)) {}
 				if due.deaf {
-					address, hears = deaf(t)
+					address, hears = unacceptingServer(t)
 				}
-				b := before(t, address, due.change)
-				b.told(t, fakes.List(2, true, fakes.Entry("s", address, "Ready")))
-				all := &attempts{seen: map[string][]fakes.Command{}, came: h.Came}
-				at := front(t, b)
+				b := newBalancerBefore(t, address, due.change)
+				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", address, "Ready")))
+				all := &receivedAttempts{seen: map[string][]fakes.Command{}, came: h.Came}
+				at := serveClients(t, b)
 				ask := func(id string) *net.TCPConn {
 					c := dial(t, at)
-					io.WriteString(c, get(id, "c=read,t=acme,d=20000"))
+					io.WriteString(c, getCommand(id, "c=read,t=acme,d=20000"))
 					return c
 				}
-				usual(t, h, due.usual, ask)
+				runUsualRequests(t, h, due.usual, ask)
 				var held fakes.Command
 				waiting := 1
 				if due.holder {
 					waiting = 2
 					ask("holder")
-					held = next(t, h.Came, "the request before them")
+					held = receive(t, h.Came, "the request before them")
 				}
 				others := b.counted("trips")
 				leaver := ask("leaver")
 				all.await(t, "leaver", due.before, due.handle)
 				if due.before == 0 {
-					until(t, "the wait", func() bool { return b.heldNow() == waiting })
+					until(t, "the wait", func() bool { return b.requestsHeld() == waiting })
 				}
 				if strings.Contains(due.name, "hedged") { // Only now is there another host for it.
-					b.told(t, fakes.List(3, true, fakes.Entry("s", address, "Ready"), fakes.Entry("other", other.Address, "Ready")))
-					all.came = merged(t, h.Came, other.Came)
+					b.applyTestList(t, fakes.List(3, true, fakes.Entry("s", address, "Ready"), fakes.Entry("other", other.Address, "Ready")))
+					all.came = mergeCommands(t, h.Came, other.Came)
 				}
 				done := make(chan struct{})
 				go func() { l.goes(leaver); close(done) }()
@@ -110,14 +110,14 @@
 					}
 				})
 				if due.holder {
-					until(t, "the one that stays", func() bool { return b.heldNow() == 2 })
+					until(t, "the one that stays", func() bool { return b.requestsHeld() == 2 })
 					held.Say(fakes.Settled("v"))
 				}
 				all.await(t, "stayer", due.before+1, due.handle)
 				for _, c := range all.seen["leaver"] {
 					c.Say(fakes.Settled("v")) // What is out may end.
 				}
-				until(t, "the end of its request", func() bool { return b.heldNow() == 1 })
+				until(t, "the end of its request", func() bool { return b.requestsHeld() == 1 })
 				if came := len(all.seen["leaver"]); came > decided || due.deaf && came > 0 {
 					t.Errorf("%d attempts for a client that has gone, %d before", came, decided)
 				}
@@ -127,7 +127,7 @@
 }
 
 // usual has so many requests answered at once, one after the other, and each attempt that a slow machine adds.
-func usual(t *testing.T, h *fakes.Host, many int, ask func(id string) *net.TCPConn) {
+func runUsualRequests(t *testing.T, h *fakes.Host, many int, ask func(id string) *net.TCPConn) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -142,7 +142,7 @@
 	}()
 	for n := range many {
 		c := ask(fmt.Sprint("usual-", n))
-		answered(t, c)
+		readReply(t, c)
 		c.Close()
 	}
 	close(done)
@@ -150,7 +150,7 @@
 }
 
 // merged gives what comes to either of two hosts.
-func merged(t *testing.T, one, other <-chan fakes.Command) <-chan fakes.Command {
+func mergeCommands(t *testing.T, one, other <-chan fakes.Command) <-chan fakes.Command {
 	both := make(chan fakes.Command)
 	for _, came := range []<-chan fakes.Command{one, other} {
 		go func() {
@@ -174,23 +174,23 @@
 // Clients that wait for room, with a command written, may have gone by the time there is some: nothing is begun for them.
 func TestNothingBeginsForClientsThatWentBeforeTheyWereRead(t *testing.T) {
 	const many = 50
-	h := scripted(t)
-	b := before(t, h.Address, nil)
-	at := front(t, b, func(l *transport.Listener) { l.Allow(1) })
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, nil)
+	at := serveClients(t, b, func(l *transport.Listener) { l.Allow(1) })
 	first := dial(t, at)
-	io.WriteString(first, get("first", "c=read,t=acme,d=20000"))
-	out := next(t, h.Came, "the first request") // It has the only place.
+	io.WriteString(first, getCommand("first", "c=read,t=acme,d=20000"))
+	out := receive(t, h.Came, "the first request") // It has the only place.
 	for n := range many {
 		c := dial(t, at)
-		io.WriteString(c, get(fmt.Sprint("gone-", n), "c=read,t=acme,d=20000"))
+		io.WriteString(c, getCommand(fmt.Sprint("gone-", n), "c=read,t=acme,d=20000"))
 		c.Close()
 	}
 	last := dial(t, at)
-	io.WriteString(last, get("last", "c=read,t=acme,d=20000"))
+	io.WriteString(last, getCommand("last", "c=read,t=acme,d=20000"))
 	out.Say(fakes.Settled("v"))
-	answered(t, first)
+	readReply(t, first)
 	first.Close()
-	all := &attempts{seen: map[string][]fakes.Command{}, came: h.Came}
+	all := &receivedAttempts{seen: map[string][]fakes.Command{}, came: h.Came}
 	all.await(t, "last", 1, nil)
 	if decided := b.counted("trips"); len(all.seen) != 1 || decided != 2 {
 		t.Errorf("%d attempts are decided on, %d requests come to the host", decided, len(all.seen)+1)
--- a/routing/handover_test.go
+++ b/routing/handover_test.go
@@ -17,7 +17,7 @@
 
 // slowReader is a server with a small buffer that begins to read its one connection some time after that came. It gives the time that the
 // command states and when its last byte came.
-func slowReader(t *testing.T, wait time.Duration, size int) (address string, came <-chan wholeCommand) {
+func slowReadingServer(t *testing.T, wait time.Duration, size int) (address string, came <-chan receivedCommand) {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096) })
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	out := make(chan wholeCommand, 1)
+	out := make(chan receivedCommand, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -41,15 +41,15 @@
 		}
 		whole := time.Now()
 		ms, _ := strconv.Atoi(regexp.MustCompile(`d=(\d+)`).FindStringSubmatch(string(text[:200]))[1])
-		out <- wholeCommand{time.Duration(ms) * time.Millisecond, whole}
+		out <- receivedCommand{time.Duration(ms) * time.Millisecond, whole}
 		io.WriteString(c, fakes.Settled("v"))
 	}()
 	return l.Addr().String(), out
 }
 
-type wholeCommand struct {
-	told time.Duration
-	at   time.Time
+type receivedCommand struct {
+	statedTimeout time.Duration
+	completeAt    time.Time
 }
 
 // A server is told at most what the client has left as the last byte comes, also where the write of a large value is held up.
@@ -57,14 +57,14 @@
 	const deadline = 2 * time.Second
 	value := strings.Repeat("v", 4<<20)
 	command := fakes.Words("C.SET", "k", "1", "c=report,t=acme,k=1,d=2000", value)
-	address, came := slowReader(t, 600*time.Millisecond, len(command)-1) // The stated time may have a digit less.
-	b := before(t, address, nil)
-	at := front(t, b, func(l *transport.Listener) { l.Budget = transport.NewBudget(64 << 20) })
+	address, came := slowReadingServer(t, 600*time.Millisecond, len(command)-1) // The stated time may have a digit less.
+	b := newBalancerBefore(t, address, nil)
+	at := serveClients(t, b, func(l *transport.Listener) { l.Budget = transport.NewBudget(64 << 20) })
 	c := dial(t, at)
 	io.WriteString(c, command)
 	sent := time.Now()
-	got := next(t, came, "the command")
-	if left := deadline - got.at.Sub(sent); got.told > left+150*time.Millisecond {
-		t.Errorf("%v are stated, %v are left", got.told, left)
+	got := receive(t, came, "the command")
+	if left := deadline - got.completeAt.Sub(sent); got.statedTimeout > left+150*time.Millisecond {
+		t.Errorf("%v are stated, %v are left", got.statedTimeout, left)
 	}
 }
--- a/routing/leaving_test.go
+++ b/routing/leaving_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	usualLeaves = 400                    // retrievals in CI; HOLLYLEVER_LEAVES sets another number
-	tooLate     = 300 * time.Millisecond // after its client left nothing of a retrieval may reach a host
+	defaultDisconnects = 400                    // retrievals in CI; HOLLYLEVER_LEAVES sets another number
+	maxLateSend        = 300 * time.Millisecond // after its client left nothing of a retrieval may reach a host
 )
 
 // Clients ask, wait a moment and go, in all ways, before a host whose connections do not come up. Once the last has been gone for
 // a while they do: whatever still waits then is sent on.
 func TestClientsThatLeaveByChance(t *testing.T) {
-	many := usualLeaves
+	many := defaultDisconnects
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_LEAVES")); err == nil {
 		many = n
 	}
 	const seed, side, round = 7, 20, 200
 	asked, left, waiting, after, late := 0, 0, 0, 0, 0
 	for r := 0; asked < many; r++ {
-		at, hears := deaf(t)
-		b := before(t, at, map[string]any{"allowed.dialTimeout": 5000.0, "workloads.1.keepOrder": true})
-		address := front(t, b)
+		at, hears := unacceptingServer(t)
+		b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 5000.0, "workloads.1.keepOrder": true})
+		address := serveClients(t, b)
 		var all sync.WaitGroup
 		for k := range side {
 			all.Add(1)
@@ -54,14 +54,14 @@
 						n++
 					}
 					time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond) // At random, not to wait for anything.
-					leaves[chance.IntN(len(leaves))].goes(c.(*net.TCPConn))
+					clientDisconnects[chance.IntN(len(clientDisconnects))].goes(c.(*net.TCPConn))
 					c.Close()
 				}
 			}()
 		}
 		all.Wait()
 		asked += round
-		<-time.After(tooLate)
+		<-time.After(maxLateSend)
 		var came atomic.Int32
 		hears(func(c net.Conn) {
 			for in := redcon.NewReader(c); ; {
@@ -71,7 +71,7 @@
 				came.Add(1)
 			}
 		})
-		for end := time.Now().Add(noticed); b.heldNow() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(eventTimeout); b.requestsHeld() > 0 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		}
 		late += int(came.Load())
 		left, waiting, after = left+b.counted("left"), waiting+b.counted("left_waiting"), after+b.counted("sent_after_left")
--- a/routing/surplus_test.go
+++ b/routing/overflow_test.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	floods    = 8 << 20                // bytes at most that a client sends before it goes: more than the kernel takes on both sides
-	takesNone = 200 * time.Millisecond // for which the kernel takes no more of a client
-	writes    = 32 << 10               // bytes at once
-	longKey   = 400                    // so that a flood is of some thousand commands
-	shortKey  = 16                     // and of some ten thousand
-	surplusOf = 8 * transport.MostBuffer
+	maxFloodBytes     = 8 << 20                // bytes at most that a client sends before it goes: more than the kernel takes on both sides
+	floodStallTimeout = 200 * time.Millisecond // for which the kernel takes no more of a client
+	floodWriteSize    = 32 << 10               // bytes at once
+	longKey           = 400                    // so that a flood is of some thousand commands
+	shortKey          = 16                     // and of some ten thousand
+	overflowBytes     = 8 * transport.MostBuffer
 )
 
 // flood writes commands until the kernel takes no more.
-func flood(c *net.TCPConn) { floodWith(c, longKey) }
+func writeFlood(c *net.TCPConn) { writeFloodWithKey(c, longKey) }
 
-func floodWith(c *net.TCPConn, key int) {
+func writeFloodWithKey(c *net.TCPConn, key int) {
 	var piece strings.Builder
-	for n, sent := 0, 0; sent < floods; {
-		for piece.Reset(); piece.Len() < writes; n++ {
-			piece.WriteString(withKey(key, fmt.Sprint("flood-", n)))
+	for n, sent := 0, 0; sent < maxFloodBytes; {
+		for piece.Reset(); piece.Len() < floodWriteSize; n++ {
+			piece.WriteString(getCommandWithKey(key, fmt.Sprint("flood-", n)))
 		}
-		c.SetWriteDeadline(time.Now().Add(takesNone))
+		c.SetWriteDeadline(time.Now().Add(floodStallTimeout))
 		wrote, err := io.WriteString(c, piece.String())
 		if sent += wrote; err != nil {
 			return
@@ -40,22 +40,26 @@
 	}
 }
 
-func withKey(length int, id string) string {
+func getCommandWithKey(length int, id string) string {
 	return fakes.Words("C.GET", strings.Repeat("k", length), id, "c=read,t=acme,d=20000")
 }
 
 // What is sent beyond what waits has its refusal in its order; what is taken up has its own answer.
 func TestSurplusIsRejectedInItsOrder(t *testing.T) {
-	h := scripted(t)
-	b := before(t, h.Address, nil)
-	c := dial(t, front(t, b))
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, nil)
+	c := dial(t, serveClients(t, b))
 	var all strings.Builder
 	sent := 0
-	for ; all.Len() < surplusOf; sent++ {
-		all.WriteString(get(fmt.Sprint(sent), "c=read,t=acme,d=20000"))
+	for ; all.Len() < overflowBytes; sent++ {
+		all.WriteString(getCommand(fmt.Sprint(sent), "c=read,t=acme,d=20000"))
 	}
 	go io.WriteString(c, all.String())
-	until(t, "a rejection", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.counts[count{"sent_back", 0}] > 0 })
+	until(t, "a rejection", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return b.counters.totalFor("sent_back", 0) > 0
+	})
 	go func() {
 		for {
 			select {
@@ -67,7 +71,7 @@
 		}
 	}()
 	in, served, rejected := bufio.NewReader(c), 0, 0
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 	for n := range sent {
 		words, err := fakes.Message(in)
 		switch got := strings.Join(words, " "); {
@@ -81,7 +85,7 @@
 			t.Fatalf("command %d is answered %q", n, got)
 		}
 	}
-	if served < pipelined || rejected == 0 {
+	if served < maxPipelined || rejected == 0 {
 		t.Errorf("%d served, %d rejected", served, rejected)
 	}
 	t.Logf("%d served, %d rejected", served, rejected)
@@ -90,7 +94,7 @@
 // A client whose close stands behind more commands than wait has gone: what the host has not begun by then it never gets, though
 // it would take them up without a pause.
 func TestNothingIsBegunLongAfterACloseBehindCommands(t *testing.T) {
-	h := scripted(t)
+	h := scriptedServer(t)
 	var last atomic.Int64 // when the host got one
 	go func() {
 		for {
@@ -103,18 +107,18 @@
 			}
 		}
 	}()
-	b := before(t, h.Address, nil)
+	b := newBalancerBefore(t, h.Address, nil)
 	var clients *transport.Listener
-	c := dial(t, front(t, b, func(l *transport.Listener) { clients = l }))
+	c := dial(t, serveClients(t, b, func(l *transport.Listener) { clients = l }))
 	b.mu.Lock() // Nothing is taken up until the close stands behind all that the kernel holds.
-	floodWith(c, shortKey)
+	writeFloodWithKey(c, shortKey)
 	c.Close()
 	closed := time.Now()
 	b.mu.Unlock()
-	until(t, "the end of what the client asked for", func() bool { return clients.Count() == 0 && b.heldNow() == 0 })
+	until(t, "the end of what the client asked for", func() bool { return clients.Count() == 0 && b.requestsHeld() == 0 })
 	late := time.Unix(0, last.Load()).Sub(closed)
 	t.Logf("the last command came %v after the close", late)
-	if late > tooLate || b.counted("sent_after_left") > 0 {
+	if late > maxLateSend || b.counted("sent_after_left") > 0 {
 		t.Errorf("the last command came %v after the close, %d over 50 ms after it was seen", late, b.counted("sent_after_left"))
 	}
 }
--- a/routing/requestlog.go
+++ b/routing/requestlog.go
@@ -10,22 +10,15 @@
 	"hollylever/transport"
 )
 
-// Counts of what a request or a connection met that a rule forbids, or that explains what a client saw.
 const (
-	countLate       = "requests_late"       // the final answer went out after the client's time
-	countUnanswered = "requests_unanswered" // the client did not read its final answer for too long
-	countExpired    = "requests_expired"    // ended before their deadline, as the process ends
-	countWithheld   = "attempts_withheld"   // not sent, as a look at the connection showed that the client had gone
-	countClosed     = "closed_"             // client connections, by how they ended
-)
-
-// lateBy is how long after a request's deadline its answer counts as late: an answer that is sent in time may still be on its way.
-const lateBy = 20 * time.Millisecond
+	// lateTolerance is how long after a request's deadline its answer counts as late: one that is sent in time may still be on its way.
+	lateTolerance = 20 * time.Millisecond
 
-// warningsPerSecond bounds the lines of requests at the level warn; what is over it is counted and told with the next one.
-const warningsPerSecond = 10
+	// maxWarningsPerSecond bounds the lines of requests at the level warn; what is over it is counted and said with the next one.
+	maxWarningsPerSecond = 10
+)
 
-// attemptRecord is what the log tells of an attempt.
+// attemptRecord is what the log has of an attempt.
 type attemptRecord struct {
 	server string
 	sent   time.Duration // since the request was received
@@ -33,12 +26,12 @@
 	end    transport.End // Open: it has not ended
 }
 
-// requestRecord is what the log tells of a request. It is written by the request's own goroutine alone.
+// requestRecord is what the log has of a request. The request's own goroutine alone writes it.
 type requestRecord struct {
-	waited   time.Duration // until it was taken up
-	patience time.Duration // of its client
-	how      string        // it ended: settled, dismissed, given_up, left
-	written  time.Duration // until its answer was written
+	waited   time.Duration // until it was handled
+	timeout  time.Duration // of its client
+	outcome  string        // one of the outcome constants
+	answered time.Duration // until its answer was written
 	attempts []attemptRecord
 }
 
@@ -53,20 +46,20 @@
 
 // warnings bounds how many lines are written a second.
 type warnings struct {
-	mu         sync.Mutex
-	second     time.Time
-	written    int
-	suppressed int
+	mu         sync.Mutex // guards the fields below
+	second     time.Time  // when the present second began
+	written    int        // in it
+	suppressed int        // since the last line
 }
 
-// allow tells whether a line may be written now, and how many were not since the last one.
+// allow reports whether a line may be written now, and how many were not since the last one.
 func (w *warnings) allow(now time.Time) (suppressed int, isAllowed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now.Sub(w.second) >= time.Second {
 		w.second, w.written = now, 0
 	}
-	if w.written >= warningsPerSecond {
+	if w.written >= maxWarningsPerSecond {
 		w.suppressed++
 		return 0, false
 	}
@@ -75,59 +68,50 @@
 	return suppressed, true
 }
 
-// logEnd writes a request's line: at the level debug, or at warn where it ended as it should not.
-func (x *exchange) logEnd(answer delivery) {
-	b, record := x.balancer, &x.record
-	why := ""
-	switch {
-	case record.how == "left":
-	case answer == notTakenUp:
-		why = countUnanswered
-	case answer == delivered && record.written > record.patience+lateBy && record.patience > 0 && x.large == nil:
-		why = countLate
-	}
-	if why == "" {
+// logEnd logs a request: at the level debug, or at warn where it ended as it should not.
+func (x *exchange) logEnd(result delivery) {
+	b := x.balancer
+	problem := x.problem(result)
+	if problem == "" {
 		if event := b.log.Debug(); event.Enabled() {
 			x.describe(event).Msg("request")
 		}
 		return
 	}
 	b.mu.Lock()
-	b.counts[count{why, none}]++
+	b.counters.increment(problem)
 	b.mu.Unlock()
 	if suppressed, isAllowed := b.warnings.allow(time.Now()); isAllowed {
-		x.describe(b.log.Warn()).Str("why", why).Int("more", suppressed).Msg("request ended badly")
+		x.describe(b.log.Warn()).Str("why", problem).Int("more", suppressed).Msg("request ended badly")
+	}
+}
+
+// problem is the counter of what was wrong with a request's end; "" where nothing was.
+func (x *exchange) problem(result delivery) string {
+	record := &x.record
+	switch {
+	case record.outcome == outcomeDisconnected:
+	case result == writeTimedOut:
+		return counterUnanswered
+	case result == delivered && record.answered > record.timeout+lateTolerance && record.timeout > 0 && x.large == nil:
+		return counterLate
 	}
+	return ""
 }
 
 func (x *exchange) describe(event *zerolog.Event) *zerolog.Event {
 	record := &x.record
-	return event.Str("id", x.id).Int("class", x.class).Str("how", record.how).Int64("patience_ms", record.patience.Milliseconds()).
-		Int64("waited_ms", record.waited.Milliseconds()).Int64("answered_ms", record.written.Milliseconds()).Str("attempts", record.String())
+	return event.Str("id", x.id).Int("class", x.workload).Str("how", record.outcome).Int64("patience_ms", record.timeout.Milliseconds()).
+		Int64("waited_ms", record.waited.Milliseconds()).Int64("answered_ms", record.answered.Milliseconds()).Str("attempts", record.String())
 }
 
-// logClosed counts a client's connection that has ended, and names it at the level debug.
+// logClosed counts a client's connection that has ended, and logs it at the level debug.
 func (b *Balancer) logClosed(c *transport.Client, end transport.End) {
 	b.mu.Lock()
-	b.counts[count{countClosed + end.String(), none}]++
+	b.counters.increment(counterClosedPrefix + end.String())
 	b.mu.Unlock()
 	if event := b.log.Debug(); event.Enabled() {
 		event.Stringer("client", c.RemoteAddr()).Stringer("end", end).Int64("age_ms", c.Age().Milliseconds()).Int("commands", c.Commands()).
 			Msg("client connection closed")
 	}
 }
-
-const maxOpenNamed = 16
-
-// OpenRequests tells how many requests have no final answer, and names some of them.
-func (b *Balancer) OpenRequests() (open int, ids []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for id := range b.open {
-		if len(ids) == maxOpenNamed {
-			break
-		}
-		ids = append(ids, id)
-	}
-	return len(b.open), ids
-}
--- /dev/null
+++ b/routing/requests.go
@@ -0,0 +1,58 @@
+package routing
+
+import "hollylever/tables"
+
+// requestTable holds the requests that have not been released, and what they take. Balancer.mu guards it.
+type requestTable struct {
+	slots          []requestSlot
+	indices        tables.Indices  // of slots
+	openIDs        map[string]bool // of requests that have no final answer
+	bytes          int64           // of memory that the requests take
+	maxBytes       int64
+	maxHeld        int // requests, by the settings
+	maxHeldByFleet int // requests, by the fleet's configuration; it counts once leaseCheck is set
+	eventCapacity  int // of each request's channel of events
+}
+
+// requestSlot is what the policy's side knows of one request. A slot that is not in use is zero.
+type requestSlot struct {
+	events           chan event
+	attemptEndpoints []int // the endpoint of each attempt, in the order of the attempts
+	isFinal          bool  // its final answer is decided, or its client has gone
+	clientGoneAt     int64 // by the policy's clock; 0: it has not
+	attemptDeadline  int64 // by the policy's clock; what the client is told after an attempt that takes until then still reaches it in time
+}
+
+func newRequestTable(settings map[string]any, maxBytes int64) requestTable {
+	return requestTable{
+		openIDs:  map[string]bool{},
+		maxBytes: maxBytes,
+		maxHeld:  max(1, int(settingNumber(settings, "allowed.mostHeld"))),
+		// Guards against a send that blocks under the lock. An attempt has four events at most: it is started, cancelled,
+		// its client is found gone or its value begins, and it ends; a request has a rejection or failure besides.
+		eventCapacity: 4*max(1, int(settingNumber(settings, "allowed.mostTrips"))) + 2,
+	}
+}
+
+// allocate takes a slot for a request and returns its index, and the channel on which the request is sent its events.
+func (t *requestTable) allocate() (int, chan event) {
+	events := make(chan event, t.eventCapacity)
+	i := t.indices.Take()
+	if i == len(t.slots) {
+		t.slots = append(t.slots, requestSlot{})
+	}
+	t.slots[i] = requestSlot{events: events}
+	return i, events
+}
+
+// release frees a slot.
+func (t *requestTable) release(i int) {
+	t.slots[i] = requestSlot{}
+	t.indices.Give(i)
+}
+
+// isFull reports whether there is no capacity for one more request of so many bytes.
+func (t *requestTable) isFull(bytes int64, isFleetLimited bool) bool {
+	held := t.indices.Out()
+	return held >= t.maxHeld || isFleetLimited && held >= t.maxHeldByFleet || t.bytes+bytes > t.maxBytes
+}
--- a/routing/trips_test.go
+++ b/routing/trips_test.go
@@ -16,9 +16,9 @@
 )
 
 // answered reads one answer.
-func answered(t *testing.T, c net.Conn) string {
+func readReply(t *testing.T, c net.Conn) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 	words, err := fakes.Message(bufio.NewReader(c))
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
@@ -28,28 +28,28 @@
 
 // A drain that is told while a trip's connection comes up counts for that trip: nothing is handed over, and another host has it.
 func TestADrainToldWhileAConnectionComesUp(t *testing.T) {
-	at, hears := deaf(t)
-	b := before(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
-	c := dial(t, front(t, b))
-	io.WriteString(c, get("1", "c=read,t=acme,d=20000"))
+	at, hears := unacceptingServer(t)
+	b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
+	c := dial(t, serveClients(t, b))
+	io.WriteString(c, getCommand("1", "c=read,t=acme,d=20000"))
 	until(t, "a trip", func() bool { return b.counted("trips") == 1 })
-	h := scripted(t)
-	b.told(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
+	h := scriptedServer(t)
+	b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
 	hears(func(late net.Conn) {
 		if n, _ := late.Read(make([]byte, 1)); n > 0 {
 			t.Error("it is handed to the host that drains")
 			io.WriteString(late, fakes.Settled("of the host that drains"))
 		}
 	})
-	next(t, h.Came, "the trip to the other host").Say(fakes.Settled("v"))
-	if got := answered(t, c); got != "v" {
+	receive(t, h.Came, "the trip to the other host").Say(fakes.Settled("v"))
+	if got := readReply(t, c); got != "v" {
 		t.Errorf("it is answered %q", got)
 	}
 }
 
 // cutting is a host that reads so many bytes of a command and then ends the connection in some way. It tells how many whole
 // commands it got.
-func cutting(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
+func cuttingServer(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,17 +95,17 @@
 			t.Parallel()
 			elsewhere := 0
 			for bytes := range length + 1 {
-				at, whole := cutting(t, bytes, way.ends)
-				h := scripted(t)
-				b := before(t, at, nil)
-				b.told(t, fakes.List(2, true, fakes.Entry("s", at, "Ready"), fakes.Entry("other", h.Address, "Ready")))
-				address := front(t, b)
+				at, whole := cuttingServer(t, bytes, way.ends)
+				h := scriptedServer(t)
+				b := newBalancerBefore(t, at, nil)
+				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Ready"), fakes.Entry("other", h.Address, "Ready")))
+				address := serveClients(t, b)
 				for n := range 4 { // About half of them go to the one that cuts first.
 					c := dial(t, address)
 					io.WriteString(c, fakes.Words("C.SET", fmt.Sprint("key-", n), fmt.Sprint(n), list, "v"))
 					done := make(chan string, 1)
 					go func() {
-						c.SetReadDeadline(time.Now().Add(patience))
+						c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 						words, err := fakes.Message(bufio.NewReader(c))
 						done <- fmt.Sprint(strings.Join(words, " "), err)
 					}()
@@ -151,11 +151,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			h := scripted(t)
-			b := before(t, h.Address, nil)
-			client := dial(t, front(t, b))
+			h := scriptedServer(t)
+			b := newBalancerBefore(t, h.Address, nil)
+			client := dial(t, serveClients(t, b))
 			io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", "1", "c=book,t=acme,d=700", "v"))
-			came := next(t, h.Came, "the command")
+			came := receive(t, h.Came, "the command")
 			came.Say(c.begins)
 			go func() {
 				for tick := time.NewTicker(30 * time.Millisecond); c.trickle != ""; {
@@ -168,18 +168,18 @@
 					}
 				}
 			}()
-			if got := answered(t, client); got != c.want {
+			if got := readReply(t, client); got != c.want {
 				t.Errorf("it is answered %.60q", got)
 			}
-			until(t, "the end of its place", func() bool { return b.heldNow() == 0 })
+			until(t, "the end of its place", func() bool { return b.requestsHeld() == 0 })
 		})
 	}
 }
 
 // Open connections are counted right however they end: refused, withdrawn while they come up, cut, broken, kept.
 func TestConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
-	h := scripted(t)
-	b := before(t, h.Address, nil)
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, nil)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -203,20 +203,20 @@
 			}
 		}
 	}()
-	address := front(t, b)
+	address := serveClients(t, b)
 	for n := range 300 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, get(fmt.Sprint(n), "c=read,t=acme,d=40"))
+		io.WriteString(c, getCommand(fmt.Sprint(n), "c=read,t=acme,d=40"))
 		if n%3 > 0 {
-			c.SetReadDeadline(time.Now().Add(patience))
+			c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 			c.Read(make([]byte, 1))
 		}
 		c.Close()
 	}
-	until(t, "the end of all", func() bool { return b.heldNow() == 0 })
+	until(t, "the end of all", func() bool { return b.requestsHeld() == 0 })
 	b.pool.Drop(transport.Peer{Server: 0, Address: h.Address})
 	if n := b.pool.Count(); n != 0 {
 		t.Errorf("%d connections count as open", n)
@@ -226,19 +226,19 @@
 // A trip that stays silent is over while its retrieval's final answer can still reach the client before the hard stop: the host
 // is told that time, which is what the trip is waited for.
 func TestSilentTripsEndBeforeTheHardStop(t *testing.T) {
-	h := scripted(t)
-	b := before(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
-	address := front(t, b)
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
+	address := serveClients(t, b)
 	for _, c := range []struct{ patience, most float64 }{{3000, 2995}, {400, 395}, {128, 126}, {64, 63}} {
 		client := dial(t, address)
 		io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", fmt.Sprint(c.patience), fmt.Sprintf("c=book,t=acme,d=%v", c.patience), "v"))
-		came := next(t, h.Came, "the trip")
+		came := receive(t, h.Came, "the trip")
 		_, of, _ := strings.Cut(came.Words[3], "d=")
 		if told, err := strconv.ParseFloat(of, 64); err != nil || told > c.most {
 			t.Errorf("of %v ms the host is told %q", c.patience, came.Words[3])
 		}
 		if c.patience < 1000 {
-			if got := answered(t, client); got != "-ERR given up" {
+			if got := readReply(t, client); got != "-ERR given up" {
 				t.Errorf("after %v ms it is answered %q", c.patience, got)
 			}
 		}
--- a/routing/wallclock_test.go
+++ b/routing/wallclock_test.go
@@ -22,20 +22,20 @@
 		{"an hour on, stamped before it", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := scripted(t)
-			b := before(t, h.Address, nil)
+			h := scriptedServer(t)
+			b := newBalancerBefore(t, h.Address, nil)
 			began := time.Now()
-			b.wall = func() time.Time { return time.Now().Add(c.step) }
+			b.wallClock = func() time.Time { return time.Now().Add(c.step) }
 			stamp := began
 			if !c.stampedBeforeStep {
-				stamp = b.wall()
+				stamp = b.wallClock()
 			}
-			b.told(t, fakes.List(2, true, fakes.Entry("s", h.Address, "Ready", began.Add(-long).UnixMilli())))
-			b.told(t, fakes.List(3, true, fakes.Entry("s", h.Address, "Ready", stamp.UnixMilli())))
+			b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", h.Address, "Ready", began.Add(-long).UnixMilli())))
+			b.applyTestList(t, fakes.List(3, true, fakes.Entry("s", h.Address, "Ready", stamp.UnixMilli())))
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			warmUp := int64(20 * time.Second)
-			age := b.now() - b.servers[b.byName["s"]].startedAt
+			age := b.now() - b.endpoints.all[b.endpoints.byName["s"]].startedAt
 			if age > warmUp/10 {
 				t.Errorf("it counts as started %v ago", time.Duration(age))
 			}
--- a/server/asks.go
+++ b/server/asks.go
@@ -119,7 +119,7 @@
 }
 
 // hosts asks for all of them.
-func (a *asker) hosts() (all []routing.HostStands, err error) {
+func (a *asker) hosts() (all []routing.EndpointStatus, err error) {
 	text, err := a.call(http.MethodGet, "/cache-hosts")
 	if err != nil {
 		return nil, err
--- a/server/main.go
+++ b/server/main.go
@@ -178,7 +178,7 @@
 	}
 	listener.Stalls = stalls
 	go listener.Serve(balancer.Serve)
-	balancer.Takes(true)
+	balancer.SetReady(true)
 	if family != nil {
 		family.SetPhase(siblings.Serving)
 		go limits.share(ctx, family, log)
@@ -186,7 +186,7 @@
 	every := make(chan time.Duration, 1)
 	if left != "" {
 		every <- own.Duration("learnt.every")
-		go keep(ctx, balancer.Keeper(left, told.name), family, every, log)
+		go keep(ctx, balancer.NewSnapshotWriter(left, told.name), family, every, log)
 	}
 	if fleet != nil {
 		gone := make(chan struct{})
@@ -194,7 +194,7 @@
 		defer func() { end(); <-gone }()
 	}
 	go balancer.Follow(ctx)
-	go balancer.FollowBans(ctx)
+	go balancer.WatchEjectionFile(ctx)
 	log.Info().Str("listen", listener.Address()).Str("mgmt", mgmt).Int("clients", front).Int("hosts", hosts).
 		Int64("memory_mb", int64(told.memory)).Msg("serving")
 
@@ -228,7 +228,7 @@
 			}
 			log.Info().Str("discovery", now.discovery).Str("before", told.discovery).Msg("configuration read again")
 			if now.discovery != told.discovery {
-				balancer.Move(now.discovery)
+				balancer.SetDiscovery(now.discovery)
 			}
 			now.inherited = told.inherited
 			told = now
@@ -247,7 +247,7 @@
 			default: // Nobody keeps anything, or the last change is not taken up yet; SIGHUP again.
 			}
 		case <-stop:
-			balancer.Takes(false)
+			balancer.SetReady(false)
 			if family != nil {
 				family.SetPhase(siblings.Draining)
 			}
@@ -256,7 +256,7 @@
 			answered := began.Add(min(hardStop, killDeadline) + lastAnswer)
 			until := answered.Add(cutFor)
 			log.Info().Int("clients", listener.Count()).Int("open", open).Int64("limit_ms", time.Until(until).Milliseconds()).Msg("stopping")
-			balancer.Ends(answered)
+			balancer.ExpireAt(answered)
 			listener.Last()
 			if told.inherited >= 0 {
 				listener.Leave() // Whoever else holds the socket goes on accepting.
@@ -278,7 +278,7 @@
 }
 
 // keep has what was learnt written down while it serves, so that a process that is killed leaves it too.
-func keep(ctx context.Context, keeper *routing.Keeper, family *siblings.Group, every <-chan time.Duration, log zerolog.Logger) {
+func keep(ctx context.Context, keeper *routing.SnapshotWriter, family *siblings.Group, every <-chan time.Duration, log zerolog.Logger) {
 	odd, tick := false, time.NewTicker(time.Hour)
 	for {
 		select {
@@ -292,7 +292,7 @@
 		if family != nil && !family.IsSnapshotWriter() {
 			continue // Another process knows more.
 		}
-		err := keeper.Keep()
+		err := keeper.Write()
 		if err != nil && !errors.Is(err, snapshot.ErrLocked) && !odd {
 			log.Warn().Err(err).Msg("not kept") // Once for a run of them.
 		}
--- a/server/siblings.go
+++ b/server/siblings.go
@@ -38,7 +38,7 @@
 // lay sets what this process may take now, and gives the numbers of connections.
 func (l limited) lay(may siblings.Resources, part float64) (clients, hosts int) {
 	l.listener.Budget.Allow(may.MemoryBytes / 3)
-	l.balancer.Allow(may.MemoryBytes/6, part)
+	l.balancer.SetLimits(may.MemoryBytes/6, part)
 	return l.layDescriptors(int(may.ClientConnections), int(may.EndpointConnections))
 }
 
@@ -72,7 +72,7 @@
 	beside, odd, collector := -1, false, int64(0)
 	tick := time.NewTicker(siblingsEvery)
 	for ; ctx.Err() == nil; <-tick.C {
-		may, part, others, err := k.Update(l.uses(), l.balancer.Handed())
+		may, part, others, err := k.Update(l.uses(), l.balancer.AttemptsSent())
 		if err != nil && !odd {
 			log.Warn().Err(err).Msg("siblings not told") // Once for a run of them.
 		}
--- a/server/size_test.go
+++ b/server/size_test.go
@@ -33,7 +33,7 @@
 
 func farmName(kind string, n int) string {
 	name := fmt.Sprint(kind, "-", n, "-")
-	return name + strings.Repeat("x", routing.MaxServerName-len(name))
+	return name + strings.Repeat("x", routing.MaxEndpointName-len(name))
 }
 
 func farmZone(n int) string { return fmt.Sprintf("zone-%04d", n) }
