--- a/routing/trips_test.go
+++ b/routing/attempt_test.go
@@ -15,40 +15,29 @@
 	"hollylever/transport"
 )
 
-// answered reads one answer.
-func readReply(t *testing.T, c net.Conn) string {
-	t.Helper()
-	c.SetReadDeadline(time.Now().Add(slowEventTimeout))
-	words, err := fakes.Message(bufio.NewReader(c))
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	return strings.Join(words, " ")
-}
-
-// A drain that is told while a trip's connection comes up counts for that trip: nothing is handed over, and another host has it.
-func TestADrainToldWhileAConnectionComesUp(t *testing.T) {
+// A server that drains and gets one more request may stop before it has answered. A drain that is listed while an attempt's connection
+// comes up counts for that attempt: nothing is sent, and another server gets the request.
+func TestDrainDuringConnectWithdrawsAttempt(t *testing.T) {
 	at, hears := unacceptingServer(t)
 	b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
 	c := dial(t, serveClients(t, b))
 	io.WriteString(c, getCommand("1", "c=read,t=acme,d=20000"))
-	until(t, "a trip", func() bool { return b.counted("trips") == 1 })
+	until(t, "an attempt", func() bool { return b.counted("trips") == 1 })
 	h := scriptedServer(t)
 	b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
 	hears(func(late net.Conn) {
 		if n, _ := late.Read(make([]byte, 1)); n > 0 {
-			t.Error("it is handed to the host that drains")
-			io.WriteString(late, fakes.Settled("of the host that drains"))
+			t.Error("it is sent to the server that drains")
+			io.WriteString(late, fakes.Settled("of the server that drains"))
 		}
 	})
-	receive(t, h.Came, "the trip to the other host").Say(fakes.Settled("v"))
+	receive(t, h.Came, "the attempt at the other server").Say(fakes.Settled("v"))
 	if got := readReply(t, c); got != "v" {
 		t.Errorf("it is answered %q", got)
 	}
 }
 
-// cutting is a host that reads so many bytes of a command and then ends the connection in some way. It tells how many whole
-// commands it got.
+// cuttingServer reads so many bytes of a command and then ends the connection in some way. It counts the whole commands that it got.
 func cuttingServer(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,9 +65,9 @@
 	return l.Addr().String(), whole
 }
 
-// A one-shot whose connection ends at any byte of its command, in any way, runs at most once and has one answer; where it ended
-// before the last byte it may go elsewhere, and it does.
-func TestOneShotsAtEachByte(t *testing.T) {
+// A single-shot request that runs twice does harm. One whose connection ends at any byte, in any way, runs at most once and has
+// one answer; where the connection ended before the last byte the request may be sent elsewhere, and is.
+func TestSingleShotRunsAtMostOnceWhereverItsConnectionEnds(t *testing.T) {
 	const list = "c=book,t=acme,d=2000"
 	length := len(fakes.Words("C.SET", "key-0", "1", list, "v"))
 	for _, way := range []struct {
@@ -123,7 +112,7 @@
 					if cut+ran > 1 {
 						t.Fatalf("byte %d: it ran %d times", bytes, cut+ran)
 					}
-					// Dismissed: trying again must do no harm.
+					// Rejected: trying again must do no harm.
 					is := map[string]bool{"v<nil>": ran == 1, "-ERR given up<nil>": ran == 0, "-BUSY<nil>": cut+ran == 0}
 					if !is[answer] {
 						t.Fatalf("byte %d: it is answered %q after %d and %d runs", bytes, answer, cut, ran)
@@ -135,8 +124,9 @@
 	}
 }
 
-// An answer that never ends, in any form, holds neither its client beyond the hard stop nor the retrieval's place after it.
-func TestAnswersThatNeverEnd(t *testing.T) {
+// A server that begins an answer and never ends it, in any form, must hold neither the client beyond the deadline nor the request's slot
+// after that.
+func TestUnfinishedAnswerReleasesClientAndSlot(t *testing.T) {
 	large := strings.Repeat("v", 100<<10)
 	for _, c := range []struct {
 		name, begins string
@@ -176,8 +166,9 @@
 	}
 }
 
-// Open connections are counted right however they end: refused, withdrawn while they come up, cut, broken, kept.
-func TestConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
+// A connection that stays counted after its end takes capacity from the pool for ever. Open connections are counted right however they
+// end: refused, withdrawn while they come up, cut, broken, kept.
+func TestOpenConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
 	done := make(chan struct{})
@@ -223,19 +214,19 @@
 	}
 }
 
-// A trip that stays silent is over while its retrieval's final answer can still reach the client before the hard stop: the host
-// is told that time, which is what the trip is waited for.
-func TestSilentTripsEndBeforeTheHardStop(t *testing.T) {
+// A final answer that is written at the very deadline reaches its client too late. An attempt that stays silent ends while the answer can
+// still arrive in time: the server is told that time, which is how long the attempt is waited for.
+func TestSilentAttemptEndsBeforeDeadline(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
 	address := serveClients(t, b)
 	for _, c := range []struct{ patience, most float64 }{{3000, 2995}, {400, 395}, {128, 126}, {64, 63}} {
 		client := dial(t, address)
 		io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", fmt.Sprint(c.patience), fmt.Sprintf("c=book,t=acme,d=%v", c.patience), "v"))
-		came := receive(t, h.Came, "the trip")
+		came := receive(t, h.Came, "the attempt")
 		_, of, _ := strings.Cut(came.Words[3], "d=")
 		if told, err := strconv.ParseFloat(of, 64); err != nil || told > c.most {
-			t.Errorf("of %v ms the host is told %q", c.patience, came.Words[3])
+			t.Errorf("of %v ms the server is told %q", c.patience, came.Words[3])
 		}
 		if c.patience < 1000 {
 			if got := readReply(t, client); got != "-ERR given up" {
--- a/routing/gone_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -13,13 +13,13 @@
 	"hollylever/transport"
 )
 
-// attempts are the commands that reached hosts whole, in their order, by id.
+// receivedAttempts are the commands that reached servers whole, in their order, by ID.
 type receivedAttempts struct {
 	seen map[string][]fakes.Command
 	came <-chan fakes.Command
 }
 
-// await reads what reaches hosts until one id has come so often, and handles each.
+// await reads what reaches servers until one ID has come so often, and handles each.
 func (a *receivedAttempts) await(t *testing.T, id string, often int, handle func(fakes.Command)) {
 	t.Helper()
 	for len(a.seen[id]) < often {
@@ -31,15 +31,15 @@
 	}
 }
 
-// What a client waits for when it goes. Each case brings the request of the one that leaves to wait, and, once it has left, that of
-// one that stays: an attempt of the latter of the same kind, whose time comes later, proves that the former's never will.
+// attemptsDue is what a client waits for when it disconnects. Each case brings the request of one that leaves to wait, and, once it has left,
+// that of one that stays: an attempt of the latter of the same kind, whose time comes later, proves that the former's never will.
 var attemptsDue = []struct {
 	name   string
 	change map[string]any
-	deaf   bool // the host's connections come up only once the client has left
+	deaf   bool // the server's connections come up only once the client has left
 	before int  // attempts of each before that which is looked for
 	handle func(fakes.Command)
-	holder bool // another request of the key is out
+	holder bool // another request of the key is in flight
 	usual  int  // requests answered at once before: of these a part may have copies
 }{
 	{name: "the first, for which a connection comes up", change: map[string]any{"allowed.dialTimeout": 20000.0}, deaf: true},
@@ -50,7 +50,9 @@
 		change: map[string]any{"workloads.0.expectedTime": 100.0, "allowed.cancelling": false}, before: 1, usual: 100},
 }
 
-func TestNoAttemptBeginsOnceItsClientHasGone(t *testing.T) {
+// An attempt for a client that has gone is work for nothing, and a write that its client has given up on may still happen. Whatever the next
+// attempt waits for when the client disconnects, it does not start.
+func TestNoAttemptStartsAfterClientDisconnect(t *testing.T) {
 	for _, due := range attemptsDue {
 		for _, l := range clientDisconnects {
 			if strings.Contains(l.name, "burst") || strings.Contains(l.name, "kernel") {
@@ -86,7 +88,7 @@
 				if due.before == 0 {
 					until(t, "the wait", func() bool { return b.requestsHeld() == waiting })
 				}
-				if strings.Contains(due.name, "hedged") { // Only now is there another host for it.
+				if strings.Contains(due.name, "hedged") { // Only now is there another server for it.
 					b.applyTestList(t, fakes.List(3, true, fakes.Entry("s", address, "Ready"), fakes.Entry("other", other.Address, "Ready")))
 					all.came = mergeCommands(t, h.Came, other.Came)
 				}
@@ -115,7 +117,7 @@
 				}
 				all.await(t, "stayer", due.before+1, due.handle)
 				for _, c := range all.seen["leaver"] {
-					c.Say(fakes.Settled("v")) // What is out may end.
+					c.Say(fakes.Settled("v")) // What is in flight may end.
 				}
 				until(t, "the end of its request", func() bool { return b.requestsHeld() == 1 })
 				if came := len(all.seen["leaver"]); came > decided || due.deaf && came > 0 {
@@ -126,7 +128,7 @@
 	}
 }
 
-// usual has so many requests answered at once, one after the other, and each attempt that a slow machine adds.
+// runUsualRequests has so many requests answered at once, one after the other, and each attempt that a slow machine adds.
 func runUsualRequests(t *testing.T, h *fakes.Host, many int, ask func(id string) *net.TCPConn) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -149,7 +151,7 @@
 	<-stopped
 }
 
-// merged gives what comes to either of two hosts.
+// mergeCommands returns what comes to either of two servers.
 func mergeCommands(t *testing.T, one, other <-chan fakes.Command) <-chan fakes.Command {
 	both := make(chan fakes.Command)
 	for _, came := range []<-chan fakes.Command{one, other} {
@@ -171,15 +173,15 @@
 	return both
 }
 
-// Clients that wait for room, with a command written, may have gone by the time there is some: nothing is begun for them.
-func TestNothingBeginsForClientsThatWentBeforeTheyWereRead(t *testing.T) {
+// Clients that wait to be accepted, with a command written, may have gone by the time there is capacity: no request is started for them.
+func TestNoRequestStartsForClientGoneBeforeItWasRead(t *testing.T) {
 	const many = 50
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
 	at := serveClients(t, b, func(l *transport.Listener) { l.Allow(1) })
 	first := dial(t, at)
 	io.WriteString(first, getCommand("first", "c=read,t=acme,d=20000"))
-	out := receive(t, h.Came, "the first request") // It has the only place.
+	out := receive(t, h.Came, "the first request") // It takes the only place.
 	for n := range many {
 		c := dial(t, at)
 		io.WriteString(c, getCommand(fmt.Sprint("gone-", n), "c=read,t=acme,d=20000"))
@@ -193,6 +195,6 @@
 	all := &receivedAttempts{seen: map[string][]fakes.Command{}, came: h.Came}
 	all.await(t, "last", 1, nil)
 	if decided := b.counted("trips"); len(all.seen) != 1 || decided != 2 {
-		t.Errorf("%d attempts are decided on, %d requests come to the host", decided, len(all.seen)+1)
+		t.Errorf("%d attempts are decided on, %d requests come to the server", decided, len(all.seen)+1)
 	}
 }
--- a/routing/leaving_test.go
+++ b/routing/disconnect_random_test.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	defaultDisconnects = 400                    // retrievals in CI; HOLLYLEVER_LEAVES sets another number
-	maxLateSend        = 300 * time.Millisecond // after its client left nothing of a retrieval may reach a host
+	defaultDisconnects = 400                    // requests in CI; HOLLYLEVER_LEAVES sets another number
+	maxLateSend        = 300 * time.Millisecond // after its client left nothing of a request may reach a server
 )
 
-// Clients ask, wait a moment and go, in all ways, before a host whose connections do not come up. Once the last has been gone for
-// a while they do: whatever still waits then is sent on.
-func TestClientsThatLeaveByChance(t *testing.T) {
+// A disconnect may meet a request in any state. Clients send requests, wait a moment and disconnect, in all ways, before a server whose
+// connections do not come up. Once the last has been gone for a while they do: whatever still waits would be sent then.
+func TestRandomDisconnectsSendNothingLate(t *testing.T) {
 	many := defaultDisconnects
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_LEAVES")); err == nil {
 		many = n
@@ -76,9 +76,9 @@
 		late += int(came.Load())
 		left, waiting, after = left+b.counted("left"), waiting+b.counted("left_waiting"), after+b.counted("sent_after_left")
 	}
-	t.Logf("seed %d: %d retrievals and what came in bursts; %d of them left, %d while they had no trip out; %d sent on over 50 ms after they left, %d came over 300 ms after the last had",
+	t.Logf("seed %d: %d requests and what came in bursts; %d of them left, %d while they had no attempt under way; %d sent over 50 ms after they left, %d came over 300 ms after the last had",
 		seed, asked, left, waiting, after, late)
 	if late > 0 || after > 0 || left == 0 {
-		t.Error("some are sent on, or none left")
+		t.Error("some are sent, or none left")
 	}
 }
--- a/routing/drains_test.go
+++ b/routing/drains_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// All of 1,024 servers that drain at once are told of, the last ones of more than the bound, and none that is ready again.
-func TestAllDrainsAreTold(t *testing.T) {
+// A drain that other members are not told of has them send requests to an endpoint that stops. All of 1,024 endpoints that drain at once are
+// in the log, the last ones of more than the bound, and none that is ready again.
+func TestDrainLogKeepsLastDrainOfEachEndpoint(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	entries := func(status string, from, to int) (rows []string) {
 		for n := from; n < to; n++ {
@@ -17,11 +18,11 @@
 	b.applyTestList(t, incrementalList(entries("Ready", 0, 1024)...))
 	b.applyTestList(t, incrementalList(entries("Terminating", 0, 1024)...))
 	if _, _, drains := b.ListState(); len(drains) != 1024 || drains[0].Host != "s-0" || drains[1023].Host != "s-1023" {
-		t.Errorf("%d drains are told of 1024", len(drains))
+		t.Errorf("%d drains of 1024", len(drains))
 	}
 	b.applyTestList(t, incrementalList(entries("Ready", 0, 1000)...))
 	if _, _, drains := b.ListState(); len(drains) != 24 {
-		t.Errorf("%d drains are told of 24", len(drains))
+		t.Errorf("%d drains of 24", len(drains))
 	}
 	var l drainLog
 	for n := range maxEndpoints + 10 {
--- a/routing/follow_budget_test.go
+++ b/routing/follow_budget_test.go
@@ -19,7 +19,7 @@
 // These tests play discovery over pipes in memory on a clock that stands still while anything runs, so that minutes of
 // failures take no time and each figure is exact.
 
-// A callPlan is how one call to discovery goes.
+// callPlan is how one call to discovery goes.
 type callPlan string
 
 const (
@@ -35,7 +35,7 @@
 	isAnswered    callPlan = "the change, after its turn at discovery"
 )
 
-// lost are the plans that are of no use, and of these those that say so.
+// lostPlans are the plans that are of no use; refusalDelay has those of them that end by themselves, and after which time.
 var (
 	lostPlans    = []callPlan{noConnection, refusedAtOnce, refusedLate, refusedLast, reset, unanswered, headOnly, trickles}
 	refusalDelay = map[callPlan]time.Duration{refusedAtOnce: 0, refusedLate: time.Second, refusedLast: 3 * time.Second, reset: 0}
@@ -74,7 +74,7 @@
 	return isAnswered
 }
 
-// lastCalls gives the calls after the good watches, as times after from.
+// lastCalls returns the calls after the good watches, as times after from.
 func (d *pipeDiscovery) lastCalls(from time.Time) (calls []time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +155,7 @@
 		close(d.conns)
 		server.Close()
 		<-served
-		time.Sleep(time.Minute) // The modules' own timers run out.
+		time.Sleep(time.Minute) // The policies' own timers run out.
 	})
 }
 
@@ -177,8 +177,8 @@
 	return time.Since(from)
 }
 
-// notified plays a watch that falls silent just as a change comes, and calls after it by plan. It gives the time from the silence
-// to each call and to the change being known.
+// notified plays a watch that falls silent just as a change comes, and calls after it by plan. It returns the time from the silence to each
+// call and until the change is known.
 func notified(t *testing.T, plans []callPlan, settings map[string]any) (calls []time.Duration, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1, plans: plans}
@@ -195,8 +195,9 @@
 	return calls, took
 }
 
-// A change is known 6 s after a watch fell silent also when the call after it is lost as well, however that goes.
-func TestTwoLostWatchesAreWithinTheTerm(t *testing.T) {
+// A balancer that acts on an old list sends requests to servers that have stopped. A change is known 6 s after a watch fell silent also when
+// the call after it is lost as well, however that goes.
+func TestChangeIsAppliedInTimeAfterTwoLostWatches(t *testing.T) {
 	for _, plan := range lostPlans {
 		t.Run(string(plan), func(t *testing.T) {
 			for range 20 { // The waits are drawn by chance.
@@ -210,7 +211,7 @@
 
 // However many calls were lost before, in whatever order, the next one is made early enough for its answer to be there 6 s
 // after discovery could be reached: that is, after the last lost call began, or said that it was refused at once.
-func TestAnyLostCallsAreWithinTheTerm(t *testing.T) {
+func TestChangeIsAppliedInTimeAfterAnyLostCalls(t *testing.T) {
 	pick := uint32(1)
 	for n := range 300 {
 		var plans []callPlan
@@ -228,7 +229,7 @@
 
 // After a new configuration the list is there within 4 s though the first call to the new address is lost, whatever calls at the
 // old one are open or planned then.
-func TestAMoveAmidLostCallsIsWithinItsTerm(t *testing.T) {
+func TestNewDiscoveryIsFollowedInTimeAmidLostCalls(t *testing.T) {
 	const movedWithin = 4 * time.Second
 	for n := range 200 {
 		at := time.Duration(n) * 67 * time.Millisecond // after the watch fell silent
@@ -291,8 +292,8 @@
 	}
 }
 
-// Where all is quiet one watch stays alone: no further call is made beside one that brings its empty lines.
-func TestAGoodWatchStaysAlone(t *testing.T) {
+// Calls that nobody needs take discovery's capacity from those that do. Where all is quiet one watch stays alone: no further call is made beside one that brings its empty lines.
+func TestWorkingWatchStaysTheOnlyOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1}
 		d.start(t)
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -11,14 +11,19 @@
 	"hollylever/fakes"
 )
 
-const slowEventTimeout = 20 * time.Second // for what has to come, though it may take its time
+// Settings that ask for changes to be polled get a watch as well: with nobody to follow it the list would stay as it is at the start.
+func TestWatchIsRequestedWithoutSubscription(t *testing.T) {
+	if len(newTestBalancer(t, 1<<20).watchRequested) != 1 {
+		t.Fatal("the settings ask for no subscription, and nobody follows the list")
+	}
+}
 
-// alone has a silent watch closed after so long, with no further call beside it before.
+// singleWatchTimeouts have a silent watch closed after so long, with no further call beside it before.
 func singleWatchTimeouts(giveUp time.Duration) watchTimeouts {
 	return watchTimeouts{line: time.Hour, answer: time.Hour, giveUp: giveUp}
 }
 
-// follows has a balancer follow a discovery that the test speaks for.
+// followScripted has a balancer follow a discovery service that the test speaks for.
 func followScripted(t *testing.T, timeouts watchTimeouts, changes map[string]any) (*Balancer, *fakes.Discovery) {
 	b, d := newBalancerBefore(t, "127.0.0.1:1", changes), fakes.ScriptedDiscovery()
 	b.list.discovery, b.watchTimeouts = d.Address, timeouts
@@ -29,16 +34,6 @@
 	return b, d
 }
 
-func receive[T any](t *testing.T, from <-chan T, what string) (x T) {
-	t.Helper()
-	select {
-	case x = <-from:
-	case <-time.After(slowEventTimeout):
-		t.Fatalf("%s does not come", what)
-	}
-	return x
-}
-
 func (b *Balancer) isReadyInList(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,8 +41,8 @@
 	return known && statusByHealth[b.endpoints.all[s].health] == "Ready"
 }
 
-// A watch is a stream of JSON values: indented or not, several on a line, cut anywhere.
-func TestListsComeInAnyPieces(t *testing.T) {
+// A list that cannot be read hides all changes after it. A watch is a stream of JSON values: indented or not, several on a line, cut anywhere.
+func TestWatchReadsListsSplitAnywhere(t *testing.T) {
 	indented := func(index int, name string) string {
 		list := fakes.List(index, false, fakes.Entry(name, "127.0.0.1:1", "Ready"))
 		return strings.NewReplacer("{", "{\n  ", ",", ",\r\n\t", "}", "\n\n}").Replace(list)
@@ -87,8 +82,9 @@
 	}
 }
 
-// A watch that has fallen silent is opened anew, wherever it did; also when the next one does the same.
-func TestSilentWatchesAreOpenedAnew(t *testing.T) {
+// A connection that breaks without a word leaves a balancer with an old list. A watch that has fallen silent is replaced, wherever it did;
+// also when the next one does the same.
+func TestSilentWatchIsReplaced(t *testing.T) {
 	list := fakes.List(2, true, fakes.Entry("s", "127.0.0.1:1", "Ready"))
 	for _, c := range []struct {
 		name  string
@@ -116,8 +112,8 @@
 	}
 }
 
-// A list that trickles in counts as silent from its beginning on, so that what it holds up is heard by another watch.
-func TestAListThatTricklesIsNotWaitedFor(t *testing.T) {
+// A list that trickles in would hold up all changes behind it. It counts as silent from its beginning on, so that another watch brings them.
+func TestTricklingListCountsAsSilence(t *testing.T) {
 	_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
 	w := receive(t, d.Calls, "a watch")
 	w.Give("{")
@@ -134,9 +130,9 @@
 	}
 }
 
-// A watch that is asked for while another one begins is that one: asked for again, it would follow the next failure with no
-// wait, and discovery may have too many callers already.
-func TestAMoveLeavesNoWatchOver(t *testing.T) {
+// A request for a watch that stays behind would follow the next failure without backoff, and discovery may have too many callers already.
+// A watch that is requested while another one begins is that one.
+func TestChangeOfDiscoveryLeavesNoWatchRequestBehind(t *testing.T) {
 	d := fakes.ScriptedDiscovery()
 	t.Cleanup(d.Close)
 	b := newBalancerBefore(t, "127.0.0.1:1", nil)
@@ -146,7 +142,7 @@
 	go func() { b.Follow(ctx); close(ended) }()
 	t.Cleanup(func() { end(); <-ended })
 	until(t, "the beginning of a watch", func() bool { return len(b.watchRequested) == 0 })
-	b.list.discovery = d.Address // What Move does, between the two lines of Follow.
+	b.list.discovery = d.Address // What SetDiscovery does, between the request and the watch of Follow.
 	b.WatchEndpoints()
 	b.mu.Unlock()
 	receive(t, d.Calls, "a watch at the new address")
@@ -155,12 +151,12 @@
 	}
 }
 
-// besides has a further call made beside a watch that brings nothing for a moment, and no watch closed for its silence.
+// twoWatchTimeouts have a further call made beside a watch that brings nothing for a moment, and no watch closed for its silence.
 var twoWatchTimeouts = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
 
-// A further call is made beside a watch that says nothing, and the first of the two to be heard is the one that stays: a silent
-// watch is not waited for, and a call that waits its turn at discovery keeps it.
-func TestTheFirstWatchToBeHeardStays(t *testing.T) {
+// A silent watch must not be waited for, and a call that waits in discovery's queue must not lose its place. A further call is made beside a
+// watch that brings nothing, and the first of the two to be heard is the one that stays.
+func TestFirstWatchHeardReplacesTheOthers(t *testing.T) {
 	list := fakes.List(2, false, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n"
 	for _, c := range []struct {
 		name  string
@@ -195,8 +191,9 @@
 	}
 }
 
-// A new configuration lets go of all watches that are open; what they tell then counts no more.
-func TestAMoveLetsGoOfAllWatches(t *testing.T) {
+// Lists of the old discovery that are applied after a change of discovery would undo the new one's. All open watches are cancelled; nothing that
+// they bring after that is applied.
+func TestChangeOfDiscoveryCancelsAllWatches(t *testing.T) {
 	b, d := followScripted(t, twoWatchTimeouts, nil)
 	moved := fakes.ScriptedDiscovery()
 	t.Cleanup(moved.Close)
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -22,7 +22,7 @@
 
 var update = flag.Bool("update", false, "write testdata anew")
 
-// golden holds what is given against a file of testdata.
+// compareGolden compares what is given with a file of testdata.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -36,7 +36,7 @@
 	}
 }
 
-// A host that somebody took out by hand must stay out over an upgrade: the file's form has to stay readable, and what is written the same.
+// An endpoint that an operator has ejected must stay ejected over an upgrade: the file's form has to stay readable, and what is written the same.
 func TestHostsOutByHandAreReadAndWrittenAsBefore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "hollylever.bans")
 	made := func() *Balancer {
@@ -72,7 +72,7 @@
 		}
 	}
 	if got := strings.Join(out, " "); got != "a/1 ü<\"" {
-		t.Errorf("out by hand: %q", got)
+		t.Errorf("ejected: %q", got)
 	}
 }
 
--- a/routing/handover_test.go
+++ b/routing/largevalue_test.go
@@ -15,7 +15,7 @@
 	"hollylever/transport"
 )
 
-// slowReader is a server with a small buffer that begins to read its one connection some time after that came. It gives the time that the
+// slowReadingServer has a small buffer and begins to read its one connection some time after that came. It returns the timeout that the
 // command states and when its last byte came.
 func slowReadingServer(t *testing.T, wait time.Duration, size int) (address string, came <-chan receivedCommand) {
 	t.Helper()
@@ -52,8 +52,9 @@
 	completeAt    time.Time
 }
 
-// A server is told at most what the client has left as the last byte comes, also where the write of a large value is held up.
-func TestALargeValueIsToldWhatIsLeftAtItsEnd(t *testing.T) {
+// A server that is told more time than its client has left works for nobody. It is told at most what is left as the last byte comes, also
+// where the write of a large value is held up.
+func TestLargeWriteStatesTimeLeftAtItsLastByte(t *testing.T) {
 	const deadline = 2 * time.Second
 	value := strings.Repeat("v", 4<<20)
 	command := fakes.Words("C.SET", "k", "1", "c=report,t=acme,k=1,d=2000", value)
--- a/routing/overflow_test.go
+++ b/routing/overflow_test.go
@@ -23,7 +23,7 @@
 	overflowBytes     = 8 * transport.MostBuffer
 )
 
-// flood writes commands until the kernel takes no more.
+// writeFlood writes commands until the kernel takes no more.
 func writeFlood(c *net.TCPConn) { writeFloodWithKey(c, longKey) }
 
 func writeFloodWithKey(c *net.TCPConn, key int) {
@@ -44,8 +44,9 @@
 	return fakes.Words("C.GET", strings.Repeat("k", length), id, "c=read,t=acme,d=20000")
 }
 
-// What is sent beyond what waits has its refusal in its order; what is taken up has its own answer.
-func TestSurplusIsRejectedInItsOrder(t *testing.T) {
+// A client that pipelines more than is kept must be able to tell which command each answer belongs to. What overflows is rejected in the order
+// of the commands; what is accepted has its own answer.
+func TestOverflowIsRejectedInCommandOrder(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
 	c := dial(t, serveClients(t, b))
@@ -91,11 +92,11 @@
 	t.Logf("%d served, %d rejected", served, rejected)
 }
 
-// A client whose close stands behind more commands than wait has gone: what the host has not begun by then it never gets, though
-// it would take them up without a pause.
-func TestNothingIsBegunLongAfterACloseBehindCommands(t *testing.T) {
+// A close that stands behind more commands than are kept must be seen all the same, or all of them are sent for nobody. What the server has
+// not begun soon after the close it never gets, though it would accept all without a pause.
+func TestCloseBehindQueuedCommandsIsSeenSoon(t *testing.T) {
 	h := scriptedServer(t)
-	var last atomic.Int64 // when the host got one
+	var last atomic.Int64 // when the server got one
 	go func() {
 		for {
 			select {
