--- a/routing/admission.go
+++ b/routing/admission.go
@@ -23,7 +23,8 @@
 	remaining       int64 // of the client's timeout, in ns
 }
 
-// admit admits a request: it gets a slot, and the policy decides on it. A request that is not admitted has its final answer at once.
+// admit admits a request: it gets a slot, and the policy decides on it. A request that is not admitted has its final
+// answer at once.
 func (x *exchange) admit() bool {
 	workload, tenant, timeout, predictedWork, err := protocol.Fields(x.arguments[3])
 	if err != nil {
@@ -65,7 +66,8 @@
 	a := admission{remaining: remaining, isDuplicate: b.requests.openIDs[x.id], isFull: b.requests.isFull(x.bytes, b.leaseCheck != nil)}
 	a.workload, a.isKnownWorkload = b.catalog.workloads[string(workload)]
 	if answerBy := b.answerBy.Load(); answerBy > 0 && a.isKnownWorkload {
-		// Guards a shutdown against clients that go on sending requests on connections that are busy: these have to come to an end.
+		// Guards a shutdown against clients that go on sending requests on connections that are busy: these have to
+		// come to an end.
 		left := answerBy - b.now()
 		a.isTooLate = left < min(remaining, b.catalog.expectedTimes[a.workload])
 		a.remaining = min(remaining, left)
@@ -73,7 +75,8 @@
 	return a
 }
 
-// rejectionAnswer counts a request that is not admitted and returns its answer, nil for one that is admitted; under the lock.
+// rejectionAnswer counts a request that is not admitted and returns its answer, nil for one that is admitted; under
+// the lock.
 func (b *Balancer) rejectionAnswer(a admission) []byte {
 	switch {
 	case !a.isKnownWorkload:
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// More requests than the memory or the bound on their number allows would have the process killed: such a request is rejected before the
-// policy decides on it.
+// More requests than the memory or the bound on their number allows would have the process killed: such a request is
+// rejected before the policy decides on it.
 func TestAdmissionBoundsMemoryAndRequests(t *testing.T) {
 	for _, c := range []struct {
 		most int64
@@ -28,8 +28,8 @@
 	}
 }
 
-// A server takes a second request of an ID that is open for the same as the first, and could answer either: the second is an error, and
-// the first stays open.
+// A server takes a second request of an ID that is open for the same as the first, and could answer either: the
+// second is an error, and the first stays open.
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	b.requests.openIDs["id"] = true
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxSendTime bounds the time from when an attempt states its timeout to the server until its last byte is sent: the protocol
-	// allows the attempt to state 150 ms too much. A large value takes longer: it states half of what is left and has the other half.
+	// maxSendTime bounds the time from when an attempt states its timeout to the server until its last byte is sent:
+	// the protocol allows the attempt to state 150 ms too much. A large value takes longer: it states half of what is
+	// left and has the other half.
 	maxSendTime = 100 * time.Millisecond
 
-	// nextPieceTimeout bounds the wait for the next piece of an answer that has begun: a server that stops halfway must not take all
-	// the time that a retry needs.
+	// nextPieceTimeout bounds the wait for the next piece of an answer that has begun: a server that stops halfway
+	// must not take all the time that a retry needs.
 	nextPieceTimeout = 250 * time.Millisecond
 
-	// sentAfterDisconnectTolerance in ns: an attempt that is sent so long after its client disconnected did not just cross that.
+	// sentAfterDisconnectTolerance in ns: an attempt that is sent so long after its client disconnected did not just
+	// cross that.
 	sentAfterDisconnectTolerance = int64(50 * time.Millisecond)
 )
 
-// runAttempt sends a request to an endpoint once, and sends the exchange how that ends. It is careful to send as little as possible of
-// which nobody can tell whether it ran.
+// runAttempt sends a request to an endpoint once, and sends the exchange how that ends. It is careful to send as
+// little as possible of which nobody can tell whether it ran.
 func (x *exchange) runAttempt(line *transport.Line, a attempt) {
 	result := attemptResult{attempt: a}
 	deadline := x.balancer.timeAt(a.deadline)
@@ -36,7 +38,8 @@
 	x.events <- attemptEnded{result}
 }
 
-// connectAndSend is Open once the request's last byte was sent. isUnused: it was not sent, and nothing was written to the connection.
+// connectAndSend is Open once the request's last byte was sent. isUnused: it was not sent, and nothing was written to
+// the connection.
 func (x *exchange) connectAndSend(line *transport.Line, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
 	if end := x.checkClient(); end != transport.Open {
 		return end, false
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -15,8 +15,8 @@
 	"hollylever/transport"
 )
 
-// A server that drains and gets one more request may stop before it has answered. A drain that is listed while an attempt's connection
-// comes up counts for that attempt: nothing is sent, and another server gets the request.
+// A server that drains and gets one more request may stop before it has answered. A drain that is listed while an
+// attempt's connection comes up counts for that attempt: nothing is sent, and another server gets the request.
 func TestDrainDuringConnectWithdrawsAttempt(t *testing.T) {
 	at, hears := unacceptingServer(t)
 	b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
@@ -37,7 +37,8 @@
 	}
 }
 
-// cuttingServer reads so many bytes of a command and then ends the connection in some way. It counts the whole commands that it got.
+// cuttingServer reads so many bytes of a command and then ends the connection in some way. It counts the whole
+// commands that it got.
 func cuttingServer(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,8 +66,8 @@
 	return l.Addr().String(), whole
 }
 
-// A single-shot request that runs twice does harm. One whose connection ends at any byte, in any way, runs at most once and has
-// one answer; where the connection ended before the last byte the request may be sent elsewhere, and is.
+// A single-shot request that runs twice does harm. One whose connection ends at any byte, in any way, runs at most
+// once and has one answer; where the connection ended before the last byte the request may be sent elsewhere, and is.
 func TestSingleShotRunsAtMostOnceWhereverItsConnectionEnds(t *testing.T) {
 	const list = "c=book,t=acme,d=2000"
 	length := len(fakes.Words("C.SET", "key-0", "1", list, "v"))
@@ -124,8 +125,8 @@
 	}
 }
 
-// A server that begins an answer and never ends it, in any form, must hold neither the client beyond the deadline nor the request's slot
-// after that.
+// A server that begins an answer and never ends it, in any form, must hold neither the client beyond the deadline nor
+// the request's slot after that.
 func TestUnfinishedAnswerReleasesClientAndSlot(t *testing.T) {
 	large := strings.Repeat("v", 100<<10)
 	for _, c := range []struct {
@@ -166,8 +167,8 @@
 	}
 }
 
-// A connection that stays counted after its end takes capacity from the pool for ever. Open connections are counted right however they
-// end: refused, withdrawn while they come up, cut, broken, kept.
+// A connection that stays counted after its end takes capacity from the pool for ever. Open connections are counted
+// right however they end: refused, withdrawn while they come up, cut, broken, kept.
 func TestOpenConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
@@ -214,8 +215,9 @@
 	}
 }
 
-// A final answer that is written at the very deadline reaches its client too late. An attempt that stays silent ends while the answer can
-// still arrive in time: the server is told that time, which is how long the attempt is waited for.
+// A final answer that is written at the very deadline reaches its client too late. An attempt that stays silent ends
+// while the answer can still arrive in time: the server is told that time, which is how long the attempt is waited
+// for.
 func TestSilentAttemptEndsBeforeDeadline(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -47,8 +47,9 @@
 }
 
 // New makes a balancer that knows an endpoint list from before, in discovery's form. It holds at most maxBytes of
-// requests at once, and keeps manual ejections in a file, if one is named. before is what a process before it has saved, if any;
-// where that cannot be restored the balancer starts without it. New fails where the known list cannot be read.
+// requests at once, and keeps manual ejections in a file, if one is named. before is what a process before it has
+// saved, if any; where that cannot be restored the balancer starts without it. New fails where the known list cannot
+// be read.
 func New(settings map[string]any, known []byte, discovery string, seed uint64, pool *transport.Pool, maxBytes int64, ejectionPath string,
 	before *snapshot.Snapshot, log zerolog.Logger) (*Balancer, error) {
 	b := &Balancer{
@@ -76,10 +77,10 @@
 	if err := b.applyList(context.Background(), known, true); err != nil || before == nil {
 		return b, err
 	}
-	if servers, err := b.restoreSnapshot(before, known); err != nil {
-		log.Warn().Err(err).Msg("not recalled") // The start is as without it.
+	if endpoints, err := b.restoreSnapshot(before, known); err != nil {
+		log.Warn().Err(err).Msg("snapshot not restored") // The start is as without it.
 	} else {
-		log.Info().Int("servers", servers).Int("keys", len(before.BalancerState.Keys)).Int64("ago_ms", before.Age.Milliseconds()).Msg("recalled")
+		log.Info().Int("endpoints", endpoints).Int("keys", len(before.BalancerState.Keys)).Int64("age_ms", before.Age.Milliseconds()).Msg("snapshot restored")
 	}
 	return b, nil
 }
@@ -92,9 +93,10 @@
 	return b.startedAt.Add(time.Duration(clock - b.startedAt.UnixNano()))
 }
 
-// fromWallClock turns a wall time, as the endpoint list states it, into the policy's clock, which does not follow steps of the wall
-// clock. Where that was stepped back since this process began, a stamp may be from before the step or after it; the later reading
-// counts: an endpoint that is taken to have started too late only gets less traffic for a while. The result is never later than now.
+// fromWallClock turns a wall time, as the endpoint list states it, into the policy's clock, which does not follow
+// steps of the wall clock. Where that was stepped back since this process began, a stamp may be from before the step
+// or after it; the later reading counts: an endpoint that is taken to have started too late only gets less traffic
+// for a while. The result is never later than now.
 func (b *Balancer) fromWallClock(stated int64) int64 {
 	if stated <= 0 {
 		return stated
@@ -109,8 +111,9 @@
 // Ready reports whether this process takes clients and has known an endpoint.
 func (b *Balancer) Ready() bool { return b.isServing.Load() && b.hasListedEndpoints() }
 
-// ExpireAt sets by when each request has its final answer, as the process shuts down then. A request that arrives too late for its
-// latency objective before that is rejected at once; one that was admitted before and has a later deadline fails at that time.
+// ExpireAt sets by when each request has its final answer, as the process shuts down then. A request that arrives too
+// late for its latency objective before that is rejected at once; one that was admitted before and has a later
+// deadline fails at that time.
 func (b *Balancer) ExpireAt(at time.Time) {
 	b.answerBy.Store(b.startedAt.UnixNano() + int64(at.Sub(b.startedAt)))
 	time.AfterFunc(time.Until(at), b.expireAll)
@@ -128,8 +131,8 @@
 	}
 }
 
-// SetLimits sets how many bytes of requests may be held from now on, and this process's share of the attempts where several
-// processes serve as one balancer.
+// SetLimits sets how many bytes of requests may be held from now on, and this process's share of the attempts where
+// several processes serve as one balancer.
 func (b *Balancer) SetLimits(maxBytes int64, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/routing/bounds.go
+++ b/routing/bounds.go
@@ -1,9 +1,9 @@
 package routing
 
-// Bounds on what is kept of endpoints. They follow from maxEndpoints alone, so that all endpoints of any list up to it may drain, be removed
-// or be ejected by hand.
+// Bounds on what is kept of endpoints. They follow from maxEndpoints alone, so that all endpoints of any list up to
+// it may drain, be removed or be ejected by hand.
 const (
-	maxEndpoints     = 4096                                          // names of the past that are known; as many may be ejected, or removed and kept
+	maxEndpoints     = 4096                                          // names of the past; as many may be ejected, or retained
 	maxEjections     = maxEndpoints                                  // by hand
 	maxEjectionsFile = maxEjections * (MaxEndpointName + len(`"",`)) // bytes of the file that names them
 	maxEntryBytes    = 1 << 10                                       // of one entry of a list, in the mean
--- a/routing/catalog.go
+++ b/routing/catalog.go
@@ -6,7 +6,8 @@
 	"hollylever/tables"
 )
 
-// catalog holds what the settings name, and the index by which the policy knows each name. It does not change after New.
+// catalog holds what the settings name, and the index by which the policy knows each name. It does not change after
+// New.
 type catalog struct {
 	workloads         map[string]int
 	expectedTimes     []int64      // latency objectives in ns, by workload
@@ -68,8 +69,8 @@
 	return number
 }
 
-// namesByIndex reverses a table of the settings. It is made once: a search for each of as many names as there are endpoints takes long
-// under the lock.
+// namesByIndex reverses a table of the settings. It is made once: a search for each of as many names as there are
+// endpoints takes long under the lock.
 func namesByIndex(indices map[string]int) []string {
 	size := 0
 	for _, index := range indices {
--- a/routing/clientconn.go
+++ b/routing/clientconn.go
@@ -13,15 +13,16 @@
 	// maxPipelined is how many commands of one client are handled side by side.
 	maxPipelined = 64
 
-	// extraReplies is how many replies stand beside these: one for a run of rejections, one for the last error to a client that is not
-	// read any further.
+	// extraReplies is how many replies stand beside these: one for a run of rejections, one for the last error to a
+	// client that is not read any further.
 	extraReplies = 2
 
 	// maxQuotedCommand in bytes bounds what the error for an unknown command repeats of it.
 	maxQuotedCommand = 32
 )
 
-// Serve serves one client until its connection ends. It reads on while requests are in flight, so that the client's disconnect is seen.
+// Serve serves one client until its connection ends. It reads on while requests are in flight, so that the client's
+// disconnect is seen.
 func (b *Balancer) Serve(c *transport.Client) {
 	disconnected, written := make(chan struct{}), make(chan struct{})
 	replies := make(chan pendingReply, maxPipelined+extraReplies)
@@ -31,8 +32,8 @@
 	}()
 	reader := commandReader{balancer: b, client: c, replies: replies, disconnected: disconnected, overflow: overflow{client: c, replies: replies}}
 	end := reader.run()
-	// After a part of a command that breaks the protocol or is too slow: the commands before it get their answers, as long as the
-	// client stays.
+	// After a part of a command that breaks the protocol or is too slow: the commands before it get their answers, as
+	// long as the client stays.
 	isUnreadable := end == transport.Garbled || end == transport.Stuck
 	staysConnected := isUnreadable && c.Await(1, true) == transport.Open
 	if !staysConnected && end != transport.Spared {
@@ -97,8 +98,8 @@
 	return c.Fill(r.partSince)
 }
 
-// handle answers a command, or starts a request. It is Left where the client of a request has gone: what waited unread, for capacity or
-// while the process was held up, has no client any more.
+// handle answers a command, or starts a request. It is Left where the client of a request has gone: what waited
+// unread, for capacity or while the process was held up, has no client any more.
 func (r *commandReader) handle(arguments [][]byte, length int) transport.End {
 	isRequest, isWrite, problem := protocol.Retrieval(arguments)
 	if isRequest && r.client.HasEnded() {
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -13,23 +13,23 @@
 
 // The names of counters, as the log's summary has them. Operators' figures (Figures) read the same counters.
 const (
-	counterRequests            = "retrievals"      // admitted
-	counterAttempts            = "trips"           // started
-	counterAttemptsSent        = "handed"          // attempts whose last byte was sent
-	counterAttemptPrefix       = "trip_"           // attempts without an answer, by how their connection ended
-	counterDisconnected        = "left"            // requests whose client went before the final answer
-	counterDisconnectedWaiting = "left_waiting"    // of these, the ones that had no attempt under way
-	counterSentAfterDisconnect = "sent_after_left" // attempts sent over sentAfterDisconnectTolerance after their client had gone: none is wanted
-	counterWatchesFailed       = "lists_failed"    // watches on the endpoint list that broke or were silent
-	counterNotAdmitted         = "sent_back"       // requests rejected at admission, by workload
-	counterMalformed           = "sent_back_wrong" // requests answered with an error at admission
-	counterLate                = "requests_late"   // the final answer went out after the client's timeout
-	counterUnanswered          = "requests_unanswered"
-	counterExpired             = "requests_expired"  // ended before their deadline, as the process ends
-	counterWithheld            = "attempts_withheld" // not sent, as a look at the connection showed that the client had gone
-	counterClosedPrefix        = "closed_"           // client connections, by how they ended
-	counterRejectedMemory      = "rejected_memory"   // at admission: as much is held as may be
-	counterRejectedStop        = "rejected_stop"     // at admission: no answer would come before the process ends
+	counterRequests            = "retrievals"          // admitted
+	counterAttempts            = "trips"               // started
+	counterAttemptsSent        = "handed"              // attempts whose last byte was sent
+	counterAttemptPrefix       = "trip_"               // attempts without an answer, by how their connection ended
+	counterDisconnected        = "left"                // requests whose client went before the final answer
+	counterDisconnectedWaiting = "left_waiting"        // of these, the ones that had no attempt under way
+	counterSentAfterDisconnect = "sent_after_left"     // attempts sent well after that: a fault of this program
+	counterWatchesFailed       = "lists_failed"        // watches on the endpoint list that broke or were silent
+	counterNotAdmitted         = "sent_back"           // requests rejected at admission, by workload
+	counterMalformed           = "sent_back_wrong"     // requests answered with an error at admission
+	counterLate                = "requests_late"       // the final answer went out after the client's timeout
+	counterUnanswered          = "requests_unanswered" // the client stayed and did not read its final answer
+	counterExpired             = "requests_expired"    // ended before their deadline, as the process ends
+	counterWithheld            = "attempts_withheld"   // not sent, as a look at the connection showed that the client had gone
+	counterClosedPrefix        = "closed_"             // client connections, by how they ended
+	counterRejectedMemory      = "rejected_memory"     // at admission: as much is held as may be
+	counterRejectedStop        = "rejected_stop"       // at admission: no answer would come before the process ends
 )
 
 // How a request ended, as the log has it. The first three count the final answers, by workload.
@@ -79,8 +79,8 @@
 	return c.sinceStart[counterKey{name, workload}]
 }
 
-// sinceSummary returns what has been counted since it was last called, summed over the workloads; only what happened is named. An
-// error at admission counts as a request that was not admitted.
+// sinceSummary returns what has been counted since it was last called, summed over the workloads; only what happened
+// is named. An error at admission counts as a request that was not admitted.
 func (c *counters) sinceSummary() map[string]int {
 	since := map[string]int{}
 	for key, n := range c.sinceStart {
--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// attemptsDue is what a client waits for when it disconnects. Each case brings the request of one that leaves to wait, and, once it has left,
-// that of one that stays: an attempt of the latter of the same kind, whose time comes later, proves that the former's never will.
+// attemptsDue is what a client waits for when it disconnects. Each case brings the request of one that leaves to
+// wait, and, once it has left, that of one that stays: an attempt of the latter of the same kind, whose time comes
+// later, proves that the former's never will.
 var attemptsDue = []struct {
 	name   string
 	change map[string]any
@@ -50,13 +51,14 @@
 		change: map[string]any{"workloads.0.expectedTime": 100.0, "allowed.cancelling": false}, before: 1, usual: 100},
 }
 
-// An attempt for a client that has gone is work for nothing, and a write that its client has given up on may still happen. Whatever the next
-// attempt waits for when the client disconnects, it does not start.
+// An attempt for a client that has gone is work for nothing, and a write that its client has given up on may still
+// happen. Whatever the next attempt waits for when the client disconnects, it does not start.
 func TestNoAttemptStartsAfterClientDisconnect(t *testing.T) {
 	for _, due := range attemptsDue {
 		for _, l := range clientDisconnects {
 			if strings.Contains(l.name, "burst") || strings.Contains(l.name, "kernel") {
-				continue // What they send before they go takes longer than a backoff: TestWhoeverLeftWhileItWaitedIsNotSentOn has them.
+				// What they send before they go takes longer than a backoff: TestWaitingRequestEndsWithItsClient has them.
+				continue
 			}
 			t.Run(due.name+", "+l.name, func(t *testing.T) {
 				t.Parallel()
@@ -128,7 +130,8 @@
 	}
 }
 
-// runUsualRequests has so many requests answered at once, one after the other, and each attempt that a slow machine adds.
+// runUsualRequests has so many requests answered at once, one after the other, and each attempt that a slow machine
+// adds.
 func runUsualRequests(t *testing.T, h *fakes.Host, many int, ask func(id string) *net.TCPConn) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -173,7 +176,8 @@
 	return both
 }
 
-// Clients that wait to be accepted, with a command written, may have gone by the time there is capacity: no request is started for them.
+// Clients that wait to be accepted, with a command written, may have gone by the time there is capacity: no request
+// is started for them.
 func TestNoRequestStartsForClientGoneBeforeItWasRead(t *testing.T) {
 	const many = 50
 	h := scriptedServer(t)
--- a/routing/disconnect_random_test.go
+++ b/routing/disconnect_random_test.go
@@ -22,8 +22,9 @@
 	maxLateSend        = 300 * time.Millisecond // after its client left nothing of a request may reach a server
 )
 
-// A disconnect may meet a request in any state. Clients send requests, wait a moment and disconnect, in all ways, before a server whose
-// connections do not come up. Once the last has been gone for a while they do: whatever still waits would be sent then.
+// A disconnect may meet a request in any state. Clients send requests, wait a moment and disconnect, in all ways,
+// before a server whose connections do not come up. Once the last has been gone for a while they do: whatever still
+// waits would be sent then.
 func TestRandomDisconnectsSendNothingLate(t *testing.T) {
 	many := defaultDisconnects
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_LEAVES")); err == nil {
--- a/routing/disconnect_test.go
+++ b/routing/disconnect_test.go
@@ -12,7 +12,8 @@
 	"hollylever/transport"
 )
 
-// The tests here put real clients before a balancer and real servers behind it, and have a client disconnect while its request waits.
+// The tests here put real clients before a balancer and real servers behind it, and have a client disconnect while
+// its request waits.
 
 // clientDisconnects are the ways in which a client disconnects.
 var clientDisconnects = []struct {
@@ -46,7 +47,8 @@
 	io.WriteString(c, all.String())
 }
 
-// waitingStates are the states in which a request has no attempt under way. Each case brings a request to wait, and reports once it does.
+// waitingStates are the states in which a request has no attempt under way. Each case brings a request to wait, and
+// reports once it does.
 var waitingStates = []struct {
 	name   string
 	change map[string]any
@@ -92,7 +94,8 @@
 	}, getCommand("1", "c=read,t=acme,d=20000")},
 }
 
-// A request whose client has gone holds a slot and memory, and is sent later for nobody. It ends with its client, whatever it waits for.
+// A request whose client has gone holds a slot and memory, and is sent later for nobody. It ends with its client,
+// whatever it waits for.
 func TestWaitingRequestEndsWithItsClient(t *testing.T) {
 	for _, w := range waitingStates {
 		for _, l := range clientDisconnects {
@@ -117,8 +120,9 @@
 	}
 }
 
-// An answer has no ID: a client that got the answer to its second command first would take it for the first's. A client that ends its
-// sending may read on. What it reads is the answer to the command that is next in order, and where that has none, nothing.
+// An answer has no ID: a client that got the answer to its second command first would take it for the first's. A
+// client that ends its sending may read on. What it reads is the answer to the command that is next in order, and
+// where that has none, nothing.
 func TestAnswersKeepCommandOrderAfterHalfClose(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
@@ -141,8 +145,8 @@
 	}
 }
 
-// A client that stops halfway through a command is not waited for any longer. That must not cancel the whole commands before it: they get
-// their answers first.
+// A client that stops halfway through a command is not waited for any longer. That must not cancel the whole commands
+// before it: they get their answers first.
 func TestPartialCommandKeepsEarlierAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -184,8 +188,8 @@
 	}
 }
 
-// A new client has less time for a command than a usual one. A command that has begun to come gets a usual client's time as soon as the
-// one before it has shown to be good, or a good client on a slow network is cut.
+// A new client has less time for a command than a usual one. A command that has begun to come gets a usual client's
+// time as soon as the one before it has shown to be good, or a good client on a slow network is cut.
 func TestPartialCommandGetsUsualTimeoutAfterGoodCommand(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
--- a/routing/drains.go
+++ b/routing/drains.go
@@ -8,7 +8,8 @@
 	Index uint64
 }
 
-// drainLog keeps the last drain of each endpoint, the oldest first, for maxEndpoints endpoints at most. Balancer.mu guards it.
+// drainLog keeps the last drain of each endpoint, the oldest first, for maxEndpoints endpoints at most. Balancer.mu
+// guards it.
 type drainLog struct {
 	byHost map[string]*list.Element
 	order  list.List // of Drain
--- a/routing/drains_test.go
+++ b/routing/drains_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A drain that other members are not told of has them send requests to an endpoint that stops. All of 1,024 endpoints that drain at once are
-// in the log, the last ones of more than the bound, and none that is ready again.
+// A drain that other members are not told of has them send requests to an endpoint that stops. All of 1,024 endpoints
+// that drain at once are in the log, the last ones of more than the bound, and none that is ready again.
 func TestDrainLogKeepsLastDrainOfEachEndpoint(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	entries := func(status string, from, to int) (rows []string) {
--- a/routing/ejectionfile.go
+++ b/routing/ejectionfile.go
@@ -19,8 +19,8 @@
 // errUnchanged says that the file is as it was when it was last read or written.
 var errUnchanged = errors.New("not changed")
 
-// ejectionFile is the file of manual ejections, which both processes of an upgrade read and write. Without a path they are held in
-// memory alone.
+// ejectionFile is the file of manual ejections, which both processes of an upgrade read and write. Without a path
+// they are held in memory alone.
 type ejectionFile struct {
 	path      string
 	mu        sync.Mutex  // guards the fields below and the file, within this process; it is taken before Balancer.mu
@@ -28,8 +28,8 @@
 	isDamaged bool        // it could not be read
 }
 
-// poll reads the file if it is there and has changed. isNew: names are to be applied. It returns an error for the first of several
-// failures in a row only.
+// poll reads the file if it is there and has changed. isNew: names are to be applied. It returns an error for the
+// first of several failures in a row only.
 func (f *ejectionFile) poll() (names []string, isNew bool, err error) {
 	info, err := os.Stat(f.path)
 	if err != nil || f.isLastSeen(info) {
@@ -61,15 +61,15 @@
 		if err = syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			return func() { lockFile.Close() }, nil
 		}
-		if time.Now().After(deadline) { // Guards an operator's call against another process that is stopped and has the lock.
+		if time.Now().After(deadline) { // Guards the call against a stopped process that has the lock.
 			lockFile.Close()
 			return nil, err
 		}
 	}
 }
 
-// readIfChanged returns the names in the file if another process has written it, and errUnchanged if not: many ejections in a row do
-// not read it each time.
+// readIfChanged returns the names in the file if another process has written it, and errUnchanged if not: many
+// ejections in a row do not read it each time.
 func (f *ejectionFile) readIfChanged() ([]string, error) {
 	if info, err := os.Stat(f.path); err == nil && f.isLastSeen(info) && !f.isDamaged {
 		return nil, errUnchanged
--- a/routing/ejections.go
+++ b/routing/ejections.go
@@ -12,7 +12,8 @@
 	"hollylever/transport"
 )
 
-// ejectionsInterval is how often the file of manual ejections is checked for what the other process of an upgrade wrote.
+// ejectionsInterval is how often the file of manual ejections is checked for what the other process of an upgrade
+// wrote.
 const ejectionsInterval = 50 * time.Millisecond
 
 // ErrNeverListed says that no list ever had an endpoint of this name.
@@ -55,8 +56,8 @@
 	}
 }
 
-// Ban ejects an endpoint by hand, or ends that. Once it has returned the change is in the file and in force. It fails with
-// ErrNeverListed for an unknown name, and where the file cannot be locked or written.
+// Ban ejects an endpoint by hand, or ends that. Once it has returned the change is in the file and in force. It fails
+// with ErrNeverListed for an unknown name, and where the file cannot be locked or written.
 func (b *Balancer) Ban(name string, isEjected bool) error {
 	if !b.wasListed(name) {
 		return ErrNeverListed
@@ -96,8 +97,8 @@
 	return isListed || b.endpoints.everListed.names[name] || b.ejections.manual[name]
 }
 
-// WatchEjectionFile applies what another process writes to the file of manual ejections, and closes connections to ejected endpoints
-// as they become idle. It returns some time after the context ends.
+// WatchEjectionFile applies what another process writes to the file of manual ejections, and closes connections to
+// ejected endpoints as they become idle. It returns some time after the context ends.
 func (b *Balancer) WatchEjectionFile(ctx context.Context) {
 	for tick := time.NewTicker(ejectionsInterval); ctx.Err() == nil; <-tick.C {
 		b.reloadEjections()
@@ -112,7 +113,7 @@
 		b.setEjections(manualEjections, names)
 	}
 	if err != nil {
-		b.log.Warn().Err(err).Msg("bans not taken") // What is in force stays.
+		b.log.Warn().Err(err).Msg("ejections not read") // What is in force stays.
 	}
 	b.ejectionFile.mu.Unlock()
 	b.mu.Lock()
@@ -152,10 +153,10 @@
 func (b *Balancer) logEjection(source ejectionSource, name string, isEjected bool) {
 	switch source {
 	case manualEjections:
-		b.log.Info().Str("server", name).Bool("out", isEjected).Msg("server by hand")
+		b.log.Info().Str("endpoint", name).Bool("ejected", isEjected).Msg("ejection by hand")
 	case fleetEjections:
-		b.log.Info().Str("server", name).Bool("out", isEjected).Msg("server by the fleet")
+		b.log.Info().Str("endpoint", name).Bool("ejected", isEjected).Msg("ejection by the fleet")
 	case peerDrainEjections:
-		b.log.Info().Str("server", name).Bool("out", isEjected).Msg("server by another's list")
+		b.log.Info().Str("endpoint", name).Bool("ejected", isEjected).Msg("ejection by another member's list")
 	}
 }
--- a/routing/ejections_test.go
+++ b/routing/ejections_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// In a large fleet more endpoints are listed than names are remembered: an operator can eject each of them all the same.
+// In a large fleet more endpoints are listed than names are remembered: an operator can eject each of them all the
+// same.
 func TestEveryListedEndpointCanBeEjected(t *testing.T) {
 	b, rows := newTestBalancer(t, 1<<20), []string{}
 	for n := range maxEndpoints + 100 {
--- a/routing/endpointlist.go
+++ b/routing/endpointlist.go
@@ -17,7 +17,7 @@
 	updates           int          // lists applied so far
 	watches           []*listWatch // open ones, oldest first; maxWatches at most
 	isFailing         bool         // the list cannot be followed
-	heardAt           time.Time    // when a watch last brought something complete, or broke off; zero after a change of discovery
+	heardAt           time.Time    // when a watch was last heard, or broke off; zero after a change of discovery
 	requiredDiscovery string       // by the fleet's configuration; "": each process's own counts
 	minIndex          uint64       // of lists that count in full, by the fleet's configuration
 }
@@ -52,8 +52,8 @@
 	return index >= s.minIndex && (s.requiredDiscovery == "" || s.requiredDiscovery == s.discovery)
 }
 
-// applyList applies a list to the endpoints and the policy. isSaved: it is from before the start. It fails where the list cannot be
-// read, or where its watch was cancelled. It takes the lock.
+// applyList applies a list to the endpoints and the policy. isSaved: it is from before the start. It fails where the
+// list cannot be read, or where its watch was cancelled. It takes the lock.
 func (b *Balancer) applyList(watch context.Context, text []byte, isSaved bool) error {
 	// A list of thousands of endpoints takes as long to read as many requests do: it is read before the lock is taken.
 	list, err := parseList(text)
@@ -100,8 +100,8 @@
 	b.releaseRemovedEndpoints(u.now)
 }
 
-// keepDrainsOnly reduces a list that the fleet does not follow, or one before the index that it has agreed on, to its drains: an
-// endpoint that is about to stop must not get requests, whichever list says so.
+// keepDrainsOnly reduces a list that the fleet does not follow, or one before the index that it has agreed on, to its
+// drains: an endpoint that is about to stop must not get requests, whichever list says so.
 func (u *listUpdate) keepDrainsOnly() {
 	isReady := func(e listEntry) bool { return healthByStatus[e.status] == policy.Ready }
 	u.list.entries, u.list.isFull = slices.DeleteFunc(u.list.entries, isReady), false
@@ -158,7 +158,8 @@
 	u.setHealth(i, previousStatus, health)
 }
 
-// removeUnlistedAndDisplaced removes the endpoints that a full list does not have, and those whose address belongs to another by now.
+// removeUnlistedAndDisplaced removes the endpoints that a full list does not have, and those whose address belongs to
+// another by now.
 func (u *listUpdate) removeUnlistedAndDisplaced() {
 	b := u.balancer
 	removesUnlisted := u.isSaved || u.list.isFull
@@ -172,8 +173,8 @@
 			u.remove(i)
 			continue
 		}
-		// Guards a new endpoint against requests that are meant for the one that had its address: the list is late, and that one has
-		// gone. Whichever started last has the address.
+		// Guards a new endpoint against requests that are meant for the one that had its address: the list is late,
+		// and that one has gone. Whichever started last has the address.
 		owner, isShared := ownerByAddress[e.address]
 		switch {
 		case !isShared:
@@ -197,8 +198,8 @@
 	u.setHealth(i, statusByHealth[u.balancer.endpoints.all[i].health], policy.Removed)
 }
 
-// setHealth sets an endpoint's health by the list, records what changed, and passes it to the policy. previousStatus is "" for an
-// endpoint that was not known.
+// setHealth sets an endpoint's health by the list, records what changed, and passes it to the policy. previousStatus
+// is "" for an endpoint that was not known.
 func (u *listUpdate) setHealth(i int, previousStatus string, health policy.Health) {
 	b := u.balancer
 	e := &b.endpoints.all[i]
--- a/routing/endpointlist_test.go
+++ b/routing/endpointlist_test.go
@@ -12,8 +12,8 @@
 	"hollylever/tables"
 )
 
-// Over long days new endpoints keep coming: memory must not grow with them, and an index must not become another endpoint's while an attempt
-// is held against it.
+// Over long days new endpoints keep coming: memory must not grow with them, and an index must not become another
+// endpoint's while an attempt is held against it.
 func TestRemovedEndpointReleasesItsIndex(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	for n := range 500 {
@@ -31,13 +31,15 @@
 	if len(b.endpoints.all) != 3 || len(b.endpoints.byName) != 2 {
 		t.Fatalf("%d places, %d names", len(b.endpoints.all), len(b.endpoints.byName))
 	}
-	b.applyTestList(t, strings.Replace(incrementalList(entryJSON("last", "127.0.0.1:9", "Ready", 1)), "false", "true", 1)) // a full list without the first
+	fullListWithoutFirst := strings.Replace(incrementalList(entryJSON("last", "127.0.0.1:9", "Ready", 1)), "false", "true", 1)
+	b.applyTestList(t, fullListWithoutFirst)
 	if len(b.endpoints.byName) != 2 || b.endpoints.all[0].name == "s" {
 		t.Fatalf("%v", b.endpoints.byName)
 	}
 }
 
-// A list that is late still has an endpoint whose address a new one has taken over. The new one must not get what is meant for the old one.
+// A list that is late still has an endpoint whose address a new one has taken over. The new one must not get what is
+// meant for the old one.
 func TestSharedAddressBelongsToLastStarted(t *testing.T) {
 	for _, rows := range [][]string{
 		{entryJSON("old", "127.0.0.1:9", "Ready", 5), entryJSON("new", "127.0.0.1:9", "Ready", 8)},
@@ -52,8 +54,8 @@
 	}
 }
 
-// A list may lose endpoints that serve well. Where only draining binds, an endpoint that the list removes is retained and used; one that
-// drained, is ejected or has lost its address is not, and none is retained for ever.
+// A list may lose endpoints that serve well. Where only draining binds, an endpoint that the list removes is retained
+// and used; one that drained, is ejected or has lost its address is not, and none is retained for ever.
 func TestRemovedEndpointIsRetainedWhereOnlyDrainingBinds(t *testing.T) {
 	begun := func() *Balancer {
 		stated := tables.Flat(gjson.Parse(settings))
@@ -103,8 +105,8 @@
 	}
 }
 
-// A cold server that counts as warm is overloaded. The wall clock is stepped while the process runs, and a server comes back cold: it counts
-// as cold, by whichever clock its start is stamped.
+// A cold server that counts as warm is overloaded. The wall clock is stepped while the process runs, and a server
+// comes back cold: it counts as cold, by whichever clock its start is stamped.
 func TestSlowStartIgnoresWallClockSteps(t *testing.T) {
 	const long = 30 * time.Minute
 	for _, c := range []struct {
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -8,8 +8,8 @@
 	"hollylever/transport"
 )
 
-// removedRetention is how long an endpoint that the list removed without a drain is kept in use where only draining binds: such a list
-// may be wrong, and an endpoint that has really gone shows it by failed connections.
+// removedRetention is how long an endpoint that the list removed without a drain is kept in use where only draining
+// binds: such a list may be wrong, and an endpoint that has really gone shows it by failed connections.
 const removedRetention = int64(time.Minute)
 
 // healthByStatus has the list's statuses, statusByHealth the reverse.
@@ -57,7 +57,8 @@
 	return i
 }
 
-// nameHistory holds the last maxEndpoints names of endpoints that a list had, so that an operator may eject one before it is listed again.
+// nameHistory holds the last maxEndpoints names of endpoints that a list had, so that an operator may eject one
+// before it is listed again.
 type nameHistory struct {
 	names  map[string]bool
 	ring   []string // the same, in the order in which they were first listed
@@ -130,14 +131,15 @@
 	}
 }
 
-// retainsRemoved reports whether an endpoint that the list removed stays in use, beside so many others of its kind; under the lock.
+// retainsRemoved reports whether an endpoint that the list removed stays in use, beside so many others of its kind;
+// under the lock.
 func (b *Balancer) retainsRemoved(now int64, e *endpoint, retained int) bool {
 	return e.name != "" && e.health == policy.Removed && b.catalog.onlyDrainingBinds && !e.isRetired &&
 		now < e.removedAt+removedRetention && retained < maxEndpoints
 }
 
-// releaseIfRemoved frees the place of an endpoint that the list removed once no attempt is held there; under the lock. Guards memory
-// over long days, on which new endpoints keep coming.
+// releaseIfRemoved frees the place of an endpoint that the list removed once no attempt is held there; under the
+// lock. Guards memory over long days, on which new endpoints keep coming.
 func (b *Balancer) releaseIfRemoved(i int) {
 	e := &b.endpoints.all[i]
 	if e.name == "" || e.health != policy.Removed || e.attempts > 0 {
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,8 +2,8 @@
 
 import "hollylever/transport"
 
-// event is sent to an exchange: a decision of the policy, or the progress of one of its attempts. The goroutine of the request handles
-// its events one after the other.
+// event is sent to an exchange: a decision of the policy, or the progress of one of its attempts. The goroutine of
+// the request handles its events one after the other.
 type event interface{ handle(x *exchange) }
 
 // Decisions of the policy.
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -8,7 +8,8 @@
 	"hollylever/transport"
 )
 
-// outcomeByEnd is what an attempt's end is to the policy. TurnedAway up to Withdrawn prove that it never ran: its last byte was not sent.
+// outcomeByEnd is what an attempt's end is to the policy. TurnedAway up to Withdrawn prove that it never ran: its
+// last byte was not sent.
 var outcomeByEnd = map[transport.End]policy.Outcome{
 	transport.Settled:    policy.OK,
 	transport.Errored:    policy.Errored,
@@ -33,12 +34,14 @@
 	hasEnded     func() bool     // checks the connection itself; nil: there is none to check
 }
 
-// isGone reports whether the client has disconnected by now, also where nobody has read the end of its connection yet. Both that end and
-// what starts an attempt may have become due while the process was held up, and are then handled in any order.
+// isGone reports whether the client has disconnected by now, also where nobody has read the end of its connection
+// yet. Both that end and what starts an attempt may have become due while the process was held up, and are then
+// handled in any order.
 func (c client) isGone() bool { return c.hasEnded != nil && c.hasEnded() }
 
-// exchange is the life of one request: from its arguments over its attempts to its one final answer, and on until its last attempt has
-// ended. One goroutine, that of handleRequest, owns it; attempts read only what is set before they start.
+// exchange is the life of one request: from its arguments over its attempts to its one final answer, and on until its
+// last attempt has ended. One goroutine, that of handleRequest, owns it; attempts read only what is set before they
+// start.
 type exchange struct {
 	balancer  *Balancer
 	arguments [][]byte
@@ -174,8 +177,8 @@
 	x.reply.reply <- reply{bytes: answer}
 }
 
-// handle passes a large value on to the client as it comes, unless the request has its final answer. It counts as answered once the value
-// is complete.
+// handle passes a large value on to the client as it comes, unless the request has its final answer. It counts as
+// answered once the value is complete.
 func (e responseStarted) handle(x *exchange) {
 	isAccepted := x.acceptLargeValue(e.number)
 	if e.value.isAccepted <- isAccepted; !isAccepted {
--- a/routing/exchange_test.go
+++ b/routing/exchange_test.go
@@ -10,8 +10,8 @@
 	"hollylever/transport"
 )
 
-// An attempt that the policy is not told the end of counts as in flight for ever. One that it decides on while the client disconnects is
-// ended too.
+// An attempt that the policy is not told the end of counts as in flight for ever. One that it decides on while the
+// client disconnects is ended too.
 func TestAttemptsStartedDuringDisconnectAreEnded(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	left := make(chan struct{})
@@ -32,8 +32,8 @@
 	}
 }
 
-// A single-shot request is retried only where it cannot have run. An outcome that says so of one that may have run does harm; one that does
-// not say so fails requests for nothing.
+// A single-shot request is retried only where it cannot have run. An outcome that says so of one that may have run
+// does harm; one that does not say so fails requests for nothing.
 func TestOutcomeTellsWhetherAttemptMayHaveRun(t *testing.T) {
 	never := map[policy.Outcome]bool{policy.Rejected: true, policy.ConnectFailed: true, policy.NotSent: true, policy.CacheMiss: true}
 	for end := transport.Settled; end <= transport.Garbled; end++ {
@@ -44,7 +44,8 @@
 	}
 }
 
-// Clients that retry a rejected request at once make an overload worse: a rejection states when to come back, within the settings' bound.
+// Clients that retry a rejected request at once make an overload worse: a rejection states when to come back, within
+// the settings' bound.
 func TestRejectionStatesRetryAfter(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	r := newPendingReply()
--- a/routing/figures.go
+++ b/routing/figures.go
@@ -116,8 +116,8 @@
 	return all
 }
 
-// Summary logs what has been counted since the last one, and the present state. clients is the number of client connections, cpu and
-// collections what the process has used.
+// Summary logs what has been counted since the last one, and the present state. clients is the number of client
+// connections, cpu and collections what the process has used.
 func (b *Balancer) Summary(clients int, cpu time.Duration, collections uint64) {
 	b.mu.Lock()
 	line := b.log.Info().Int("clients", clients).Int("hosts_open", b.pool.Count()).
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -12,8 +12,8 @@
 
 // OutlierExchange is the fleet's shared outlier detection. It is called under Balancer.mu, and may not call back.
 type OutlierExchange interface {
-	// HandleAttemptStarted is told of an attempt. It returns by which part the endpoint's chance of success is to be reduced from
-	// now on, if isSuppressed.
+	// HandleAttemptStarted is told of an attempt. It returns by which part the endpoint's chance of success is to be
+	// reduced from now on, if isSuppressed.
 	HandleAttemptStarted(endpoint string) (part float64, isSuppressed bool)
 	// HandleAttemptEnded is told of an attempt's outcome, its latency and the latency objective, both in ns.
 	HandleAttemptEnded(endpoint string, outcome policy.Outcome, latency, objective int64)
@@ -71,8 +71,8 @@
 	b.policy.SetWidespreadMisses(isWidespread)
 }
 
-// SetEvacuation sets which part of the keys does not go to each zone's endpoints now. For the time of refill after that the zone's
-// endpoints are not passed over as slow.
+// SetEvacuation sets which part of the keys does not go to each zone's endpoints now. For the time of refill after
+// that the zone's endpoints are not passed over as slow.
 func (b *Balancer) SetEvacuation(parts map[string]float64, refill time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,7 +106,8 @@
 	return all
 }
 
-// SetConnectionSubset sets to which endpoints this balancer keeps idle connections; those to others end soon. isAll: to all.
+// SetConnectionSubset sets to which endpoints this balancer keeps idle connections; those to others end soon. isAll:
+// to all.
 func (b *Balancer) SetConnectionSubset(names map[string]bool, isAll bool) {
 	others := map[int]bool{}
 	b.mu.Lock()
@@ -128,9 +129,9 @@
 // minQuota stands for a quota of none at all, as a quota of 0 would mean that there is no limit; in requests a second.
 const minQuota = 1e-9
 
-// ApplyFleetConfig applies the fleet's configuration: ejected endpoints, and limits by name. Where the settings have a smaller limit,
-// that counts. Of a list that is another discovery's, or of an index under minListIndex, only drains are applied; "" as discovery:
-// each process's own counts.
+// ApplyFleetConfig applies the fleet's configuration: ejected endpoints, and limits by name. Where the settings have
+// a smaller limit, that counts. Of a list that is another discovery's, or of an index under minListIndex, only drains
+// are applied; "" as discovery: each process's own counts.
 func (b *Balancer) ApplyFleetConfig(ejected []string, limits map[string]int64, discovery string, minListIndex uint64) {
 	b.mu.Lock()
 	b.list.requiredDiscovery, b.list.minIndex = discovery, minListIndex
@@ -149,8 +150,8 @@
 	b.setEjections(fleetEjections, ejected)
 }
 
-// ListState returns the index of the list that is in force, a digest that differs for another list of the same index, and its last
-// drains, without those of endpoints that are ready again.
+// ListState returns the index of the list that is in force, a digest that differs for another list of the same index,
+// and its last drains, without those of endpoints that are ready again.
 func (b *Balancer) ListState() (index, digest uint64, drains []Drain) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -9,8 +9,9 @@
 	"hollylever/policy"
 )
 
-// A member that ignored an ejection or a limit of the fleet, or kept one that is withdrawn, would serve by rules of its own. The fleet's
-// configuration is overlaid on the list and the settings, and taken off again; the smaller limit counts.
+// A member that ignored an ejection or a limit of the fleet, or kept one that is withdrawn, would serve by rules of
+// its own. The fleet's configuration is overlaid on the list and the settings, and taken off again; the smaller limit
+// counts.
 func TestFleetConfigIsOverlaidAndSmallerLimitCounts(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	looks := 0
@@ -51,8 +52,8 @@
 	}
 }
 
-// Two members that follow different lists would move requests to different endpoints. Of a list that the fleet does not follow drains are
-// applied and nothing else.
+// Two members that follow different lists would move requests to different endpoints. Of a list that the fleet does
+// not follow drains are applied and nothing else.
 func TestListOutsideFleetConfigAppliesOnlyDrains(t *testing.T) {
 	for why, c := range map[string]struct {
 		of   string
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -16,7 +16,7 @@
 // What discovery's protocol says of a watch on the endpoint list.
 const (
 	emptyLineInterval = 2 * time.Second // of a watch while nothing changes
-	notifiedTimeout   = 6 * time.Second // a balancer must act on a change so long after discovery had it and could be reached
+	notifiedTimeout   = 6 * time.Second // until a balancer acts on a change that discovery has
 )
 
 // notifiedTimeout is divided for the worst case, a watch that falls silent and a call after it that is never answered:
@@ -36,7 +36,7 @@
 type watchTimeouts struct {
 	line     time.Duration // after the last complete list or empty line: a further call is made beside the watch
 	answer   time.Duration // the same after the start of a call that has brought nothing complete
-	lastCall time.Duration // after a watch was last heard or broke off: a call may wait in discovery's queue until then, if that is later
+	lastCall time.Duration // after a watch was last heard or broke off, if that is later: a call may be queued
 	spread   time.Duration // the further call is delayed by a random part of this
 	giveUp   time.Duration // a watch on which nothing begins or ends for so long is closed
 }
@@ -49,10 +49,11 @@
 	errSilent   = errors.New("discovery is silent")
 )
 
-// follower opens the watches on the endpoint list. While nothing complete is heard it opens a further one beside the one that is open:
-// a call that waits in discovery's queue must not lose its place. The first watch to be heard stays and the others are closed. After a
-// refusal, with no watch open, the policy says when to call again (WatchEndpoints). Soon after a watch was heard a call is given more
-// time before a further one is made: when all balancers call at once, that spares discovery calls that nobody needs.
+// follower opens the watches on the endpoint list. While nothing complete is heard it opens a further one beside the
+// one that is open: a call that waits in discovery's queue must not lose its place. The first watch to be heard stays
+// and the others are closed. After a refusal, with no watch open, the policy says when to call again
+// (WatchEndpoints). Soon after a watch was heard a call is given more time before a further one is made: when all
+// balancers call at once, that spares discovery calls that nobody needs.
 //
 // One goroutine, that of Follow, uses it.
 type follower struct {
@@ -127,7 +128,8 @@
 func (f *follower) open(ctx context.Context) {
 	b := f.balancer
 	select {
-	case <-b.watchRequested: // Requested meanwhile, as by SetDiscovery: this is the watch. Later it would follow a refusal without backoff.
+	case <-b.watchRequested:
+		// Requested meanwhile, as by SetDiscovery: this is the watch. Later it would follow a refusal without backoff.
 	default:
 	}
 	watching, cancel := context.WithCancelCause(ctx)
@@ -166,7 +168,8 @@
 	return time.Until(due.Add(f.delay)), true
 }
 
-// watchEnded records the end of a watch, unless it was cancelled on purpose. If it was the last, the policy plans the next call.
+// watchEnded records the end of a watch, unless it was cancelled on purpose. If it was the last, the policy plans the
+// next call.
 func (f *follower) watchEnded(watch *listWatch) {
 	b := f.balancer
 	b.mu.Lock()
@@ -190,7 +193,8 @@
 	}
 }
 
-// watchHeard records that a watch brought something complete, and cancels all others: from now on this one alone brings the list.
+// watchHeard records that a watch brought something complete, and cancels all others: from now on this one alone
+// brings the list.
 func (b *Balancer) watchHeard(watch *listWatch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -227,14 +231,15 @@
 	}
 }
 
-// resetBackoff has the policy apply an empty update, so that its backoff starts again from its beginning; under the lock.
+// resetBackoff has the policy apply an empty update, so that its backoff starts again from its beginning; under the
+// lock.
 func (b *Balancer) resetBackoff() {
 	b.policy.BeginEndpointUpdate(policy.IncrementalList)
 	b.policy.CommitEndpointUpdate(b.now())
 }
 
-// SetDiscovery follows the list at another address from now on. The old watches are cancelled at once: they may stay open for a while,
-// and nothing more that they bring is applied.
+// SetDiscovery follows the list at another address from now on. The old watches are cancelled at once: they may stay
+// open for a while, and nothing more that they bring is applied.
 func (b *Balancer) SetDiscovery(discovery string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/routing/follow_budget_test.go
+++ b/routing/follow_budget_test.go
@@ -35,13 +35,15 @@
 	isAnswered    callPlan = "the change, after its turn at discovery"
 )
 
-// lostPlans are the plans that are of no use; refusalDelay has those of them that end by themselves, and after which time.
+// lostPlans are the plans that are of no use; refusalDelay has those of them that end by themselves, and after which
+// time.
 var (
 	lostPlans    = []callPlan{noConnection, refusedAtOnce, refusedLate, refusedLast, reset, unanswered, headOnly, trickles}
 	refusalDelay = map[callPlan]time.Duration{refusedAtOnce: 0, refusedLate: time.Second, refusedLast: 3 * time.Second, reset: 0}
 )
 
-// pipeDiscovery takes calls over pipes: the first ones are good watches, those after them go by plan, and the rest are answered.
+// pipeDiscovery takes calls over pipes: the first ones are good watches, those after them go by plan, and the rest
+// are answered.
 type pipeDiscovery struct {
 	good   int
 	plans  []callPlan
@@ -177,8 +179,8 @@
 	return time.Since(from)
 }
 
-// notified plays a watch that falls silent just as a change comes, and calls after it by plan. It returns the time from the silence to each
-// call and until the change is known.
+// notified plays a watch that falls silent just as a change comes, and calls after it by plan. It returns the time
+// from the silence to each call and until the change is known.
 func notified(t *testing.T, plans []callPlan, settings map[string]any) (calls []time.Duration, took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1, plans: plans}
@@ -195,8 +197,8 @@
 	return calls, took
 }
 
-// A balancer that acts on an old list sends requests to servers that have stopped. A change is known 6 s after a watch fell silent also when
-// the call after it is lost as well, however that goes.
+// A balancer that acts on an old list sends requests to servers that have stopped. A change is known 6 s after a
+// watch fell silent also when the call after it is lost as well, however that goes.
 func TestChangeIsAppliedInTimeAfterTwoLostWatches(t *testing.T) {
 	for _, plan := range lostPlans {
 		t.Run(string(plan), func(t *testing.T) {
@@ -209,8 +211,9 @@
 	}
 }
 
-// However many calls were lost before, in whatever order, the next one is made early enough for its answer to be there 6 s
-// after discovery could be reached: that is, after the last lost call began, or said that it was refused at once.
+// However many calls were lost before, in whatever order, the next one is made early enough for its answer to be
+// there 6 s after discovery could be reached: that is, after the last lost call began, or said that it was refused at
+// once.
 func TestChangeIsAppliedInTimeAfterAnyLostCalls(t *testing.T) {
 	pick := uint32(1)
 	for n := range 300 {
@@ -227,8 +230,8 @@
 	}
 }
 
-// After a new configuration the list is there within 4 s though the first call to the new address is lost, whatever calls at the
-// old one are open or planned then.
+// After a new configuration the list is there within 4 s though the first call to the new address is lost, whatever
+// calls at the old one are open or planned then.
 func TestNewDiscoveryIsFollowedInTimeAmidLostCalls(t *testing.T) {
 	const movedWithin = 4 * time.Second
 	for n := range 200 {
@@ -258,8 +261,8 @@
 	}
 }
 
-// Balancers whose watches break in one moment, or that all find discovery down, call again spread by chance: of so many never
-// half within a tenth of a second.
+// Balancers whose watches break in one moment, or that all find discovery down, call again spread by chance: of so
+// many never half within a tenth of a second.
 func TestCallsOfAllBalancersAreSpread(t *testing.T) {
 	const balancers = 60
 	for _, plan := range []callPlan{unanswered, refusedAtOnce, reset} {
@@ -292,7 +295,8 @@
 	}
 }
 
-// Calls that nobody needs take discovery's capacity from those that do. Where all is quiet one watch stays alone: no further call is made beside one that brings its empty lines.
+// Calls that nobody needs take discovery's capacity from those that do. Where all is quiet one watch stays alone: no
+// further call is made beside one that brings its empty lines.
 func TestWorkingWatchStaysTheOnlyOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &pipeDiscovery{good: 1}
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -11,7 +11,8 @@
 	"hollylever/fakes"
 )
 
-// Settings that ask for changes to be polled get a watch as well: with nobody to follow it the list would stay as it is at the start.
+// Settings that ask for changes to be polled get a watch as well: with nobody to follow it the list would stay as it
+// is at the start.
 func TestWatchIsRequestedWithoutSubscription(t *testing.T) {
 	if len(newTestBalancer(t, 1<<20).watchRequested) != 1 {
 		t.Fatal("the settings ask for no subscription, and nobody follows the list")
@@ -41,7 +42,8 @@
 	return known && statusByHealth[b.endpoints.all[s].health] == "Ready"
 }
 
-// A list that cannot be read hides all changes after it. A watch is a stream of JSON values: indented or not, several on a line, cut anywhere.
+// A list that cannot be read hides all changes after it. A watch is a stream of JSON values: indented or not, several
+// on a line, cut anywhere.
 func TestWatchReadsListsSplitAnywhere(t *testing.T) {
 	indented := func(index int, name string) string {
 		list := fakes.List(index, false, fakes.Entry(name, "127.0.0.1:1", "Ready"))
@@ -82,8 +84,8 @@
 	}
 }
 
-// A connection that breaks without a word leaves a balancer with an old list. A watch that has fallen silent is replaced, wherever it did;
-// also when the next one does the same.
+// A connection that breaks without a word leaves a balancer with an old list. A watch that has fallen silent is
+// replaced, wherever it did; also when the next one does the same.
 func TestSilentWatchIsReplaced(t *testing.T) {
 	list := fakes.List(2, true, fakes.Entry("s", "127.0.0.1:1", "Ready"))
 	for _, c := range []struct {
@@ -112,7 +114,8 @@
 	}
 }
 
-// A list that trickles in would hold up all changes behind it. It counts as silent from its beginning on, so that another watch brings them.
+// A list that trickles in would hold up all changes behind it. It counts as silent from its beginning on, so that
+// another watch brings them.
 func TestTricklingListCountsAsSilence(t *testing.T) {
 	_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
 	w := receive(t, d.Calls, "a watch")
@@ -130,8 +133,8 @@
 	}
 }
 
-// A request for a watch that stays behind would follow the next failure without backoff, and discovery may have too many callers already.
-// A watch that is requested while another one begins is that one.
+// A request for a watch that stays behind would follow the next failure without backoff, and discovery may have too
+// many callers already. A watch that is requested while another one begins is that one.
 func TestChangeOfDiscoveryLeavesNoWatchRequestBehind(t *testing.T) {
 	d := fakes.ScriptedDiscovery()
 	t.Cleanup(d.Close)
@@ -151,11 +154,13 @@
 	}
 }
 
-// twoWatchTimeouts have a further call made beside a watch that brings nothing for a moment, and no watch closed for its silence.
+// twoWatchTimeouts have a further call made beside a watch that brings nothing for a moment, and no watch closed for
+// its silence.
 var twoWatchTimeouts = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
 
-// A silent watch must not be waited for, and a call that waits in discovery's queue must not lose its place. A further call is made beside a
-// watch that brings nothing, and the first of the two to be heard is the one that stays.
+// A silent watch must not be waited for, and a call that waits in discovery's queue must not lose its place. A
+// further call is made beside a watch that brings nothing, and the first of the two to be heard is the one that
+// stays.
 func TestFirstWatchHeardReplacesTheOthers(t *testing.T) {
 	list := fakes.List(2, false, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n"
 	for _, c := range []struct {
@@ -191,8 +196,8 @@
 	}
 }
 
-// Lists of the old discovery that are applied after a change of discovery would undo the new one's. All open watches are cancelled; nothing that
-// they bring after that is applied.
+// Lists of the old discovery that are applied after a change of discovery would undo the new one's. All open watches
+// are cancelled; nothing that they bring after that is applied.
 func TestChangeOfDiscoveryCancelsAllWatches(t *testing.T) {
 	b, d := followScripted(t, twoWatchTimeouts, nil)
 	moved := fakes.ScriptedDiscovery()
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// An endpoint that an operator has ejected must stay ejected over an upgrade: the file's form has to stay readable, and what is written the same.
+// An endpoint that an operator has ejected must stay ejected over an upgrade: the file's form has to stay readable,
+// and what is written the same.
 func TestHostsOutByHandAreReadAndWrittenAsBefore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "hollylever.bans")
 	made := func() *Balancer {
@@ -76,7 +77,8 @@
 	}
 }
 
-// Clients tell by the words of an answer whether they may ask again, and on which connection: an answer to bad bytes that changes breaks them.
+// Clients tell by the words of an answer whether they may ask again, and on which connection: an answer to bad bytes
+// that changes breaks them.
 func TestAnswersToBadBytesAreAsBefore(t *testing.T) {
 	at := serveClients(t, newBalancerBefore(t, closedAddress(t), nil))
 	var out strings.Builder
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -156,7 +156,8 @@
 	return h
 }
 
-// unacceptingServer is an address at which connections do not come up: nobody accepts, and no more may wait. accept has them come up.
+// unacceptingServer is an address at which connections do not come up: nobody accepts, and no more may wait. accept
+// has them come up.
 func unacceptingServer(t *testing.T) (address string, accept func(each func(net.Conn))) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/routing/largevalue.go
+++ b/routing/largevalue.go
@@ -29,8 +29,8 @@
 	isAccepted chan bool // one answer of the exchange
 }
 
-// streamValue passes a large value on as it comes, so that little of it is ever here, and reads the rest of the answer. It returns how
-// that ended, and whether the connection may be used again.
+// streamValue passes a large value on as it comes, so that little of it is ever here, and reads the rest of the
+// answer. It returns how that ended, and whether the connection may be used again.
 func (x *exchange) streamValue(line *transport.Line, size int, result *attemptResult) (end transport.End, isReusable bool) {
 	body, writer := io.Pipe()
 	result.value = &largeValue{size: size, body: body, isAccepted: make(chan bool, 1)}
@@ -68,8 +68,8 @@
 	return transport.Open
 }
 
-// readTerminator reads the terminator of a value. Guards the client against a value that is not as long as was stated: it must be able to
-// tell.
+// readTerminator reads the terminator of a value. Guards the client against a value that is not as long as was
+// stated: it must be able to tell.
 func readTerminator(line *transport.Line) transport.End {
 	for i := range len(valueTerminator) {
 		if end := fillLarge(line); end != transport.Open {
--- a/routing/largevalue_test.go
+++ b/routing/largevalue_test.go
@@ -15,8 +15,8 @@
 	"hollylever/transport"
 )
 
-// slowReadingServer has a small buffer and begins to read its one connection some time after that came. It returns the timeout that the
-// command states and when its last byte came.
+// slowReadingServer has a small buffer and begins to read its one connection some time after that came. It returns
+// the timeout that the command states and when its last byte came.
 func slowReadingServer(t *testing.T, wait time.Duration, size int) (address string, came <-chan receivedCommand) {
 	t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -52,8 +52,8 @@
 	completeAt    time.Time
 }
 
-// A server that is told more time than its client has left works for nobody. It is told at most what is left as the last byte comes, also
-// where the write of a large value is held up.
+// A server that is told more time than its client has left works for nobody. It is told at most what is left as the
+// last byte comes, also where the write of a large value is held up.
 func TestLargeWriteStatesTimeLeftAtItsLastByte(t *testing.T) {
 	const deadline = 2 * time.Second
 	value := strings.Repeat("v", 4<<20)
--- a/routing/listwatch.go
+++ b/routing/listwatch.go
@@ -14,8 +14,8 @@
 // errListTooLong says that a list has more than maxListBytes.
 var errListTooLong = errors.New("a list that is too long")
 
-// listWatch is one call to discovery: a chunked answer that stays open and holds lists, with empty lines between while nothing
-// changes.
+// listWatch is one call to discovery: a chunked answer that stays open and holds lists, with empty lines between
+// while nothing changes.
 type listWatch struct {
 	balancer  *Balancer
 	ctx       context.Context // its end cancels the watch; what the watch brings after that is not applied
@@ -81,7 +81,8 @@
 	}
 }
 
-// listStream is the body of a watch's answer: JSON values, over lines as they like, with empty lines between while nothing changes.
+// listStream is the body of a watch's answer: JSON values, over lines as they like, with empty lines between while
+// nothing changes.
 type listStream struct {
 	body      io.Reader
 	progress  func() // is called when a list has begun or ended, or an empty line has come between two
--- a/routing/overflow.go
+++ b/routing/overflow.go
@@ -9,8 +9,8 @@
 	"hollylever/transport"
 )
 
-// rejectionRun is a run of commands of one client that stand one behind the other and are all rejected: their answers take one place
-// among the client's and no memory of their own, however many they are.
+// rejectionRun is a run of commands of one client that stand one behind the other and are all rejected: their answers
+// take one place among the client's and no memory of their own, however many they are.
 type rejectionRun struct {
 	mu       sync.Mutex
 	count    int
@@ -51,15 +51,17 @@
 	return true
 }
 
-// overflow rejects what one client sends beyond what its buffer holds while maxPipelined commands are in flight. Its disconnect has to be
-// seen soon after it came, and stands behind all that the client sent before: so all of that is read, and no more of it is kept than fits.
+// overflow rejects what one client sends beyond what its buffer holds while maxPipelined commands are in flight. Its
+// disconnect has to be seen soon after it came, and stands behind all that the client sent before: so all of that is
+// read, and no more of it is kept than fits.
 type overflow struct {
 	client  *transport.Client
 	replies chan<- pendingReply
 	run     *rejectionRun // the last one; nil where a command was accepted since
 }
 
-// awaitCapacity waits until one more command of the client may be handled, and rejects what overflows the buffer meanwhile.
+// awaitCapacity waits until one more command of the client may be handled, and rejects what overflows the buffer
+// meanwhile.
 func (o *overflow) awaitCapacity(b *Balancer) transport.End {
 	for {
 		end := o.client.Await(maxPipelined, false)
@@ -67,7 +69,8 @@
 			return end
 		}
 		if !o.reject(b) {
-			return transport.Open // The buffer holds a part of one command: the reader finds memory for it, or stops reading.
+			// The buffer holds a part of one command: the reader finds memory for it, or stops reading.
+			return transport.Open
 		}
 	}
 }
--- a/routing/overflow_test.go
+++ b/routing/overflow_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	maxFloodBytes     = 8 << 20                // bytes at most that a client sends before it goes: more than the kernel takes on both sides
+	maxFloodBytes     = 8 << 20                // bytes at most: more than the kernel takes on both sides
 	floodStallTimeout = 200 * time.Millisecond // for which the kernel takes no more of a client
 	floodWriteSize    = 32 << 10               // bytes at once
 	longKey           = 400                    // so that a flood is of some thousand commands
@@ -44,8 +44,8 @@
 	return fakes.Words("C.GET", strings.Repeat("k", length), id, "c=read,t=acme,d=20000")
 }
 
-// A client that pipelines more than is kept must be able to tell which command each answer belongs to. What overflows is rejected in the order
-// of the commands; what is accepted has its own answer.
+// A client that pipelines more than is kept must be able to tell which command each answer belongs to. What overflows
+// is rejected in the order of the commands; what is accepted has its own answer.
 func TestOverflowIsRejectedInCommandOrder(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
@@ -92,8 +92,9 @@
 	t.Logf("%d served, %d rejected", served, rejected)
 }
 
-// A close that stands behind more commands than are kept must be seen all the same, or all of them are sent for nobody. What the server has
-// not begun soon after the close it never gets, though it would accept all without a pause.
+// A close that stands behind more commands than are kept must be seen all the same, or all of them are sent for
+// nobody. What the server has not begun soon after the close it never gets, though it would accept all without a
+// pause.
 func TestCloseBehindQueuedCommandsIsSeenSoon(t *testing.T) {
 	h := scriptedServer(t)
 	var last atomic.Int64 // when the server got one
--- a/routing/reply.go
+++ b/routing/reply.go
@@ -8,12 +8,12 @@
 	"hollylever/transport"
 )
 
-// writeTimeout is how long a client may take to read an answer, or a piece of a large one: one that stays and does not read must not keep
-// the memory of its answers.
+// writeTimeout is how long a client may take to read an answer, or a piece of a large one: one that stays and does
+// not read must not keep the memory of its answers.
 const writeTimeout = 10 * time.Second
 
-// pendingReply is the place of a command among its client's: its reply once there is one, and what became of that once nothing more is
-// done for it.
+// pendingReply is the place of a command among its client's: its reply once there is one, and what became of that
+// once nothing more is done for it.
 type pendingReply struct {
 	reply    chan reply
 	delivery chan delivery
@@ -28,8 +28,9 @@
 	return pending
 }
 
-// await returns the reply, or isThere false where the client disconnects before there is one. A client that has disconnected may only have
-// ended its sending: a reply that is there by then is written. Without one no later one may be, which the client would take for this.
+// await returns the reply, or isThere false where the client disconnects before there is one. A client that has
+// disconnected may only have ended its sending: a reply that is there by then is written. Without one no later one
+// may be, which the client would take for this.
 func (p pendingReply) await(disconnected <-chan struct{}) (r reply, isThere bool) {
 	select {
 	case r = <-p.reply:
@@ -54,7 +55,8 @@
 	valueIncomplete          // a large value could not be passed on to its end
 )
 
-// reply is what a client is sent: bytes, and behind them a large value as it comes. Or it is the answers to a run of rejected commands.
+// reply is what a client is sent: bytes, and behind them a large value as it comes. Or it is the answers to a run of
+// rejected commands.
 type reply struct {
 	bytes    []byte
 	value    *io.PipeReader // nil without one
--- a/routing/requestlog.go
+++ b/routing/requestlog.go
@@ -11,10 +11,12 @@
 )
 
 const (
-	// lateTolerance is how long after a request's deadline its answer counts as late: one that is sent in time may still be on its way.
+	// lateTolerance is how long after a request's deadline its answer counts as late: one that is sent in time may
+	// still be on its way.
 	lateTolerance = 20 * time.Millisecond
 
-	// maxWarningsPerSecond bounds the lines of requests at the level warn; what is over it is counted and said with the next one.
+	// maxWarningsPerSecond bounds the lines of requests at the level warn; what is over it is counted and said with
+	// the next one.
 	maxWarningsPerSecond = 10
 )
 
@@ -82,7 +84,7 @@
 	b.counters.increment(problem)
 	b.mu.Unlock()
 	if suppressed, isAllowed := b.warnings.allow(time.Now()); isAllowed {
-		x.describe(b.log.Warn()).Str("why", problem).Int("more", suppressed).Msg("request ended badly")
+		x.describe(b.log.Warn()).Str("problem", problem).Int("suppressed", suppressed).Msg("request ended badly")
 	}
 }
 
@@ -101,7 +103,7 @@
 
 func (x *exchange) describe(event *zerolog.Event) *zerolog.Event {
 	record := &x.record
-	return event.Str("id", x.id).Int("class", x.workload).Str("how", record.outcome).Int64("patience_ms", record.timeout.Milliseconds()).
+	return event.Str("id", x.id).Int("workload", x.workload).Str("outcome", record.outcome).Int64("timeout_ms", record.timeout.Milliseconds()).
 		Int64("waited_ms", record.waited.Milliseconds()).Int64("answered_ms", record.answered.Milliseconds()).Str("attempts", record.String())
 }
 
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -20,7 +20,7 @@
 	attemptEndpoints []int // the endpoint of each attempt, in the order of the attempts
 	isFinal          bool  // its final answer is decided, or its client has gone
 	clientGoneAt     int64 // by the policy's clock; 0: it has not
-	attemptDeadline  int64 // by the policy's clock; what the client is told after an attempt that takes until then still reaches it in time
+	attemptDeadline  int64 // by the policy's clock; a final answer at that time still arrives in time
 }
 
 func newRequestTable(settings map[string]any, maxBytes int64) requestTable {
@@ -28,8 +28,9 @@
 		openIDs:  map[string]bool{},
 		maxBytes: maxBytes,
 		maxHeld:  max(1, int(settingNumber(settings, "allowed.mostHeld"))),
-		// Guards against a send that blocks under the lock. An attempt has four events at most: it is started, cancelled,
-		// its client is found gone or its value begins, and it ends; a request has a rejection or failure besides.
+		// Guards against a send that blocks under the lock. An attempt has four events at most: it is started,
+		// cancelled, its client is found gone or its value begins, and it ends; a request has a rejection or failure
+		// besides.
 		eventCapacity: 4*max(1, int(settingNumber(settings, "allowed.mostTrips"))) + 2,
 	}
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Write writes what is known now, if any request has been admitted since the last time. State is copied under the lock; it is encoded
-// and written outside of it.
+// Write writes what is known now, if any request has been admitted since the last time. State is copied under the
+// lock; it is encoded and written outside of it.
 func (w *SnapshotWriter) Write() error {
 	list, isListNew, isDue := w.copyState()
 	if !isDue {
@@ -80,8 +80,8 @@
 	return err
 }
 
-// copyState copies the balancer's state into the snapshot, but for the list, which it returns if that has changed. isDue: a request
-// has been admitted since the last time.
+// copyState copies the balancer's state into the snapshot, but for the list, which it returns if that has changed.
+// isDue: a request has been admitted since the last time.
 func (w *SnapshotWriter) copyState() (list snapshotList, isListNew, isDue bool) {
 	b, s := w.balancer, &w.snapshot
 	began := time.Now()
@@ -132,8 +132,9 @@
 	return (started + int64(time.Millisecond/2)) / int64(time.Millisecond)
 }
 
-// restoreSnapshot restores what another process has saved, as if this one had learnt it. The known list of the configuration counts
-// where it is the newer one. It returns how many endpoints were restored, and fails for a snapshot of another list.
+// restoreSnapshot restores what another process has saved, as if this one had learnt it. The known list of the
+// configuration counts where it is the newer one. It returns how many endpoints were restored, and fails for a
+// snapshot of another list.
 func (b *Balancer) restoreSnapshot(s *snapshot.Snapshot, known []byte) (int, error) {
 	index, err := checkSameList(s.EndpointList, known)
 	if err != nil {
@@ -149,8 +150,8 @@
 	return b.policy.RestoreState(b.now(), &s.BalancerState, int64(s.Age)), nil
 }
 
-// checkSameList fails where less than half of the saved list's endpoints are in the known list, if that has any. It returns the index
-// of the known list.
+// checkSameList fails where less than half of the saved list's endpoints are in the known list, if that has any. It
+// returns the index of the known list.
 func checkSameList(saved, known []byte) (index uint64, err error) {
 	isSaved, listed, common := map[string]bool{}, 0, 0
 	savedEntry := func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) { isSaved[name] = true }
--- a/server/door_test.go
+++ b/server/door_test.go
@@ -136,7 +136,7 @@
 	if err := os.WriteFile(filepath.Join(place, "hollylever.bans"), []byte(`["b"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.logged(`"message":"bans not taken"`)
+	p.logged(`"message":"ejections not read"`)
 	for range 30 {
 		ask(atA)
 	}
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -49,8 +49,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	p := w.start(t)
-	if len(p.Log("recalled")) > 0 {
-		t.Errorf("the first one has %q", p.Log("recalled"))
+	if len(p.Log("snapshot restored")) > 0 {
+		t.Errorf("the first one has %q", p.Log("snapshot restored"))
 	}
 	clients := fakes.Ask(ctx, w.Address, fakes.Load{Rate: 200, Keys: 300, Seed: 3, Patience: 2 * time.Second})
 	file := filepath.Join(w.Place, "hollylever.learnt")
@@ -67,12 +67,12 @@
 	}
 	p = w.start(t)
 	var said struct {
-		Servers, Keys int
-		AgoMS         int `json:"ago_ms"`
+		Endpoints, Keys int
+		AgeMS           int `json:"age_ms"`
 	}
-	line := says(t, p, `"message":"recalled"`)
-	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Servers != 6 || said.Keys < 50 || said.AgoMS > 20000 {
-		t.Errorf("what is recalled: %s", line)
+	line := says(t, p, `"message":"snapshot restored"`)
+	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Endpoints != 6 || said.Keys < 50 || said.AgeMS > 20000 {
+		t.Errorf("what is restored: %s", line)
 	}
 	p.Kill()
 	text, err := os.ReadFile(file)
@@ -84,7 +84,7 @@
 			t.Fatal(err)
 		}
 		p := w.start(t)
-		says(t, p, `"message":"not recalled"`)
+		says(t, p, `"message":"snapshot not restored"`)
 		if err := p.Ready(patience); err != nil {
 			t.Errorf("%s: %v", what, err)
 		}
@@ -108,7 +108,7 @@
 	}
 	answer.Body.Close()
 	w.hosts[1].Out(true)
-	says(t, old, `"message":"server by hand"`)
+	says(t, old, `"message":"ejection by hand"`)
 	for _, p := range []*fakes.Process{old, young} {
 		until(t, "both avoid it", func() bool {
 			answer, err := http.Get("http://" + p.Mgmt + "/metrics")
--- a/server/main.go
+++ b/server/main.go
@@ -119,7 +119,7 @@
 			left = filepath.Join(place, "hollylever.learnt")
 			at := snapshot.File{Path: left}
 			if before, err = at.Read(told.name, routing.Fingerprint(told.settings), time.Now(), own.Duration("learnt.lasts")); err != nil {
-				log.Warn().Err(err).Msg("not recalled")
+				log.Warn().Err(err).Msg("snapshot not restored")
 			}
 		}
 	}
