--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -36,12 +36,9 @@
 
 // ApplyConfig implements fleet.Balancer.
 func (a balancerAdapter) ApplyConfig(config consensus.EffectiveConfig) {
-	a.Balancer.Heeds(config.EjectedEndpoints, config.Limits, config.DiscoverySource, config.MinListIndex)
+	a.Balancer.ApplyFleetConfig(config.EjectedEndpoints, config.Limits, config.DiscoverySource, config.MinListIndex)
 }
 
-// ApplyPeerDrains implements fleet.Balancer.
-func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
-
 // Endpoints implements fleet.Balancer.
 func (a balancerAdapter) Endpoints() []subset.Endpoint {
 	var all []subset.Endpoint
@@ -53,7 +50,7 @@
 
 // EndpointList implements fleet.Balancer.
 func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
-	index, digest, drains := a.Lists()
+	index, digest, drains := a.ListState()
 	converted := make([]membership.DrainedEndpoint, len(drains))
 	for i, drain := range drains {
 		converted[i] = membership.DrainedEndpoint(drain)
