--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -1,10 +1,11 @@
-// Command hollyfleet is a balancer that is one of a fleet: hollylever with the parts by which many agree.
+// Command hollyfleet is hollylever as a member of a fleet: processes that agree on a configuration under leases, and
+// share outlier detection, zone evacuation and budgets. Commands, settings and signals are those of hollylever.
 package main
 
 import (
 	"github.com/rs/zerolog"
-
 	"hollylever/cli"
+
 	"hollylever/consensus"
 	"hollylever/fields"
 	"hollylever/fleet"
@@ -16,9 +17,11 @@
 
 func main() { cli.Main(join) }
 
-// join starts the membership of a balancer in its fleet, and connects the two.
-func join(own fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger) (server.Fleet, error) {
-	f, err := fleet.Start(own, name, zone, settingsDigest, balancerAdapter{b}, log)
+// join implements server.Join. settingsDigest is of the operators' settings file.
+func join(
+	config fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger,
+) (server.Fleet, error) {
+	f, err := fleet.Start(config, name, zone, settingsDigest, balancerAdapter{b}, log)
 	if err != nil {
 		return nil, err
 	}
@@ -29,28 +32,29 @@
 	return f, nil
 }
 
-// balancerAdapter gives package fleet its view of the balancer, and the balancer what the fleet agreed on.
+// balancerAdapter gives the balancer the types of the fleet: it implements fleet.Balancer.
 type balancerAdapter struct{ *routing.Balancer }
 
-func (a balancerAdapter) ApplyConfig(what consensus.EffectiveConfig) {
-	a.Balancer.Heeds(what.EjectedEndpoints, what.Limits, what.DiscoverySource, what.MinListIndex)
+// ApplyConfig implements fleet.Balancer.
+func (a balancerAdapter) ApplyConfig(config consensus.EffectiveConfig) {
+	a.Balancer.ApplyFleetConfig(config.EjectedEndpoints, config.Limits, config.DiscoverySource, config.MinListIndex)
 }
 
-func (a balancerAdapter) ApplyPeerDrains(names []string) { a.News(names) }
-
+// Endpoints implements fleet.Balancer.
 func (a balancerAdapter) Endpoints() []subset.Endpoint {
 	var all []subset.Endpoint
-	for _, l := range a.Balancer.Servers() {
-		all = append(all, subset.Endpoint(l))
+	for _, listed := range a.Balancer.Servers() {
+		all = append(all, subset.Endpoint(listed))
 	}
 	return all
 }
 
+// EndpointList implements fleet.Balancer.
 func (a balancerAdapter) EndpointList() (uint64, uint64, []membership.DrainedEndpoint) {
-	index, digest, drains := a.Lists()
-	out := make([]membership.DrainedEndpoint, len(drains))
-	for n, d := range drains {
-		out[n] = membership.DrainedEndpoint(d)
+	index, digest, drains := a.ListState()
+	converted := make([]membership.DrainedEndpoint, len(drains))
+	for i, drain := range drains {
+		converted[i] = membership.DrainedEndpoint(drain)
 	}
-	return index, digest, out
+	return index, digest, converted
 }
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -3,108 +3,127 @@
 import (
 	"errors"
 	"fmt"
-
-	"github.com/fxamacker/cbor/v2"
 )
 
-// Message is what processes tell each other. One of the parts is there.
+// maxMessageBytes bounds a message: all active revisions and what is pending fit.
+const maxMessageBytes = 2 << 20
+
+// errNotMessage refuses bytes that no process of a fleet sends.
+var errNotMessage = errors.New("not a message of the fleet")
+
+// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its
+// own process.
+type Sender interface{ Send(to string, m *Message) }
+
+// Message is what processes tell each other. One of the fields is there, besides From and Ticket.
 type Message struct {
-	From           string          `cbor:"1,keyasint"`
-	Raft           []byte          `cbor:"2,keyasint,omitempty"` // between keepers
-	LeaseRequest   *LeaseRequest   `cbor:"3,keyasint,omitempty"` // a holder to a keeper
+	From           string          `cbor:"1,keyasint"`           // the name of the process that sent it
+	Raft           []byte          `cbor:"2,keyasint,omitempty"` // between replicas
+	LeaseRequest   *LeaseRequest   `cbor:"3,keyasint,omitempty"` // a lease holder to a replica
 	LeaseResponse  *LeaseResponse  `cbor:"4,keyasint,omitempty"` // and back
-	Announcement   *Announcement   `cbor:"5,keyasint,omitempty"` // a keeper to the others
-	Proposal       *Proposal       `cbor:"6,keyasint,omitempty"` // to a keeper
+	Announcement   *Announcement   `cbor:"5,keyasint,omitempty"` // a replica to the others
+	Proposal       *Proposal       `cbor:"6,keyasint,omitempty"` // a proposer to a replica
 	ProposalResult *ProposalResult `cbor:"7,keyasint,omitempty"` // and back
 	Ticket         *ProposalTicket `cbor:"8,keyasint,omitempty"` // of a proposal
 }
 
-// Ticket lets a proposal be written: by who leads in this term, for as long as an answer to it is owed. Without tickets a message that the
-// network repeats late could be written after its proposer was told no for sure.
+// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer
+// to it is owed.
 type ProposalTicket struct {
 	Term     uint64 `cbor:"1,keyasint"`
-	IssuedAt int64  `cbor:"2,keyasint"` // on the leader's clock
+	IssuedAt int64  `cbor:"2,keyasint"` // nanoseconds of the leader's clock
 }
 
-// Ask is for a lease.
+// LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	Seq           uint64 `cbor:"1,keyasint"` // of the holder's asks since it began
-	Incarnation   uint64 `cbor:"2,keyasint"` // which of its lives: it may have come back under the same name
-	KnownRevision uint64 `cbor:"3,keyasint"` // the latest version it knows
+	// Seq counts the requests of this holder, from 1.
+	Seq uint64 `cbor:"1,keyasint"`
+	// Incarnation is that of the process: it may have come back under the same name.
+	Incarnation uint64 `cbor:"2,keyasint"`
+	// KnownRevision and MinRevision are the latest and the min revision that it knows; 0: none.
+	KnownRevision uint64 `cbor:"3,keyasint"`
 	MinRevision   uint64 `cbor:"4,keyasint"`
-
-	ShareSeq    uint64  `cbor:"5,keyasint,omitempty"` // the ask for which the part that it acts on was granted
-	RequestRate float64 `cbor:"6,keyasint,omitempty"` // retrievals a second that come to it
-
-	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"` // it takes steps in place of versions; processes of a version before do not
+	// ShareSeq is the request for which the budget share was granted that it acts on; 0: none.
+	ShareSeq uint64 `cbor:"5,keyasint,omitempty"`
+	// RequestRate is how many requests a second come to it from clients.
+	RequestRate float64 `cbor:"6,keyasint,omitempty"`
+	// AcceptsDeltas tells that it takes deltas in place of whole revisions; builds before deltas do not.
+	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Grant is a lease if Seq is not 0; else news of versions, or only of who leads.
+// LeaseResponse is a lease if Seq is not 0; else it only tells later revisions, or who leads.
 type LeaseResponse struct {
-	Seq          uint64     `cbor:"1,keyasint,omitempty"`
-	Leader       string     `cbor:"2,keyasint,omitempty"`
-	MinRevision  uint64     `cbor:"3,keyasint,omitempty"`
-	Revisions    []Revision `cbor:"4,keyasint,omitempty"` // from the floor on, those that the holder lacks
-	HistoryID    uint64     `cbor:"5,keyasint,omitempty"` // which history: a fleet that lost one begins another
-	BudgetShare  float64    `cbor:"6,keyasint,omitempty"` // of the fleet's budgets, with the lease
-	Deltas       []Proposal `cbor:"7,keyasint,omitempty"` // what later versions changed, one after the other
-	BaseRevision uint64     `cbor:"8,keyasint,omitempty"` // the version that the first of these changed, where none is whole here
+	// Seq is that of the request.
+	Seq uint64 `cbor:"1,keyasint,omitempty"`
+	// Leader is who leads, by its name.
+	Leader string `cbor:"2,keyasint,omitempty"`
+	// MinRevision is the revision under which, or a later one, all leases are.
+	MinRevision uint64 `cbor:"3,keyasint,omitempty"`
+	// Revisions are those from the min revision on that the holder lacks.
+	Revisions []Revision `cbor:"4,keyasint,omitempty"`
+	// HistoryID tells histories apart: a fleet that lost one begins another.
+	HistoryID uint64 `cbor:"5,keyasint,omitempty"`
+	// BudgetShare is the holder's share of the fleet's budgets, 0 to 1, for as long as the lease; 0: they are not
+	// divided.
+	BudgetShare float64 `cbor:"6,keyasint,omitempty"`
+	// Deltas are what later revisions changed, one after the other. The first of them follows the last of Revisions
+	// or, where there is none, the revision BaseRevision, which the holder said that it knows.
+	Deltas       []Proposal `cbor:"7,keyasint,omitempty"`
+	BaseRevision uint64     `cbor:"8,keyasint,omitempty"`
 }
 
-// Hello tells what a keeper has: which life of its state, and what founding it knows of.
+// Announcement tells what a replica has: the incarnation of its state, and the voters that it knows of.
 type Announcement struct {
 	Incarnation uint64            `cbor:"1,keyasint"`
-	Voters      map[string]uint64 `cbor:"2,keyasint,omitempty"` // of the founding or what became of it; none: it knows nothing
-	IsBootstrap bool              `cbor:"3,keyasint,omitempty"` // take this as the founding
+	Voters      map[string]uint64 `cbor:"2,keyasint,omitempty"` // incarnations by name; none: it knows no history
+	IsBootstrap bool              `cbor:"3,keyasint,omitempty"` // no build sets it; the key stays taken
 }
 
-// Outcome is what became of a proposal.
+// ProposalResult is what became of a proposal.
 type ProposalResult struct {
 	ID       string          `cbor:"1,keyasint"`
-	Revision uint64          `cbor:"2,keyasint,omitempty"` // its version, if it was accepted
+	Revision uint64          `cbor:"2,keyasint,omitempty"` // its revision, if it was accepted
 	Reason   string          `cbor:"3,keyasint,omitempty"` // why not
-	IsFinal  bool            `cbor:"4,keyasint,omitempty"` // false: unknown, look at the history
+	IsFinal  bool            `cbor:"4,keyasint,omitempty"` // false: it may still be in force, the history tells
 	Ticket   *ProposalTicket `cbor:"5,keyasint,omitempty"` // no answer yet: send it again, with this
 }
 
-const maxMessage = 2 << 20
-
-var errMessage = errors.New("not a message of the fleet")
-
-var strict = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: 2 * maxNames, MaxMapPairs: 2 * maxLimits, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden}.DecMode()
-	if err != nil {
-		panic(err) // The options are constants.
-	}
-	return mode
-}()
-
-// Pack and Unpack are the form of messages between processes.
-func (m *Message) Marshal() []byte { return pack(m) }
+// Marshal encodes a message for UnmarshalMessage.
+func (m *Message) Marshal() []byte { return encode(m) }
 
-// Unpack takes no message that is not whole and within bounds.
+// UnmarshalMessage takes no message that is not complete and within bounds.
 func UnmarshalMessage(bytes []byte) (*Message, error) {
 	m := &Message{}
-	if len(bytes) > maxMessage {
-		return nil, errMessage
+	if len(bytes) > maxMessageBytes {
+		return nil, errNotMessage
 	}
-	if err := strict.Unmarshal(bytes, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errMessage, err)
-	}
-	parts := 0
-	for _, there := range []bool{len(m.Raft) > 0, m.LeaseRequest != nil, m.LeaseResponse != nil, m.Announcement != nil, m.Proposal != nil, m.ProposalResult != nil} {
-		if there {
-			parts++
-		}
+	if err := strictDecoding.Unmarshal(bytes, m); err != nil {
+		return nil, fmt.Errorf("%w: %w", errNotMessage, err)
 	}
-	if parts != 1 || m.From == "" || len(m.From) > maxText {
-		return nil, errMessage
+	if m.contents() != 1 || m.From == "" || len(m.From) > maxNameBytes {
+		return nil, errNotMessage
 	}
 	if m.Proposal != nil {
 		if err := m.Proposal.Validate(); err != nil {
-			return nil, fmt.Errorf("%w: %w", errMessage, err)
+			return nil, fmt.Errorf("%w: %w", errNotMessage, err)
 		}
 	}
 	return m, nil
 }
+
+// contents is how many of the fields that a message has one of are there.
+func (m *Message) contents() (n int) {
+	for _, isPresent := range []bool{
+		len(m.Raft) > 0,
+		m.LeaseRequest != nil,
+		m.LeaseResponse != nil,
+		m.Announcement != nil,
+		m.Proposal != nil,
+		m.ProposalResult != nil,
+	} {
+		if isPresent {
+			n++
+		}
+	}
+	return n
+}
--- a/consensus/terms.go
+++ /dev/null
@@ -1,6 +0,0 @@
-package consensus
-
-import "hollylever/fleetconfig"
-
-// Terms are the stated times.
-type LeaseTiming = fleetconfig.LeaseTiming
--- a/routing/trips_test.go
+++ b/routing/attempt_test.go
@@ -15,41 +15,31 @@
 	"hollylever/transport"
 )
 
-// answered reads one answer.
-func answered(t *testing.T, c net.Conn) string {
-	t.Helper()
-	c.SetReadDeadline(time.Now().Add(patience))
-	words, err := fakes.Message(bufio.NewReader(c))
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	return strings.Join(words, " ")
-}
-
-// A drain that is told while a trip's connection comes up counts for that trip: nothing is handed over, and another host has it.
-func TestADrainToldWhileAConnectionComesUp(t *testing.T) {
-	at, hears := deaf(t)
-	b := before(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
-	c := dial(t, front(t, b))
-	io.WriteString(c, get("1", "c=read,t=acme,d=20000"))
-	until(t, "a trip", func() bool { return b.counted("trips") == 1 })
-	h := scripted(t)
-	b.told(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
+// A server that drains and gets one more request may stop before it has answered. A drain that is listed while an
+// attempt's connection comes up counts for that attempt: nothing is sent, and another server gets the request.
+func TestDrainDuringConnectWithdrawsAttempt(t *testing.T) {
+	at, hears := unacceptingServer(t)
+	b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
+	c := dial(t, serveClients(t, b))
+	io.WriteString(c, getCommand("1", "c=read,t=acme,d=20000"))
+	until(t, "an attempt", func() bool { return b.counted("trips") == 1 })
+	h := scriptedServer(t)
+	b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
 	hears(func(late net.Conn) {
 		if n, _ := late.Read(make([]byte, 1)); n > 0 {
-			t.Error("it is handed to the host that drains")
-			io.WriteString(late, fakes.Settled("of the host that drains"))
+			t.Error("it is sent to the server that drains")
+			io.WriteString(late, fakes.Settled("of the server that drains"))
 		}
 	})
-	next(t, h.Came, "the trip to the other host").Say(fakes.Settled("v"))
-	if got := answered(t, c); got != "v" {
+	receive(t, h.Came, "the attempt at the other server").Say(fakes.Settled("v"))
+	if got := readReply(t, c); got != "v" {
 		t.Errorf("it is answered %q", got)
 	}
 }
 
-// cutting is a host that reads so many bytes of a command and then ends the connection in some way. It tells how many whole
-// commands it got.
-func cutting(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
+// cuttingServer reads so many bytes of a command and then ends the connection in some way. It counts the whole
+// commands that it got.
+func cuttingServer(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,9 +66,9 @@
 	return l.Addr().String(), whole
 }
 
-// A one-shot whose connection ends at any byte of its command, in any way, runs at most once and has one answer; where it ended
-// before the last byte it may go elsewhere, and it does.
-func TestOneShotsAtEachByte(t *testing.T) {
+// A single-shot request that runs twice does harm. One whose connection ends at any byte, in any way, runs at most
+// once and has one answer; where the connection ended before the last byte the request may be sent elsewhere, and is.
+func TestSingleShotRunsAtMostOnceWhereverItsConnectionEnds(t *testing.T) {
 	const list = "c=book,t=acme,d=2000"
 	length := len(fakes.Words("C.SET", "key-0", "1", list, "v"))
 	for _, way := range []struct {
@@ -95,17 +85,17 @@
 			t.Parallel()
 			elsewhere := 0
 			for bytes := range length + 1 {
-				at, whole := cutting(t, bytes, way.ends)
-				h := scripted(t)
-				b := before(t, at, nil)
-				b.told(t, fakes.List(2, true, fakes.Entry("s", at, "Ready"), fakes.Entry("other", h.Address, "Ready")))
-				address := front(t, b)
+				at, whole := cuttingServer(t, bytes, way.ends)
+				h := scriptedServer(t)
+				b := newBalancerBefore(t, at, nil)
+				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Ready"), fakes.Entry("other", h.Address, "Ready")))
+				address := serveClients(t, b)
 				for n := range 4 { // About half of them go to the one that cuts first.
 					c := dial(t, address)
 					io.WriteString(c, fakes.Words("C.SET", fmt.Sprint("key-", n), fmt.Sprint(n), list, "v"))
 					done := make(chan string, 1)
 					go func() {
-						c.SetReadDeadline(time.Now().Add(patience))
+						c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 						words, err := fakes.Message(bufio.NewReader(c))
 						done <- fmt.Sprint(strings.Join(words, " "), err)
 					}()
@@ -123,7 +113,7 @@
 					if cut+ran > 1 {
 						t.Fatalf("byte %d: it ran %d times", bytes, cut+ran)
 					}
-					// Dismissed: trying again must do no harm.
+					// Rejected: trying again must do no harm.
 					is := map[string]bool{"v<nil>": ran == 1, "-ERR given up<nil>": ran == 0, "-BUSY<nil>": cut+ran == 0}
 					if !is[answer] {
 						t.Fatalf("byte %d: it is answered %q after %d and %d runs", bytes, answer, cut, ran)
@@ -135,8 +125,9 @@
 	}
 }
 
-// An answer that never ends, in any form, holds neither its client beyond the hard stop nor the retrieval's place after it.
-func TestAnswersThatNeverEnd(t *testing.T) {
+// A server that begins an answer and never ends it, in any form, must hold neither the client beyond the deadline nor
+// the request's slot after that.
+func TestUnfinishedAnswerReleasesClientAndSlot(t *testing.T) {
 	large := strings.Repeat("v", 100<<10)
 	for _, c := range []struct {
 		name, begins string
@@ -151,11 +142,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			h := scripted(t)
-			b := before(t, h.Address, nil)
-			client := dial(t, front(t, b))
+			h := scriptedServer(t)
+			b := newBalancerBefore(t, h.Address, nil)
+			client := dial(t, serveClients(t, b))
 			io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", "1", "c=book,t=acme,d=700", "v"))
-			came := next(t, h.Came, "the command")
+			came := receive(t, h.Came, "the command")
 			came.Say(c.begins)
 			go func() {
 				for tick := time.NewTicker(30 * time.Millisecond); c.trickle != ""; {
@@ -168,18 +159,19 @@
 					}
 				}
 			}()
-			if got := answered(t, client); got != c.want {
+			if got := readReply(t, client); got != c.want {
 				t.Errorf("it is answered %.60q", got)
 			}
-			until(t, "the end of its place", func() bool { return b.heldNow() == 0 })
+			until(t, "the end of its place", func() bool { return b.requestsHeld() == 0 })
 		})
 	}
 }
 
-// Open connections are counted right however they end: refused, withdrawn while they come up, cut, broken, kept.
-func TestConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
-	h := scripted(t)
-	b := before(t, h.Address, nil)
+// A connection that stays counted after its end takes capacity from the pool for ever. Open connections are counted
+// right however they end: refused, withdrawn while they come up, cut, broken, kept.
+func TestOpenConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, nil)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -203,42 +195,43 @@
 			}
 		}
 	}()
-	address := front(t, b)
+	address := serveClients(t, b)
 	for n := range 300 {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, get(fmt.Sprint(n), "c=read,t=acme,d=40"))
+		io.WriteString(c, getCommand(fmt.Sprint(n), "c=read,t=acme,d=40"))
 		if n%3 > 0 {
-			c.SetReadDeadline(time.Now().Add(patience))
+			c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 			c.Read(make([]byte, 1))
 		}
 		c.Close()
 	}
-	until(t, "the end of all", func() bool { return b.heldNow() == 0 })
+	until(t, "the end of all", func() bool { return b.requestsHeld() == 0 })
 	b.pool.Drop(transport.Peer{Server: 0, Address: h.Address})
 	if n := b.pool.Count(); n != 0 {
 		t.Errorf("%d connections count as open", n)
 	}
 }
 
-// A trip that stays silent is over while its retrieval's final answer can still reach the client before the hard stop: the host
-// is told that time, which is what the trip is waited for.
-func TestSilentTripsEndBeforeTheHardStop(t *testing.T) {
-	h := scripted(t)
-	b := before(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
-	address := front(t, b)
+// A final answer that is written at the very deadline reaches its client too late. An attempt that stays silent ends
+// while the answer can still arrive in time: the server is told that time, which is how long the attempt is waited
+// for.
+func TestSilentAttemptEndsBeforeDeadline(t *testing.T) {
+	h := scriptedServer(t)
+	b := newBalancerBefore(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
+	address := serveClients(t, b)
 	for _, c := range []struct{ patience, most float64 }{{3000, 2995}, {400, 395}, {128, 126}, {64, 63}} {
 		client := dial(t, address)
 		io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", fmt.Sprint(c.patience), fmt.Sprintf("c=book,t=acme,d=%v", c.patience), "v"))
-		came := next(t, h.Came, "the trip")
+		came := receive(t, h.Came, "the attempt")
 		_, of, _ := strings.Cut(came.Words[3], "d=")
 		if told, err := strconv.ParseFloat(of, 64); err != nil || told > c.most {
-			t.Errorf("of %v ms the host is told %q", c.patience, came.Words[3])
+			t.Errorf("of %v ms the server is told %q", c.patience, came.Words[3])
 		}
 		if c.patience < 1000 {
-			if got := answered(t, client); got != "-ERR given up" {
+			if got := readReply(t, client); got != "-ERR given up" {
 				t.Errorf("after %v ms it is answered %q", c.patience, got)
 			}
 		}
--- a/routing/follow_test.go
+++ b/routing/follow_test.go
@@ -11,17 +11,23 @@
 	"hollylever/fakes"
 )
 
-const patience = 20 * time.Second // for what has to come, though it may take its time
+// Settings that ask for changes to be polled get a watch as well: with nobody to follow it the list would stay as it
+// is at the start.
+func TestWatchIsRequestedWithoutSubscription(t *testing.T) {
+	if len(newTestBalancer(t, 1<<20).watchRequested) != 1 {
+		t.Fatal("the settings ask for no subscription, and nobody follows the list")
+	}
+}
 
-// alone has a silent watch closed after so long, with no further call beside it before.
-func alone(giveUp time.Duration) watchTimeouts {
+// singleWatchTimeouts have a silent watch closed after so long, with no further call beside it before.
+func singleWatchTimeouts(giveUp time.Duration) watchTimeouts {
 	return watchTimeouts{line: time.Hour, answer: time.Hour, giveUp: giveUp}
 }
 
-// follows has a balancer follow a discovery that the test speaks for.
-func follows(t *testing.T, timeouts watchTimeouts, changes map[string]any) (*Balancer, *fakes.Discovery) {
-	b, d := before(t, "127.0.0.1:1", changes), fakes.ScriptedDiscovery()
-	b.discovery, b.timeouts = d.Address, timeouts
+// followScripted has a balancer follow a discovery service that the test speaks for.
+func followScripted(t *testing.T, timeouts watchTimeouts, changes map[string]any) (*Balancer, *fakes.Discovery) {
+	b, d := newBalancerBefore(t, "127.0.0.1:1", changes), fakes.ScriptedDiscovery()
+	b.list.discovery, b.watchTimeouts = d.Address, timeouts
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { b.Follow(ctx); close(ended) }()
@@ -29,25 +35,16 @@
 	return b, d
 }
 
-func next[T any](t *testing.T, from <-chan T, what string) (x T) {
-	t.Helper()
-	select {
-	case x = <-from:
-	case <-time.After(patience):
-		t.Fatalf("%s does not come", what)
-	}
-	return x
-}
-
-func (b *Balancer) knows(name string) bool {
+func (b *Balancer) isReadyInList(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s, known := b.byName[name]
-	return known && names[b.servers[s].health] == "Ready"
+	s, known := b.endpoints.byName[name]
+	return known && statusByHealth[b.endpoints.all[s].health] == "Ready"
 }
 
-// A watch is a stream of JSON values: indented or not, several on a line, cut anywhere.
-func TestListsComeInAnyPieces(t *testing.T) {
+// A list that cannot be read hides all changes after it. A watch is a stream of JSON values: indented or not, several
+// on a line, cut anywhere.
+func TestWatchReadsListsSplitAnywhere(t *testing.T) {
 	indented := func(index int, name string) string {
 		list := fakes.List(index, false, fakes.Entry(name, "127.0.0.1:1", "Ready"))
 		return strings.NewReplacer("{", "{\n  ", ",", ",\r\n\t", "}", "\n\n}").Replace(list)
@@ -65,8 +62,8 @@
 		{"with empty lines", func(n int) string { return "\n\r\n" + indented(n, fmt.Sprint("n", n)) + "\n\n" }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, d := follows(t, alone(time.Hour), nil)
-			w := next(t, d.Calls, "a watch")
+			b, d := followScripted(t, singleWatchTimeouts(time.Hour), nil)
+			w := receive(t, d.Calls, "a watch")
 			const lists = 20
 			text := ""
 			for n := range lists {
@@ -78,7 +75,7 @@
 				text = text[cut:]
 			}
 			for n := range lists { // The last one too, though nothing comes behind it.
-				until(t, fmt.Sprint("list ", n), func() bool { return b.knows(fmt.Sprint("n", n+2)) })
+				until(t, fmt.Sprint("list ", n), func() bool { return b.isReadyInList(fmt.Sprint("n", n+2)) })
 			}
 			if n := b.counted("lists_failed"); n > 0 {
 				t.Errorf("%d watches failed", n)
@@ -87,8 +84,9 @@
 	}
 }
 
-// A watch that has fallen silent is opened anew, wherever it did; also when the next one does the same.
-func TestSilentWatchesAreOpenedAnew(t *testing.T) {
+// A connection that breaks without a word leaves a balancer with an old list. A watch that has fallen silent is
+// replaced, wherever it did; also when the next one does the same.
+func TestSilentWatchIsReplaced(t *testing.T) {
 	list := fakes.List(2, true, fakes.Entry("s", "127.0.0.1:1", "Ready"))
 	for _, c := range []struct {
 		name  string
@@ -104,22 +102,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			_, d := follows(t, alone(100*time.Millisecond), nil)
+			_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
 			for n := range 3 {
-				w := next(t, d.Calls, fmt.Sprint("watch ", n))
+				w := receive(t, d.Calls, fmt.Sprint("watch ", n))
 				for _, piece := range c.gives {
 					w.Give(piece)
 				}
-				next(t, w.Ended, "the end of a silent watch")
+				receive(t, w.Ended, "the end of a silent watch")
 			}
 		})
 	}
 }
 
-// A list that trickles in counts as silent from its beginning on, so that what it holds up is heard by another watch.
-func TestAListThatTricklesIsNotWaitedFor(t *testing.T) {
-	_, d := follows(t, alone(100*time.Millisecond), nil)
-	w := next(t, d.Calls, "a watch")
+// A list that trickles in would hold up all changes behind it. It counts as silent from its beginning on, so that
+// another watch brings them.
+func TestTricklingListCountsAsSilence(t *testing.T) {
+	_, d := followScripted(t, singleWatchTimeouts(100*time.Millisecond), nil)
+	w := receive(t, d.Calls, "a watch")
 	w.Give("{")
 	for trickles := time.NewTicker(10 * time.Millisecond); ; {
 		select {
@@ -128,39 +127,41 @@
 			return
 		case <-trickles.C:
 			w.Give(" ")
-		case <-time.After(patience):
+		case <-time.After(slowEventTimeout):
 			t.Fatal("it is waited for")
 		}
 	}
 }
 
-// A watch that is asked for while another one begins is that one: asked for again, it would follow the next failure with no
-// wait, and discovery may have too many callers already.
-func TestAMoveLeavesNoWatchOver(t *testing.T) {
+// A request for a watch that stays behind would follow the next failure without backoff, and discovery may have too
+// many callers already. A watch that is requested while another one begins is that one.
+func TestChangeOfDiscoveryLeavesNoWatchRequestBehind(t *testing.T) {
 	d := fakes.ScriptedDiscovery()
 	t.Cleanup(d.Close)
-	b := before(t, "127.0.0.1:1", nil)
+	b := newBalancerBefore(t, "127.0.0.1:1", nil)
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	b.mu.Lock()
 	go func() { b.Follow(ctx); close(ended) }()
 	t.Cleanup(func() { end(); <-ended })
-	until(t, "the beginning of a watch", func() bool { return len(b.follow) == 0 })
-	b.discovery = d.Address // What Move does, between the two lines of Follow.
-	b.Subscribe()
+	until(t, "the beginning of a watch", func() bool { return len(b.watchRequested) == 0 })
+	b.list.discovery = d.Address // What SetDiscovery does, between the request and the watch of Follow.
+	b.WatchEndpoints()
 	b.mu.Unlock()
-	next(t, d.Calls, "a watch at the new address")
-	if len(b.follow) > 0 {
+	receive(t, d.Calls, "a watch at the new address")
+	if len(b.watchRequested) > 0 {
 		t.Fatal("another watch is asked for already")
 	}
 }
 
-// besides has a further call made beside a watch that brings nothing for a moment, and no watch closed for its silence.
-var besides = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
+// twoWatchTimeouts have a further call made beside a watch that brings nothing for a moment, and no watch closed for
+// its silence.
+var twoWatchTimeouts = watchTimeouts{line: 20 * time.Millisecond, answer: 20 * time.Millisecond, giveUp: time.Hour}
 
-// A further call is made beside a watch that says nothing, and the first of the two to be heard is the one that stays: a silent
-// watch is not waited for, and a call that waits its turn at discovery keeps it.
-func TestTheFirstWatchToBeHeardStays(t *testing.T) {
+// A silent watch must not be waited for, and a call that waits in discovery's queue must not lose its place. A
+// further call is made beside a watch that brings nothing, and the first of the two to be heard is the one that
+// stays.
+func TestFirstWatchHeardReplacesTheOthers(t *testing.T) {
 	list := fakes.List(2, false, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n"
 	for _, c := range []struct {
 		name  string
@@ -177,15 +178,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b, d := follows(t, besides, nil)
-			first := next(t, d.Calls, "a watch")
+			b, d := followScripted(t, twoWatchTimeouts, nil)
+			first := receive(t, d.Calls, "a watch")
 			for _, piece := range c.first {
 				first.Give(piece)
 			}
-			calls := []fakes.Call{first, next(t, d.Calls, "a further call")}
+			calls := []fakes.Call{first, receive(t, d.Calls, "a further call")}
 			calls[c.heard].Give(list)
-			next(t, calls[1-c.heard].Ended, "the end of the other one")
-			until(t, "the list", func() bool { return b.knows("new") })
+			receive(t, calls[1-c.heard].Ended, "the end of the other one")
+			until(t, "the list", func() bool { return b.isReadyInList("new") })
 			select {
 			case <-calls[c.heard].Ended:
 				t.Fatal("the one that was heard is closed")
@@ -195,20 +196,21 @@
 	}
 }
 
-// A new configuration lets go of all watches that are open; what they tell then counts no more.
-func TestAMoveLetsGoOfAllWatches(t *testing.T) {
-	b, d := follows(t, besides, nil)
+// Lists of the old discovery that are applied after a change of discovery would undo the new one's. All open watches
+// are cancelled; nothing that they bring after that is applied.
+func TestChangeOfDiscoveryCancelsAllWatches(t *testing.T) {
+	b, d := followScripted(t, twoWatchTimeouts, nil)
 	moved := fakes.ScriptedDiscovery()
 	t.Cleanup(moved.Close)
-	calls := []fakes.Call{next(t, d.Calls, "a watch"), next(t, d.Calls, "a further call")}
+	calls := []fakes.Call{receive(t, d.Calls, "a watch"), receive(t, d.Calls, "a further call")}
 	b.SetDiscovery(moved.Address)
 	for _, call := range calls {
 		call.Give(fakes.List(9, true, fakes.Entry("old", "127.0.0.1:1", "Ready")) + "\n")
-		next(t, call.Ended, "the end of a watch")
+		receive(t, call.Ended, "the end of a watch")
 	}
-	next(t, moved.Calls, "a watch at the new address").Give(fakes.List(2, true, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n")
-	until(t, "the new list", func() bool { return b.knows("new") })
-	if b.knows("old") {
+	receive(t, moved.Calls, "a watch at the new address").Give(fakes.List(2, true, fakes.Entry("new", "127.0.0.1:1", "Ready")) + "\n")
+	until(t, "the new list", func() bool { return b.isReadyInList("new") })
+	if b.isReadyInList("old") {
 		t.Fatal("a watch that was let go told a list")
 	}
 }
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -67,11 +67,11 @@
 	}
 	p = w.start(t)
 	var said struct {
-		Servers, Keys int
-		AgoMS         int `json:"ago_ms"`
+		Endpoints, Keys int
+		AgeMS           int `json:"age_ms"`
 	}
 	line := waitForLogLine(t, p, `"message":"snapshot restored"`)
-	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Servers != 6 || said.Keys < 50 || said.AgoMS > 20000 {
+	if err := json.Unmarshal([]byte(line), &said); err != nil || said.Endpoints != 6 || said.Keys < 50 || said.AgeMS > 20000 {
 		t.Errorf("what is restored: %s", line)
 	}
 	p.Kill()
