--- a/transport/arrivals.go
+++ b/transport/arrivals.go
@@ -3,102 +3,80 @@
 import "time"
 
 const (
-	maxArrivals   = 64                    // reads of one client that are told apart
-	mergeArrivals = 2 * time.Millisecond  // reads so close together count as one
-	firstReadSoon = 20 * time.Millisecond // a client's first bytes that are read so soon were there as it was taken
+	// maxReadMarks bounds how many reads of one client are told apart, and so what a client that pipelines can make
+	// this package remember. Past it the two oldest count as the older one.
+	maxReadMarks = 64
+	// readMergeWindow is how close together reads count as one, so that maxReadMarks reach further back.
+	readMergeWindow = 2 * time.Millisecond
+	// firstReadWindow is how soon after a client is admitted its first bytes, if read by then, count as having been in
+	// the kernel already.
+	firstReadWindow = 20 * time.Millisecond
 )
 
-// arrival says that all bytes of a client up to an offset had arrived at a time.
-type arrival struct {
-	offset int64
-	at     time.Time
+// readMark says that all bytes of a client before an offset had arrived at a time.
+type readMark struct {
+	endOffset int64
+	at        time.Time
 }
 
-// arrivals are when the bytes arrived that wait in a client's buffer. A request's time counts from its last byte, also where it then
-// waits behind others of its connection, for a place for its client, or for the process to run.
-type arrivals struct {
-	stalls  *StallClock
-	skipped int64     // offset of the first byte that waits
-	total   int64     // of the first that has not been read
-	emptyAt time.Time // the kernel held no more bytes then
-	marks   []arrival
+// arrivalTimes records when the bytes that wait in a client's buffer arrived. A request's time counts from the arrival
+// of its last byte, also where it then waits behind others of its connection, for room for its client, or for the
+// process to run; counted from the read, a request could be served after its client had given up on it. Only the
+// goroutine that reads the client uses it: it does not lock.
+type arrivalTimes struct {
+	stalls        *StallClock
+	firstOffset   int64     // offset in the stream of the first byte that waits in the buffer
+	endOffset     int64     // offset behind the last byte that was read
+	kernelEmptyAt time.Time // the kernel held no more bytes then
+	marks         []readMark
 
-	waitsSince time.Time // before the first read: since when bytes may have waited in the kernel; zero: they did not
-	takenAt    time.Time // when the client was taken
+	pendingSince time.Time // before the first read: since when bytes may have waited in the kernel; zero: they did not
+	admittedAt   time.Time // when the client was admitted, after any wait for room
 }
 
-// newArrivals are those of a client that may have waited since a time to be taken.
-func newArrivals(stalls *StallClock, waitsSince, takenAt time.Time) *arrivals {
-	return &arrivals{stalls: stalls, emptyAt: waitsSince, waitsSince: waitsSince, takenAt: takenAt}
+// newArrivalTimes returns the record of a client that may have waited since pendingSince to be admitted.
+func newArrivalTimes(stalls *StallClock, pendingSince, admittedAt time.Time) *arrivalTimes {
+	return &arrivalTimes{stalls: stalls, kernelEmptyAt: pendingSince, pendingSince: pendingSince, admittedAt: admittedAt}
 }
 
-// came notes a read; isAll: the kernel held no more.
-func (a *arrivals) came(n int, isAll bool, now time.Time) {
-	at := a.stalls.ArrivedAt(a.emptyAt, now)
-	if !a.waitsSince.IsZero() && now.Sub(a.takenAt) < firstReadSoon && a.waitsSince.Before(at) {
-		at = a.waitsSince
+// recordRead records a read of n bytes that returned at now; isAll: the kernel held no more.
+func (a *arrivalTimes) recordRead(n int, isAll bool, now time.Time) {
+	at := a.stalls.ArrivedAt(a.kernelEmptyAt, now)
+	if !a.pendingSince.IsZero() && now.Sub(a.admittedAt) < firstReadWindow && a.pendingSince.Before(at) {
+		at = a.pendingSince
 	}
 	if isAll {
-		a.emptyAt, a.waitsSince = now, time.Time{}
+		a.kernelEmptyAt, a.pendingSince = now, time.Time{}
 	}
-	a.total += int64(n)
+	a.endOffset += int64(n)
 	last := len(a.marks) - 1
 	switch {
-	case last >= 0 && at.Sub(a.marks[last].at) < mergeArrivals:
-		a.marks[last].offset = a.total
+	case last >= 0 && at.Sub(a.marks[last].at) < readMergeWindow:
+		a.marks[last].endOffset = a.endOffset
 		return
-	case last+1 == maxArrivals: // The oldest two count as the older one.
+	case last+1 == maxReadMarks:
 		a.marks[1].at = a.marks[0].at
 		a.marks = a.marks[:copy(a.marks, a.marks[1:])]
 	}
-	a.marks = append(a.marks, arrival{a.total, at})
+	a.marks = append(a.marks, readMark{a.endOffset, at})
 }
 
-// skip forgets bytes.
-func (a *arrivals) skip(n int) {
-	a.skipped += int64(n)
+// discard forgets the first n bytes that wait.
+func (a *arrivalTimes) discard(n int) {
+	a.firstOffset += int64(n)
 	done := 0
-	for done < len(a.marks) && a.marks[done].offset <= a.skipped {
+	for done < len(a.marks) && a.marks[done].endOffset <= a.firstOffset {
 		done++
 	}
 	a.marks = a.marks[:copy(a.marks, a.marks[done:])]
 }
 
-// of is when the n-th of the bytes that wait arrived.
-func (a *arrivals) of(n int) time.Time {
+// arrivedAt returns when the n-th byte that waits arrived; now for one that has not been read.
+func (a *arrivalTimes) arrivedAt(n int) time.Time {
 	for _, mark := range a.marks {
-		if mark.offset >= a.skipped+int64(n) {
+		if mark.endOffset >= a.firstOffset+int64(n) {
 			return mark.at
 		}
 	}
 	return time.Now()
 }
-
-// backlog bounds since when a connection that is accepted may have waited for it.
-type backlog struct {
-	stalls  *StallClock
-	emptyAt time.Time // no connection waited then
-	delayed time.Time // since when nothing was accepted though connections may have come; zero: it is not so
-}
-
-// acceptWaits is how long an accept takes at least that found no connection waiting: one that did may be held up a little too.
-const acceptWaits = 10 * time.Millisecond
-
-// delay notes that nothing was accepted since a time.
-func (b *backlog) delay(since time.Time) {
-	if b.delayed.IsZero() {
-		b.delayed = since
-	}
-}
-
-// accepted gives since when a connection may have waited, by when the accept was called and returned.
-func (b *backlog) accepted(called, returned time.Time) time.Time {
-	if returned.Sub(called) > acceptWaits {
-		b.emptyAt, b.delayed = called, time.Time{}
-	}
-	since := b.stalls.ArrivedAt(b.emptyAt, returned)
-	if !b.delayed.IsZero() && b.delayed.Before(since) {
-		since = b.delayed
-	}
-	return since
-}
--- a/transport/arrivals_test.go
+++ b/transport/arrivals_test.go
@@ -9,33 +9,33 @@
 func TestArrivalsOfBytes(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
-	a := newArrivals(nil, at(0), at(0))
-	a.waitsSince = time.Time{}
-	a.came(10, true, at(5))
-	a.came(10, true, at(6)) // So soon that it counts as the same read.
-	a.came(10, true, at(50))
+	a := newArrivalTimes(nil, at(0), at(0))
+	a.pendingSince = time.Time{}
+	a.recordRead(10, true, at(5))
+	a.recordRead(10, true, at(6)) // So soon that it counts as the same read.
+	a.recordRead(10, true, at(50))
 	for n, want := range map[int]int{1: 5, 10: 5, 20: 5, 21: 50, 30: 50} {
-		if got := a.of(n); !got.Equal(at(want)) {
+		if got := a.arrivedAt(n); !got.Equal(at(want)) {
 			t.Errorf("byte %d came at %v, want %d ms", n, got.Sub(base), want)
 		}
 	}
-	a.skip(15)
+	a.discard(15)
 	for n, want := range map[int]int{5: 5, 6: 50, 15: 50} {
-		if got := a.of(n); !got.Equal(at(want)) {
+		if got := a.arrivedAt(n); !got.Equal(at(want)) {
 			t.Errorf("after a skip byte %d came at %v, want %d ms", n, got.Sub(base), want)
 		}
 	}
-	for n := range 10 * maxArrivals {
-		a.came(1, true, at(100+10*n))
+	for n := range 10 * maxReadMarks {
+		a.recordRead(1, true, at(100+10*n))
 	}
-	if len(a.marks) > maxArrivals {
+	if len(a.marks) > maxReadMarks {
 		t.Errorf("%d reads are kept", len(a.marks))
 	}
-	last := 100 + 10*(10*maxArrivals-1)
-	if got := a.of(15 + 10*maxArrivals); !got.Equal(at(last)) {
+	last := 100 + 10*(10*maxReadMarks-1)
+	if got := a.arrivedAt(15 + 10*maxReadMarks); !got.Equal(at(last)) {
 		t.Errorf("the last byte came at %v, want %d ms", got.Sub(base), last)
 	}
-	a.skip(15 + 10*maxArrivals)
+	a.discard(15 + 10*maxReadMarks)
 	if len(a.marks) > 0 {
 		t.Errorf("%d reads are kept of nothing", len(a.marks))
 	}
@@ -56,13 +56,13 @@
 		{"behind a delay, and it asked later", 100, 500, 500, 500, 700, 700},
 		{"after an accept that found nobody", 100, 500, 600, 600, 601, 600},
 	} {
-		b := &backlog{emptyAt: base}
+		b := &acceptBacklog{kernelEmptyAt: base}
 		if c.delayed >= 0 {
-			b.delay(at(c.delayed))
+			b.recordDelay(at(c.delayed))
 		}
-		a := newArrivals(nil, b.accepted(at(c.called), at(c.returned)), at(c.taken))
-		a.came(10, true, at(c.read))
-		if got := a.of(10); !got.Equal(at(c.wantRead)) {
+		a := newArrivalTimes(nil, b.connectedSince(at(c.called), at(c.returned)), at(c.taken))
+		a.recordRead(10, true, at(c.read))
+		if got := a.arrivedAt(10); !got.Equal(at(c.wantRead)) {
 			t.Errorf("%s: it came at %v, want %d ms", c.what, got.Sub(base), c.wantRead)
 		}
 	}
--- a/transport/await.go
+++ b/transport/await.go
@@ -1,43 +1,39 @@
 package transport
 
-import (
-	"errors"
-	"os"
-	"syscall"
-	"time"
+import "time"
 
-	"golang.org/x/sys/unix"
-)
+// surplusTimeout bounds how long more commands may wait than the buffer holds. It is a fifth of the 100 ms (the
+// protocol's) after which nothing may begin any more for a client that has gone, as the client's close may stand
+// behind what was not read.
+const surplusTimeout = 20 * time.Millisecond
 
-// surplusFor bounds how long more may wait than the buffer holds: a fifth of the 0.1 s (the protocol's) after which nothing may begin
-// any more for a client that has gone, as its end may stand behind that.
-const surplusFor = 20 * time.Millisecond
-
-// Await waits until fewer than so many things of the client are being answered (Open), until it has sent more than its buffer holds
-// (Surplus), or until it has gone. It reads meanwhile: nobody sees an end behind what was not read. What it reads stays, or is dropped.
-func (c *Client) Await(most int, drop bool) End {
+// Await waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more than
+// its buffer holds for surplusTimeout (Surplus), or until its connection ends. It reads meanwhile, because a close
+// behind bytes that are not read goes unseen; with drop set what it reads is discarded, else it stays in the buffer.
+// Only the client's reading goroutine may call it.
+func (c *Client) Await(maxPending int, drop bool) End {
 	for {
-		c.owner.mu.Lock()
-		if c.awaits = c.busy >= most; !c.awaits {
-			c.owner.mu.Unlock()
+		c.listener.mu.Lock()
+		if c.isAwaitingReplies = c.pendingReplies >= maxPending; !c.isAwaitingReplies {
+			c.listener.mu.Unlock()
 			return Open
 		}
 		if drop {
 			c.Skip(len(c.Unread()))
 			c.Widen()
 		}
-		full, until := c.room() != Open, time.Time{}
-		if full {
-			until = c.overfull().Add(surplusFor)
+		isFull, until := c.ensureSpace() != Open, time.Time{}
+		if isFull {
+			until = c.overfullFrom().Add(surplusTimeout)
 		}
 		c.SetReadDeadline(until)
-		c.owner.mu.Unlock()
+		c.listener.mu.Unlock()
 		var end End
 		switch {
-		case !full:
-			end = c.readOn()
+		case !isFull:
+			end = c.readAvailable()
 		case time.Now().Before(until):
-			end = c.hangsUp()
+			end = c.awaitHangup()
 		default:
 			return Surplus
 		}
@@ -47,65 +43,23 @@
 	}
 }
 
-// ArrivedAt is when the n-th of the bytes that were not skipped arrived at this machine, at the latest.
-func (c *Client) ArrivedAt(n int) time.Time { return c.arrivals.of(n) }
+// ArrivedAt returns when the n-th of the bytes in the buffer arrived at this machine, at the latest. Only the client's
+// reading goroutine may call it.
+func (c *Client) ArrivedAt(n int) time.Time { return c.arrivalTimes.arrivedAt(n) }
 
-// overfull returns since when more waits than the buffer holds.
-func (c *Client) overfull() time.Time {
+// overfullFrom returns since when more has waited than the buffer holds, now at the first call.
+func (c *Client) overfullFrom() time.Time {
 	if c.overfullSince.IsZero() {
 		c.overfullSince = time.Now()
 	}
 	return c.overfullSince
 }
 
-// readOn reads once. A read that leaves room has emptied what the kernel held.
-func (c *Client) readOn() End {
+// readAvailable reads once. A read that leaves room in the buffer has emptied what the kernel held.
+func (c *Client) readAvailable() End {
 	end := c.read(false)
-	if end == Open && c.to < len(c.buffer) {
+	if end == Open && c.end < len(c.buffer) {
 		c.overfullSince = time.Time{}
 	}
 	return end
 }
-
-// hangsUp waits without reading until the other side has ended the connection, or the read deadline is over (Stuck).
-func (c *Conn) hangsUp() End {
-	raw := rawOf(c.Conn)
-	if raw == nil {
-		return Left
-	}
-	err := raw.Read(func(fd uintptr) bool { return looks(fd, unix.POLLRDHUP) })
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return Stuck
-	}
-	return Left
-}
-
-// HasEnded tells, without waiting, whether the other side has ended the connection, also where that stands behind what was not read.
-func (c *Conn) HasEnded() (ended bool) {
-	raw := rawOf(c.Conn)
-	if raw == nil {
-		return true
-	}
-	err := raw.Control(func(fd uintptr) { ended = looks(fd, unix.POLLRDHUP) })
-	return ended || err != nil
-}
-
-// rawOf gives the descriptor's own calls of a connection or a listener, nil if it has none any more.
-func rawOf(of any) syscall.RawConn {
-	if inner, is := of.(syscall.Conn); is {
-		if raw, err := inner.SyscallConn(); err == nil {
-			return raw
-		}
-	}
-	return nil
-}
-
-// looks tells, without waiting, whether a descriptor has one of the events, or an error or an end.
-func looks(fd uintptr, events int16) bool {
-	for {
-		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: events}}, 0)
-		if err != unix.EINTR {
-			return err == nil && n > 0
-		}
-	}
-}
--- a/transport/budget.go
+++ b/transport/budget.go
@@ -6,55 +6,57 @@
 	"sync/atomic"
 )
 
-// Budget is what buffers over MostBuffer may take, all together, until whoever has them is done. They are used again:
-// guards memory against large ones that are dropped faster than the collector finds them.
+// Budget bounds what buffers over MostBuffer take of memory, all together, until their users are done with them. It
+// uses them again: it guards memory against large buffers that are dropped faster than the garbage collector finds
+// them, where the heap would grow past the process's limit. It needs no lock; nil is a budget without room.
 type Budget struct {
-	left, all atomic.Int64
-	spare     sync.Map // by size, a *sync.Pool of *[]byte, which the collector empties
+	available, total atomic.Int64 // bytes
+	free             sync.Map     // by size, a *sync.Pool of *[]byte, which the collector empties
 }
 
-// NewBudget makes one of so many bytes.
+// NewBudget returns a budget of so many bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
 	b.Allow(bytes)
 	return b
 }
 
-// Allow sets how many bytes it is from now on; what is taken stays so.
-func (b *Budget) Allow(bytes int64) { b.left.Add(bytes - b.all.Swap(bytes)) }
+// Allow sets the budget's size in bytes from now on; what is in use stays so, also where that is more.
+func (b *Budget) Allow(bytes int64) { b.available.Add(bytes - b.total.Swap(bytes)) }
 
-// take gives a buffer of n bytes and what it takes of the budget, nil where there is no room. One may have half.
-func (b *Budget) take(n int) (buffer []byte, owes int) {
-	if b == nil || int64(n) > b.all.Load()/2 {
+// acquire returns a buffer of n bytes and the bytes it takes of the budget, nil where there is no room. A single
+// buffer may have half of the budget at most, so that one client can't keep out all others.
+func (b *Budget) acquire(n int) (buffer []byte, size int) {
+	if b == nil || int64(n) > b.total.Load()/2 {
 		return nil, 0
 	}
-	owes = sizeFor(n)
-	if b.left.Add(int64(-owes)) < 0 {
-		b.left.Add(int64(owes))
+	size = roundedSize(n)
+	if b.available.Add(int64(-size)) < 0 {
+		b.available.Add(int64(size))
 		return nil, 0
 	}
-	if spare, _ := b.ofSize(owes).Get().(*[]byte); spare != nil {
-		return (*spare)[:n], owes
+	if used, _ := b.freeOfSize(size).Get().(*[]byte); used != nil {
+		return (*used)[:n], size
 	}
-	return make([]byte, owes)[:n], owes
+	return make([]byte, size)[:n], size
 }
 
-// lent gives the way in which a buffer comes back, once.
-func (b *Budget) lent(buffer []byte, owes int) (done func()) {
+// releaseFunc returns the function that gives a buffer of acquire back, to be called once.
+func (b *Budget) releaseFunc(buffer []byte, size int) (release func()) {
 	return func() {
-		buffer = buffer[:owes]
-		b.ofSize(owes).Put(&buffer)
-		b.left.Add(int64(owes))
+		buffer = buffer[:size]
+		b.freeOfSize(size).Put(&buffer)
+		b.available.Add(int64(size))
 	}
 }
 
-func (b *Budget) ofSize(size int) *sync.Pool {
-	pool, _ := b.spare.LoadOrStore(size, new(sync.Pool))
+func (b *Budget) freeOfSize(size int) *sync.Pool {
+	pool, _ := b.free.LoadOrStore(size, new(sync.Pool))
 	return pool.(*sync.Pool)
 }
 
-// sizeFor rounds up by a quarter at most, so that there are few sizes.
-func sizeFor(n int) int {
+// roundedSize rounds n up by a quarter at most, so that there are few sizes and a buffer is likely to be used again.
+func roundedSize(n int) int {
 	step := 1 << max(0, bits.Len(uint(n))-3)
 	return min((n+step-1)/step*step, MostMessage)
 }
--- a/transport/client.go
+++ b/transport/client.go
@@ -7,162 +7,193 @@
 )
 
 const (
-	lingerFor  = time.Second
-	mostLinger = MostMessage
-
-	keepSilent = 2 * time.Second // from when it connected, with no good command
-	keepOnce   = 5 * time.Second // after one
-	keepUsual  = time.Minute
-
-	keepBriefly = 50 * time.Millisecond   // after one, with a quarter of the room taken
-	halfFirst   = 2700 * time.Millisecond // from when it connected
-	halfUsual   = 10 * time.Second
-	askFor      = 500 * time.Millisecond // a client that has just come has so long to ask
+	// lingerTimeout and maxLingerBytes bound what is read and discarded of a client after its last reply.
+	lingerTimeout  = time.Second
+	maxLingerBytes = MostMessage
+
+	// How long a client may stay idle: from when it connected with no valid command, after one, and as a usual client.
+	silentIdleTimeout       = 2 * time.Second
+	firstCommandIdleTimeout = 5 * time.Second
+	usualIdleTimeout        = time.Minute
+	// crowdedIdleTimeout replaces firstCommandIdleTimeout where a quarter of the room is taken.
+	crowdedIdleTimeout = 50 * time.Millisecond
+
+	// defaultFirstCommandTimeout is how long after a client connected its first command may take to be complete.
+	defaultFirstCommandTimeout = 2700 * time.Millisecond
+	// defaultCommandTimeout is how long each later command may take from its first byte.
+	defaultCommandTimeout = 10 * time.Second
+	// firstCommandGrace is how long a new client is not closed for room, so that it can send a first command.
+	firstCommandGrace = 500 * time.Millisecond
 )
 
-// Client is a client's connection. It is busy while something of it is being answered.
+// Client is a client's connection. It is busy while a reply is owed to it, else it is between commands. One goroutine
+// reads it (Fill, Await, Skip, Take); any may call Begin, Good, End, Age and Commands.
 type Client struct {
 	Conn
-	owner         *Listener
-	busy          int
-	good          int // commands that made sense
-	going         bool
-	awaits        bool      // its reader is to be woken with each answer
-	half          bool      // a part of a command has come
-	came          time.Time // when it connected
-	since         time.Time // idle since
-	overfullSince time.Time // more waits than the buffer holds; zero: it does not
+	listener          *Listener
+	pendingReplies    int       // under listener.mu, as the fields to idleSince
+	validCommands     int       // commands that made sense
+	isClosing         bool      // it is to close as soon as nothing is owed to it
+	isAwaitingReplies bool      // its reader is to be woken by each reply
+	hasPartialCommand bool      // a part of a command has come
+	idleSince         time.Time // when the last reply was done; of one without a valid command: when it connected
+
+	connectedAt   time.Time // as it was accepted; fixed
+	overfullSince time.Time // the reader's: since when more waits than the buffer holds; zero: it does not
 }
 
-// keeps is how long a client is kept between commands. Guards descriptors and memory against those that connect and
-// say nothing, or ask once and stay; usual clients, which ask again, keep their connections.
-func (c *Client) keeps() time.Duration {
-	if c.good == 1 && len(c.owner.clients) > c.owner.most/4 {
-		return keepBriefly // Guards clients who may only hold so many: those who keep them idle have none left to ask on.
+// idleTimeout is how long the client may stay between commands. It guards descriptors and memory against clients that
+// connect and say nothing, or send one command and stay; usual clients, which send more, keep their connections. In a
+// crowd those with one command are closed sooner: clients that may only hold so many connections, and keep them idle,
+// would have none left to send on. Under the lock.
+func (c *Client) idleTimeout() time.Duration {
+	if c.validCommands == 1 && len(c.listener.clients) > c.listener.limit/4 {
+		return crowdedIdleTimeout
 	}
-	return [...]time.Duration{keepSilent, keepOnce, keepUsual}[min(c.good, 2)]
+	return [...]time.Duration{silentIdleTimeout, firstCommandIdleTimeout, usualIdleTimeout}[min(c.validCommands, 2)]
 }
 
-// rank orders clients that may have to make room: silent ones, those that asked once, those that have just come and had
-// no time to ask, usual ones.
-func (c *Client) rank() int {
+// evictionRank orders clients that may have to make room, lowest first: silent ones, those with one valid command,
+// those that have just connected and had no time for one, usual ones. Under the lock.
+func (c *Client) evictionRank() int {
 	switch {
-	case c.good > 1:
+	case c.validCommands > 1:
 		return 3
-	case c.good == 1:
+	case c.validCommands == 1:
 		return 1
-	case time.Since(c.came) < askFor:
+	case time.Since(c.connectedAt) < firstCommandGrace:
 		return 2
 	}
 	return 0
 }
 
-// goSoon wakes the client's reader, which alone closes the connection: nothing that was read is dropped.
-func (c *Client) goSoon() {
-	c.going = true
-	c.wake()
+// requestClose marks the client as closing and wakes its reader, which alone closes the connection: nothing that was
+// read is dropped. Under the lock.
+func (c *Client) requestClose() {
+	c.isClosing = true
+	c.interruptRead()
 }
 
-// wake ends what its reader waits for, as a time that is over. It is safe against steps of the wall clock: it is long past by any.
-func (c *Client) wake() { c.SetReadDeadline(time.Unix(1, 0)) }
+// interruptRead ends a read that waits, by a deadline that has passed. The deadline is long past by any clock, so that a
+// step of the wall clock can't make it a future one.
+func (c *Client) interruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
 
-// whole is until when a command that has begun to come has to be whole; zero: none has. Usual clients may write slowly;
-// from one that never sent a good command an end is owed soon after it came. Under the lock.
-func (c *Client) whole(begun time.Time) time.Time {
+// commandDeadline returns by when a command, of which the first byte came at begun, must be complete; zero: none has
+// begun. Usual clients may write slowly. A client that never sent a valid command is held to a time from when it
+// connected, else it could hold its descriptor with a byte now and then. Under the lock.
+func (c *Client) commandDeadline(begun time.Time) time.Time {
 	switch {
 	case begun.IsZero():
 		return begun
-	case c.good > 0:
-		return begun.Add(c.owner.HalfUsual)
+	case c.validCommands > 0:
+		return begun.Add(c.listener.HalfUsual)
 	}
-	return c.came.Add(c.owner.HalfFirst)
+	return c.connectedAt.Add(c.listener.HalfFirst)
 }
 
-// Linger ends the connection after a last word to a client that may still be sending: closed at once, what it sends
-// would reset the connection and take the word with it.
+// Linger ends the connection after the last reply to a client that may still be sending. It closes the sending side
+// and discards what comes: with a close at once the kernel answers what the client sends by a reset, at which the
+// client drops the reply unread. Called by the reading goroutine once all replies are written.
 func (c *Client) Linger() {
 	if half, ok := c.Conn.Conn.(*net.TCPConn); ok {
-		_ = half.CloseWrite() // A client that has gone: the read below says so.
+		_ = half.CloseWrite() // Fails where the client has gone: the read below ends at once.
 	}
-	c.owner.mu.Lock()
-	if !c.going {
-		c.SetReadDeadline(time.Now().Add(lingerFor))
+	c.listener.mu.Lock()
+	if !c.isClosing {
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
-	c.owner.mu.Unlock()
-	_, _ = io.CopyN(io.Discard, c, mostLinger)
+	c.listener.mu.Unlock()
+	_, _ = io.CopyN(io.Discard, c, maxLingerBytes)
 }
 
-// Age is how long ago the client connected.
-func (c *Client) Age() time.Duration { return time.Since(c.came) }
+// Age returns how long ago the client connected.
+func (c *Client) Age() time.Duration { return time.Since(c.connectedAt) }
 
-// Commands counts the commands of the client that made sense.
+// Commands returns how many valid commands the client has sent.
 func (c *Client) Commands() int {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	return c.good
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.validCommands
 }
 
-// Begin marks the client busy with one thing more.
+// Begin counts one more reply that is owed to the client. Each Begin needs one End.
 func (c *Client) Begin() {
-	c.owner.mu.Lock()
-	c.busy++
-	c.owner.mu.Unlock()
+	c.listener.mu.Lock()
+	c.pendingReplies++
+	c.listener.mu.Unlock()
 }
 
-// Good tells that a command of the client made sense.
+// Good counts a valid command of the client.
 func (c *Client) Good() {
-	c.owner.mu.Lock()
-	c.good++
-	c.owner.mu.Unlock()
+	c.listener.mu.Lock()
+	c.validCommands++
+	c.listener.mu.Unlock()
 }
 
-// End marks one thing as answered. A client that is to go does so with its last answer.
+// End counts one reply as done. A client that is to close does so with its last one. Where no valid command has come,
+// idleSince stays at the time of the connect: errors in reply to noise must not extend a client's time.
 func (c *Client) End() {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.busy--; c.busy == 0 {
-		if c.good > 0 { // Else its time runs from when it connected: noise does not make it last.
-			c.since = time.Now()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	if c.pendingReplies--; c.pendingReplies == 0 {
+		if c.validCommands > 0 {
+			c.idleSince = time.Now()
 		}
-		if c.going || c.owner.last {
-			c.goSoon()
+		if c.isClosing || c.listener.isDraining {
+			c.requestClose()
 		}
-		c.owner.room.Signal()
+		c.listener.roomChanged.Signal()
 	}
-	if c.awaits {
-		c.wake()
+	if c.isAwaitingReplies {
+		c.interruptRead()
 	}
 }
 
-// Fill reads once more. begun: since when a command has begun to come, zero if none has. Spared: the connection is to go,
-// nothing is being answered and nothing waits to be read. A command that has begun to come is let come, within its time,
-// but where a client that never sent a good one has to make room.
+// Fill reads once more and returns Open, or the connection's end. begun: since when a command has begun to come, zero
+// if none has. Spared: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has closed
+// the connection. Only the reading goroutine may call it.
 func (c *Client) Fill(begun time.Time) End {
 	for {
-		if end := c.room(); end != Open {
+		if end := c.ensureSpace(); end != Open {
 			return end
 		}
-		c.owner.mu.Lock()
-		c.half = len(c.Unread()) > 0
-		if c.going && c.busy == 0 && !(c.half && (c.good > 0 || len(c.owner.clients) < c.owner.most-c.owner.most/16)) {
-			if waits, ended := c.pending(); !waits && !ended {
-				c.Conn.Close() // At once: a retrieval that comes between the look and this meets a closed connection.
-				c.owner.mu.Unlock()
-				return Spared
-			}
+		c.listener.mu.Lock()
+		c.hasPartialCommand = len(c.Unread()) > 0
+		if c.closeIfIdle() {
+			c.listener.mu.Unlock()
+			return Spared
 		}
-		c.SetReadDeadline(c.whole(begun))
-		c.owner.mu.Unlock()
-		end := c.readOn()
+		c.SetReadDeadline(c.commandDeadline(begun))
+		c.listener.mu.Unlock()
+		end := c.readAvailable()
 		if end != Stuck {
 			return end
 		}
-		c.owner.mu.Lock()
-		// Looked at anew: being asked to go is no end of the client's time, and it may have shown itself a usual one meanwhile.
-		until := c.whole(begun)
-		c.owner.mu.Unlock()
-		if !until.IsZero() && !time.Now().Before(until) {
+		// The read may have been interrupted to close the client, which does not end the time of a command that has
+		// begun; and the client may have become a usual one meanwhile, with a later deadline.
+		c.listener.mu.Lock()
+		deadline := c.commandDeadline(begun)
+		c.listener.mu.Unlock()
+		if !deadline.IsZero() && !time.Now().Before(deadline) {
 			return end
 		}
 	}
 }
+
+// closeIfIdle closes a client that was asked to close, where nothing is owed to it and nothing waits to be read; it
+// reports whether it did. A command that has begun to come may be completed within its time, except where a client
+// without a valid command is in the way of others. It closes under the lock, at once: a command that arrives between
+// the look and the close meets a closed connection, and is reset, rather than taken and dropped. Under the lock.
+func (c *Client) closeIfIdle() bool {
+	if !c.isClosing || c.pendingReplies > 0 {
+		return false
+	}
+	if c.hasPartialCommand && (c.validCommands > 0 || c.listener.hasSpareRoom(len(c.listener.clients))) {
+		return false
+	}
+	if hasBytes, hasEnded := c.peek(); hasBytes || hasEnded {
+		return false
+	}
+	c.Conn.Close()
+	return true
+}
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -1,171 +1,160 @@
-// Package transport holds connections: the listener in front, the pool behind, the one buffer that each
-// connection has, and the ways in which one can end. It knows nothing of what the bytes mean.
+// Package transport holds connections: the listener for clients in front, the pool of connections to servers behind,
+// the one buffer that each connection has, and the ways in which one can end. It knows nothing of what the bytes mean.
+//
+// A client's connection: Listener.Serve accepts it, waits for room among the clients (limit.go) and runs the given
+// function in a goroutine of its own, the only one that reads the connection. That function calls Client.Fill until
+// the connection ends; Begin and End bracket each reply that is owed. A client between commands may be asked to make
+// room: its reader is woken and closes the connection itself, so that nothing that was read is lost.
+//
+// A server's connection: Pool.Line begins an attempt, Connect takes an idle connection or dials one, Hand writes the
+// request, Fill reads the response, Done gives the connection back. Cut and Withdraw cancel the attempt from any
+// goroutine.
+//
+// How a connection ended is an End; what of it may have reached the other side is the caller's reason to retry or not.
 package transport
 
 import (
 	"bytes"
 	"net"
-	"syscall"
 	"time"
 )
 
 const (
-	firstBuffer = 2 << 10
-	keepBuffer  = 16 << 10 // an empty buffer over this is let go
-	// MostBuffer bounds what one message may hold: a value of 64 KiB with its command around it.
+	initialBuffer = 2 << 10  // bytes: the first buffer of a connection
+	maxIdleBuffer = 16 << 10 // bytes: an empty buffer over this is released
+	// MostBuffer bounds the bytes of one message: a value of 64 KiB with its command around it.
 	MostBuffer = 72 << 10
-	// MostMessage bounds one of a client that is allowed more, out of a budget.
+	// MostMessage bounds the bytes of one message that may be larger, out of a Budget: a value of 4 MiB.
 	MostMessage = 4<<20 + 8<<10
 )
 
-// Conn is a connection with its buffer, which grows as it needs and is compacted in place.
+// Conn is a connection with its buffer, which grows as needed and is compacted in place. One goroutine at a time may
+// read it; it does not lock.
 type Conn struct {
 	net.Conn
-	buffer   []byte
-	from, to int
-	budget   *Budget   // for more than MostBuffer; nil: none
-	owes     int       // to it
-	arrivals *arrivals // of a client's bytes; nil: not noted
-	peer     Peer
-	idleAt   time.Time     // pool: since when it has been idle
-	up       time.Duration // pool: how long it took to come up
+	buffer        []byte
+	start, end    int           // of the bytes in the buffer that were read and not skipped
+	budget        *Budget       // for a buffer over MostBuffer; nil: none may grow over that
+	budgetedBytes int           // what the buffer takes of the budget; 0: it is an ordinary one
+	arrivalTimes  *arrivalTimes // of a client's bytes; nil: not recorded
+	peer          Peer          // pool: whose connection it is
+	idleAt        time.Time     // pool: since when it has been idle
+	dialDuration  time.Duration // pool: how long it took to connect
 }
 
-// Unread is what has come and was not skipped. It holds until the next Fill.
-func (c *Conn) Unread() []byte { return c.buffer[c.from:c.to] }
+// Unread returns the bytes that were read and not skipped. They hold until the next Fill or Skip.
+func (c *Conn) Unread() []byte { return c.buffer[c.start:c.end] }
 
-// Skip is done with n bytes.
+// Skip discards the first n bytes of Unread.
 func (c *Conn) Skip(n int) {
-	if c.arrivals != nil {
-		c.arrivals.skip(n)
+	if c.arrivalTimes != nil {
+		c.arrivalTimes.discard(n)
 	}
-	if c.from += n; c.from == c.to {
-		c.from, c.to = 0, 0
-		if c.repay(); len(c.buffer) > keepBuffer {
+	if c.start += n; c.start == c.end {
+		c.start, c.end = 0, 0
+		if c.releaseBuffer(); len(c.buffer) > maxIdleBuffer {
 			c.buffer = nil // Guards memory against many idle connections that once carried a large value.
 		}
 	}
 }
 
-// Take is done with n bytes and gives them away: the buffer itself where it is a large one. They stay until done is called.
-func (c *Conn) Take(n int) (own []byte, done func()) {
-	if c.owes == 0 || c.to-c.from != n {
-		own = bytes.Clone(c.buffer[c.from : c.from+n])
+// Take discards the first n bytes of Unread and returns them to keep: the buffer itself where it is a large one. They
+// hold until release is called, which must happen once.
+func (c *Conn) Take(n int) (taken []byte, release func()) {
+	if c.budgetedBytes == 0 || c.end-c.start != n {
+		taken = bytes.Clone(c.buffer[c.start : c.start+n])
 		c.Skip(n)
-		return own, func() {}
+		return taken, func() {}
 	}
-	if c.arrivals != nil {
-		c.arrivals.skip(n)
+	if c.arrivalTimes != nil {
+		c.arrivalTimes.discard(n)
 	}
-	own, done = c.buffer[c.from:c.to], c.budget.lent(c.buffer, c.owes)
-	c.buffer, c.from, c.to, c.owes = nil, 0, 0, 0
-	return own, done
+	taken, release = c.buffer[c.start:c.end], c.budget.releaseFunc(c.buffer, c.budgetedBytes)
+	c.buffer, c.start, c.end, c.budgetedBytes = nil, 0, 0, 0
+	return taken, release
 }
 
-// Grow makes the buffer large enough for a message of n bytes: NoRoom when the budget has none left.
+// Grow makes the buffer large enough for a message of n bytes. It returns NoRoom when the budget has none left.
 func (c *Conn) Grow(n int) End {
 	if n <= MostBuffer || n <= len(c.buffer) {
 		return Open
 	}
-	if c.owes > 0 {
+	if c.budgetedBytes > 0 {
 		return NoRoom
 	}
-	grown, owes := c.budget.take(min(n, MostMessage))
+	grown, size := c.budget.acquire(min(n, MostMessage))
 	if grown == nil {
 		return NoRoom
 	}
-	c.from, c.to, c.buffer, c.owes = 0, copy(grown, c.Unread()), grown, owes
+	c.start, c.end, c.buffer, c.budgetedBytes = 0, copy(grown, c.Unread()), grown, size
 	return Open
 }
 
-// repay lets the buffer go where it came out of the budget.
-func (c *Conn) repay() {
-	if c.owes > 0 {
-		c.budget.lent(c.buffer, c.owes)()
-		c.buffer, c.from, c.to, c.owes = nil, 0, 0, 0
+// releaseBuffer gives the buffer back where it came out of the budget.
+func (c *Conn) releaseBuffer() {
+	if c.budgetedBytes > 0 {
+		c.budget.releaseFunc(c.buffer, c.budgetedBytes)()
+		c.buffer, c.start, c.end, c.budgetedBytes = nil, 0, 0, 0
 	}
 }
 
-// Widen makes an empty buffer as large as one may stay, for much that is to come.
+// Widen makes an empty buffer as large as an idle one may stay, where much is about to be read and discarded.
 func (c *Conn) Widen() {
-	if c.from == c.to && len(c.buffer) < keepBuffer {
-		c.buffer = make([]byte, keepBuffer)
+	if c.start == c.end && len(c.buffer) < maxIdleBuffer {
+		c.buffer = make([]byte, maxIdleBuffer)
 	}
 }
 
-// room makes some in the buffer: Garbled when a message is longer than it may grow.
-func (c *Conn) room() End {
+// ensureSpace makes space for a read behind the bytes in the buffer, by compacting or growing it. It returns Garbled
+// when a message is longer than the buffer may grow.
+func (c *Conn) ensureSpace() End {
 	switch {
-	case c.to < len(c.buffer):
-	case c.from > 0:
-		c.to = copy(c.buffer, c.buffer[c.from:c.to])
-		c.from = 0
+	case c.end < len(c.buffer):
+	case c.start > 0:
+		c.end = copy(c.buffer, c.buffer[c.start:c.end])
+		c.start = 0
 	case len(c.buffer) >= MostBuffer:
 		return Garbled
 	default:
-		grown := make([]byte, min(MostBuffer, max(firstBuffer, 2*len(c.buffer))))
+		grown := make([]byte, min(MostBuffer, max(initialBuffer, 2*len(c.buffer))))
 		copy(grown, c.buffer)
 		c.buffer = grown
 	}
 	return Open
 }
 
-// Fill reads once more, until the time given; handed: what is read is the answer to something handed over.
-func (c *Conn) Fill(until time.Time, handed bool) End {
-	if end := c.room(); end != Open {
+// Fill reads once more, until the deadline. isSent: what is read is the response to a message that was handed over in
+// full, which decides what a failure means (End).
+func (c *Conn) Fill(deadline time.Time, isSent bool) End {
+	if end := c.ensureSpace(); end != Open {
 		return end
 	}
-	if err := c.SetReadDeadline(until); err != nil {
-		return endOf(err, handed)
+	if err := c.SetReadDeadline(deadline); err != nil {
+		return endOfError(err, isSent)
 	}
-	return c.read(handed)
+	return c.read(isSent)
 }
 
-func (c *Conn) read(handed bool) End {
-	n, err := c.Read(c.buffer[c.to:])
-	c.to += n
+func (c *Conn) read(isSent bool) End {
+	n, err := c.Read(c.buffer[c.end:])
+	c.end += n
 	if n > 0 {
-		if c.arrivals != nil {
-			c.arrivals.came(n, c.to < len(c.buffer), time.Now())
+		if c.arrivalTimes != nil {
+			c.arrivalTimes.recordRead(n, c.end < len(c.buffer), time.Now())
 		}
 		return Open
 	}
-	return endOf(err, handed)
+	return endOfError(err, isSent)
 }
 
-// Hand gives the bytes to the connection: Open when the last one was handed over.
-func (c *Conn) Hand(message []byte, until time.Time) End {
-	if err := c.SetWriteDeadline(until); err != nil {
-		return endOf(err, false)
+// Hand writes the message, until the deadline. It returns Open once its last byte was handed to the kernel.
+func (c *Conn) Hand(message []byte, deadline time.Time) End {
+	if err := c.SetWriteDeadline(deadline); err != nil {
+		return endOfError(err, false)
 	}
 	n, err := c.Write(message)
 	if n == len(message) {
 		return Open
 	}
-	return endOf(err, false)
-}
-
-// pending looks, without reading, whether something waits to be read, and whether the other side has ended it.
-func (c *Conn) pending() (waits, ended bool) {
-	raw := rawOf(c.Conn)
-	if raw == nil {
-		return false, true
-	}
-	var one [1]byte
-	var n int
-	var peek error
-	if err := raw.Control(func(fd uintptr) {
-		for peek = syscall.EINTR; peek == syscall.EINTR; {
-			n, _, peek = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		}
-	}); err != nil {
-		return false, true
-	}
-	switch {
-	case peek == syscall.EAGAIN:
-		return false, false
-	case peek != nil, n == 0:
-		return false, true
-	}
-	return true, false
+	return endOfError(err, false)
 }
--- a/transport/end.go
+++ b/transport/end.go
@@ -9,73 +9,118 @@
 	"syscall"
 )
 
-// End is how what went over a connection came to its end, one value for each way. routing turns it into the
-// module's outcome, in one place.
+// End is how an attempt or a client's connection ended, one value for each way. Package routing maps it to the
+// decision module's outcome, in one table.
 type End int
 
-// The ways to end. Answers come first; the rest are the connection's own.
+// The ways to end. What matters most to a caller is whether the last byte of the message had been handed to the
+// kernel: before that the peer can't have begun the request, since it starts none that is not complete; after it
+// nobody here can tell. The comments say what the peer may have done.
 const (
-	Open       End = iota // it has not ended
-	Settled               // a value or receipt came
-	Errored               // an error came
-	TurnedAway            // the host would not begin
-	Refused               // no connection: the other side said no at once
-	NeverUp               // no connection within the time for it
-	NoRoom                // no connection: no descriptor is left for one here
-	CutShort              // it broke before the last byte was handed over
-	Stuck                 // the time ran out before the last byte was handed over
-	Withdrawn             // called off before the last byte was handed over
-	Broken                // it broke or ended after that
-	Silent                // nothing whole came until the time ran out
-	CalledOff             // called off after the last byte was handed over
-	Garbled               // what came breaks the protocol's form
-	Left                  // front: the client closed it
-	Spared                // front: closed between retrievals, for room or at the end
-	Surplus               // front: it has not ended; more commands wait than are kept
+	// Open: it has not ended.
+	Open End = iota
+
+	// Settled: a response with a value or a receipt came; the peer ran the request.
+	Settled
+	// Errored: an error response came; the peer may have run the request, in part.
+	Errored
+	// TurnedAway: the peer rejected the request; it did not begin it.
+	TurnedAway
+
+	// Refused: connect failed at once; the peer has seen nothing.
+	Refused
+	// NeverUp: connect did not complete within its timeout; the peer has seen no byte of the request.
+	NeverUp
+	// NoRoom: this machine or its limits left no connection or buffer; no peer is at fault, none has seen anything.
+	NoRoom
+
+	// CutShort: the connection broke before the last byte was handed over; the peer began nothing.
+	CutShort
+	// Stuck: the deadline passed before the last byte was handed over; the peer began nothing. Of a client: it did not
+	// complete a command, or did not read its replies, in time.
+	Stuck
+	// Withdrawn: cancelled before the last byte was handed over; the peer began nothing.
+	Withdrawn
+
+	// Broken: the connection broke or was closed after the last byte was handed over; the peer may have run the request.
+	Broken
+	// Silent: no complete response came before the deadline; the peer may have run the request, or may yet.
+	Silent
+	// CalledOff: cancelled after the last byte was handed over; the peer may have run the request, or may yet.
+	CalledOff
+	// Garbled: what came is malformed, or too long; a server may have run the request, a client can't be read any further.
+	Garbled
+
+	// Left: the client closed its connection.
+	Left
+	// Spared: the listener closed a client's connection between commands, for room or because it stops.
+	Spared
+	// Surplus: the client's connection has not ended; more commands wait than its buffer holds.
+	Surplus
 )
 
-// ClientEnds are the ways in which a client's connection can end.
-var ClientEnds = [...]End{Left, Spared, Garbled, Stuck, CutShort}
+// endNames are the ends' names at /metrics and in logs, which operators match: they stay as they are.
+var endNames = [...]string{
+	Open:       "open",
+	Settled:    "settled",
+	Errored:    "errored",
+	TurnedAway: "turned_away",
+	Refused:    "refused",
+	NeverUp:    "never_up",
+	NoRoom:     "no_room",
+	CutShort:   "cut_short",
+	Stuck:      "stuck",
+	Withdrawn:  "withdrawn",
+	Broken:     "broken",
+	Silent:     "silent",
+	CalledOff:  "called_off",
+	Garbled:    "garbled",
+	Left:       "left",
+	Spared:     "spared",
+	Surplus:    "surplus",
+}
 
-var names = [...]string{"open", "settled", "errored", "turned_away", "refused", "never_up", "no_room", "cut_short",
-	"stuck", "withdrawn", "broken", "silent", "called_off", "garbled", "left", "spared", "surplus"}
+// String returns the end's name at /metrics and in logs.
+func (e End) String() string { return endNames[e] }
 
-func (e End) String() string { return names[e] }
+// ClientEnds are the ends that a client's connection can have, in the order of /metrics.
+var ClientEnds = [...]End{Left, Spared, Garbled, Stuck, CutShort}
 
-// endOf tells what an error of the net package means; handed: the last byte had been handed over.
-func endOf(err error, handed bool) End {
+// endOfError maps an error of a read or write; isSent: the last byte of the message had been handed over.
+func endOfError(err error, isSent bool) End {
 	switch {
 	case err == nil:
 		return Open
-	case errors.Is(err, os.ErrDeadlineExceeded) && handed:
+	case errors.Is(err, os.ErrDeadlineExceeded) && isSent:
 		return Silent
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return Stuck
-	case errors.Is(err, io.EOF) && !handed:
+	case errors.Is(err, io.EOF) && !isSent:
 		return Left
-	case handed:
+	case isSent:
 		return Broken
 	}
 	return CutShort
 }
 
-// localErrors are those of socket and connect that this machine gives by itself, for want of something: no server is at fault.
-var localErrors = [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN}
+// localErrnos are the errors of socket and connect that this machine gives for want of something of its own: no server
+// is at fault, and none may lose traffic for it.
+var localErrnos = [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN}
 
-// IsLocalShortage tells of an error that this machine gives for want of something, which may be over in a moment.
+// IsLocalShortage reports whether this machine gave the error for want of something, which may be over in a moment.
 func IsLocalShortage(err error) bool {
 	var errno syscall.Errno
-	return errors.As(err, &errno) && slices.Contains(localErrors[:], errno)
+	return errors.As(err, &errno) && slices.Contains(localErrnos[:], errno)
 }
 
-// dialEnd tells what it means that no connection came up.
-func dialEnd(err error) End {
-	var timeout net.Error
+// endOfDialError maps an error of a dial.
+func endOfDialError(err error) End {
+	var netErr net.Error
 	switch {
 	case IsLocalShortage(err):
 		return NoRoom
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return NeverUp
 	}
 	return Refused
--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -32,13 +32,13 @@
 		of := func(call string) error {
 			return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, c.errno)}
 		}
-		if end := dialEnd(of("connect")); end != c.dial {
+		if end := endOfDialError(of("connect")); end != c.dial {
 			t.Errorf("%v at connect is %v, want %v", c.errno, end, c.dial)
 		}
-		if end := endOf(of("write"), false); end != c.unhanded {
+		if end := endOfError(of("write"), false); end != c.unhanded {
 			t.Errorf("%v before the last byte is %v, want %v", c.errno, end, c.unhanded)
 		}
-		if end := endOf(of("read"), true); end != c.handedTo {
+		if end := endOfError(of("read"), true); end != c.handedTo {
 			t.Errorf("%v after the last byte is %v, want %v", c.errno, end, c.handedTo)
 		}
 	}
--- a/transport/stallclock.go
+++ b/transport/stallclock.go
@@ -7,65 +7,68 @@
 )
 
 const (
-	stallBeat  = 20 * time.Millisecond // how often the clock looks whether the process runs
-	stallOver  = 2 * stallBeat         // a beat that is so late tells of a stall
-	stallDrain = 50 * time.Millisecond // after a stall: what waited through it is read within so long
+	stallTickInterval = 20 * time.Millisecond // how often the clock checks that the process runs
+	stallThreshold    = 2 * stallTickInterval // a tick that comes so late tells of a stall
+	stallDrainWindow  = 50 * time.Millisecond // after a stall: what waited through it is read within so long
 )
 
-// StallClock notes the spans in which the process did not run (it was stopped, or got no processor). The kernel takes bytes and
-// connections in meanwhile: what is read right after a stall may have waited through all of it. All times are monotonic.
+// StallClock records the spans in which the process did not run, because it was stopped or got no processor. The
+// kernel takes in bytes and connections meanwhile: what is read right after a stall may have waited through all of it,
+// and a request taken for new then could be sent on long after its client gave up. All times are monotonic; the fields
+// are atomic, so any goroutine may ask while Run ticks.
 type StallClock struct {
-	base    time.Time
-	beat    atomic.Int64 // the last one, as all of these: nanoseconds since base
-	from    atomic.Int64 // the last stall: the last beat before it
-	resumed atomic.Int64 // and when it was noticed; 0: there was none
+	base         time.Time
+	lastTick     atomic.Int64 // this and the others: nanoseconds since base
+	stallBegan   atomic.Int64 // of the last stall: the last tick before it
+	stallNoticed atomic.Int64 // of the last stall: the first tick after it; 0: there was none
 }
 
-// NewStallClock makes one, to be run at once.
+// NewStallClock returns a clock whose Run is to be started at once.
 func NewStallClock() *StallClock { return &StallClock{base: time.Now()} }
 
-// Run beats until the context ends.
+// Run ticks until the context ends.
 func (s *StallClock) Run(ctx context.Context) {
-	for timer := time.NewTicker(stallBeat); ; {
+	ticker := time.NewTicker(stallTickInterval)
+	defer ticker.Stop()
+	for {
 		select {
 		case <-ctx.Done():
-			timer.Stop()
 			return
-		case <-timer.C:
-			s.note(int64(time.Since(s.base)))
+		case <-ticker.C:
+			s.tick(int64(time.Since(s.base)))
 		}
 	}
 }
 
-// note takes a beat.
-func (s *StallClock) note(now int64) {
-	last := s.beat.Load()
-	if now-last > int64(stallOver) {
-		s.from.Store(last)
-		s.resumed.Store(now)
+// tick records a tick at now, in nanoseconds since base, and the stall that it shows.
+func (s *StallClock) tick(now int64) {
+	last := s.lastTick.Load()
+	if now-last > int64(stallThreshold) {
+		s.stallBegan.Store(last)
+		s.stallNoticed.Store(now)
 	}
-	s.beat.Store(now)
+	s.lastTick.Store(now)
 }
 
-// ArrivedAt bounds when something arrived that was taken at a time, and had not arrived at an earlier one: the time at which it was
-// taken, or, right after a stall, the beginning of that. A nil clock knows of no stalls.
-func (s *StallClock) ArrivedAt(notBefore, takenAt time.Time) time.Time {
+// ArrivedAt returns the earliest time at which something may have arrived that was read at readAt and had not arrived
+// at notBefore: readAt itself, or, right after a stall, the beginning of the stall. A nil clock knows of no stalls.
+func (s *StallClock) ArrivedAt(notBefore, readAt time.Time) time.Time {
 	if s == nil {
-		return takenAt
+		return readAt
 	}
-	taken := int64(takenAt.Sub(s.base))
-	from, resumed, beat := s.from.Load(), s.resumed.Load(), s.beat.Load()
+	read := int64(readAt.Sub(s.base))
+	began, noticed, lastTick := s.stallBegan.Load(), s.stallNoticed.Load(), s.lastTick.Load()
 	switch {
-	case taken-beat > int64(stallOver): // The stall has just ended, and no beat has come yet.
-		from = beat
-	case resumed == 0 || taken <= from || taken-resumed >= int64(stallDrain):
-		return takenAt
+	case read-lastTick > int64(stallThreshold): // The stall has just ended, and no tick has come yet.
+		began = lastTick
+	case noticed == 0 || read <= began || read-noticed >= int64(stallDrainWindow):
+		return readAt
 	}
-	if begin := s.base.Add(time.Duration(from)); begin.After(notBefore) {
+	if begin := s.base.Add(time.Duration(began)); begin.After(notBefore) {
 		return begin
 	}
-	if notBefore.After(takenAt) {
-		return takenAt
+	if notBefore.After(readAt) {
+		return readAt
 	}
 	return notBefore
 }
--- a/transport/stallclock_test.go
+++ b/transport/stallclock_test.go
@@ -27,7 +27,7 @@
 	} {
 		s := &StallClock{base: base}
 		for _, beat := range c.beats {
-			s.note(int64(time.Duration(beat) * ms))
+			s.tick(int64(time.Duration(beat) * ms))
 		}
 		if got := s.ArrivedAt(at(c.notBefore), at(c.taken)); !got.Equal(at(c.want)) {
 			t.Errorf("%s: %v, want %v", c.what, got.Sub(base), at(c.want).Sub(base))
--- a/transport/stop_test.go
+++ b/transport/stop_test.go
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.SetDeadline(soon())
+			c.SetDeadline(testDeadline())
 			c.Write([]byte("q"))
 			clients = append(clients, c)
 			if len(clients) == 1 {
@@ -44,13 +44,13 @@
 		if last {
 			l.Last()
 			l.Leave()
-			go func() { ended <- l.Close(soon()) }()
+			go func() { ended <- l.Close(testDeadline()) }()
 		} else {
-			go func() { ended <- l.Close(soon()) }()
+			go func() { ended <- l.Close(testDeadline()) }()
 			for stops := false; !stops; time.Sleep(time.Millisecond) {
 				l.mu.Lock()
 				for c := range l.clients {
-					stops = stops || c.going
+					stops = stops || c.isClosing
 				}
 				l.mu.Unlock()
 			}
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-func soon() time.Time { return time.Now().Add(5 * time.Second) }
+func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
 // peer listens on a free port and hands over what it accepts.
-func peer(t *testing.T) (string, <-chan *net.TCPConn) {
+func startPeer(t *testing.T) (string, <-chan *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,21 +36,21 @@
 	return l.Addr().String(), accepted
 }
 
-func connected(t *testing.T, p *Pool, address string) *Line {
+func connect(t *testing.T, p *Pool, address string) *Line {
 	line := p.Line()
-	if end := line.Connect(Peer{0, address}, soon()); end != Open {
+	if end := line.Connect(Peer{0, address}, testDeadline()); end != Open {
 		t.Fatalf("no connection: %v", end)
 	}
 	return line
 }
 
 func TestNoConnection(t *testing.T) {
-	address, _ := peer(t)
+	address, _ := startPeer(t)
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	closed := l.Addr().String()
 	l.Close()
 	p := NewPool(1, time.Minute, 50*time.Millisecond)
-	if end := p.Line().Connect(Peer{0, closed}, soon()); end != Refused {
+	if end := p.Line().Connect(Peer{0, closed}, testDeadline()); end != Refused {
 		t.Errorf("a closed port: %v", end)
 	}
 	// A listener that accepts nothing and whose queue is full lets no connection come up.
@@ -68,25 +68,25 @@
 	end := Open
 	many := NewPool(8, time.Minute, 50*time.Millisecond)
 	for n := 0; n < 8 && end == Open; n++ {
-		end = many.Line().Connect(Peer{0, full}, soon())
+		end = many.Line().Connect(Peer{0, full}, testDeadline())
 	}
 	if end != NeverUp {
 		t.Errorf("a full queue: %v", end)
 	}
-	connected(t, p, address)
-	if end := p.Line().Connect(Peer{0, address}, soon()); end != NoRoom {
+	connect(t, p, address)
+	if end := p.Line().Connect(Peer{0, address}, testDeadline()); end != NoRoom {
 		t.Errorf("the second of one connection: %v", end)
 	}
 	cut := p.Line()
 	cut.Cut()
 	p.release()
-	if end := cut.Connect(Peer{0, address}, soon()); end != Withdrawn {
+	if end := cut.Connect(Peer{0, address}, testDeadline()); end != Withdrawn {
 		t.Errorf("called off before it began: %v", end)
 	}
 }
 
 func TestBreaks(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(16, time.Minute, time.Second)
 	big := make([]byte, 32<<20) // more than the system's buffers take
 	for _, c := range []struct {
@@ -100,12 +100,12 @@
 		{"reads nothing", big, 50 * time.Millisecond, func(*Line, *net.TCPConn) {}, Stuck},
 		{"called off before the last byte", big, time.Minute, func(l *Line, _ *net.TCPConn) { l.Cut() }, Withdrawn},
 		{"withdrawn before the last byte", big, time.Minute, func(l *Line, _ *net.TCPConn) { l.Withdraw() }, Withdrawn},
-		{"resets after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { read(c); c.SetLinger(0); c.Close() }, Broken},
-		{"ends after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { read(c); c.Close() }, Broken},
+		{"resets after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, Broken},
+		{"ends after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.Close() }, Broken},
 		{"is silent", []byte("x"), 50 * time.Millisecond, func(*Line, *net.TCPConn) {}, Silent},
-		{"called off after it", []byte("x"), time.Minute, func(l *Line, c *net.TCPConn) { read(c); l.Cut() }, CalledOff},
+		{"called off after it", []byte("x"), time.Minute, func(l *Line, c *net.TCPConn) { readByte(c); l.Cut() }, CalledOff},
 	} {
-		line := connected(t, p, address)
+		line := connect(t, p, address)
 		other := <-accepted
 		go c.then(line, other)
 		until := time.Now().Add(c.until)
@@ -124,30 +124,30 @@
 	}
 }
 
-func read(c *net.TCPConn) { c.Read(make([]byte, 1)) }
+func readByte(c *net.TCPConn) { c.Read(make([]byte, 1)) }
 
 // Guards one-shots: what breaks before the last byte has not run, and may go elsewhere.
 func TestLastByteIsHeldBack(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(4, time.Minute, time.Second)
 	for _, c := range []struct {
 		look time.Duration
 		then func(*Line, *net.TCPConn)
 		want End
 	}{
-		{time.Minute, func(_ *Line, c *net.TCPConn) { read(c); c.SetLinger(0); c.Close() }, CutShort},
-		{time.Minute, func(_ *Line, c *net.TCPConn) { read(c); c.CloseWrite() }, CutShort},
+		{time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, CutShort},
+		{time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.CloseWrite() }, CutShort},
 		{time.Minute, func(_ *Line, c *net.TCPConn) { c.Write([]byte("x")) }, Garbled},
-		{time.Minute, func(l *Line, c *net.TCPConn) { read(c); l.Withdraw() }, Withdrawn},
+		{time.Minute, func(l *Line, c *net.TCPConn) { readByte(c); l.Withdraw() }, Withdrawn},
 		{time.Millisecond, func(_ *Line, c *net.TCPConn) { io.CopyN(io.Discard, c, 7); c.Close() }, Broken},
 	} {
-		p.look = c.look
-		line := connected(t, p, address)
+		p.holdback = c.look
+		line := connect(t, p, address)
 		other := <-accepted
 		go c.then(line, other)
-		end := line.HandCarefully([]byte("message"), soon(), wanted)
+		end := line.HandCarefully([]byte("message"), testDeadline(), isNeverUnwanted)
 		if end == Open {
-			end = line.Fill(soon())
+			end = line.Fill(testDeadline())
 		}
 		if end != c.want {
 			t.Errorf("%v, want %v", end, c.want)
@@ -159,11 +159,11 @@
 
 // Fewer connections may be allowed while some are out: those that come back go, until there are no more than that.
 func TestFewerAreAllowedWhileSomeAreOut(t *testing.T) {
-	address, _ := peer(t)
+	address, _ := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
 	var lines []*Line
 	for range 4 {
-		lines = append(lines, connected(t, p, address))
+		lines = append(lines, connect(t, p, address))
 	}
 	p.Allow(2)
 	for _, line := range lines {
@@ -176,43 +176,43 @@
 
 // A connection that came up late is no reason to hold a last byte back for as long again.
 func TestALateConnectionIsNotLookedAtForLong(t *testing.T) {
-	address, accepted := peer(t)
-	line := connected(t, NewPool(4, time.Minute, time.Second), address)
+	address, accepted := startPeer(t)
+	line := connect(t, NewPool(4, time.Minute, time.Second), address)
 	defer (<-accepted).Close()
-	line.Conn.up = time.Hour
-	if end := line.HandCarefully([]byte("ab"), time.Now().Add(time.Second), wanted); end != Open {
+	line.Conn.dialDuration = time.Hour
+	if end := line.HandCarefully([]byte("ab"), time.Now().Add(time.Second), isNeverUnwanted); end != Open {
 		t.Errorf("it ends as %v", end)
 	}
 }
 
 // Guards one-shots: a write to a connection that the host has closed would end as a reset.
 func TestStaleIdleConnectionIsNotUsed(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(2, time.Minute, time.Second)
-	p.rest = 0
-	line := connected(t, p, address)
+	p.minRest = 0
+	line := connect(t, p, address)
 	first := <-accepted
 	line.Done(true)
-	line = connected(t, p, address)
+	line = connect(t, p, address)
 	if len(accepted) != 0 || p.Count() != 1 {
 		t.Fatal("an idle connection that stands is not used again")
 	}
 	conn := line.Conn
 	line.Done(true)
 	first.Close()
-	for ended := false; !ended; _, ended = conn.pending() {
+	for ended := false; !ended; _, ended = conn.peek() {
 	}
-	line = connected(t, p, address)
+	line = connect(t, p, address)
 	if line.Conn == conn || p.Count() != 1 {
 		t.Fatal("a connection that the host has closed is used again")
 	}
 	second := <-accepted
-	if line.Hand([]byte("x"), soon()) != Open {
+	if line.Hand([]byte("x"), testDeadline()) != Open {
 		t.Fatal("the new one does not take anything")
 	}
-	read(second)
+	readByte(second)
 	line.Done(true)
-	p.keep = 0
+	p.idleTimeout = 0
 	p.Sweep()
 	if p.Count() != 0 {
 		t.Fatal("idle for too long, and still open")
@@ -221,31 +221,31 @@
 
 // Guards trips that share nothing: a call-off that comes late must not close what is another's by now.
 func TestLateCallOffHurtsNoOther(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(2, time.Minute, time.Second)
-	p.rest = 0
-	first := connected(t, p, address)
+	p.minRest = 0
+	first := connect(t, p, address)
 	host := <-accepted
 	first.Done(true)
-	second := connected(t, p, address)
+	second := connect(t, p, address)
 	first.Cut()
-	if end := second.Hand([]byte("x"), soon()); end != Open {
+	if end := second.Hand([]byte("x"), testDeadline()); end != Open {
 		t.Fatal(end)
 	}
 	host.Write([]byte("y"))
-	if end := second.Fill(soon()); end != Open || string(second.Unread()) != "y" {
+	if end := second.Fill(testDeadline()); end != Open || string(second.Unread()) != "y" {
 		t.Fatal(end)
 	}
 }
 
 func TestOldestIdleConnectionMakesRoom(t *testing.T) {
-	a, fromA := peer(t)
-	b, _ := peer(t)
+	a, fromA := startPeer(t)
+	b, _ := startPeer(t)
 	p := NewPool(1, time.Minute, time.Second)
-	connected(t, p, a).Done(true)
-	connected(t, p, b)
+	connect(t, p, a).Done(true)
+	connect(t, p, b)
 	host := <-fromA
-	host.SetReadDeadline(soon())
+	host.SetReadDeadline(testDeadline())
 	if n, err := host.Read(make([]byte, 1)); n != 0 || err == nil || p.Count() != 1 {
 		t.Fatal("the idle one still stands")
 	}
@@ -254,9 +254,9 @@
 // Guards trips against what belongs to others: what comes right behind an answer, an address that has a new server.
 // Guards the descriptors of two processes over an upgrade, which count together.
 func TestWhoGoesKeepsNoIdleConnections(t *testing.T) {
-	address, _ := peer(t)
+	address, _ := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
-	old, young := connected(t, p, address), connected(t, p, address)
+	old, young := connect(t, p, address), connect(t, p, address)
 	conn := old.Conn
 	old.Done(true)
 	young.Done(true)
@@ -270,44 +270,44 @@
 }
 
 func TestConnectionIsUsedAgainOnlyForItsServerAndRested(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
-	p.rest = time.Minute
-	first := connected(t, p, address)
+	p.minRest = time.Minute
+	first := connect(t, p, address)
 	conn := first.Conn
 	first.Done(true)
-	if second := connected(t, p, address); second.Conn == conn {
+	if second := connect(t, p, address); second.Conn == conn {
 		t.Fatal("a connection that has not rested is used again")
 	}
-	p.rest = 0
+	p.minRest = 0
 	other := p.Line()
-	if end := other.Connect(Peer{1, address}, soon()); end != Open || other.Conn == conn {
+	if end := other.Connect(Peer{1, address}, testDeadline()); end != Open || other.Conn == conn {
 		t.Fatal("another server's connection is used", end)
 	}
-	if third := connected(t, p, address); third.Conn != conn {
+	if third := connect(t, p, address); third.Conn != conn {
 		t.Fatal("a connection that has rested is not used again")
 	} else {
 		third.Done(true)
 	}
 	host := <-accepted
 	p.Drop(Peer{0, address})
-	host.SetReadDeadline(soon())
+	host.SetReadDeadline(testDeadline())
 	if _, err := host.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || p.Count() != 2 {
 		t.Fatal("a connection to a server that is gone stands", err, p.Count())
 	}
 }
 
 func TestBufferGrowsAndIsCompacted(t *testing.T) {
-	address, accepted := peer(t)
-	line := connected(t, NewPool(1, time.Minute, time.Second), address)
+	address, accepted := startPeer(t)
+	line := connect(t, NewPool(1, time.Minute, time.Second), address)
 	host := <-accepted
 	text := make([]byte, MostBuffer+1)
 	for i := range text {
 		text[i] = byte(i * 7)
 	}
 	go host.Write(text)
-	for done := 0; done < firstBuffer; {
-		if end := line.Fill(soon()); end != Open {
+	for done := 0; done < initialBuffer; {
+		if end := line.Fill(testDeadline()); end != Open {
 			t.Fatal(end)
 		}
 		n := min(100, len(line.Unread()))
@@ -320,7 +320,7 @@
 		done += n
 	}
 	go host.Write(text)
-	for end := Open; end != Garbled; end = line.Fill(soon()) {
+	for end := Open; end != Garbled; end = line.Fill(testDeadline()) {
 		if end != Open || len(line.buffer) > MostBuffer {
 			t.Fatal(end, len(line.buffer))
 		}
@@ -338,7 +338,7 @@
 	if x, y, z := a.Grow(most), b.Grow(most), c.Grow(most); x != Open || y != Open || z != NoRoom || len(a.buffer) != most {
 		t.Fatalf("%v, %v, %v, %d bytes", x, y, z, len(a.buffer))
 	}
-	a.to = most
+	a.end = most
 	own, done := a.Take(most)
 	if len(own) != most || a.buffer != nil || c.Grow(most) != NoRoom {
 		t.Fatal("what is taken and still used is the others'")
@@ -347,7 +347,7 @@
 	if c.Grow(most) != Open || c.Grow(2*most) != NoRoom {
 		t.Fatal("what one has done with is not the others'")
 	}
-	c.to = most
+	c.end = most
 	if c.Skip(most); len(c.buffer) != 0 || a.Grow(most) != Open {
 		t.Fatal("what was skipped is kept")
 	}
@@ -355,7 +355,7 @@
 		t.Fatal("one has more than half")
 	}
 	for n := MostBuffer + 1; n <= MostMessage; n += 4099 {
-		if size := sizeFor(n); size < n || size > n+n/4 || sizeFor(size) != size {
+		if size := roundedSize(n); size < n || size > n+n/4 || roundedSize(size) != size {
 			t.Fatalf("%d is given %d", n, size)
 		}
 	}
@@ -385,7 +385,7 @@
 				c.Conn.Close()
 			}
 			done()
-			c.Hand([]byte("x"), soon())
+			c.Hand([]byte("x"), testDeadline())
 			c.End()
 		}
 	})
@@ -417,7 +417,7 @@
 	if took := after.TotalAlloc - before.TotalAlloc; took > many*size/2 {
 		t.Errorf("%d values of %d bytes, three at a time, took %d bytes", many, size, took)
 	}
-	if !l.Close(soon()) {
+	if !l.Close(testDeadline()) {
 		t.Error("it does not end")
 	}
 }
@@ -433,9 +433,9 @@
 		c.Begin()
 		begun <- struct{}{}
 		<-release
-		c.Hand([]byte("x"), soon())
+		c.Hand([]byte("x"), testDeadline())
 		c.End()
-		for c.Fill(soon()) == Open {
+		for c.Fill(testDeadline()) == Open {
 		}
 	})
 	first, _ := net.Dial("tcp", l.Address())
@@ -447,14 +447,14 @@
 	}
 	close(release)
 	for _, c := range []net.Conn{first, second} {
-		c.SetReadDeadline(soon())
+		c.SetReadDeadline(testDeadline())
 		if n, err := c.Read(make([]byte, 1)); n != 1 {
 			t.Fatal(err)
 		}
 	}
 	first.Close()
 	second.Close()
-	if !l.Close(soon()) {
+	if !l.Close(testDeadline()) {
 		t.Fatal("it does not end")
 	}
 }
@@ -497,7 +497,7 @@
 	silent, noisy := dial("x"), dial("xxxxx")
 	l.mu.Lock()
 	for c := range l.clients {
-		c.came = c.came.Add(-askFor)
+		c.connectedAt = c.connectedAt.Add(-firstCommandGrace)
 	}
 	l.mu.Unlock()
 	for i, first := range []net.Conn{silent, noisy, once} {
@@ -514,7 +514,7 @@
 	n := 0
 	for c := range l.clients {
 		if n++; n < 4 {
-			c.since = c.since.Add(-keepUsual)
+			c.idleSince = c.idleSince.Add(-usualIdleTimeout)
 		}
 	}
 	l.mu.Unlock()
@@ -522,7 +522,7 @@
 	for range 3 {
 		<-ended
 	}
-	if l.Sweep(); len(ended) > 0 || !l.Close(soon()) {
+	if l.Sweep(); len(ended) > 0 || !l.Close(testDeadline()) {
 		t.Fatal("it does not end, or a client went too early")
 	}
 }
@@ -564,16 +564,16 @@
 // Guards clients who may only hold so many connections: with a quarter of the room taken, one that asked once is not
 // kept for long.
 func TestOnceAskedIsKeptBrieflyInACrowd(t *testing.T) {
-	l := &Listener{most: 8, clients: map[*Client]bool{}}
+	l := &Listener{limit: 8, clients: map[*Client]bool{}}
 	for n := range 3 {
-		c := &Client{owner: l, good: 1 + n/2}
+		c := &Client{listener: l, validCommands: 1 + n/2}
 		l.clients[c] = true
-		if want := []time.Duration{keepOnce, keepOnce, keepUsual}[n]; c.keeps() != want {
-			t.Errorf("%d clients: kept for %v", n+1, c.keeps())
+		if want := []time.Duration{firstCommandIdleTimeout, firstCommandIdleTimeout, usualIdleTimeout}[n]; c.idleTimeout() != want {
+			t.Errorf("%d clients: kept for %v", n+1, c.idleTimeout())
 		}
 	}
-	if c := (&Client{owner: l, good: 1}); c.keeps() != keepBriefly {
-		t.Errorf("in a crowd it is kept for %v", c.keeps())
+	if c := (&Client{listener: l, validCommands: 1}); c.idleTimeout() != crowdedIdleTimeout {
+		t.Errorf("in a crowd it is kept for %v", c.idleTimeout())
 	}
 }
 
@@ -595,11 +595,11 @@
 	c := <-come
 	for waits := false; !waits; { // Until its reader waits for the rest.
 		l.mu.Lock()
-		waits = c.half
+		waits = c.hasPartialCommand
 		l.mu.Unlock()
 	}
 	l.mu.Lock()
-	c.goSoon()
+	c.requestClose()
 	l.mu.Unlock()
 	for range 5 {
 		other, _ := net.Dial("tcp", l.Address())
@@ -607,14 +607,14 @@
 		other.Write([]byte("x"))
 		select {
 		case <-come:
-		case <-time.After(time.Until(soon())):
+		case <-time.After(time.Until(testDeadline())):
 			t.Fatal("a new client waits for one that does not go")
 		}
 	}
 }
 
 // inherited is a listener on a socket that others hold too.
-func inherited(t *testing.T, most int) (*Listener, *os.File) {
+func inheritSharedListener(t *testing.T, most int) (*Listener, *os.File) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -640,7 +640,7 @@
 // Guards a stop against an accept that waits in the kernel, as one does once whoever holds the socket too ends the mode in
 // which it does not.
 func TestStopWaitsForNoAccept(t *testing.T) {
-	l, held := inherited(t, 4)
+	l, held := inheritSharedListener(t, 4)
 	served := make(chan bool, 4)
 	go l.Serve(func(c *Client) { served <- true })
 	held.Fd() // As starting a process with it does.
@@ -660,14 +660,14 @@
 	if l.Leave(); time.Since(began) > time.Second {
 		t.Errorf("it took %v to leave", time.Since(began))
 	}
-	if !l.Close(soon()) || time.Since(began) > time.Second {
+	if !l.Close(testDeadline()) || time.Since(began) > time.Second {
 		t.Errorf("the accept is still waited for after %v", time.Since(began))
 	}
 }
 
 // Guards clients over an upgrade: one that there is no room for stays where another process can take it.
 func TestNoClientWaitsInHandOfASharedListener(t *testing.T) {
-	l, _ := inherited(t, 1)
+	l, _ := inheritSharedListener(t, 1)
 	busy := make(chan *Client, 4)
 	go l.Serve(func(c *Client) { c.Begin(); busy <- c; c.Read(make([]byte, 1)) })
 	for range 2 {
@@ -680,7 +680,7 @@
 	<-busy
 	raw, _ := l.listener.(*net.TCPListener).SyscallConn()
 	taken := false
-	for end := soon(); !taken && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := testDeadline(); !taken && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		raw.Control(func(fd uintptr) {
 			if n, _, err := syscall.Accept(int(fd)); err == nil { // Without waiting: the socket is in that mode.
 				syscall.Close(n)
@@ -696,7 +696,7 @@
 
 // Servers that others look after: what is idle there ends after a moment, well before the rest.
 func TestBriefly(t *testing.T) {
-	address, accepted := peer(t)
+	address, accepted := startPeer(t)
 	p := NewPool(4, time.Minute, time.Second)
 	for server := range 2 {
 		line := p.Line()
@@ -708,7 +708,7 @@
 	}
 	p.mu.Lock()
 	for _, list := range p.idle { // As if that much time had passed.
-		list[0].idleAt = list[0].idleAt.Add(-2 * briefFor)
+		list[0].idleAt = list[0].idleAt.Add(-2 * briefIdleTimeout)
 	}
 	p.mu.Unlock()
 	if p.Sweep(); p.Count() != 2 {
@@ -721,4 +721,4 @@
 }
 
 // wanted says of a message that it is not unwanted.
-func wanted() bool { return false }
+func isNeverUnwanted() bool { return false }
