--- a/transport/arrivals_test.go
+++ b/transport/arrivals_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Each byte has the time of the read that brought it, whatever is skipped meanwhile, and however many reads there were.
-func TestArrivalsOfBytes(t *testing.T) {
+// A client pipelines commands, over many reads, and some are skipped meanwhile: each byte keeps the time of the read that
+// brought it, and memory stays bounded.
+func TestEachByteHasTheTimeOfItsRead(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 	a := newArrivalTimes(nil, at(0), at(0))
@@ -41,8 +42,9 @@
 	}
 }
 
-// What was there as a client was taken counts as come when it may have begun to wait; what came later does not.
-func TestArrivalsOfClientsThatWaitedToBeAccepted(t *testing.T) {
+// A client connects and writes while nothing is accepted. What was there as it was admitted counts from when it may have
+// begun to wait; what arrived later does not.
+func TestFirstBytesCountFromTheWaitToBeAccepted(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// What each error of a system call means: where the system says that nothing was begun, where nobody can tell, and where the server
-// is not at fault.
-func TestErrorsOfSystemCalls(t *testing.T) {
+// A system call fails at connect, before or after the last byte of a request was handed over. The end tells where nothing
+// was begun, where nobody can tell, and where the server is not at fault.
+func TestSystemErrorsMapToEnds(t *testing.T) {
 	for _, c := range []struct {
-		errno                    error
-		dial, unhanded, handedTo End // at connect; before and after the last byte was handed over
+		errno              error
+		dial, unsent, sent End // at connect; before and after the last byte was handed over
 	}{
 		{syscall.ECONNREFUSED, Refused, CutShort, Broken},
 		{syscall.EHOSTUNREACH, Refused, CutShort, Broken},
@@ -35,11 +35,11 @@
 		if end := endOfDialError(of("connect")); end != c.dial {
 			t.Errorf("%v at connect is %v, want %v", c.errno, end, c.dial)
 		}
-		if end := endOfError(of("write"), false); end != c.unhanded {
-			t.Errorf("%v before the last byte is %v, want %v", c.errno, end, c.unhanded)
+		if end := endOfError(of("write"), false); end != c.unsent {
+			t.Errorf("%v before the last byte is %v, want %v", c.errno, end, c.unsent)
 		}
-		if end := endOfError(of("read"), true); end != c.handedTo {
-			t.Errorf("%v after the last byte is %v, want %v", c.errno, end, c.handedTo)
+		if end := endOfError(of("read"), true); end != c.sent {
+			t.Errorf("%v after the last byte is %v, want %v", c.errno, end, c.sent)
 		}
 	}
 }
--- a/transport/stop_test.go
+++ b/transport/stop_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"net"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// What a client has written on a connection that the kernel took counts as taken, whether or not it was accepted when the stop
-// began: while there was no room for it, one is in hand and the rest wait in the kernel.
-func TestStopServesWhatHasConnected(t *testing.T) {
+// A stop begins while there is room for one client, a second is accepted and waits for room, and the rest wait in the
+// kernel. What all of them have written counts as received: each is answered.
+func TestStopServesClientsTheKernelHasConnected(t *testing.T) {
 	for _, last := range []bool{true, false} { // how the stop is made: Leave and Close, or Close alone
 		l, err := Listen("127.0.0.1:0", 1)
 		if err != nil {
@@ -71,8 +72,9 @@
 	}
 }
 
-// A stop whose time is over while a client that never ends takes all the room gives up on those that wait.
-func TestStopWithNoRoomEnds(t *testing.T) {
+// A client that never ends takes all the room, and others wait, as the deadline of a stop passes: the stop ends all the
+// same.
+func TestCloseEndsAtItsDeadlineWithoutRoom(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -101,3 +103,31 @@
 		t.Error("it accepts for ever")
 	}
 }
+
+// Whoever holds the socket too ends its non-blocking mode, so that an accept blocks in the kernel until the next client.
+// A stop must not wait for that.
+func TestLeaveWaitsForNoBlockedAccept(t *testing.T) {
+	l, held := inheritSharedListener(t, 4)
+	served := make(chan bool, 4)
+	go l.Serve(func(c *Client) { served <- true })
+	held.Fd() // As starting a process with it does.
+	if !l.Unblock() || l.Unblock() {
+		t.Fatal("the mode in which accepts wait is not seen, or not ended")
+	}
+	held.Fd()
+	syscall.SetNonblock(int(held.Fd()), false)
+	c, err := net.Dial("tcp", l.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	<-served // The next accept waits in the kernel.
+	time.Sleep(20 * time.Millisecond)
+	began := time.Now()
+	if l.Leave(); time.Since(began) > time.Second {
+		t.Errorf("it took %v to leave", time.Since(began))
+	}
+	if !l.Close(testDeadline()) || time.Since(began) > time.Second {
+		t.Errorf("the accept is still waited for after %v", time.Since(began))
+	}
+}
