--- a/transport/limit.go
+++ b/transport/limit.go
@@ -7,8 +7,8 @@
 
 const (
 	// limitRecoveryInterval is how long after a shortage of descriptors, and after each step, the limit is raised by
-	// the next step; one step is the configured limit over limitRecoverySteps. A shortage may last a moment only, but
-	// all of the limit at once would bring it back where it lasts.
+	// the next step; one step is the configured limit over limitRecoverySteps. The limit is
+	// back within 4 s, and a shortage that lasts costs one failed accept each interval.
 	limitRecoveryInterval = time.Second / 2
 	limitRecoverySteps    = 8
 
--- a/transport/stallclock.go
+++ b/transport/stallclock.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	stallTickInterval = 20 * time.Millisecond // how often the clock checks that the process runs
-	stallThreshold    = 2 * stallTickInterval // a tick that comes so late tells of a stall
+	stallTickInterval = 20 * time.Millisecond // how often the clock checks that the process runs: 50 wake-ups a second
+	stallThreshold    = 2 * stallTickInterval // a tick so late tells of a stall: one tick may be lost
 	stallDrainWindow  = 50 * time.Millisecond // after a stall: what waited through it is read within so long
 )
 
