--- a/protocol/command.go
+++ b/protocol/command.go
@@ -8,143 +8,198 @@
 	"github.com/tidwall/redcon"
 )
 
+// Errors of commands. Their texts go to clients.
 var (
-	errCommand = errors.New("a command is an array of bulk strings")
-	errList    = errors.New("the list of names and values is malformed")
-	errFields  = errors.New("the list needs a workload in c and a time in d")
+	ErrNotCommand          = errors.New("a command is an array of bulk strings")
+	ErrMalformedAttributes = errors.New("the list of names and values is malformed")
+	ErrMissingAttribute    = errors.New("the list needs a workload in c and a time in d")
+	ErrArgumentCount       = errors.New("wrong number of words")
+	ErrArgumentTooLong     = errors.New("a key, an id or a list is too long")
+	ErrArgumentMissing     = errors.New("a key or an id is missing")
 )
 
-const mostName = 512 // of a key, an id or a list
+const (
+	maxArgument  = 512    // bytes of a key, an id or a list of attributes
+	maxTimeNanos = 3600e9 // of an attribute: an hour, which nobody waits for
+	keyDigits    = 16     // of a key that is a number of 64 bits
 
-// Command takes the first command off what has come: its words, which alias it, and its length; 0 if it is not
-// all there. After an error the connection can't be read any further.
-func Command(came []byte) (words [][]byte, length int, err error) {
-	if len(came) > 0 && came[0] != '*' {
-		return nil, 0, errCommand
+	// The parameters of FNV-1a with 64 bits, which hashes keys that are no numbers. All instances place keys by it, so
+	// it must be the same in each version.
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// The places of a request's arguments: verb, key, id, attributes, and in a Set the value.
+const (
+	argumentKey        = 1
+	argumentID         = 2
+	argumentAttributes = 3
+	argumentValue      = 4
+
+	getArguments = 4
+	setArguments = 5
+)
+
+// Command reads the first command: its arguments, and its length, 0 if it is not complete. After an error the
+// connection can't be read any further.
+func Command(received []byte) (arguments [][]byte, length int, err error) {
+	if len(received) > 0 && received[0] != '*' {
+		return nil, 0, ErrNotCommand
 	}
-	if length, err = whole(came, MostLarge); err != nil || length == 0 {
+	if length, err = completeLength(received, MostLarge); err != nil || length == 0 {
 		return nil, 0, err
 	}
-	if len(came) > 1 && (came[1] < '1' || came[1] > '9') {
-		return nil, 0, errCommand
+	if len(received) > 1 && (received[1] < '1' || received[1] > '9') {
+		return nil, 0, ErrNotCommand
 	}
-	complete, words, kind, _, err := redcon.ReadNextCommand(came[:length], nil)
+	complete, arguments, kind, _, err := redcon.ReadNextCommand(received[:length], nil)
 	if err != nil || !complete || kind != redcon.Redis {
-		return nil, 0, errCommand
+		return nil, 0, ErrNotCommand
+	}
+	return arguments, length, nil
+}
+
+// Needs returns how long a command that is not complete is at least, 0 where that is not known.
+func Needs(received []byte) int {
+	_, minLength, _ := frame(received, MostLarge)
+	return minLength
+}
+
+// ParseRequest returns a command's verb, and what is wrong with its arguments where it is a request: ErrArgumentCount,
+// ErrArgumentTooLong, ErrArgumentMissing.
+func ParseRequest(arguments [][]byte) (Verb, error) {
+	verb := ParseVerb(arguments)
+	if !verb.IsRequest() {
+		return verb, nil
+	}
+	expected := getArguments
+	if verb == VerbSet {
+		expected = setArguments
 	}
-	return words, length, nil
+	if len(arguments) != expected {
+		return verb, ErrArgumentCount
+	}
+	key, id, attributes := arguments[argumentKey], arguments[argumentID], arguments[argumentAttributes]
+	switch {
+	case len(key) > maxArgument, len(id) > maxArgument, len(attributes) > maxArgument:
+		return verb, ErrArgumentTooLong
+	case len(key) == 0, len(id) == 0:
+		return verb, ErrArgumentMissing
+	}
+	return verb, nil
 }
 
-// Needs tells how long a command that is not all there must be at least.
-func Needs(came []byte) int {
-	_, need, _ := frame(came, MostLarge)
-	return need
+// Attributes are what a request's list of names and values states. Workload and Tenant alias the list.
+type Attributes struct {
+	Workload, Tenant []byte // Tenant: nil where none is stated
+	TimeoutNanos     int64  // how long the client waits for the response
+	PredictedNanos   int64  // the work that the client predicts; 0: not stated
 }
 
-// Fields takes apart the list of names and values of a retrieval. Times are in nanoseconds. What is not known is
-// let be.
-func Fields(list []byte) (workload, tenant []byte, patience, predicted int64, err error) {
-	patience = -1
+// ParseAttributes reads a request's list of names and values. Names that are not known are skipped. The error is
+// ErrMalformedAttributes or ErrMissingAttribute.
+func ParseAttributes(list []byte) (Attributes, error) {
+	attributes := Attributes{TimeoutNanos: -1}
 	for len(list) > 0 {
 		var pair []byte
 		pair, list, _ = bytes.Cut(list, []byte{','})
 		name, value, found := bytes.Cut(pair, []byte{'='})
 		if !found {
-			return nil, nil, 0, 0, errList
-		}
-		switch string(name) {
-		case "c":
-			workload = value
-		case "t":
-			tenant = value
-		case "d":
-			patience, err = span(value, 1e6)
-		case "h":
-			predicted, err = span(value, 1e3)
+			return Attributes{}, ErrMalformedAttributes
 		}
-		if err != nil {
-			return nil, nil, 0, 0, err
+		if err := attributes.set(string(name), value); err != nil {
+			return Attributes{}, err
 		}
 	}
-	if workload == nil || patience < 0 {
-		return nil, nil, 0, 0, errFields
+	if attributes.Workload == nil || attributes.TimeoutNanos < 0 {
+		return Attributes{}, ErrMissingAttribute
 	}
-	return workload, tenant, patience, predicted, nil
+	return attributes, nil
 }
 
-// span reads a time in some unit: digits, with a fraction perhaps, and an hour at most. Guards against what else
-// passes for a number, such as inf or 0x1p4, and against hosts that turn away a time that nobody can wait for.
-func span(value []byte, unit float64) (int64, error) {
+// set takes one pair of the list; the last of several with one name counts.
+func (a *Attributes) set(name string, value []byte) (err error) {
+	switch name {
+	case attributeWorkload:
+		a.Workload = value
+	case attributeTenant:
+		a.Tenant = value
+	case attributeTimeout:
+		a.TimeoutNanos, err = parseTime(value, 1e6)
+	case attributePredicted:
+		a.PredictedNanos, err = parseTime(value, 1e3)
+	}
+	return err
+}
+
+// parseTime reads a time of maxTimeNanos at most, in a unit of so many nanoseconds: digits, with a fraction perhaps. It
+// guards against what else strconv takes for a number, such as inf or 0x1p4, and against servers' rejecting a time that
+// nobody can wait for.
+func parseTime(value []byte, unit float64) (int64, error) {
 	for i, c := range value {
 		if (c < '0' || c > '9') && (c != '.' || i == 0) {
-			return 0, errList
+			return 0, ErrMalformedAttributes
 		}
 	}
 	x, err := strconv.ParseFloat(string(value), 64)
-	if err != nil || x*unit > 3600e9 {
-		return 0, errList
+	if err != nil || x*unit > maxTimeNanos {
+		return 0, ErrMalformedAttributes
 	}
 	return int64(x * unit), nil
 }
 
-// Key reads a key of 16 hex digits as a number; any other is hashed.
-func Key(word []byte) uint64 {
-	if len(word) == 16 {
-		if n, err := strconv.ParseUint(string(word), 16, 64); err == nil {
+// Key returns the number by which a key is placed: that of a key of 16 hexadecimal digits, else its hash.
+func Key(key []byte) uint64 {
+	if len(key) == keyDigits {
+		if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
 			return n
 		}
 	}
-	hash := uint64(14695981039346656037)
-	for _, c := range word {
-		hash = (hash ^ uint64(c)) * 1099511628211
+	hash := uint64(fnvOffset)
+	for _, c := range key {
+		hash = (hash ^ uint64(c)) * fnvPrime
 	}
 	return hash
 }
 
-// IsLarge tells whether a request carries a value over MostValue.
-func IsLarge(words [][]byte) bool { return len(words) > 4 && len(words[4]) > MostValue }
+// IsLarge reports whether a request carries a value over MostValue.
+func IsLarge(arguments [][]byte) bool {
+	return len(arguments) > argumentValue && len(arguments[argumentValue]) > MostValue
+}
 
-// AppendRetrieval writes a retrieval as it came, but for d: how long this trip will be waited for. A value over MostValue
-// and the line end behind it are not copied: they follow, as they stood in the command.
-func AppendRetrieval(out []byte, words [][]byte, wait int64) (message, follows []byte) {
-	out = redcon.AppendArray(out, len(words))
-	for i, word := range words {
-		if i == 4 && IsLarge(words) {
-			return AppendBegun(out, len(word)), word[:len(word)+len("\r\n")]
+// AppendRetrieval writes a request as it was received, except that it states how long this attempt is waited for, in
+// nanoseconds. A value over MostValue and the line end behind it are not copied: they are to follow the message, and
+// alias the command that the arguments were read from.
+func AppendRetrieval(out []byte, arguments [][]byte, timeoutNanos int64) (message, follows []byte) {
+	out = redcon.AppendArray(out, len(arguments))
+	for i, argument := range arguments {
+		switch {
+		case i == argumentValue && IsLarge(arguments):
+			return AppendBegun(out, len(argument)), argument[:len(argument)+len(lineEnd)]
+		case i == argumentAttributes:
+			out = redcon.AppendBulk(out, withTimeout(argument, timeoutNanos))
+		default:
+			out = redcon.AppendBulk(out, argument)
 		}
-		if i != 3 {
-			out = redcon.AppendBulk(out, word)
-			continue
-		}
-		var list []byte
-		for rest := word; len(rest) > 0; {
-			var pair []byte
-			pair, rest, _ = bytes.Cut(rest, []byte{','})
-			if len(list) > 0 {
-				list = append(list, ',')
-			}
-			if bytes.HasPrefix(pair, []byte("d=")) {
-				pair = strconv.AppendInt([]byte("d="), (wait+1e6-1)/1e6, 10)
-			}
-			list = append(list, pair...)
-		}
-		out = redcon.AppendBulk(out, list)
 	}
 	return out, nil
 }
 
-// Retrieval tells whether the words are a retrieval, whether it writes, and what is wrong with it otherwise.
-func Retrieval(words [][]byte) (is, write bool, wrong string) {
-	name := words[0]
-	switch write = bytes.EqualFold(name, []byte("C.SET")); {
-	case !write && !bytes.EqualFold(name, []byte("C.GET")):
-		return false, false, ""
-	case !write && len(words) != 4, write && len(words) != 5:
-		return true, write, "wrong number of words"
-	case len(words[1]) > mostName, len(words[2]) > mostName, len(words[3]) > mostName:
-		return true, write, "a key, an id or a list is too long"
-	case len(words[1]) == 0, len(words[2]) == 0:
-		return true, write, "a key or an id is missing"
-	}
-	return true, write, ""
+// withTimeout returns a list of attributes with another timeout, rounded up to whole milliseconds.
+func withTimeout(list []byte, timeoutNanos int64) (changed []byte) {
+	for len(list) > 0 {
+		var pair []byte
+		pair, list, _ = bytes.Cut(list, []byte{','})
+		if len(changed) > 0 {
+			changed = append(changed, ',')
+		}
+		if bytes.HasPrefix(pair, []byte(timeoutPrefix)) {
+			pair = strconv.AppendInt([]byte(timeoutPrefix), roundUpMillis(timeoutNanos), 10)
+		}
+		changed = append(changed, pair...)
+	}
+	return changed
 }
+
+// roundUpMillis returns whole milliseconds, so that a wait is never stated as shorter than it is.
+func roundUpMillis(nanos int64) int64 { return (nanos + 1e6 - 1) / 1e6 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -40,7 +40,7 @@
 				}
 				message, follows := AppendRetrieval(nil, words, patience)
 				again, n, err := Command(append(message, follows...))
-				if err != nil && len(words[3]) < mostName-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
+				if err != nil && len(words[3]) < maxArgument-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
 					t.Fatalf("%q does not go on: %v", words, err)
 				}
 			}
@@ -78,7 +78,7 @@
 		begun, rows := 0, 0
 		err := List(line, func(uint64, bool) { begun++ },
 			func(name, address, status string, started int64, kind, zone string, cell int, weight float64) {
-				if rows++; name == "" || status == "" || weight < 0 || weight > mostWeight || begun != 1 {
+				if rows++; name == "" || status == "" || weight < 0 || weight > maxWeight || begun != 1 {
 					t.Fatalf("%q: row %q %q %g", line, name, status, weight)
 				}
 			})
