--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -24,8 +24,8 @@
 	}
 	for _, list := range []string{"c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9", "c=read,d=0", "", "c=read", "d=5", "c=read,d", "c=read,d=-1", "c=read,d=inf", "c=read,d=0x1p4",
 		"c=read,d=1e3", "c=read,d=.5", "c=read,d=3600000", "c=read,d=3600001", "c=read,d=5,h=x", "c=read,c=book,d=5,d=6", "c=,d=5"} {
-		workload, tenant, patience, predicted, err := Fields([]byte(list))
-		fmt.Fprintf(&out, "fields %q: %q %q %d %d, %v\n", list, workload, tenant, patience, predicted, err)
+		a, err := ParseAttributes([]byte(list))
+		fmt.Fprintf(&out, "fields %q: %q %q %d %d, %v\n", list, a.Workload, a.Tenant, a.TimeoutNanos, a.PredictedNanos, err)
 	}
 	long := strings.Repeat("k", maxArgument+1)
 	for _, words := range []string{"HELLO 3", "C.GET k id", "C.GET k id c=read", "c.get k id c=read", "C.SET k id c=read", "C.SET k id c=read,x=1,d=7 v", "C.GET  id c=read",
@@ -34,7 +34,11 @@
 		for _, word := range strings.Split(words, " ") {
 			all = append(all, []byte(word))
 		}
-		is, write, wrong := Retrieval(all)
+		verb, err := ParseRequest(all)
+		is, write, wrong := verb.IsRequest(), verb == VerbSet, ""
+		if err != nil {
+			wrong = err.Error()
+		}
 		fmt.Fprintf(&out, "retrieval %.40q: %t %t %q\n", words, is, write, wrong)
 		if is && wrong == "" {
 			message, follows := AppendRetrieval(nil, all, 100.2e6)
@@ -45,13 +49,13 @@
 	for _, came := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\na=1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nmiss\r\n$-1\r\n", "*3\r\n$0\r\n\r\n$7\r\npending\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nelse\r\n$-1\r\n",
 		"-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n", "-ERR failed a=1\r\n", "-ERR failedX\r\n", "-ERR\r\n", "+OK\r\n", ":5\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\nv\r\n",
 		"*3\r\n$1\r\nv", "$1\r\nv\r\n"} {
-		end, value, report, note, length := Answer([]byte(came))
+		r := ParseResponse([]byte(came))
 		size, from := Large([]byte(came))
-		fmt.Fprintf(&out, "answer %q: %s %q %q %d %d, large %d %d\n", came, ends[end], value, report, note, length, size, from)
+		fmt.Fprintf(&out, "answer %q: %s %q %q %d %d, large %d %d\n", came, ends[r.End], r.Value, r.Report, r.CacheResult, r.Length, size, from)
 	}
 	size, from := Large([]byte("*3\r\n$65537\r\nvv"))
-	end, report, note, length := Rest([]byte("$3\r\nhit\r\n$3\r\na=1\r\n"))
-	fmt.Fprintf(&out, "large %d %d, its rest %s %q %d %d\n", size, from, ends[end], report, note, length)
+	rest := ParseResponseTail([]byte("$3\r\nhit\r\n$3\r\na=1\r\n"))
+	fmt.Fprintf(&out, "large %d %d, its rest %s %q %d %d\n", size, from, ends[rest.End], rest.Report, rest.CacheResult, rest.Length)
 	for _, word := range []string{"00000000000000ff", "ff", "", "7f3a9c21e0b4d65g"} {
 		fmt.Fprintf(&out, "key %q: %d\n", word, Key([]byte(word)))
 	}
@@ -60,10 +64,13 @@
 	fmt.Fprintf(&out, "%q\n", AppendBegun(nil, 70000))
 	for _, line := range []string{list(`"Ready"`, 0), list(`"Gone"`, 1.5e12), list(`"Up"`, 0), list(`3`, -1), list(`"Ready"`, -1), "", "{}", "[]", `{"index":1,"snapshot":true,"endpoints":[3]}`,
 		`{"index":1,"snapshot":true,"endpoints":[{"name":"a","status":"Ready"}]}`, strings.Replace(list(`"Ready"`, 5), "1.0", "-1", 1)} {
-		err := List([]byte(line), func(index uint64, whole bool) { fmt.Fprintf(&out, "list %d %t\n", index, whole) },
-			func(name, address, status string, started int64, kind, zone string, cell int, weight float64) {
-				fmt.Fprintln(&out, "  entry", name, address, status, started, kind, zone, cell, weight)
-			})
+		parsed, err := ParseEndpointList([]byte(line))
+		if err == nil {
+			fmt.Fprintf(&out, "list %d %t\n", parsed.Index, parsed.IsSnapshot)
+		}
+		for _, e := range parsed.Endpoints {
+			fmt.Fprintln(&out, "  entry", e.Name, e.Address, e.Status, e.StartedAtNanos, e.Kind, e.Zone, e.Group, e.Weight)
+		}
 		fmt.Fprintf(&out, "list %.40q: %v\n", line, err)
 	}
 	const path = "testdata/bytes.golden"
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -11,6 +11,8 @@
 
 const get = "*4\r\n$5\r\nC.GET\r\n$3\r\nkey\r\n$2\r\nid\r\n$22\r\nc=read,t=acme,d=480.5,\r\n"
 
+// Clients send anything, in any pieces: a part of a command is never taken for a whole one, nor for malformed, and what is
+// forwarded can be read again.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []string{get, get + get, "*1\r\n$4\r\nPING\r\n", "PING\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n",
 		"*1\r\n$-5\r\n\r\n", "*1\r\n$99999999999999999999\r\n", "*2000000000\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*1\r\n$1\r\nabc",
@@ -33,12 +35,12 @@
 				t.Fatalf("%q: the first %d bytes give %d, %v", came, n, part, err)
 			}
 		}
-		if is, _, wrong := Retrieval(words); is && wrong == "" {
-			if _, _, patience, predicted, err := Fields(words[3]); err == nil {
-				if patience < 0 || predicted < 0 {
+		if verb, wrong := ParseRequest(words); verb.IsRequest() && wrong == nil {
+			if a, err := ParseAttributes(words[3]); err == nil {
+				if a.TimeoutNanos < 0 || a.PredictedNanos < 0 {
 					t.Fatalf("%q: times under 0", words[3])
 				}
-				message, follows := AppendRetrieval(nil, words, patience)
+				message, follows := AppendRetrieval(nil, words, a.TimeoutNanos)
 				again, n, err := Command(append(message, follows...))
 				if err != nil && len(words[3]) < maxArgument-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
 					t.Fatalf("%q does not go on: %v", words, err)
@@ -48,6 +50,7 @@
 	})
 }
 
+// Servers send anything: what is read is within what was received, and a value comes only with Settled.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", "-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n",
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n:1\r\n:2\r\n:3\r\n", "*2\r\n$1\r\nv\r\n", "+OK\r\n", "$1\r\nv\r\n", "*-1\r\n", ":\r\n",
@@ -58,32 +61,32 @@
 		if size, from := Large(came); size != 0 && (size <= MostValue || size > MostLarge || from > len(came)) {
 			t.Fatalf("%q: large: %d from %d", came, size, from)
 		}
-		if end, _, _, length := Rest(came); length > len(came) || end == transport.Settled && length == 0 {
-			t.Fatalf("%q: the rest: %v, %d", came, end, length)
+		if rest := ParseResponseTail(came); rest.Length > len(came) || rest.End == transport.Settled && rest.Length == 0 {
+			t.Fatalf("%q: the rest: %+v", came, rest)
 		}
-		end, value, _, note, length := Answer(came)
-		if length > len(came) || (end == transport.Settled) != (value != nil) || note < 0 || note > 3 ||
-			(end == transport.Open || end == transport.Garbled) != (length == 0) {
-			t.Fatalf("%q: %v, %q, %d, %d", came, end, value, note, length)
+		r := ParseResponse(came)
+		if r.Length > len(came) || (r.End == transport.Settled) != (r.Value != nil) || r.CacheResult < 0 || r.CacheResult > 3 ||
+			(r.End == transport.Open || r.End == transport.Garbled) != (r.Length == 0) {
+			t.Fatalf("%q: %+v", came, r)
 		}
 	})
 }
 
+// Discovery sends anything: a list is good as a whole, or nothing of it is returned.
 func FuzzList(f *testing.F) {
 	for _, seed := range []string{list(`"Ready"`, 0), list(`"Gone"`, 1.5e12), list(`"Up"`, 0), list(`3`, -1), strings.Replace(list(`"Ready"`, 0), "1.0", "-1e999", 1), strings.Replace(list(`"Ready"`, 0), "1.0", "1e999", 1), "", "{}", "[]",
 		`{"index":1,"snapshot":true,"endpoints":[3,null]}`, list(`"Ready"`, 0)[:40]} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		begun, rows := 0, 0
-		err := List(line, func(uint64, bool) { begun++ },
-			func(name, address, status string, started int64, kind, zone string, cell int, weight float64) {
-				if rows++; name == "" || status == "" || weight < 0 || weight > maxWeight || begun != 1 {
-					t.Fatalf("%q: row %q %q %g", line, name, status, weight)
-				}
-			})
-		if (err == nil) != (begun == 1) || err != nil && rows > 0 {
-			t.Fatalf("%q: %v after %d rows", line, err, rows)
+		parsed, err := ParseEndpointList(line)
+		for _, e := range parsed.Endpoints {
+			if e.Name == "" || e.Status.String() == "" || e.Weight < 0 || e.Weight > maxWeight {
+				t.Fatalf("%q: %+v", line, e)
+			}
+		}
+		if err != nil && (parsed.Index != 0 || parsed.IsSnapshot || parsed.Endpoints != nil) {
+			t.Fatalf("%q: %v beside %+v", line, err, parsed)
 		}
 	})
 }
@@ -93,8 +96,9 @@
 		`"group":3,"status":%s,"weight":1.0,"since_ms":%f}]}`, status, since)
 }
 
-// Guards hosts' connections: what is not said in the protocol's own words tells nothing of a trip.
-func TestSpoiltAnswers(t *testing.T) {
+// A server sends something else than the protocol has words for, whole or in pieces. It ends the attempt as malformed and
+// counts for nothing else; a report that can't be read spoils no response.
+func TestMalformedResponsesTellNothingOfTheAttempt(t *testing.T) {
 	for spoilt, want := range map[string]transport.End{"-ERR failed\r\n": transport.Errored,
 		"-ERR failed inflight=7,queue=\x00?\r\n": transport.Errored, "-BUSY util=\xff\r\n": transport.TurnedAway,
 		"-ERR failedX\r\n": transport.Garbled, "-ERR\r\n": transport.Garbled, "-BUSYX\r\n": transport.Garbled, "-\xf8\x15\"\r\n": transport.Garbled,
@@ -104,37 +108,41 @@
 		":5\r\n": transport.Garbled, "\xd8@~\xec\r\n\r\n": transport.Garbled, "+PONG\r\n": transport.Garbled,
 		"*3\r\n$" + strings.Repeat("9", 2000): transport.Garbled, strings.Repeat("x", 5): transport.Garbled} {
 		for n := range len(spoilt) { // In any split of bytes it never settles, and what is good never counts as spoilt.
-			if end, _, _, _, _ := Answer([]byte(spoilt[:n])); end != transport.Open && end != transport.Garbled || end != transport.Open && want != transport.Garbled {
+			if end := ParseResponse([]byte(spoilt[:n])).End; end != transport.Open && end != transport.Garbled || end != transport.Open && want != transport.Garbled {
 				t.Fatalf("%.40q: the first %d bytes are %v", spoilt, n, end)
 			}
 		}
-		if end, _, _, _, _ := Answer([]byte(spoilt)); end != want {
+		if end := ParseResponse([]byte(spoilt)).End; end != want {
 			t.Errorf("%.40q is %v, not %v", spoilt, end, want)
 		}
 	}
 }
 
-func TestFields(t *testing.T) {
-	workload, tenant, patience, predicted, err := Fields([]byte("c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9"))
-	if string(workload) != "read" || string(tenant) != "acme" || patience != 480.5e6 || predicted != 2.5e6 || err != nil {
-		t.Fatal(string(workload), string(tenant), patience, predicted, err)
+// A client states a time that is no number of the protocol's, such as inf, or leaves out the workload: the request is an
+// error, and no server sees it.
+func TestAttributesAreReadOrRefusedAsAWhole(t *testing.T) {
+	a, err := ParseAttributes([]byte("c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9"))
+	if string(a.Workload) != "read" || string(a.Tenant) != "acme" || a.TimeoutNanos != 480.5e6 || a.PredictedNanos != 2.5e6 || err != nil {
+		t.Fatalf("%+v, %v", a, err)
 	}
 	for _, bad := range []string{"", "c=read", "d=5", "c=read,d", "c=read,d=-1", "c=read,d=NaN", "c=read,d=x", "c=read,d=5,h=x",
 		"c=read,d=", "c=read,d=inf", "c=read,d=0x1p4", "c=read,d=1e3", "c=read,d=+5", "c=read,d=.", "c=read,d=5.5.5",
 		"c=read,d=99999999999999999999", "c=read,d=3600001"} {
-		if _, _, _, _, err := Fields([]byte(bad)); err == nil {
+		if _, err := ParseAttributes([]byte(bad)); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
 }
 
-func TestKeyIsANumberOrAHash(t *testing.T) {
+// A key of 16 hexadecimal digits is placed by its number, any other by a hash that spreads keys that differ little.
+func TestKeyIsItsNumberOrItsHash(t *testing.T) {
 	if Key([]byte("00000000000000ff")) != 255 || Key([]byte("ff")) == 255 || Key([]byte("ff")) == Key([]byte("fe")) {
 		t.Fatal("16 hex digits are a number, all else is hashed")
 	}
 }
 
-func TestRetrievalGoesOnAsItCameButForItsTime(t *testing.T) {
+// A request is forwarded with its own attributes, also unknown ones, and a timeout that is what is left for this attempt.
+func TestRequestIsForwardedAsReceivedButForItsTimeout(t *testing.T) {
 	words := [][]byte{[]byte("C.SET"), []byte("key"), []byte("id"), []byte("c=put,d=480,k=5c,x=9"), []byte("v\r\n")}
 	want := "*5\r\n$5\r\nC.SET\r\n$3\r\nkey\r\n$2\r\nid\r\n$20\r\nc=put,d=101,k=5c,x=9\r\n$3\r\nv\r\n\r\n"
 	if out, _ := AppendRetrieval(nil, words, 100.2e6); string(out) != want {
@@ -142,19 +150,21 @@
 	}
 }
 
-func TestDismissedTellsWholeMilliseconds(t *testing.T) {
+// A client waits as long as a rejection says. Less than a millisecond is rounded up, so that nobody comes back early.
+func TestRejectionStatesWholeMilliseconds(t *testing.T) {
 	if a, b := string(AppendDismissed(nil, 0)), string(AppendDismissed(nil, 1.2e6)); a != "-BUSY\r\n" || b != "-BUSY 2\r\n" {
 		t.Fatalf("%q %q", a, b)
 	}
 }
 
-// A load report is handed on wherever the protocol has a place for one.
-func TestReportsAreFound(t *testing.T) {
+// A server that is loaded says so in a response, a rejection or an error. The report is returned from each, else a server
+// that only rejects would look idle.
+func TestLoadReportIsReadWhereverTheProtocolHasOne(t *testing.T) {
 	for answer, want := range map[string]string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\nqps=1,queue=0\r\n": "qps=1,queue=0",
 		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n": "", "-BUSY qps=1,queue=9\r\n": "qps=1,queue=9", "-BUSY\r\n": "BUSY",
 		"-ERR failed qps=2\r\n": "qps=2"} {
-		if _, _, report, _, length := Answer([]byte(answer)); string(report) != want || length != len(answer) {
-			t.Errorf("%q: the report is %q", answer, report)
+		if r := ParseResponse([]byte(answer)); string(r.Report) != want || r.Length != len(answer) {
+			t.Errorf("%q: the report is %q", answer, r.Report)
 		}
 	}
 }
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -11,7 +11,7 @@
 
 // admit takes a request up: it gets a slot and the module is asked. A request that can't be taken up has its final answer at once.
 func (x *exchange) admit() (told chan news, isAdmitted bool) {
-	class, tenant, patience, predicted, err := protocol.Fields(x.words[3])
+	attributes, err := protocol.ParseAttributes(x.words[3])
 	if err != nil {
 		x.turn.answer <- reply{bytes: protocol.AppendWrong(nil, err.Error())}
 		return nil, false
@@ -19,12 +19,13 @@
 	for _, word := range x.words {
 		x.size += int64(len(word))
 	}
+	patience := attributes.TimeoutNanos
 	x.record.patience = time.Duration(patience)
 	x.record.waited = time.Since(x.caller.received)
 	patience = max(0, patience-int64(x.record.waited))
 	b := x.balancer
 	b.mu.Lock()
-	w, known := b.workloads[string(class)]
+	w, known := b.workloads[string(attributes.Workload)]
 	x.class, x.id = w, string(x.words[2])
 	full := b.held.Out() >= b.mostHeld || b.decides != nil && b.held.Out() >= b.mostOpen || b.heap+x.size > b.mostHeap
 	stops := false
@@ -40,7 +41,7 @@
 		x.turn.answer <- reply{bytes: answer}
 		return nil, false
 	}
-	owner, stated := b.tenants[string(tenant)]
+	owner, stated := b.tenants[string(attributes.Tenant)]
 	if !stated {
 		owner = -1
 	}
@@ -50,7 +51,7 @@
 	x.index, told = b.take()
 	b.slots[x.index].ends = b.now() + patience - min(answerReserveTime, patience/64) + b.drift
 	b.deciding()
-	b.module.HandleRequest(b.now(), x.index, policy.RequestInfo{Remaining: patience, Class: w, Tenant: owner, Key: protocol.Key(x.words[1]), HasKey: true, IsWrite: x.write, PredictedWork: predicted})
+	b.module.HandleRequest(b.now(), x.index, policy.RequestInfo{Remaining: patience, Class: w, Tenant: owner, Key: protocol.Key(x.words[1]), HasKey: true, IsWrite: x.write, PredictedWork: attributes.PredictedNanos})
 	b.mu.Unlock()
 	return told, true
 }
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -56,17 +56,17 @@
 			end, clean = x.balancer.pass(line, large, &n, told)
 			break
 		}
-		var value, report []byte
-		var length int
-		if end, value, report, n.note, length = protocol.Answer(line.Unread()); end == transport.Open {
+		response := protocol.ParseResponse(line.Unread())
+		n.note = int(response.CacheResult)
+		if end = response.End; end == transport.Open {
 			end = more(line, until)
 			continue
 		}
 		if end == transport.Settled {
-			n.answer = protocol.AppendSettled(nil, value)
+			n.answer = protocol.AppendSettled(nil, response.Value)
 		}
-		n.load = x.balancer.report(report)
-		line.Skip(length)
+		n.load = x.balancer.report(response.Report)
+		line.Skip(response.Length)
 	}
 	line.Done(isUnused || clean && end <= transport.TurnedAway)
 	n.what, n.end = ended, end
@@ -184,13 +184,13 @@
 // passRest reads what stands behind a large value: the value was whole, whatever comes of it.
 func (b *Balancer) passRest(line *transport.Line, n *news) (end transport.End, clean bool) {
 	for until := time.Now().Add(nextPieceTimeout); ; { // In all: a rest that trickles in must not keep the request's place.
-		how, report, note, length := protocol.Rest(line.Unread())
-		if how == transport.Settled {
-			n.note, n.load = note, b.report(report)
-			line.Skip(length)
+		rest := protocol.ParseResponseTail(line.Unread())
+		if rest.End == transport.Settled {
+			n.note, n.load = int(rest.CacheResult), b.report(rest.Report)
+			line.Skip(rest.Length)
 			return transport.Settled, true
 		}
-		if how != transport.Open || line.Fill(until) != transport.Open {
+		if rest.End != transport.Open || line.Fill(until) != transport.Open {
 			return transport.Settled, false
 		}
 	}
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -41,9 +41,12 @@
 	transport.Garbled:    policy.Reset,
 }
 
-var healths = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
+var healths = map[protocol.EndpointStatus]policy.Health{
+	protocol.EndpointReady: policy.Ready, protocol.EndpointDraining: policy.Draining, protocol.EndpointGone: policy.Removed,
+}
 
-var names = map[policy.Health]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}
+var names = map[policy.Health]string{policy.Ready: protocol.EndpointReady.String(),
+	policy.Draining: protocol.EndpointDraining.String(), policy.Removed: protocol.EndpointGone.String()}
 
 // goneFor is how long a server that the list calls gone is kept where only draining binds.
 const goneFor = int64(time.Minute)
@@ -285,21 +288,11 @@
 	var changes listChanges
 	defer func() { changes.log(b.log) }() // Not under the lock: whoever reads the log may be slow.
 	// A list is read before the lock is taken: of thousands of servers that takes as long as many retrievals do.
-	type row struct {
-		name, address, status, kind, zone string
-		started                           int64
-		cell                              int
-		weight                            float64
-	}
-	var rows []row
-	var index uint64
-	var whole bool
-	if err := protocol.List(line, func(i uint64, w bool) { index, whole = i, w },
-		func(name, address, status string, started int64, kind, zone string, cell int, weight float64) {
-			rows = append(rows, row{name, address, status, kind, zone, started, cell, weight})
-		}); err != nil {
+	list, err := protocol.ParseEndpointList(line)
+	if err != nil {
 		return err
 	}
+	rows, index, whole := list.Endpoints, list.Index, list.IsSnapshot
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := watching.Err(); err != nil {
@@ -308,7 +301,7 @@
 	now, all := b.now(), saved || whole
 	if !saved && (index < b.listFrom || b.listOf != "" && b.listOf != b.discovery) {
 		// The fleet reads another list, or a later one: of this one only drains count.
-		rows, all, whole = slices.DeleteFunc(rows, func(r row) bool { return healths[r.status] == policy.Ready }), false, false
+		rows, all, whole = slices.DeleteFunc(rows, func(r protocol.Endpoint) bool { return healths[r.Status] == policy.Ready }), false, false
 	}
 	is := func(s int, from string, health policy.Health) {
 		h := &b.servers[s]
@@ -336,36 +329,36 @@
 		b.servers[s].listed = false
 	}
 	for _, r := range rows {
-		b.listedOnce(r.name)
-		s, known := b.byName[r.name]
-		if !known && healths[r.status] == policy.Removed {
+		b.listedOnce(r.Name)
+		s, known := b.byName[r.Name]
+		if !known && healths[r.Status] == policy.Removed {
 			continue
 		}
 		from := ""
 		if known {
 			from = names[b.servers[s].health]
-			if old := b.servers[s].address; old != r.address {
+			if old := b.servers[s].address; old != r.Address {
 				b.pool.Drop(transport.Peer{Server: s, Address: old})
 			}
 		} else if s = b.places.Take(); s == len(b.servers) {
 			b.servers = append(b.servers, server{})
 		}
-		k, stated := b.kinds[r.kind]
+		k, stated := b.kinds[r.Kind]
 		if !stated {
 			k = len(b.kinds) // Guards against a kind that the settings do not name: all such are one more.
 		}
-		z, stated := b.zones[r.zone]
+		z, stated := b.zones[r.Zone]
 		if !stated {
 			z = -1
 		}
 		startedAt := b.servers[s].startedAt
-		if !known || b.servers[s].started != r.started {
-			startedAt = b.fromWall(r.started)
+		if !known || b.servers[s].started != r.StartedAtNanos {
+			startedAt = b.fromWall(r.StartedAtNanos)
 		}
-		b.byName[r.name] = s
-		b.servers[s] = server{startedAt: startedAt, name: r.name, address: r.address, health: healths[r.status], started: r.started, kind: k, zone: z, cell: r.cell,
-			weight: r.weight, listed: true, trips: b.servers[s].trips, spent: b.servers[s].spent}
-		is(s, from, healths[r.status])
+		b.byName[r.Name] = s
+		b.servers[s] = server{startedAt: startedAt, name: r.Name, address: r.Address, health: healths[r.Status], started: r.StartedAtNanos, kind: k, zone: z, cell: r.Group,
+			weight: r.Weight, listed: true, trips: b.servers[s].trips, spent: b.servers[s].spent}
+		is(s, from, healths[r.Status])
 	}
 	holders := map[string]int{}
 	for s := range b.servers {
--- a/routing/front.go
+++ b/routing/front.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"bytes"
 	"errors"
 	"io"
 	"strconv"
@@ -98,15 +97,15 @@
 			continue
 		}
 		begun, surplus.run = time.Time{}, nil
-		is, write, wrong := protocol.Retrieval(words)
-		if is && c.HasEnded() {
+		verb, wrong := protocol.ParseRequest(words)
+		if verb.IsRequest() && c.HasEnded() {
 			return transport.Left // What waited unread, for room or while the process stood still, has no client any more.
 		}
 		c.Begin()
 		switch {
-		case wrong != "":
-			answers <- ready(protocol.AppendWrong(nil, wrong))
-		case is:
+		case wrong != nil:
+			answers <- ready(protocol.AppendWrong(nil, wrong.Error()))
+		case verb.IsRequest():
 			received := c.ArrivedAt(length)
 			taken, done := c.Take(length)
 			own, _, _ := protocol.Command(taken)
@@ -114,13 +113,13 @@
 			answers <- t
 			go func() {
 				defer done()
-				b.retrieve(own, write, t, caller{received: received, good: c.Good, left: left, gone: c.HasEnded})
+				b.retrieve(own, verb == protocol.VerbSet, t, caller{received: received, good: c.Good, left: left, gone: c.HasEnded})
 			}()
 			continue
-		case bytes.EqualFold(words[0], []byte("PING")) && b.knowsAny():
+		case verb == protocol.VerbPing && b.knowsAny():
 			c.Good()
 			answers <- ready(protocol.AppendPong(nil))
-		case bytes.EqualFold(words[0], []byte("PING")):
+		case verb == protocol.VerbPing:
 			answers <- ready(protocol.AppendWrong(nil, "no server is known yet"))
 		default:
 			name := words[0][:min(len(words[0]), 32)]
--- a/routing/learnt.go
+++ b/routing/learnt.go
@@ -121,21 +121,25 @@
 // recall starts from what another process has left, as if this one had been there. The list of the configuration counts where it is the
 // newer one. It tells how many servers are known.
 func (b *Balancer) recall(s *snapshot.Snapshot, known []byte) (int, error) {
-	before, same, index := map[string]bool{}, 0, uint64(0)
-	row := func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) { before[name] = true }
-	if err := protocol.List(s.EndpointList, func(uint64, bool) {}, row); err != nil {
+	saved, err := protocol.ParseEndpointList(s.EndpointList)
+	if err != nil {
 		return 0, err
 	}
-	listed := 0
-	_ = protocol.List(known, func(i uint64, _ bool) { index = i }, func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) {
-		if listed++; before[name] {
+	before, same := map[string]bool{}, 0
+	for _, endpoint := range saved.Endpoints {
+		before[endpoint.Name] = true
+	}
+	configured, _ := protocol.ParseEndpointList(known) // Without one, or with a damaged one, no server is configured.
+	for _, endpoint := range configured.Endpoints {
+		if before[endpoint.Name] {
 			same++
 		}
-	})
+	}
+	listed := len(configured.Endpoints)
 	if listed > 0 && 2*same < len(before) {
 		return 0, fmt.Errorf("of another list: %d of its %d hosts are listed", same, len(before))
 	}
-	if s.ListIndex > index && s.DiscoveryServer == b.discovery {
+	if s.ListIndex > configured.Index && s.DiscoveryServer == b.discovery {
 		if err := b.tell(context.Background(), s.EndpointList, true); err != nil {
 			return 0, err
 		}
--- a/routing/surplus.go
+++ b/routing/surplus.go
@@ -92,14 +92,14 @@
 
 // countSurplus counts a rejected command as sent back, by its class.
 func (b *Balancer) countSurplus(words [][]byte) {
-	is, _, wrong := protocol.Retrieval(words)
-	if !is || wrong != "" {
+	verb, wrong := protocol.ParseRequest(words)
+	if !verb.IsRequest() || wrong != nil {
 		return
 	}
-	class, _, _, _, err := protocol.Fields(words[3])
+	attributes, err := protocol.ParseAttributes(words[3])
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if w, known := b.workloads[string(class)]; err == nil && known {
+	if w, known := b.workloads[string(attributes.Workload)]; err == nil && known {
 		b.counts[count{"sent_back", w}]++
 	} else {
 		b.counts[count{"sent_back_wrong", none}]++
--- a/server/given.go
+++ b/server/given.go
@@ -150,7 +150,7 @@
 	if g.seed, err = strconv.ParseUint(object.Get("seed").String(), 16, 64); err != nil {
 		add("seed", "not a hexadecimal number of 64 bits")
 	}
-	if err := protocol.List(g.known, func(uint64, bool) {}, func(_, _, _ string, _ int64, _, _ string, _ int, _ float64) {}); err != nil {
+	if _, err := protocol.ParseEndpointList(g.known); err != nil {
 		add("known", err.Error())
 	}
 	workloads, _ := g.settings["workloads"].(float64)
