--- a/routing/admission.go
+++ b/routing/admission.go
@@ -26,7 +26,7 @@
 // admit admits a request: it gets a slot, and the policy decides on it. A request that is not admitted has its final
 // answer at once.
 func (x *exchange) admit() bool {
-	workload, tenant, timeout, predictedWork, err := protocol.Fields(x.arguments[3])
+	attributes, err := protocol.ParseAttributes(x.arguments[3])
 	if err != nil {
 		x.reply.reply <- reply{bytes: protocol.AppendWrong(nil, err.Error())}
 		return false
@@ -34,13 +34,13 @@
 	for _, argument := range x.arguments {
 		x.bytes += int64(len(argument))
 	}
-	x.record.timeout = time.Duration(timeout)
+	x.record.timeout = time.Duration(attributes.TimeoutNanos)
 	x.record.waited = time.Since(x.client.receivedAt)
 	x.id = string(x.arguments[2])
-	remaining := max(0, timeout-int64(x.record.waited))
+	remaining := max(0, attributes.TimeoutNanos-int64(x.record.waited))
 	b := x.balancer
 	b.mu.Lock()
-	a := x.assess(workload, remaining)
+	a := x.assess(attributes.Workload, remaining)
 	x.workload = a.workload
 	if answer := b.rejectionAnswer(a); answer != nil {
 		b.mu.Unlock()
@@ -50,11 +50,11 @@
 	x.open(a, policy.RequestInfo{
 		Remaining:     a.remaining,
 		Class:         a.workload,
-		Tenant:        b.catalog.tenant(string(tenant)),
+		Tenant:        b.catalog.tenant(string(attributes.Tenant)),
 		Key:           protocol.Key(x.arguments[1]),
 		HasKey:        true,
 		IsWrite:       x.isWrite,
-		PredictedWork: predictedWork,
+		PredictedWork: attributes.PredictedNanos,
 	})
 	b.mu.Unlock()
 	return true
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -124,20 +124,20 @@
 			line.Skip(start)
 			return x.streamValue(line, size, result)
 		}
-		end, value, report, cacheResult, length := protocol.Answer(line.Unread())
-		result.cacheResult = cacheResult
-		if end == transport.Open {
+		response := protocol.ParseResponse(line.Unread())
+		result.cacheResult = int(response.CacheResult)
+		if response.End == transport.Open {
 			if end := readMore(line, deadline); end != transport.Open {
 				return end, true
 			}
 			continue
 		}
-		if end == transport.Settled {
-			result.answer = protocol.AppendSettled(nil, value)
+		if response.End == transport.Settled {
+			result.answer = protocol.AppendSettled(nil, response.Value)
 		}
-		result.load = x.balancer.parseReport(report)
-		line.Skip(length)
-		return end, true
+		result.load = x.balancer.parseReport(response.Report)
+		line.Skip(response.Length)
+		return response.End, true
 	}
 }
 
--- a/routing/clientconn.go
+++ b/routing/clientconn.go
@@ -1,7 +1,6 @@
 package routing
 
 import (
-	"bytes"
 	"strconv"
 	"time"
 
@@ -101,19 +100,19 @@
 // handle answers a command, or starts a request. It is Left where the client of a request has gone: what waited
 // unread, for capacity or while the process was held up, has no client any more.
 func (r *commandReader) handle(arguments [][]byte, length int) transport.End {
-	isRequest, isWrite, problem := protocol.Retrieval(arguments)
-	if isRequest && r.client.HasEnded() {
+	verb, err := protocol.ParseRequest(arguments)
+	if verb.IsRequest() && r.client.HasEnded() {
 		return transport.Left
 	}
 	r.client.Begin()
 	switch {
-	case problem != "":
-		r.answer(protocol.AppendWrong(nil, problem))
-	case isRequest:
-		r.startRequest(length, isWrite)
+	case err != nil:
+		r.answer(protocol.AppendWrong(nil, err.Error()))
+	case verb.IsRequest():
+		r.startRequest(length, verb == protocol.VerbSet)
 		return transport.Open
 	default:
-		r.answerOther(arguments[0])
+		r.answerOther(verb, arguments[0])
 	}
 	r.client.Skip(length)
 	return transport.Open
@@ -135,9 +134,9 @@
 }
 
 // answerOther answers a command that is no request.
-func (r *commandReader) answerOther(name []byte) {
+func (r *commandReader) answerOther(verb protocol.Verb, name []byte) {
 	switch {
-	case !bytes.EqualFold(name, []byte("PING")):
+	case verb != protocol.VerbPing:
 		name = name[:min(len(name), maxQuotedCommand)]
 		r.answer(protocol.AppendWrong(nil, "unknown command "+strconv.Quote(string(name))))
 	case r.balancer.hasListedEndpoints():
--- a/routing/endpointlist.go
+++ b/routing/endpointlist.go
@@ -22,31 +22,6 @@
 	minIndex          uint64       // of lists that count in full, by the fleet's configuration
 }
 
-// endpointList is a list, or the changes to one, as discovery sends it.
-type endpointList struct {
-	index   uint64
-	isFull  bool // it has all endpoints; else only those that changed
-	entries []listEntry
-}
-
-// listEntry is one endpoint of a list.
-type listEntry struct {
-	name, address, status, machineType, zone string
-	statedStart                              int64
-	replicaGroup                             int
-	weight                                   float64
-}
-
-// parseList reads a list in discovery's form.
-func parseList(text []byte) (endpointList, error) {
-	var list endpointList
-	begin := func(index uint64, isFull bool) { list.index, list.isFull = index, isFull }
-	entry := func(name, address, status string, start int64, machineType, zone string, group int, weight float64) {
-		list.entries = append(list.entries, listEntry{name, address, status, machineType, zone, start, group, weight})
-	}
-	return list, protocol.List(text, begin, entry)
-}
-
 // counts reports whether a list counts in full by the fleet's configuration.
 func (s *listState) counts(index uint64) bool {
 	return index >= s.minIndex && (s.requiredDiscovery == "" || s.requiredDiscovery == s.discovery)
@@ -56,7 +31,7 @@
 // list cannot be read, or where its watch was cancelled. It takes the lock.
 func (b *Balancer) applyList(watch context.Context, text []byte, isSaved bool) error {
 	// A list of thousands of endpoints takes as long to read as many requests do: it is read before the lock is taken.
-	list, err := parseList(text)
+	list, err := protocol.ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
@@ -75,7 +50,7 @@
 // listUpdate is a list while it is applied, under the lock.
 type listUpdate struct {
 	balancer *Balancer
-	list     endpointList
+	list     protocol.EndpointList
 	isSaved  bool  // the list is from before the start
 	now      int64 // by the policy's clock
 	changes  listChanges
@@ -83,16 +58,16 @@
 
 func (u *listUpdate) apply() {
 	b := u.balancer
-	if !u.isSaved && !b.list.counts(u.list.index) {
+	if !u.isSaved && !b.list.counts(u.list.Index) {
 		u.keepDrainsOnly()
 	}
-	b.list.index, u.changes.index = u.list.index, u.list.index
+	b.list.index, u.changes.index = u.list.Index, u.list.Index
 	b.list.updates++
 	b.policy.BeginEndpointUpdate(u.kind())
 	for i := range b.endpoints.all {
 		b.endpoints.all[i].isListed = false
 	}
-	for _, entry := range u.list.entries {
+	for _, entry := range u.list.Endpoints {
 		u.applyEntry(entry)
 	}
 	u.removeUnlistedAndDisplaced()
@@ -103,33 +78,33 @@
 // keepDrainsOnly reduces a list that the fleet does not follow, or one before the index that it has agreed on, to its
 // drains: an endpoint that is about to stop must not get requests, whichever list says so.
 func (u *listUpdate) keepDrainsOnly() {
-	isReady := func(e listEntry) bool { return healthByStatus[e.status] == policy.Ready }
-	u.list.entries, u.list.isFull = slices.DeleteFunc(u.list.entries, isReady), false
+	isReady := func(e protocol.Endpoint) bool { return healthByStatus[e.Status] == policy.Ready }
+	u.list.Endpoints, u.list.IsSnapshot = slices.DeleteFunc(u.list.Endpoints, isReady), false
 }
 
 func (u *listUpdate) kind() policy.UpdateKind {
 	switch {
 	case u.isSaved:
 		return policy.SavedList
-	case u.list.isFull:
+	case u.list.IsSnapshot:
 		return policy.FullList
 	}
 	return policy.IncrementalList
 }
 
 // applyEntry takes over one endpoint of the list.
-func (u *listUpdate) applyEntry(entry listEntry) {
+func (u *listUpdate) applyEntry(entry protocol.Endpoint) {
 	b := u.balancer
-	health := healthByStatus[entry.status]
-	b.endpoints.everListed.add(entry.name)
-	i, isKnown := b.endpoints.byName[entry.name]
+	health := healthByStatus[entry.Status]
+	b.endpoints.everListed.add(entry.Name)
+	i, isKnown := b.endpoints.byName[entry.Name]
 	if !isKnown && health == policy.Removed {
 		return
 	}
 	previousStatus := ""
 	if isKnown {
 		previousStatus = statusByHealth[b.endpoints.all[i].health]
-		if address := b.endpoints.all[i].address; address != entry.address {
+		if address := b.endpoints.all[i].address; address != entry.Address {
 			b.pool.Drop(transport.Peer{Server: i, Address: address})
 		}
 	} else {
@@ -137,20 +112,20 @@
 	}
 	previous := b.endpoints.all[i]
 	startedAt := previous.startedAt
-	if !isKnown || previous.statedStart != entry.statedStart {
-		startedAt = b.fromWallClock(entry.statedStart)
+	if !isKnown || previous.statedStart != entry.StartedAtNanos {
+		startedAt = b.fromWallClock(entry.StartedAtNanos)
 	}
-	b.endpoints.byName[entry.name] = i
+	b.endpoints.byName[entry.Name] = i
 	b.endpoints.all[i] = endpoint{
-		name:         entry.name,
-		address:      entry.address,
+		name:         entry.Name,
+		address:      entry.Address,
 		health:       health,
-		statedStart:  entry.statedStart,
+		statedStart:  entry.StartedAtNanos,
 		startedAt:    startedAt,
-		machineType:  b.catalog.machineType(entry.machineType),
-		zone:         b.catalog.zone(entry.zone),
-		replicaGroup: entry.replicaGroup,
-		weight:       entry.weight,
+		machineType:  b.catalog.machineType(entry.Kind),
+		zone:         b.catalog.zone(entry.Zone),
+		replicaGroup: entry.Group,
+		weight:       entry.Weight,
 		isListed:     true,
 		attempts:     previous.attempts,
 		isRetired:    previous.isRetired,
@@ -162,7 +137,7 @@
 // another by now.
 func (u *listUpdate) removeUnlistedAndDisplaced() {
 	b := u.balancer
-	removesUnlisted := u.isSaved || u.list.isFull
+	removesUnlisted := u.isSaved || u.list.IsSnapshot
 	ownerByAddress := map[string]int{}
 	for i := range b.endpoints.all {
 		e := &b.endpoints.all[i]
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"hollylever/policy"
+	"hollylever/protocol"
 	"hollylever/tables"
 	"hollylever/transport"
 )
@@ -14,8 +15,16 @@
 
 // healthByStatus has the list's statuses, statusByHealth the reverse.
 var (
-	healthByStatus = map[string]policy.Health{"Ready": policy.Ready, "Terminating": policy.Draining, "Gone": policy.Removed}
-	statusByHealth = map[policy.Health]string{policy.Ready: "Ready", policy.Draining: "Terminating", policy.Removed: "Gone"}
+	healthByStatus = map[protocol.EndpointStatus]policy.Health{
+		protocol.EndpointReady:    policy.Ready,
+		protocol.EndpointDraining: policy.Draining,
+		protocol.EndpointGone:     policy.Removed,
+	}
+	statusByHealth = map[policy.Health]string{
+		policy.Ready:    protocol.EndpointReady.String(),
+		policy.Draining: protocol.EndpointDraining.String(),
+		policy.Removed:  protocol.EndpointGone.String(),
+	}
 )
 
 // endpointTable holds the endpoints by the index that the policy knows them by. Balancer.mu guards it.
--- a/routing/largevalue.go
+++ b/routing/largevalue.go
@@ -95,13 +95,13 @@
 func (b *Balancer) readValueTrailer(line *transport.Line, result *attemptResult) (end transport.End, isReusable bool) {
 	deadline := time.Now().Add(nextPieceTimeout) // In all: a trailer that trickles in must not keep the request's slot.
 	for {
-		end, report, cacheResult, length := protocol.Rest(line.Unread())
-		if end == transport.Settled {
-			result.cacheResult, result.load = cacheResult, b.parseReport(report)
-			line.Skip(length)
+		trailer := protocol.ParseResponseTail(line.Unread())
+		if trailer.End == transport.Settled {
+			result.cacheResult, result.load = int(trailer.CacheResult), b.parseReport(trailer.Report)
+			line.Skip(trailer.Length)
 			return transport.Settled, true
 		}
-		if end != transport.Open || line.Fill(deadline) != transport.Open {
+		if trailer.End != transport.Open || line.Fill(deadline) != transport.Open {
 			return transport.Settled, false
 		}
 	}
--- a/routing/overflow.go
+++ b/routing/overflow.go
@@ -95,14 +95,14 @@
 
 // countOverflow counts a rejected command as not admitted, by its workload.
 func (b *Balancer) countOverflow(arguments [][]byte) {
-	isRequest, _, problem := protocol.Retrieval(arguments)
-	if !isRequest || problem != "" {
+	verb, err := protocol.ParseRequest(arguments)
+	if !verb.IsRequest() || err != nil {
 		return
 	}
-	name, _, _, _, err := protocol.Fields(arguments[3])
+	attributes, err := protocol.ParseAttributes(arguments[3])
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if workload, isKnown := b.catalog.workloads[string(name)]; err == nil && isKnown {
+	if workload, isKnown := b.catalog.workloads[string(attributes.Workload)]; err == nil && isKnown {
 		b.counters.incrementFor(counterNotAdmitted, workload)
 	} else {
 		b.counters.increment(counterMalformed)
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -153,19 +153,23 @@
 // checkSameList fails where less than half of the saved list's endpoints are in the known list, if that has any. It
 // returns the index of the known list.
 func checkSameList(saved, known []byte) (index uint64, err error) {
-	isSaved, listed, common := map[string]bool{}, 0, 0
-	savedEntry := func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) { isSaved[name] = true }
-	if err := protocol.List(saved, func(uint64, bool) {}, savedEntry); err != nil {
+	savedList, err := protocol.ParseEndpointList(saved)
+	if err != nil {
 		return 0, err
 	}
-	knownEntry := func(name, _, _ string, _ int64, _, _ string, _ int, _ float64) {
-		if listed++; isSaved[name] {
+	isSaved := map[string]bool{}
+	for _, endpoint := range savedList.Endpoints {
+		isSaved[endpoint.Name] = true
+	}
+	knownList, _ := protocol.ParseEndpointList(known) // New has read it already.
+	listed, common := len(knownList.Endpoints), 0
+	for _, endpoint := range knownList.Endpoints {
+		if isSaved[endpoint.Name] {
 			common++
 		}
 	}
-	_ = protocol.List(known, func(i uint64, _ bool) { index = i }, knownEntry) // New has read it already.
 	if listed > 0 && 2*common < len(isSaved) {
 		return 0, fmt.Errorf("of another list: %d of its %d hosts are listed", common, len(isSaved))
 	}
-	return index, nil
+	return knownList.Index, nil
 }
--- a/server/configuration_parser.go
+++ b/server/configuration_parser.go
@@ -140,9 +140,7 @@
 
 // checkEndpointList checks the form of the list of cache hosts to start with; routing.New reads it.
 func (p *configurationParser) checkEndpointList() {
-	ignoreHead := func(uint64, bool) {}
-	ignoreEntry := func(_, _, _ string, _ int64, _, _ string, _ int, _ float64) {}
-	if err := protocol.List(p.configuration.EndpointList, ignoreHead, ignoreEntry); err != nil {
+	if _, err := protocol.ParseEndpointList(p.configuration.EndpointList); err != nil {
 		p.reject("known", err.Error())
 	}
 }
