--- a/protocol/command.go
+++ b/protocol/command.go
@@ -40,13 +40,13 @@
 	setArguments = 5
 )
 
-// Command reads the first command: its arguments, and its length, 0 if it is not complete. After an error the
+// ParseCommand reads the first command: its arguments, and its length, 0 if it is not complete. After an error the
 // connection can't be read any further.
-func Command(received []byte) (arguments [][]byte, length int, err error) {
+func ParseCommand(received []byte) (arguments [][]byte, length int, err error) {
 	if len(received) > 0 && received[0] != '*' {
 		return nil, 0, ErrNotCommand
 	}
-	if length, err = completeLength(received, MostLarge); err != nil || length == 0 {
+	if length, err = completeLength(received, MaxLargeValue); err != nil || length == 0 {
 		return nil, 0, err
 	}
 	if len(received) > 1 && (received[1] < '1' || received[1] > '9') {
@@ -59,9 +59,9 @@
 	return arguments, length, nil
 }
 
-// Needs returns how long a command that is not complete is at least, 0 where that is not known.
-func Needs(received []byte) int {
-	_, minLength, _ := frame(received, MostLarge)
+// MinCommandLength returns how long a command that is not complete is at least, 0 where that is not known.
+func MinCommandLength(received []byte) int {
+	_, minLength, _ := frame(received, MaxLargeValue)
 	return minLength
 }
 
@@ -148,8 +148,8 @@
 	return int64(x * unit), nil
 }
 
-// Key returns the number by which a key is placed: that of a key of 16 hexadecimal digits, else its hash.
-func Key(key []byte) uint64 {
+// ParseKey returns the number by which a key is placed: that of a key of 16 hexadecimal digits, else its hash.
+func ParseKey(key []byte) uint64 {
 	if len(key) == keyDigits {
 		if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
 			return n
@@ -162,20 +162,20 @@
 	return hash
 }
 
-// IsLarge reports whether a request carries a value over MostValue.
-func IsLarge(arguments [][]byte) bool {
-	return len(arguments) > argumentValue && len(arguments[argumentValue]) > MostValue
+// HasLargeValue reports whether a request carries a value over MaxValue.
+func HasLargeValue(arguments [][]byte) bool {
+	return len(arguments) > argumentValue && len(arguments[argumentValue]) > MaxValue
 }
 
-// AppendRetrieval writes a request as it was received, except that it states how long this attempt is waited for, in
-// nanoseconds. A value over MostValue and the line end behind it are not copied: they are to follow the message, and
+// AppendRequest writes a request as it was received, except that it states how long this attempt is waited for, in
+// nanoseconds. A value over MaxValue and the line end behind it are not copied: they are to follow the message, and
 // alias the command that the arguments were read from.
-func AppendRetrieval(out []byte, arguments [][]byte, timeoutNanos int64) (message, follows []byte) {
+func AppendRequest(out []byte, arguments [][]byte, timeoutNanos int64) (message, follows []byte) {
 	out = redcon.AppendArray(out, len(arguments))
 	for i, argument := range arguments {
 		switch {
-		case i == argumentValue && IsLarge(arguments):
-			return AppendBegun(out, len(argument)), argument[:len(argument)+len(lineEnd)]
+		case i == argumentValue && HasLargeValue(arguments):
+			return AppendLargeValueHeader(out, len(argument)), argument[:len(argument)+len(lineEnd)]
 		case i == argumentAttributes:
 			out = redcon.AppendBulk(out, withTimeout(argument, timeoutNanos))
 		default:
--- a/protocol/frame.go
+++ b/protocol/frame.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// MostValue is the longest value, in bytes, that is held as a matter of course.
-	MostValue = 64 << 10
-	// MostLarge is the longest value, in bytes, that there may be: over MostValue it is held out of a budget, or passed
+	// MaxValue is the longest value, in bytes, that is held as a matter of course.
+	MaxValue = 64 << 10
+	// MaxLargeValue is the longest value, in bytes, that there may be: over MaxValue it is held out of a budget, or passed
 	// on as it comes.
-	MostLarge = 4 << 20
+	MaxLargeValue = 4 << 20
 )
 
 const (
-	maxParts   = 16                               // of an array: no message here has as many
-	maxFraming = transport.MostBuffer - MostValue // bytes of a message beside its value
-	maxLine    = 1 << 10                          // bytes of a line: an error with its load report
+	maxParts   = 16                             // of an array: no message here has as many
+	maxFraming = transport.MaxBuffer - MaxValue // bytes of a message beside its value
+	maxLine    = 1 << 10                        // bytes of a line: an error with its load report
 )
 
 // Errors of a message. After one the connection can't be read any further, since nobody can tell where the next
@@ -77,7 +77,7 @@
 			}
 			end := at + n + len(lineEnd)
 			switch {
-			case n > maxBulk, n > MostValue && remaining > 1, end > max(n, MostValue)+maxFraming:
+			case n > maxBulk, n > MaxValue && remaining > 1, end > max(n, MaxValue)+maxFraming:
 				return 0, 0, ErrLength
 			case len(received) < end:
 				return 0, end, nil
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -19,8 +19,8 @@
 	for _, came := range []string{get, get + get, get[:30], "*1\r\n$4\r\nPING\r\n", "PING\r\n", "\r\n", "$3\r\nabc\r\n", "*0\r\n", "*-1\r\n", "*-3\r\n", "*+1\r\n$1\r\na\r\n",
 		"*1\n", "*1\r\n$-1\r\n", "*1\r\n$-7\r\nx\r\n", "*1\r\n$3\r\nabcde", "*1\r\n:5\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*17\r\n", "*1\r\n$65537\r\n", "*3\r\n$65537\r\n",
 		"*1\r\n$4194305\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n!1\r\n", strings.Repeat("*", 2000), "\x89?d\xfcD\r\n\xcb%mq"} {
-		words, length, err := Command([]byte(came))
-		fmt.Fprintf(&out, "command %.60q: %q %d needs %d, %v\n", came, words, length, Needs([]byte(came)), err)
+		words, length, err := ParseCommand([]byte(came))
+		fmt.Fprintf(&out, "command %.60q: %q %d needs %d, %v\n", came, words, length, MinCommandLength([]byte(came)), err)
 	}
 	for _, list := range []string{"c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9", "c=read,d=0", "", "c=read", "d=5", "c=read,d", "c=read,d=-1", "c=read,d=inf", "c=read,d=0x1p4",
 		"c=read,d=1e3", "c=read,d=.5", "c=read,d=3600000", "c=read,d=3600001", "c=read,d=5,h=x", "c=read,c=book,d=5,d=6", "c=,d=5"} {
@@ -41,27 +41,27 @@
 		}
 		fmt.Fprintf(&out, "retrieval %.40q: %t %t %q\n", words, is, write, wrong)
 		if is && wrong == "" {
-			message, follows := AppendRetrieval(nil, all, 100.2e6)
+			message, follows := AppendRequest(nil, all, 100.2e6)
 			fmt.Fprintf(&out, "  goes on as %q and %q\n", message, follows)
 		}
 	}
-	ends := map[transport.End]string{transport.Open: "open", transport.Settled: "a value", transport.Errored: "an error", transport.TurnedAway: "busy", transport.Garbled: "garbled"}
+	ends := map[transport.End]string{transport.Open: "open", transport.Succeeded: "a value", transport.Failed: "an error", transport.Rejected: "busy", transport.Malformed: "garbled"}
 	for _, came := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\na=1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nmiss\r\n$-1\r\n", "*3\r\n$0\r\n\r\n$7\r\npending\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nelse\r\n$-1\r\n",
 		"-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n", "-ERR failed a=1\r\n", "-ERR failedX\r\n", "-ERR\r\n", "+OK\r\n", ":5\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\nv\r\n",
 		"*3\r\n$1\r\nv", "$1\r\nv\r\n"} {
 		r := ParseResponse([]byte(came))
-		size, from := Large([]byte(came))
+		size, from := ParseLargeValueHeader([]byte(came))
 		fmt.Fprintf(&out, "answer %q: %s %q %q %d %d, large %d %d\n", came, ends[r.End], r.Value, r.Report, r.CacheResult, r.Length, size, from)
 	}
-	size, from := Large([]byte("*3\r\n$65537\r\nvv"))
+	size, from := ParseLargeValueHeader([]byte("*3\r\n$65537\r\nvv"))
 	rest := ParseResponseTail([]byte("$3\r\nhit\r\n$3\r\na=1\r\n"))
 	fmt.Fprintf(&out, "large %d %d, its rest %s %q %d %d\n", size, from, ends[rest.End], rest.Report, rest.CacheResult, rest.Length)
 	for _, word := range []string{"00000000000000ff", "ff", "", "7f3a9c21e0b4d65g"} {
-		fmt.Fprintf(&out, "key %q: %d\n", word, Key([]byte(word)))
+		fmt.Fprintf(&out, "key %q: %d\n", word, ParseKey([]byte(word)))
 	}
-	fmt.Fprintf(&out, "%q %q %q %q %q %q %q %q\n", AppendSettled(nil, []byte("v")), AppendSettled(nil, nil), AppendDismissed(nil, 0), AppendDismissed(nil, 1), AppendDismissed(nil, 1500e6),
-		AppendGivenUp(nil), AppendPong(nil), AppendWrong(nil, "why"))
-	fmt.Fprintf(&out, "%q\n", AppendBegun(nil, 70000))
+	fmt.Fprintf(&out, "%q %q %q %q %q %q %q %q\n", AppendValue(nil, []byte("v")), AppendValue(nil, nil), AppendRejected(nil, 0), AppendRejected(nil, 1), AppendRejected(nil, 1500e6),
+		AppendFailed(nil), AppendPong(nil), AppendError(nil, "why"))
+	fmt.Fprintf(&out, "%q\n", AppendLargeValueHeader(nil, 70000))
 	for _, line := range []string{list(`"Ready"`, 0), list(`"Gone"`, 1.5e12), list(`"Up"`, 0), list(`3`, -1), list(`"Ready"`, -1), "", "{}", "[]", `{"index":1,"snapshot":true,"endpoints":[3]}`,
 		`{"index":1,"snapshot":true,"endpoints":[{"name":"a","status":"Ready"}]}`, strings.Replace(list(`"Ready"`, 5), "1.0", "-1", 1)} {
 		parsed, err := ParseEndpointList([]byte(line))
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -20,7 +20,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, came []byte) {
-		words, length, err := Command(came)
+		words, length, err := ParseCommand(came)
 		if err != nil || length == 0 {
 			if words != nil || length != 0 {
 				t.Fatalf("%q: %d words and length %d beside %v", came, len(words), length, err)
@@ -31,7 +31,7 @@
 			t.Fatalf("%q: length %d, %d words", came, length, len(words))
 		}
 		for n := range length { // A part is never taken for a whole, nor for malformed.
-			if _, part, err := Command(came[:n]); part != 0 || err != nil {
+			if _, part, err := ParseCommand(came[:n]); part != 0 || err != nil {
 				t.Fatalf("%q: the first %d bytes give %d, %v", came, n, part, err)
 			}
 		}
@@ -40,8 +40,8 @@
 				if a.TimeoutNanos < 0 || a.PredictedNanos < 0 {
 					t.Fatalf("%q: times under 0", words[3])
 				}
-				message, follows := AppendRetrieval(nil, words, a.TimeoutNanos)
-				again, n, err := Command(append(message, follows...))
+				message, follows := AppendRequest(nil, words, a.TimeoutNanos)
+				again, n, err := ParseCommand(append(message, follows...))
 				if err != nil && len(words[3]) < maxArgument-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
 					t.Fatalf("%q does not go on: %v", words, err)
 				}
@@ -50,7 +50,7 @@
 	})
 }
 
-// Servers send anything: what is read is within what was received, and a value comes only with Settled.
+// Servers send anything: what is read is within what was received, and a value comes only with Succeeded.
 func FuzzAnswer(f *testing.F) {
 	for _, seed := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", "-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n",
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n:1\r\n:2\r\n:3\r\n", "*2\r\n$1\r\nv\r\n", "+OK\r\n", "$1\r\nv\r\n", "*-1\r\n", ":\r\n",
@@ -58,15 +58,15 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, came []byte) {
-		if size, from := Large(came); size != 0 && (size <= MostValue || size > MostLarge || from > len(came)) {
+		if size, from := ParseLargeValueHeader(came); size != 0 && (size <= MaxValue || size > MaxLargeValue || from > len(came)) {
 			t.Fatalf("%q: large: %d from %d", came, size, from)
 		}
-		if rest := ParseResponseTail(came); rest.Length > len(came) || rest.End == transport.Settled && rest.Length == 0 {
+		if rest := ParseResponseTail(came); rest.Length > len(came) || rest.End == transport.Succeeded && rest.Length == 0 {
 			t.Fatalf("%q: the rest: %+v", came, rest)
 		}
 		r := ParseResponse(came)
-		if r.Length > len(came) || (r.End == transport.Settled) != (r.Value != nil) || r.CacheResult < 0 || r.CacheResult > 3 ||
-			(r.End == transport.Open || r.End == transport.Garbled) != (r.Length == 0) {
+		if r.Length > len(came) || (r.End == transport.Succeeded) != (r.Value != nil) || r.CacheResult < 0 || r.CacheResult > 3 ||
+			(r.End == transport.Open || r.End == transport.Malformed) != (r.Length == 0) {
 			t.Fatalf("%q: %+v", came, r)
 		}
 	})
@@ -99,16 +99,16 @@
 // A server sends something else than the protocol has words for, whole or in pieces. It ends the attempt as malformed and
 // counts for nothing else; a report that can't be read spoils no response.
 func TestMalformedResponsesTellNothingOfTheAttempt(t *testing.T) {
-	for spoilt, want := range map[string]transport.End{"-ERR failed\r\n": transport.Errored,
-		"-ERR failed inflight=7,queue=\x00?\r\n": transport.Errored, "-BUSY util=\xff\r\n": transport.TurnedAway,
-		"-ERR failedX\r\n": transport.Garbled, "-ERR\r\n": transport.Garbled, "-BUSYX\r\n": transport.Garbled, "-\xf8\x15\"\r\n": transport.Garbled,
-		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff\r\n?\r\n": transport.Settled, // An unreadable report spoils nothing.
-		"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n":            transport.Garbled, "*3\r\n$-7\r\n$-1\r\n$-1\r\n": transport.Garbled,
-		"*3\r\n$3000000000\r\nab": transport.Garbled, "*1000000000\r\n": transport.Garbled, "*3\r\n*3\r\n*3\r\n": transport.Garbled,
-		":5\r\n": transport.Garbled, "\xd8@~\xec\r\n\r\n": transport.Garbled, "+PONG\r\n": transport.Garbled,
-		"*3\r\n$" + strings.Repeat("9", 2000): transport.Garbled, strings.Repeat("x", 5): transport.Garbled} {
+	for spoilt, want := range map[string]transport.End{"-ERR failed\r\n": transport.Failed,
+		"-ERR failed inflight=7,queue=\x00?\r\n": transport.Failed, "-BUSY util=\xff\r\n": transport.Rejected,
+		"-ERR failedX\r\n": transport.Malformed, "-ERR\r\n": transport.Malformed, "-BUSYX\r\n": transport.Malformed, "-\xf8\x15\"\r\n": transport.Malformed,
+		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff\r\n?\r\n": transport.Succeeded, // An unreadable report spoils nothing.
+		"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n":            transport.Malformed, "*3\r\n$-7\r\n$-1\r\n$-1\r\n": transport.Malformed,
+		"*3\r\n$3000000000\r\nab": transport.Malformed, "*1000000000\r\n": transport.Malformed, "*3\r\n*3\r\n*3\r\n": transport.Malformed,
+		":5\r\n": transport.Malformed, "\xd8@~\xec\r\n\r\n": transport.Malformed, "+PONG\r\n": transport.Malformed,
+		"*3\r\n$" + strings.Repeat("9", 2000): transport.Malformed, strings.Repeat("x", 5): transport.Malformed} {
 		for n := range len(spoilt) { // In any split of bytes it never settles, and what is good never counts as spoilt.
-			if end := ParseResponse([]byte(spoilt[:n])).End; end != transport.Open && end != transport.Garbled || end != transport.Open && want != transport.Garbled {
+			if end := ParseResponse([]byte(spoilt[:n])).End; end != transport.Open && end != transport.Malformed || end != transport.Open && want != transport.Malformed {
 				t.Fatalf("%.40q: the first %d bytes are %v", spoilt, n, end)
 			}
 		}
@@ -136,7 +136,7 @@
 
 // A key of 16 hexadecimal digits is placed by its number, any other by a hash that spreads keys that differ little.
 func TestKeyIsItsNumberOrItsHash(t *testing.T) {
-	if Key([]byte("00000000000000ff")) != 255 || Key([]byte("ff")) == 255 || Key([]byte("ff")) == Key([]byte("fe")) {
+	if ParseKey([]byte("00000000000000ff")) != 255 || ParseKey([]byte("ff")) == 255 || ParseKey([]byte("ff")) == ParseKey([]byte("fe")) {
 		t.Fatal("16 hex digits are a number, all else is hashed")
 	}
 }
@@ -145,14 +145,14 @@
 func TestRequestIsForwardedAsReceivedButForItsTimeout(t *testing.T) {
 	words := [][]byte{[]byte("C.SET"), []byte("key"), []byte("id"), []byte("c=put,d=480,k=5c,x=9"), []byte("v\r\n")}
 	want := "*5\r\n$5\r\nC.SET\r\n$3\r\nkey\r\n$2\r\nid\r\n$20\r\nc=put,d=101,k=5c,x=9\r\n$3\r\nv\r\n\r\n"
-	if out, _ := AppendRetrieval(nil, words, 100.2e6); string(out) != want {
+	if out, _ := AppendRequest(nil, words, 100.2e6); string(out) != want {
 		t.Fatalf("%q, want %q", out, want)
 	}
 }
 
 // A client waits as long as a rejection says. Less than a millisecond is rounded up, so that nobody comes back early.
 func TestRejectionStatesWholeMilliseconds(t *testing.T) {
-	if a, b := string(AppendDismissed(nil, 0)), string(AppendDismissed(nil, 1.2e6)); a != "-BUSY\r\n" || b != "-BUSY 2\r\n" {
+	if a, b := string(AppendRejected(nil, 0)), string(AppendRejected(nil, 1.2e6)); a != "-BUSY\r\n" || b != "-BUSY 2\r\n" {
 		t.Fatalf("%q %q", a, b)
 	}
 }
--- a/protocol/reply.go
+++ b/protocol/reply.go
@@ -6,17 +6,17 @@
 	"github.com/tidwall/redcon"
 )
 
-// AppendBegun writes what stands before a large value of so many bytes; the value and a line end follow it.
-func AppendBegun(out []byte, size int) []byte {
+// AppendLargeValueHeader writes what stands before a large value of so many bytes; the value and a line end follow it.
+func AppendLargeValueHeader(out []byte, size int) []byte {
 	return append(strconv.AppendInt(append(out, '$'), int64(size), 10), lineEnd...)
 }
 
-// AppendSettled writes the reply to a request that succeeded: its value.
-func AppendSettled(out, value []byte) []byte { return redcon.AppendBulk(out, value) }
+// AppendValue writes the reply to a request that succeeded: its value.
+func AppendValue(out, value []byte) []byte { return redcon.AppendBulk(out, value) }
 
-// AppendDismissed writes the reply to a request that is not served: when to try again, in whole milliseconds, where
+// AppendRejected writes the reply to a request that is not served: when to try again, in whole milliseconds, where
 // that is known (over 0).
-func AppendDismissed(out []byte, retryAfterNanos int64) []byte {
+func AppendRejected(out []byte, retryAfterNanos int64) []byte {
 	if retryAfterNanos <= 0 {
 		return redcon.AppendError(out, wordBusy)
 	}
@@ -24,11 +24,11 @@
 	return append(strconv.AppendInt(out, roundUpMillis(retryAfterNanos), 10), lineEnd...)
 }
 
-// AppendGivenUp writes the reply to a request without a result. It promises nothing: an attempt may have run.
-func AppendGivenUp(out []byte) []byte { return redcon.AppendError(out, wordGivenUp) }
+// AppendFailed writes the reply to a request without a result. It promises nothing: an attempt may have run.
+func AppendFailed(out []byte) []byte { return redcon.AppendError(out, wordGivenUp) }
 
 // AppendPong writes the reply to a PING.
 func AppendPong(out []byte) []byte { return redcon.AppendString(out, wordPong) }
 
-// AppendWrong writes the reply to a command that is malformed or unknown.
-func AppendWrong(out []byte, reason string) []byte { return redcon.AppendError(out, wordError+reason) }
+// AppendError writes the reply to a command that is malformed or unknown.
+func AppendError(out []byte, reason string) []byte { return redcon.AppendError(out, wordError+reason) }
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -28,7 +28,7 @@
 func (x *exchange) admit() bool {
 	attributes, err := protocol.ParseAttributes(x.arguments[3])
 	if err != nil {
-		x.reply.reply <- reply{bytes: protocol.AppendWrong(nil, err.Error())}
+		x.reply.reply <- reply{bytes: protocol.AppendError(nil, err.Error())}
 		return false
 	}
 	for _, argument := range x.arguments {
@@ -51,7 +51,7 @@
 		Remaining:     a.remaining,
 		Class:         a.workload,
 		Tenant:        b.catalog.tenant(string(attributes.Tenant)),
-		Key:           protocol.Key(x.arguments[1]),
+		Key:           protocol.ParseKey(x.arguments[1]),
 		HasKey:        true,
 		IsWrite:       x.isWrite,
 		PredictedWork: attributes.PredictedNanos,
@@ -81,10 +81,10 @@
 	switch {
 	case !a.isKnownWorkload:
 		b.counters.increment(counterMalformed)
-		return protocol.AppendWrong(nil, "unknown workload")
+		return protocol.AppendError(nil, "unknown workload")
 	case a.isDuplicate: // Guards the first request: a server takes the second for the same and could answer either.
 		b.counters.incrementFor(counterMalformed, a.workload)
-		return protocol.AppendWrong(nil, "a retrieval of this id is open")
+		return protocol.AppendError(nil, "a retrieval of this id is open")
 	case a.isFull: // Guards memory; the request has not begun.
 		b.counters.increment(counterRejectedMemory)
 	case a.isTooLate:
@@ -93,7 +93,7 @@
 		return nil
 	}
 	b.counters.incrementFor(counterNotAdmitted, a.workload)
-	return protocol.AppendDismissed(nil, 0)
+	return protocol.AppendRejected(nil, 0)
 }
 
 // open enters an admitted request into the table and has the policy decide on it; under the lock.
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -25,7 +25,7 @@
 
 // runAttempt sends a request to an endpoint once, and sends the exchange how that ends. It is careful to send as
 // little as possible of which nobody can tell whether it ran.
-func (x *exchange) runAttempt(line *transport.Line, a attempt) {
+func (x *exchange) runAttempt(line *transport.PooledConn, a attempt) {
 	result := attemptResult{attempt: a}
 	deadline := x.balancer.timeAt(a.deadline)
 	end, isUnused := x.connectAndSend(line, a, deadline)
@@ -33,14 +33,14 @@
 	if end == transport.Open {
 		end, isReusable = x.readAnswer(line, deadline, &result)
 	}
-	line.Done(isUnused || isReusable && end <= transport.TurnedAway)
+	line.Release(isUnused || isReusable && end <= transport.Rejected)
 	result.end = end
 	x.events <- attemptEnded{result}
 }
 
 // connectAndSend is Open once the request's last byte was sent. isUnused: it was not sent, and nothing was written to
 // the connection.
-func (x *exchange) connectAndSend(line *transport.Line, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
+func (x *exchange) connectAndSend(line *transport.PooledConn, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
 	if end := x.checkClient(); end != transport.Open {
 		return end, false
 	}
@@ -48,7 +48,7 @@
 		return end, false
 	}
 	if x.balancer.isDraining(a.endpoint) {
-		return transport.Withdrawn, false // The list said so while the connection came up.
+		return transport.CancelledBeforeSent, false // The list said so while the connection came up.
 	}
 	if end := x.checkClient(); end != transport.Open {
 		return end, true
@@ -66,31 +66,31 @@
 	b.counters.increment(counterWithheld)
 	b.mu.Unlock()
 	x.events <- clientGone{}
-	return transport.Withdrawn
+	return transport.CancelledBeforeSent
 }
 
 // writeRequest writes the request to a server's connection: Open once its last byte was sent.
-func (x *exchange) writeRequest(line *transport.Line, deadline time.Time) transport.End {
+func (x *exchange) writeRequest(line *transport.PooledConn, deadline time.Time) transport.End {
 	b := x.balancer
 	startedAt := b.now()
 	left := time.Until(deadline)
 	statedTimeout, sendDeadline := left, earlier(deadline, time.Now().Add(maxSendTime))
-	if protocol.IsLarge(x.arguments) {
+	if protocol.HasLargeValue(x.arguments) {
 		statedTimeout = left / 2
 		sendDeadline = deadline.Add(-statedTimeout)
 	}
-	message, rest := protocol.AppendRetrieval(nil, x.arguments, int64(statedTimeout))
+	message, rest := protocol.AppendRequest(nil, x.arguments, int64(statedTimeout))
 	if rest != nil {
-		if end := line.Begin(message, sendDeadline); end != transport.Open {
+		if end := line.SendPart(message, sendDeadline); end != transport.Open {
 			return end
 		}
 		message = rest
 	}
 	var end transport.End
 	if b.catalog.isSingleShot[x.workload] {
-		end = line.HandCarefully(message, sendDeadline, x.client.isGone)
+		end = line.SendHoldingLastByte(message, sendDeadline, x.client.isGone)
 	} else {
-		end = line.Hand(message, sendDeadline)
+		end = line.Send(message, sendDeadline)
 	}
 	if end == transport.Open {
 		x.countSent(startedAt)
@@ -117,9 +117,9 @@
 }
 
 // readAnswer reads the server's answer into the result. isReusable: nothing but whole answers came on the connection.
-func (x *exchange) readAnswer(line *transport.Line, deadline time.Time, result *attemptResult) (end transport.End, isReusable bool) {
+func (x *exchange) readAnswer(line *transport.PooledConn, deadline time.Time, result *attemptResult) (end transport.End, isReusable bool) {
 	for {
-		if size, start := protocol.Large(line.Unread()); size > 0 {
+		if size, start := protocol.ParseLargeValueHeader(line.Unread()); size > 0 {
 			result.latency = x.balancer.now() - result.startedAt
 			line.Skip(start)
 			return x.streamValue(line, size, result)
@@ -132,8 +132,8 @@
 			}
 			continue
 		}
-		if response.End == transport.Settled {
-			result.answer = protocol.AppendSettled(nil, response.Value)
+		if response.End == transport.Succeeded {
+			result.answer = protocol.AppendValue(nil, response.Value)
 		}
 		result.load = x.balancer.parseReport(response.Report)
 		line.Skip(response.Length)
@@ -142,14 +142,14 @@
 }
 
 // readMore reads the next piece of an answer. Guards against an answer that begins and does not end.
-func readMore(line *transport.Line, deadline time.Time) transport.End {
+func readMore(line *transport.PooledConn, deadline time.Time) transport.End {
 	hasBegun := len(line.Unread()) > 0
 	if hasBegun && time.Until(deadline) > nextPieceTimeout {
 		deadline = time.Now().Add(nextPieceTimeout)
 	}
 	end := line.Fill(deadline)
-	if end == transport.Silent && hasBegun {
-		return transport.Garbled
+	if end == transport.ResponseTimedOut && hasBegun {
+		return transport.Malformed
 	}
 	return end
 }
--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -209,7 +209,7 @@
 		c.Close()
 	}
 	until(t, "the end of all", func() bool { return b.requestsHeld() == 0 })
-	b.pool.Drop(transport.Peer{Server: 0, Address: h.Address})
+	b.pool.DropPeer(transport.Peer{Server: 0, Address: h.Address})
 	if n := b.pool.Count(); n != 0 {
 		t.Errorf("%d connections count as open", n)
 	}
--- a/routing/clientconn.go
+++ b/routing/clientconn.go
@@ -33,9 +33,9 @@
 	end := reader.run()
 	// After a part of a command that breaks the protocol or is too slow: the commands before it get their answers, as
 	// long as the client stays.
-	isUnreadable := end == transport.Garbled || end == transport.Stuck
-	staysConnected := isUnreadable && c.Await(1, true) == transport.Open
-	if !staysConnected && end != transport.Spared {
+	isUnreadable := end == transport.Malformed || end == transport.TimedOutBeforeSent
+	staysConnected := isUnreadable && c.AwaitReplies(1, true) == transport.Open
+	if !staysConnected && end != transport.ClosedIdle {
 		close(disconnected)
 	}
 	close(replies)
@@ -62,12 +62,12 @@
 		if end := r.overflow.awaitCapacity(r.balancer); end != transport.Open {
 			return end
 		}
-		arguments, length, err := protocol.Command(r.client.Unread())
+		arguments, length, err := protocol.ParseCommand(r.client.Unread())
 		switch {
 		case err != nil:
-			r.client.Begin()
-			r.answer(protocol.AppendWrong(nil, "protocol: "+err.Error()))
-			return transport.Garbled
+			r.client.BeginReply()
+			r.answer(protocol.AppendError(nil, "protocol: "+err.Error()))
+			return transport.Malformed
 		case length == 0:
 			if end := r.readMore(); end != transport.Open {
 				return end
@@ -89,10 +89,10 @@
 	} else if r.partSince.IsZero() {
 		r.partSince = time.Now()
 	}
-	if c.Grow(protocol.Needs(c.Unread())) == transport.NoRoom {
-		c.Begin()
-		r.answer(protocol.AppendDismissed(nil, 0)) // It was never begun, and cannot be read any further.
-		return transport.Garbled
+	if c.Grow(protocol.MinCommandLength(c.Unread())) == transport.LocalShortage {
+		c.BeginReply()
+		r.answer(protocol.AppendRejected(nil, 0)) // It was never begun, and cannot be read any further.
+		return transport.Malformed
 	}
 	return c.Fill(r.partSince)
 }
@@ -102,12 +102,12 @@
 func (r *commandReader) handle(arguments [][]byte, length int) transport.End {
 	verb, err := protocol.ParseRequest(arguments)
 	if verb.IsRequest() && r.client.HasEnded() {
-		return transport.Left
+		return transport.ClientDisconnected
 	}
-	r.client.Begin()
+	r.client.BeginReply()
 	switch {
 	case err != nil:
-		r.answer(protocol.AppendWrong(nil, err.Error()))
+		r.answer(protocol.AppendError(nil, err.Error()))
 	case verb.IsRequest():
 		r.startRequest(length, verb == protocol.VerbSet)
 		return transport.Open
@@ -123,13 +123,13 @@
 	c := r.client
 	receivedAt := c.ArrivedAt(length)
 	command, done := c.Take(length)
-	arguments, _, _ := protocol.Command(command) // It has been read before, in the connection's buffer.
+	arguments, _, _ := protocol.ParseCommand(command) // It has been read before, in the connection's buffer.
 	reply := newPendingReply()
 	r.replies <- reply
 	go func() {
 		defer done()
 		r.balancer.handleRequest(arguments, isWrite, reply,
-			client{receivedAt: receivedAt, onAdmitted: c.Good, disconnected: r.disconnected, hasEnded: c.HasEnded})
+			client{receivedAt: receivedAt, onAdmitted: c.CountValidCommand, disconnected: r.disconnected, hasEnded: c.HasEnded})
 	}()
 }
 
@@ -138,12 +138,12 @@
 	switch {
 	case verb != protocol.VerbPing:
 		name = name[:min(len(name), maxQuotedCommand)]
-		r.answer(protocol.AppendWrong(nil, "unknown command "+strconv.Quote(string(name))))
+		r.answer(protocol.AppendError(nil, "unknown command "+strconv.Quote(string(name))))
 	case r.balancer.hasListedEndpoints():
-		r.client.Good()
+		r.client.CountValidCommand()
 		r.answer(protocol.AppendPong(nil))
 	default:
-		r.answer(protocol.AppendWrong(nil, "no server is known yet"))
+		r.answer(protocol.AppendError(nil, "no server is known yet"))
 	}
 }
 
@@ -163,6 +163,6 @@
 			c.Conn.Close() // Its reader sees that and ends all that is in flight for the client.
 		}
 		pending.delivery <- result
-		c.End()
+		c.EndReply()
 	}
 }
--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -182,7 +182,7 @@
 	const many = 50
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
-	at := serveClients(t, b, func(l *transport.Listener) { l.Allow(1) })
+	at := serveClients(t, b, func(l *transport.Listener) { l.SetLimit(1) })
 	first := dial(t, at)
 	io.WriteString(first, getCommand("first", "c=read,t=acme,d=20000"))
 	out := receive(t, h.Came, "the first request") // It takes the only place.
--- a/routing/disconnect_test.go
+++ b/routing/disconnect_test.go
@@ -27,9 +27,9 @@
 	{"after noise", func(c *net.TCPConn) { io.WriteString(c, "noise\r\n"); c.Close() }},
 	{"after noise, with a reset", func(c *net.TCPConn) { io.WriteString(c, "noise\r\n"); c.SetLinger(0); c.Close() }},
 	{"after a burst", func(c *net.TCPConn) { writeBurst(c, 0); c.Close() }},
-	{"after a burst beyond the buffer", func(c *net.TCPConn) { writeBurst(c, transport.MostBuffer+16<<10); c.Close() }},
+	{"after a burst beyond the buffer", func(c *net.TCPConn) { writeBurst(c, transport.MaxBuffer+16<<10); c.Close() }},
 	{"after a burst beyond the buffer, with a reset", func(c *net.TCPConn) {
-		writeBurst(c, 4*transport.MostBuffer)
+		writeBurst(c, 4*transport.MaxBuffer)
 		c.SetLinger(0)
 		c.Close()
 	}},
@@ -159,7 +159,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := scriptedServer(t)
 			b := newBalancerBefore(t, h.Address, nil)
-			client := dial(t, serveClients(t, b, func(l *transport.Listener) { l.HalfFirst, l.HalfUsual = c.first, c.usual }))
+			client := dial(t, serveClients(t, b, func(l *transport.Listener) { l.FirstCommandTimeout, l.CommandTimeout = c.first, c.usual }))
 			if c.slow {
 				b.mu.Lock()
 			}
@@ -193,7 +193,7 @@
 func TestPartialCommandGetsUsualTimeoutAfterGoodCommand(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
-	client := dial(t, serveClients(t, b, func(l *transport.Listener) { l.HalfFirst, l.HalfUsual = 100*time.Millisecond, time.Hour }))
+	client := dial(t, serveClients(t, b, func(l *transport.Listener) { l.FirstCommandTimeout, l.CommandTimeout = 100*time.Millisecond, time.Hour }))
 	second := getCommand("2", "c=read,t=acme,d=20000")
 	b.mu.Lock() // Good is told under it: the second one is measured before.
 	io.WriteString(client, getCommand("1", "c=read,t=acme,d=20000")+second[:30])
--- a/routing/ejections.go
+++ b/routing/ejections.go
@@ -120,7 +120,7 @@
 	defer b.mu.Unlock()
 	for name := range b.ejections.all {
 		if i, isListed := b.endpoints.byName[name]; isListed {
-			b.pool.Drop(transport.Peer{Server: i, Address: b.endpoints.all[i].address})
+			b.pool.DropPeer(transport.Peer{Server: i, Address: b.endpoints.all[i].address})
 		}
 	}
 }
--- a/routing/endpointlist.go
+++ b/routing/endpointlist.go
@@ -105,7 +105,7 @@
 	if isKnown {
 		previousStatus = statusByHealth[b.endpoints.all[i].health]
 		if address := b.endpoints.all[i].address; address != entry.Address {
-			b.pool.Drop(transport.Peer{Server: i, Address: address})
+			b.pool.DropPeer(transport.Peer{Server: i, Address: address})
 		}
 	} else {
 		i = b.endpoints.allocate()
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -154,7 +154,7 @@
 	if e.name == "" || e.health != policy.Removed || e.attempts > 0 {
 		return
 	}
-	b.pool.Drop(transport.Peer{Server: i, Address: e.address})
+	b.pool.DropPeer(transport.Peer{Server: i, Address: e.address})
 	delete(b.endpoints.byName, e.name)
 	*e = endpoint{health: policy.Removed}
 	b.policy.RemoveEndpoint(i)
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -11,19 +11,19 @@
 // outcomeByEnd is what an attempt's end is to the policy. TurnedAway up to Withdrawn prove that it never ran: its
 // last byte was not sent.
 var outcomeByEnd = map[transport.End]policy.Outcome{
-	transport.Settled:    policy.OK,
-	transport.Errored:    policy.Errored,
-	transport.TurnedAway: policy.Rejected,
-	transport.Refused:    policy.ConnectFailed,
-	transport.NeverUp:    policy.ConnectFailed,
-	transport.NoRoom:     policy.NotSent,
-	transport.CutShort:   policy.ConnectFailed,
-	transport.Stuck:      policy.ConnectFailed,
-	transport.Withdrawn:  policy.NotSent,
-	transport.Broken:     policy.Reset,
-	transport.Silent:     policy.TimedOut,
-	transport.CalledOff:  policy.Cancelled,
-	transport.Garbled:    policy.Reset,
+	transport.Succeeded:           policy.OK,
+	transport.Failed:              policy.Errored,
+	transport.Rejected:            policy.Rejected,
+	transport.ConnectRefused:      policy.ConnectFailed,
+	transport.ConnectTimedOut:     policy.ConnectFailed,
+	transport.LocalShortage:       policy.NotSent,
+	transport.BrokenBeforeSent:    policy.ConnectFailed,
+	transport.TimedOutBeforeSent:  policy.ConnectFailed,
+	transport.CancelledBeforeSent: policy.NotSent,
+	transport.BrokenAfterSent:     policy.Reset,
+	transport.ResponseTimedOut:    policy.TimedOut,
+	transport.CancelledAfterSent:  policy.Cancelled,
+	transport.Malformed:           policy.Reset,
 }
 
 // client is the client of a request, as far as the request depends on it.
@@ -53,8 +53,8 @@
 	workload      int
 	slot          int // in the request table
 	events        chan event
-	bytes         int64             // of memory that the request takes
-	lines         []*transport.Line // the connection of each attempt
+	bytes         int64                   // of memory that the request takes
+	lines         []*transport.PooledConn // the connection of each attempt
 	attemptsEnded int
 	isAnswered    bool // it has its final answer, or its client has gone and needs none
 	isClientGone  bool
@@ -137,27 +137,27 @@
 // withdrawUnsent ends the attempts whose last byte has not been sent.
 func (x *exchange) withdrawUnsent() {
 	for _, line := range x.lines {
-		line.Withdraw()
+		line.CancelUnsent()
 	}
 }
 
 func (e attemptStarted) handle(x *exchange) {
-	line := x.balancer.pool.Line()
+	line := x.balancer.pool.NewConn()
 	x.lines = append(x.lines, line)
 	x.record.attempts = append(x.record.attempts, attemptRecord{server: e.name, sent: time.Since(x.client.receivedAt)})
 	if x.isAnswered {
-		line.Cut() // The client disconnected between the decision and this.
+		line.Cancel() // The client disconnected between the decision and this.
 	}
 	go x.runAttempt(line, e.attempt)
 }
 
-func (e attemptCancelled) handle(x *exchange) { x.lines[e.number].Cut() }
+func (e attemptCancelled) handle(x *exchange) { x.lines[e.number].Cancel() }
 
 func (e requestRejected) handle(x *exchange) {
-	x.finish(protocol.AppendDismissed(nil, e.retryAfter), outcomeRejected)
+	x.finish(protocol.AppendRejected(nil, e.retryAfter), outcomeRejected)
 }
 
-func (requestFailed) handle(x *exchange) { x.finish(protocol.AppendGivenUp(nil), outcomeFailed) }
+func (requestFailed) handle(x *exchange) { x.finish(protocol.AppendFailed(nil), outcomeFailed) }
 
 func (clientGone) handle(x *exchange) { x.disconnect() }
 
@@ -187,10 +187,10 @@
 	x.large, x.isAnswered, x.record.outcome = e.value, true, outcomeAnswered
 	for number, line := range x.lines {
 		if number != e.number {
-			line.Cut()
+			line.Cancel()
 		}
 	}
-	x.reply.reply <- reply{bytes: protocol.AppendBegun(nil, x.large.size), value: x.large.body}
+	x.reply.reply <- reply{bytes: protocol.AppendLargeValueHeader(nil, x.large.size), value: x.large.body}
 }
 
 // acceptLargeValue makes an attempt's large value the final answer, unless there is one.
--- a/routing/exchange_test.go
+++ b/routing/exchange_test.go
@@ -36,8 +36,8 @@
 // does harm; one that does not say so fails requests for nothing.
 func TestOutcomeTellsWhetherAttemptMayHaveRun(t *testing.T) {
 	never := map[policy.Outcome]bool{policy.Rejected: true, policy.ConnectFailed: true, policy.NotSent: true, policy.CacheMiss: true}
-	for end := transport.Settled; end <= transport.Garbled; end++ {
-		unrun := end >= transport.TurnedAway && end <= transport.Withdrawn
+	for end := transport.Succeeded; end <= transport.Malformed; end++ {
+		unrun := end >= transport.Rejected && end <= transport.CancelledBeforeSent
 		if how, known := outcomeByEnd[end]; !known || never[how] != unrun {
 			t.Errorf("%v is outcome %d, %t", end, how, known)
 		}
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -117,7 +117,7 @@
 		}
 	}
 	b.mu.Unlock()
-	b.pool.Briefly(others)
+	b.pool.SetBriefServers(others)
 }
 
 // The limits of the fleet's configuration.
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -86,7 +86,7 @@
 		change(l)
 	}
 	go l.Serve(b.Serve)
-	t.Cleanup(func() { l.Close(time.Now()); l.Cut(time.Second) })
+	t.Cleanup(func() { l.Close(time.Now()); l.ResetAll(time.Second) })
 	return l.Address()
 }
 
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { pool.Allow(0) }) // Idle ones are closed.
+	t.Cleanup(func() { pool.SetLimit(0) }) // Idle ones are closed.
 	return b
 }
 
--- a/routing/largevalue.go
+++ b/routing/largevalue.go
@@ -31,12 +31,12 @@
 
 // streamValue passes a large value on as it comes, so that little of it is ever here, and reads the rest of the
 // answer. It returns how that ended, and whether the connection may be used again.
-func (x *exchange) streamValue(line *transport.Line, size int, result *attemptResult) (end transport.End, isReusable bool) {
+func (x *exchange) streamValue(line *transport.PooledConn, size int, result *attemptResult) (end transport.End, isReusable bool) {
 	body, writer := io.Pipe()
 	result.value = &largeValue{size: size, body: body, isAccepted: make(chan bool, 1)}
 	x.events <- responseStarted{result.number, result.value}
 	if !<-result.value.isAccepted {
-		return transport.CalledOff, false
+		return transport.CancelledAfterSent, false
 	}
 	defer writer.CloseWithError(errTruncated) // Has no effect once the value is complete and the pipe closed.
 	if end := copyBody(line, writer, size); end != transport.Open {
@@ -51,7 +51,7 @@
 }
 
 // copyBody passes on so many bytes: Open once all are.
-func copyBody(line *transport.Line, writer *io.PipeWriter, size int) transport.End {
+func copyBody(line *transport.PooledConn, writer *io.PipeWriter, size int) transport.End {
 	for size > 0 {
 		if end := fillLarge(line); end != transport.Open {
 			return end
@@ -59,8 +59,8 @@
 		piece := line.Unread()
 		piece = piece[:min(size, len(piece))]
 		if _, err := writer.Write(piece); err != nil {
-			line.Cut() // Nobody reads it any more.
-			return transport.CalledOff
+			line.Cancel() // Nobody reads it any more.
+			return transport.CancelledAfterSent
 		}
 		size -= len(piece)
 		line.Skip(len(piece))
@@ -70,13 +70,13 @@
 
 // readTerminator reads the terminator of a value. Guards the client against a value that is not as long as was
 // stated: it must be able to tell.
-func readTerminator(line *transport.Line) transport.End {
+func readTerminator(line *transport.PooledConn) transport.End {
 	for i := range len(valueTerminator) {
 		if end := fillLarge(line); end != transport.Open {
 			return end
 		}
 		if line.Unread()[0] != valueTerminator[i] {
-			return transport.Garbled
+			return transport.Malformed
 		}
 		line.Skip(1)
 	}
@@ -84,25 +84,25 @@
 }
 
 // fillLarge reads the next piece of a large value, unless something is unread.
-func fillLarge(line *transport.Line) transport.End {
-	if line.Widen(); len(line.Unread()) > 0 {
+func fillLarge(line *transport.PooledConn) transport.End {
+	if line.EnlargeEmptyBuffer(); len(line.Unread()) > 0 {
 		return transport.Open
 	}
 	return line.Fill(time.Now().Add(nextLargePieceTimeout))
 }
 
 // readValueTrailer reads what stands behind a large value: the value was complete, whatever comes of it.
-func (b *Balancer) readValueTrailer(line *transport.Line, result *attemptResult) (end transport.End, isReusable bool) {
+func (b *Balancer) readValueTrailer(line *transport.PooledConn, result *attemptResult) (end transport.End, isReusable bool) {
 	deadline := time.Now().Add(nextPieceTimeout) // In all: a trailer that trickles in must not keep the request's slot.
 	for {
 		trailer := protocol.ParseResponseTail(line.Unread())
-		if trailer.End == transport.Settled {
+		if trailer.End == transport.Succeeded {
 			result.cacheResult, result.load = int(trailer.CacheResult), b.parseReport(trailer.Report)
 			line.Skip(trailer.Length)
-			return transport.Settled, true
+			return transport.Succeeded, true
 		}
 		if trailer.End != transport.Open || line.Fill(deadline) != transport.Open {
-			return transport.Settled, false
+			return transport.Succeeded, false
 		}
 	}
 }
--- a/routing/overflow.go
+++ b/routing/overflow.go
@@ -40,10 +40,10 @@
 	if r == nil {
 		return true
 	}
-	answer := protocol.AppendDismissed(nil, 0)
+	answer := protocol.AppendRejected(nil, 0)
 	for left := r.close(); left > 0; {
 		batch := min(left, pieceSize/len(answer))
-		if c.Hand(bytes.Repeat(answer, batch), time.Now().Add(writeTimeout)) != transport.Open {
+		if c.Send(bytes.Repeat(answer, batch), time.Now().Add(writeTimeout)) != transport.Open {
 			return false
 		}
 		left -= batch
@@ -64,8 +64,8 @@
 // meanwhile.
 func (o *overflow) awaitCapacity(b *Balancer) transport.End {
 	for {
-		end := o.client.Await(maxPipelined, false)
-		if end != transport.Surplus {
+		end := o.client.AwaitReplies(maxPipelined, false)
+		if end != transport.Overfull {
 			return end
 		}
 		if !o.reject(b) {
@@ -78,7 +78,7 @@
 // reject rejects the oldest commands in the buffer until half of it is free, false where there is no whole one.
 func (o *overflow) reject(b *Balancer) (isAnyRejected bool) {
 	for target := len(o.client.Unread()) / 2; len(o.client.Unread()) > target; isAnyRejected = true {
-		arguments, length, err := protocol.Command(o.client.Unread())
+		arguments, length, err := protocol.ParseCommand(o.client.Unread())
 		if err != nil || length == 0 {
 			break
 		}
@@ -86,7 +86,7 @@
 		o.client.Skip(length)
 		if o.run == nil || !o.run.add() {
 			o.run = &rejectionRun{count: 1}
-			o.client.Begin()
+			o.client.BeginReply()
 			o.replies <- immediateReply(reply{rejected: o.run})
 		}
 	}
--- a/routing/overflow_test.go
+++ b/routing/overflow_test.go
@@ -20,7 +20,7 @@
 	floodWriteSize    = 32 << 10               // bytes at once
 	longKey           = 400                    // so that a flood is of some thousand commands
 	shortKey          = 16                     // and of some ten thousand
-	overflowBytes     = 8 * transport.MostBuffer
+	overflowBytes     = 8 * transport.MaxBuffer
 )
 
 // writeFlood writes commands until the kernel takes no more.
--- a/routing/reply.go
+++ b/routing/reply.go
@@ -65,8 +65,8 @@
 
 // writeTo writes one reply.
 func (r reply) writeTo(c *transport.Client) delivery {
-	switch end := c.Hand(r.bytes, time.Now().Add(writeTimeout)); {
-	case end == transport.Stuck:
+	switch end := c.Send(r.bytes, time.Now().Add(writeTimeout)); {
+	case end == transport.TimedOutBeforeSent:
 		return writeTimedOut
 	case end != transport.Open:
 		return clientClosed
@@ -86,7 +86,7 @@
 	defer func() { _ = value.Close() }() // The attempt that writes into it learns that nobody reads any more.
 	for piece := make([]byte, pieceSize); ; {
 		n, err := value.Read(piece)
-		if n > 0 && c.Hand(piece[:n], time.Now().Add(writeTimeout)) != transport.Open {
+		if n > 0 && c.Send(piece[:n], time.Now().Add(writeTimeout)) != transport.Open {
 			return false
 		}
 		if err != nil {
--- a/server/resources.go
+++ b/server/resources.go
@@ -78,15 +78,15 @@
 // these numbers.
 func (l resourceLimits) setConnectionLimits(clients, endpoints int) (int, int) {
 	clients, endpoints = withinSystem(clients, endpoints, l.reservedDescriptors)
-	l.listener.Allow(clients)
-	l.pool.Allow(endpoints)
+	l.listener.SetLimit(clients)
+	l.pool.SetLimit(endpoints)
 	return clients, endpoints
 }
 
 // set sets what this process may use from now on, and which share of the balancer's attempts it sends. It returns the
 // numbers of connections.
 func (l resourceLimits) set(allowed siblings.Resources, attemptShare float64) (clients, endpoints int) {
-	l.listener.Budget.Allow(clientMemory(allowed.MemoryBytes))
+	l.listener.Budget.SetTotal(clientMemory(allowed.MemoryBytes))
 	l.balancer.SetLimits(balancerMemory(allowed.MemoryBytes), attemptShare)
 	return l.setConnectionLimits(int(allowed.ClientConnections), int(allowed.EndpointConnections))
 }
--- a/server/server.go
+++ b/server/server.go
@@ -198,7 +198,7 @@
 	}
 	s.listener.Budget = transport.NewBudget(clientMemory(s.capacity.memoryBytes))
 	s.listener.Stalls = stallClock
-	s.listener.Odd = s.handleAcceptError
+	s.listener.OnAcceptError = s.handleAcceptError
 	return nil
 }
 
@@ -262,5 +262,5 @@
 func (s *Server) watchStalls() {
 	s.stalls = stallwatch.New(s.balancer.Lock(), s.log, s.logWrites)
 	s.stalls.SetThreshold(s.settings.Duration("watch.over"))
-	s.listener.InHand = &s.stalls.Accept
+	s.listener.AdmissionWatchdog = &s.stalls.Accept
 }
--- a/server/shutdown.go
+++ b/server/shutdown.go
@@ -42,7 +42,7 @@
 	closeBy := answerBy.Add(cutTimeout)
 	s.beginDraining(answerBy, closeBy)
 	time.Sleep(stragglerWindow)
-	s.pool.Fade()
+	s.pool.CloseIdle()
 	allAnswered, cutOff := s.closeClients(closeBy)
 	s.logSummary()
 	s.log.Info().Bool("all_answered", allAnswered).Int("cut_off", cutOff).Int64("took_ms", time.Since(startedAt).Milliseconds()).Msg("stopped")
@@ -53,9 +53,9 @@
 	open, _ := s.balancer.OpenRequests()
 	s.log.Info().Int("clients", s.listener.Count()).Int("open_requests", open).Int64("timeout_ms", time.Until(closeBy).Milliseconds()).Msg("stopping")
 	s.balancer.ExpireAt(answerBy)
-	s.listener.Last()
+	s.listener.DrainConnections()
 	if s.configuration.hasInheritedSocket() {
-		s.listener.Leave() // The other processes that hold the socket go on accepting.
+		s.listener.StopAccepting() // The other processes that hold the socket go on accepting.
 	}
 }
 
@@ -68,7 +68,7 @@
 	if open, ids := s.balancer.OpenRequests(); open > 0 {
 		s.log.Warn().Int("open_requests", open).Strs("request_ids", ids).Msg("requests unanswered at shutdown")
 	}
-	return false, s.listener.Cut(cutTimeout)
+	return false, s.listener.ResetAll(cutTimeout)
 }
 
 // latest is the later of two times.
--- a/transport/await.go
+++ b/transport/await.go
@@ -7,11 +7,11 @@
 // behind what was not read.
 const surplusTimeout = 20 * time.Millisecond
 
-// Await waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more than
-// its buffer holds for surplusTimeout (Surplus), or until its connection ends. It reads meanwhile, because a close
+// AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more than
+// its buffer holds for surplusTimeout (Overfull), or until its connection ends. It reads meanwhile, because a close
 // behind bytes that are not read goes unseen; with drop set what it reads is discarded, else it stays in the buffer.
 // Only the client's reading goroutine may call it.
-func (c *Client) Await(maxPending int, drop bool) End {
+func (c *Client) AwaitReplies(maxPending int, drop bool) End {
 	for {
 		c.listener.mu.Lock()
 		if c.isAwaitingReplies = c.pendingReplies >= maxPending; !c.isAwaitingReplies {
@@ -20,7 +20,7 @@
 		}
 		if drop {
 			c.Skip(len(c.Unread()))
-			c.Widen()
+			c.EnlargeEmptyBuffer()
 		}
 		isFull, until := c.ensureSpace() != Open, time.Time{}
 		if isFull {
@@ -35,9 +35,9 @@
 		case time.Now().Before(until):
 			end = c.awaitHangup()
 		default:
-			return Surplus
+			return Overfull
 		}
-		if end != Open && end != Stuck {
+		if end != Open && end != TimedOutBeforeSent {
 			return end
 		}
 	}
--- a/transport/budget.go
+++ b/transport/budget.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// Budget bounds what buffers over MostBuffer take of memory, all together, until their users are done with them. It
+// Budget bounds what buffers over MaxBuffer take of memory, all together, until their users are done with them. It
 // uses them again: it guards memory against large buffers that are dropped faster than the garbage collector finds
 // them, where the heap would grow past the process's limit. It needs no lock; nil is a budget without room.
 type Budget struct {
@@ -17,12 +17,12 @@
 // NewBudget returns a budget of so many bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
-	b.Allow(bytes)
+	b.SetTotal(bytes)
 	return b
 }
 
-// Allow sets the budget's size in bytes from now on; what is in use stays so, also where that is more.
-func (b *Budget) Allow(bytes int64) { b.available.Add(bytes - b.total.Swap(bytes)) }
+// SetTotal sets the budget's size in bytes from now on; what is in use stays so, also where that is more.
+func (b *Budget) SetTotal(bytes int64) { b.available.Add(bytes - b.total.Swap(bytes)) }
 
 // acquire returns a buffer of n bytes and the bytes it takes of the budget, nil where there is no room. A single
 // buffer may have half of the budget at most, so that one client can't keep out all others.
@@ -58,5 +58,5 @@
 // roundedSize rounds n up by a quarter at most, so that there are few sizes and a buffer is likely to be used again.
 func roundedSize(n int) int {
 	step := 1 << max(0, bits.Len(uint(n))-3)
-	return min((n+step-1)/step*step, MostMessage)
+	return min((n+step-1)/step*step, MaxMessage)
 }
--- a/transport/budget_test.go
+++ b/transport/budget_test.go
@@ -13,33 +13,33 @@
 // Several clients send large values at once. Buffers over the usual size grow out of one budget, of which one has half at
 // most, and give it back when they are done.
 func TestLargeBuffersShareABudget(t *testing.T) {
-	budget, most := NewBudget(5*MostBuffer), 2*MostBuffer
+	budget, most := NewBudget(5*MaxBuffer), 2*MaxBuffer
 	a, b, c := &Conn{budget: budget}, &Conn{budget: budget}, &Conn{budget: budget}
-	if x, y, z := a.Grow(most), b.Grow(most), c.Grow(most); x != Open || y != Open || z != NoRoom || len(a.buffer) != most {
+	if x, y, z := a.Grow(most), b.Grow(most), c.Grow(most); x != Open || y != Open || z != LocalShortage || len(a.buffer) != most {
 		t.Fatalf("%v, %v, %v, %d bytes", x, y, z, len(a.buffer))
 	}
 	a.end = most
 	own, done := a.Take(most)
-	if len(own) != most || a.buffer != nil || c.Grow(most) != NoRoom {
+	if len(own) != most || a.buffer != nil || c.Grow(most) != LocalShortage {
 		t.Fatal("what is taken and still used is the others'")
 	}
 	done()
-	if c.Grow(most) != Open || c.Grow(2*most) != NoRoom {
+	if c.Grow(most) != Open || c.Grow(2*most) != LocalShortage {
 		t.Fatal("what one has done with is not the others'")
 	}
 	c.end = most
 	if c.Skip(most); len(c.buffer) != 0 || a.Grow(most) != Open {
 		t.Fatal("what was skipped is kept")
 	}
-	if one := NewBudget(5 * MostBuffer); (&Conn{budget: one}).Grow(3*MostBuffer) != NoRoom {
+	if one := NewBudget(5 * MaxBuffer); (&Conn{budget: one}).Grow(3*MaxBuffer) != LocalShortage {
 		t.Fatal("one has more than half")
 	}
-	for n := MostBuffer + 1; n <= MostMessage; n += 4099 {
+	for n := MaxBuffer + 1; n <= MaxMessage; n += 4099 {
 		if size := roundedSize(n); size < n || size > n+n/4 || roundedSize(size) != size {
 			t.Fatalf("%d is given %d", n, size)
 		}
 	}
-	if (&Conn{}).Grow(most) != NoRoom {
+	if (&Conn{}).Grow(most) != LocalShortage {
 		t.Fatal("a connection without a budget grows over the usual size")
 	}
 }
@@ -60,14 +60,14 @@
 					return
 				}
 			}
-			c.Begin()
+			c.BeginReply()
 			own, done := c.Take(size)
 			if own[0] != 'v' || own[size-1] != 'e' {
 				c.Conn.Close()
 			}
 			done()
-			c.Hand([]byte("x"), testDeadline())
-			c.End()
+			c.Send([]byte("x"), testDeadline())
+			c.EndReply()
 		}
 	})
 	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // As slow as a collector can be.
--- a/transport/client.go
+++ b/transport/client.go
@@ -9,7 +9,7 @@
 const (
 	// lingerTimeout and maxLingerBytes bound what is read and discarded of a client after its last reply.
 	lingerTimeout  = time.Second
-	maxLingerBytes = MostMessage
+	maxLingerBytes = MaxMessage
 
 	// How long a client may stay idle: from when it connected with no valid command, after one, and as a usual client.
 	silentIdleTimeout       = 2 * time.Second
@@ -27,7 +27,7 @@
 )
 
 // Client is a client's connection. It is busy while a reply is owed to it, else it is between commands. One goroutine
-// reads it (Fill, Await, Skip, Take); any may call Begin, Good, End, Age and Commands.
+// reads it (Fill, AwaitReplies, Skip, Take); any may call BeginReply, CountValidCommand, EndReply, Age and Commands.
 type Client struct {
 	Conn
 	listener          *Listener
@@ -86,9 +86,9 @@
 	case begun.IsZero():
 		return begun
 	case c.validCommands > 0:
-		return begun.Add(c.listener.HalfUsual)
+		return begun.Add(c.listener.CommandTimeout)
 	}
-	return c.connectedAt.Add(c.listener.HalfFirst)
+	return c.connectedAt.Add(c.listener.FirstCommandTimeout)
 }
 
 // Linger ends the connection after the last reply to a client that may still be sending. It closes the sending side
@@ -116,23 +116,23 @@
 	return c.validCommands
 }
 
-// Begin counts one more reply that is owed to the client. Each Begin needs one End.
-func (c *Client) Begin() {
+// BeginReply counts one more reply that is owed to the client. Each BeginReply needs one EndReply.
+func (c *Client) BeginReply() {
 	c.listener.mu.Lock()
 	c.pendingReplies++
 	c.listener.mu.Unlock()
 }
 
-// Good counts a valid command of the client.
-func (c *Client) Good() {
+// CountValidCommand counts a valid command of the client.
+func (c *Client) CountValidCommand() {
 	c.listener.mu.Lock()
 	c.validCommands++
 	c.listener.mu.Unlock()
 }
 
-// End counts one reply as done. A client that is to close does so with its last one. Where no valid command has come,
+// EndReply counts one reply as done. A client that is to close does so with its last one. Where no valid command has come,
 // idleSince stays at the time of the connect: errors in reply to noise must not extend a client's time.
-func (c *Client) End() {
+func (c *Client) EndReply() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	if c.pendingReplies--; c.pendingReplies == 0 {
@@ -150,7 +150,7 @@
 }
 
 // Fill reads once more and returns Open, or the connection's end. begun: since when a command has begun to come, zero
-// if none has. Spared: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has closed
+// if none has. ClosedIdle: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has closed
 // the connection. Only the reading goroutine may call it.
 func (c *Client) Fill(begun time.Time) End {
 	for {
@@ -161,12 +161,12 @@
 		c.hasPartialCommand = len(c.Unread()) > 0
 		if c.closeIfIdle() {
 			c.listener.mu.Unlock()
-			return Spared
+			return ClosedIdle
 		}
 		c.SetReadDeadline(c.commandDeadline(begun))
 		c.listener.mu.Unlock()
 		end := c.readAvailable()
-		if end != Stuck {
+		if end != TimedOutBeforeSent {
 			return end
 		}
 		// The read may have been interrupted to close the client, which does not end the time of a command that has
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -3,11 +3,11 @@
 //
 // A client's connection: Listener.Serve accepts it, waits for room among the clients (limit.go) and runs the given
 // function in a goroutine of its own, the only one that reads the connection. That function calls Client.Fill until
-// the connection ends; Begin and End bracket each reply that is owed. A client between commands may be asked to make
+// the connection ends; BeginReply and EndReply bracket each reply that is owed. A client between commands may be asked to make
 // room: its reader is woken and closes the connection itself, so that nothing that was read is lost.
 //
-// A server's connection: Pool.Line begins an attempt, Connect takes an idle connection or dials one, Hand writes the
-// request, Fill reads the response, Done gives the connection back. Cut and Withdraw cancel the attempt from any
+// A server's connection: Pool.NewConn begins an attempt, Connect takes an idle connection or dials one, Send writes the
+// request, Fill reads the response, Release gives the connection back. Cancel and CancelUnsent cancel the attempt from any
 // goroutine.
 //
 // How a connection ended is an End; what of it may have reached the other side is the caller's reason to retry or not.
@@ -22,10 +22,10 @@
 const (
 	initialBuffer = 2 << 10  // bytes: the first buffer of a connection
 	maxIdleBuffer = 16 << 10 // bytes: an empty buffer over this is released
-	// MostBuffer bounds the bytes of one message: a value of 64 KiB with its command around it.
-	MostBuffer = 72 << 10
-	// MostMessage bounds the bytes of one message that may be larger, out of a Budget: a value of 4 MiB.
-	MostMessage = 4<<20 + 8<<10
+	// MaxBuffer bounds the bytes of one message: a value of 64 KiB with its command around it.
+	MaxBuffer = 72 << 10
+	// MaxMessage bounds the bytes of one message that may be larger, out of a Budget: a value of 4 MiB.
+	MaxMessage = 4<<20 + 8<<10
 )
 
 // Conn is a connection with its buffer, which grows as needed and is compacted in place. One goroutine at a time may
@@ -34,7 +34,7 @@
 	net.Conn
 	buffer        []byte
 	start, end    int           // of the bytes in the buffer that were read and not skipped
-	budget        *Budget       // for a buffer over MostBuffer; nil: none may grow over that
+	budget        *Budget       // for a buffer over MaxBuffer; nil: none may grow over that
 	budgetedBytes int           // what the buffer takes of the budget; 0: it is an ordinary one
 	arrivalTimes  *arrivalTimes // of a client's bytes; nil: not recorded
 	peer          Peer          // pool: whose connection it is
@@ -74,17 +74,17 @@
 	return taken, release
 }
 
-// Grow makes the buffer large enough for a message of n bytes. It returns NoRoom when the budget has none left.
+// Grow makes the buffer large enough for a message of n bytes. It returns LocalShortage when the budget has none left.
 func (c *Conn) Grow(n int) End {
-	if n <= MostBuffer || n <= len(c.buffer) {
+	if n <= MaxBuffer || n <= len(c.buffer) {
 		return Open
 	}
 	if c.budgetedBytes > 0 {
-		return NoRoom
+		return LocalShortage
 	}
-	grown, size := c.budget.acquire(min(n, MostMessage))
+	grown, size := c.budget.acquire(min(n, MaxMessage))
 	if grown == nil {
-		return NoRoom
+		return LocalShortage
 	}
 	c.start, c.end, c.buffer, c.budgetedBytes = 0, copy(grown, c.Unread()), grown, size
 	return Open
@@ -98,14 +98,14 @@
 	}
 }
 
-// Widen makes an empty buffer as large as an idle one may stay, where much is about to be read and discarded.
-func (c *Conn) Widen() {
+// EnlargeEmptyBuffer makes an empty buffer as large as an idle one may stay, where much is about to be read and discarded.
+func (c *Conn) EnlargeEmptyBuffer() {
 	if c.start == c.end && len(c.buffer) < maxIdleBuffer {
 		c.buffer = make([]byte, maxIdleBuffer)
 	}
 }
 
-// ensureSpace makes space for a read behind the bytes in the buffer, by compacting or growing it. It returns Garbled
+// ensureSpace makes space for a read behind the bytes in the buffer, by compacting or growing it. It returns Malformed
 // when a message is longer than the buffer may grow.
 func (c *Conn) ensureSpace() End {
 	switch {
@@ -113,10 +113,10 @@
 	case c.start > 0:
 		c.end = copy(c.buffer, c.buffer[c.start:c.end])
 		c.start = 0
-	case len(c.buffer) >= MostBuffer:
-		return Garbled
+	case len(c.buffer) >= MaxBuffer:
+		return Malformed
 	default:
-		grown := make([]byte, min(MostBuffer, max(initialBuffer, 2*len(c.buffer))))
+		grown := make([]byte, min(MaxBuffer, max(initialBuffer, 2*len(c.buffer))))
 		copy(grown, c.buffer)
 		c.buffer = grown
 	}
@@ -147,8 +147,8 @@
 	return endOfError(err, isSent)
 }
 
-// Hand writes the message, until the deadline. It returns Open once its last byte was handed to the kernel.
-func (c *Conn) Hand(message []byte, deadline time.Time) End {
+// Send writes the message, until the deadline. It returns Open once its last byte was handed to the kernel.
+func (c *Conn) Send(message []byte, deadline time.Time) End {
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return endOfError(err, false)
 	}
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -11,7 +11,7 @@
 	address, accepted := startPeer(t)
 	line := connect(t, NewPool(1, time.Minute, time.Second), address)
 	host := <-accepted
-	text := make([]byte, MostBuffer+1)
+	text := make([]byte, MaxBuffer+1)
 	for i := range text {
 		text[i] = byte(i * 7)
 	}
@@ -30,8 +30,8 @@
 		done += n
 	}
 	go host.Write(text)
-	for end := Open; end != Garbled; end = line.Fill(testDeadline()) {
-		if end != Open || len(line.buffer) > MostBuffer {
+	for end := Open; end != Malformed; end = line.Fill(testDeadline()) {
+		if end != Open || len(line.buffer) > MaxBuffer {
 			t.Fatal(end, len(line.buffer))
 		}
 	}
--- a/transport/end.go
+++ b/transport/end.go
@@ -20,71 +20,71 @@
 	// Open: it has not ended.
 	Open End = iota
 
-	// Settled: a response with a value or a receipt came; the peer ran the request.
-	Settled
-	// Errored: an error response came; the peer may have run the request, in part.
-	Errored
-	// TurnedAway: the peer rejected the request; it did not begin it.
-	TurnedAway
+	// Succeeded: a response with a value or a receipt came; the peer ran the request.
+	Succeeded
+	// Failed: an error response came; the peer may have run the request, in part.
+	Failed
+	// Rejected: the peer rejected the request; it did not begin it.
+	Rejected
 
-	// Refused: connect failed at once; the peer has seen nothing.
-	Refused
-	// NeverUp: connect did not complete within its timeout; the peer has seen no byte of the request.
-	NeverUp
-	// NoRoom: this machine or its limits left no connection or buffer; no peer is at fault, none has seen anything.
-	NoRoom
+	// ConnectRefused: connect failed at once; the peer has seen nothing.
+	ConnectRefused
+	// ConnectTimedOut: connect did not complete within its timeout; the peer has seen no byte of the request.
+	ConnectTimedOut
+	// LocalShortage: this machine or its limits left no connection or buffer; no peer is at fault, none has seen anything.
+	LocalShortage
 
-	// CutShort: the connection broke before the last byte was handed over; the peer began nothing.
-	CutShort
-	// Stuck: the deadline passed before the last byte was handed over; the peer began nothing. Of a client: it did not
+	// BrokenBeforeSent: the connection broke before the last byte was handed over; the peer began nothing.
+	BrokenBeforeSent
+	// TimedOutBeforeSent: the deadline passed before the last byte was handed over; the peer began nothing. Of a client: it did not
 	// complete a command, or did not read its replies, in time.
-	Stuck
-	// Withdrawn: cancelled before the last byte was handed over; the peer began nothing.
-	Withdrawn
+	TimedOutBeforeSent
+	// CancelledBeforeSent: cancelled before the last byte was handed over; the peer began nothing.
+	CancelledBeforeSent
 
-	// Broken: the connection broke or was closed after the last byte was handed over; the peer may have run the request.
-	Broken
-	// Silent: no complete response came before the deadline; the peer may have run the request, or may yet.
-	Silent
-	// CalledOff: cancelled after the last byte was handed over; the peer may have run the request, or may yet.
-	CalledOff
-	// Garbled: what came is malformed, or too long; a server may have run the request, a client can't be read any further.
-	Garbled
+	// BrokenAfterSent: the connection broke or was closed after the last byte was handed over; the peer may have run the request.
+	BrokenAfterSent
+	// ResponseTimedOut: no complete response came before the deadline; the peer may have run the request, or may yet.
+	ResponseTimedOut
+	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may yet.
+	CancelledAfterSent
+	// Malformed: what came is malformed, or too long; a server may have run the request, a client can't be read any further.
+	Malformed
 
-	// Left: the client closed its connection.
-	Left
-	// Spared: the listener closed a client's connection between commands, for room or because it stops.
-	Spared
-	// Surplus: the client's connection has not ended; more commands wait than its buffer holds.
-	Surplus
+	// ClientDisconnected: the client closed its connection.
+	ClientDisconnected
+	// ClosedIdle: the listener closed a client's connection between commands, for room or because it stops.
+	ClosedIdle
+	// Overfull: the client's connection has not ended; more commands wait than its buffer holds.
+	Overfull
 )
 
 // endNames are the ends' names at /metrics and in logs, which operators match: they stay as they are.
 var endNames = [...]string{
-	Open:       "open",
-	Settled:    "settled",
-	Errored:    "errored",
-	TurnedAway: "turned_away",
-	Refused:    "refused",
-	NeverUp:    "never_up",
-	NoRoom:     "no_room",
-	CutShort:   "cut_short",
-	Stuck:      "stuck",
-	Withdrawn:  "withdrawn",
-	Broken:     "broken",
-	Silent:     "silent",
-	CalledOff:  "called_off",
-	Garbled:    "garbled",
-	Left:       "left",
-	Spared:     "spared",
-	Surplus:    "surplus",
+	Open:                "open",
+	Succeeded:           "settled",
+	Failed:              "errored",
+	Rejected:            "turned_away",
+	ConnectRefused:      "refused",
+	ConnectTimedOut:     "never_up",
+	LocalShortage:       "no_room",
+	BrokenBeforeSent:    "cut_short",
+	TimedOutBeforeSent:  "stuck",
+	CancelledBeforeSent: "withdrawn",
+	BrokenAfterSent:     "broken",
+	ResponseTimedOut:    "silent",
+	CancelledAfterSent:  "called_off",
+	Malformed:           "garbled",
+	ClientDisconnected:  "left",
+	ClosedIdle:          "spared",
+	Overfull:            "surplus",
 }
 
 // String returns the end's name at /metrics and in logs.
 func (e End) String() string { return endNames[e] }
 
 // ClientEnds are the ends that a client's connection can have, in the order of /metrics.
-var ClientEnds = [...]End{Left, Spared, Garbled, Stuck, CutShort}
+var ClientEnds = [...]End{ClientDisconnected, ClosedIdle, Malformed, TimedOutBeforeSent, BrokenBeforeSent}
 
 // endOfError maps an error of a read or write; isSent: the last byte of the message had been handed over.
 func endOfError(err error, isSent bool) End {
@@ -92,15 +92,15 @@
 	case err == nil:
 		return Open
 	case errors.Is(err, os.ErrDeadlineExceeded) && isSent:
-		return Silent
+		return ResponseTimedOut
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return Stuck
+		return TimedOutBeforeSent
 	case errors.Is(err, io.EOF) && !isSent:
-		return Left
+		return ClientDisconnected
 	case isSent:
-		return Broken
+		return BrokenAfterSent
 	}
-	return CutShort
+	return BrokenBeforeSent
 }
 
 // localErrnos are the errors of socket and connect that this machine gives for want of something of its own: no server
@@ -119,9 +119,9 @@
 	var netErr net.Error
 	switch {
 	case IsLocalShortage(err):
-		return NoRoom
+		return LocalShortage
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return NeverUp
+		return ConnectTimedOut
 	}
-	return Refused
+	return ConnectRefused
 }
--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -15,19 +15,19 @@
 		errno              error
 		dial, unsent, sent End // at connect; before and after the last byte was handed over
 	}{
-		{syscall.ECONNREFUSED, Refused, CutShort, Broken},
-		{syscall.EHOSTUNREACH, Refused, CutShort, Broken},
-		{syscall.ECONNRESET, Refused, CutShort, Broken},
-		{syscall.EPIPE, Refused, CutShort, Broken},
-		{syscall.ETIMEDOUT, NeverUp, CutShort, Broken},
-		{syscall.EMFILE, NoRoom, CutShort, Broken},
-		{syscall.ENFILE, NoRoom, CutShort, Broken},
-		{syscall.ENOBUFS, NoRoom, CutShort, Broken},
-		{syscall.ENOMEM, NoRoom, CutShort, Broken},
-		{syscall.EADDRNOTAVAIL, NoRoom, CutShort, Broken},
-		{syscall.ENETUNREACH, NoRoom, CutShort, Broken},
-		{os.ErrDeadlineExceeded, NeverUp, Stuck, Silent},
-		{io.EOF, Refused, Left, Broken},
+		{syscall.ECONNREFUSED, ConnectRefused, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.EHOSTUNREACH, ConnectRefused, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ECONNRESET, ConnectRefused, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.EPIPE, ConnectRefused, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ETIMEDOUT, ConnectTimedOut, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.EMFILE, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ENFILE, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ENOBUFS, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ENOMEM, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.EADDRNOTAVAIL, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{syscall.ENETUNREACH, LocalShortage, BrokenBeforeSent, BrokenAfterSent},
+		{os.ErrDeadlineExceeded, ConnectTimedOut, TimedOutBeforeSent, ResponseTimedOut},
+		{io.EOF, ConnectRefused, ClientDisconnected, BrokenAfterSent},
 	} {
 		of := func(call string) error {
 			return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, c.errno)}
--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -32,8 +32,8 @@
 }
 
 // connect returns a hold on a connection of the pool to the address.
-func connect(t *testing.T, p *Pool, address string) *Line {
-	line := p.Line()
+func connect(t *testing.T, p *Pool, address string) *PooledConn {
+	line := p.NewConn()
 	if end := line.Connect(Peer{0, address}, testDeadline()); end != Open {
 		t.Fatalf("no connection: %v", end)
 	}
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(time.Now()); l.Cut(time.Second) })
+	t.Cleanup(func() { l.Close(time.Now()); l.ResetAll(time.Second) })
 	return l, held
 }
 
--- a/transport/limit.go
+++ b/transport/limit.go
@@ -17,8 +17,8 @@
 	spareFraction = 16
 )
 
-// Allow sets how many clients there may be from now on. Over that, clients between commands are asked to close.
-func (l *Listener) Allow(limit int) {
+// SetLimit sets how many clients there may be from now on. Over that, clients between commands are asked to close.
+func (l *Listener) SetLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.configuredLimit = max(1, limit)
--- a/transport/limit_test.go
+++ b/transport/limit_test.go
@@ -17,11 +17,11 @@
 	}
 	begun, release := make(chan struct{}, 2), make(chan struct{})
 	go l.Serve(func(c *Client) {
-		c.Begin()
+		c.BeginReply()
 		begun <- struct{}{}
 		<-release
-		c.Hand([]byte("x"), testDeadline())
-		c.End()
+		c.Send([]byte("x"), testDeadline())
+		c.EndReply()
 		for c.Fill(testDeadline()) == Open {
 		}
 	})
@@ -58,11 +58,11 @@
 	go l.Serve(func(c *Client) {
 		for c.Fill(time.Time{}) == Open {
 			for _, letter := range c.Unread() {
-				c.Begin()
+				c.BeginReply()
 				if letter == 'g' {
-					c.Good()
+					c.CountValidCommand()
 				}
-				c.End()
+				c.EndReply()
 			}
 			c.Skip(len(c.Unread()))
 			ready <- c
@@ -122,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(time.Now()); l.Cut(time.Second) })
+	t.Cleanup(func() { l.Close(time.Now()); l.ResetAll(time.Second) })
 	served, ended := make(chan *Client, 10), make(chan string, 10)
 	go l.Serve(func(c *Client) {
 		served <- c
@@ -141,8 +141,8 @@
 		local = append(local, c.LocalAddr().String())
 		return <-served
 	}
-	dial().Good()
-	dial().Good()
+	dial().CountValidCommand()
+	dial().CountValidCommand()
 	for n := range 2 { // Two new ones: those that asked once make room, the first new one does not.
 		if dial(); <-ended != local[n] {
 			t.Fatal("a client that has just come is closed")
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(time.Now()); l.Cut(time.Second) })
+	t.Cleanup(func() { l.Close(time.Now()); l.ResetAll(time.Second) })
 	come := make(chan *Client, 10)
 	go l.Serve(func(c *Client) {
 		for c.Fill(time.Time{}) == Open {
--- a/transport/listener.go
+++ b/transport/listener.go
@@ -33,23 +33,23 @@
 //
 // The exported fields are to be set before Serve and not after.
 type Listener struct {
-	Budget      *Budget         // for clients' large values; nil: none may send one
-	Odd         func(err error) // called with the first error of each run of accepts that fail
-	InHand      Mark            // marks the time for which an accepted connection waits for room
-	Stalls      *StallClock     // tells when the process did not run; nil: it is taken to run always
-	HalfFirst   time.Duration   // how long a client's first command may take, from when it connected
-	HalfUsual   time.Duration   // how long a usual client's command may take, from its first byte
-	listener    net.Listener
-	openedAt    time.Time      // connections can come since then
-	isShared    bool           // other processes accept from the socket too
-	readiness   *os.File       // shared: a second descriptor of the socket, to wait for clients without accepting
-	serving     sync.WaitGroup // Serve and its clients
-	minLimit    int            // a shortage of descriptors takes the limit no lower; fixed
-	mu          sync.Mutex     // guards the fields below, and those of each client that say so
-	roomChanged sync.Cond      // on mu: a client has gone, or is between commands, or the limit has changed
-	isClosed    bool           // accepts no more
-	isDraining  bool           // each client closes with its next reply
-	clients     map[*Client]bool
+	Budget              *Budget         // for clients' large values; nil: none may send one
+	OnAcceptError       func(err error) // called with the first error of each run of accepts that fail
+	AdmissionWatchdog   Watchdog        // marks the time for which an accepted connection waits for room
+	Stalls              *StallClock     // tells when the process did not run; nil: it is taken to run always
+	FirstCommandTimeout time.Duration   // how long a client's first command may take, from when it connected
+	CommandTimeout      time.Duration   // how long a usual client's command may take, from its first byte
+	listener            net.Listener
+	openedAt            time.Time      // connections can come since then
+	isShared            bool           // other processes accept from the socket too
+	readiness           *os.File       // shared: a second descriptor of the socket, to wait for clients without accepting
+	serving             sync.WaitGroup // Serve and its clients
+	minLimit            int            // a shortage of descriptors takes the limit no lower; fixed
+	mu                  sync.Mutex     // guards the fields below, and those of each client that say so
+	roomChanged         sync.Cond      // on mu: a client has gone, or is between commands, or the limit has changed
+	isClosed            bool           // accepts no more
+	isDraining          bool           // each client closes with its next reply
+	clients             map[*Client]bool
 
 	configuredLimit int       // clients, as configured
 	limit           int       // clients: configuredLimit, or less while descriptors are short
@@ -57,20 +57,20 @@
 	shortageAt      time.Time // when the shortage was last seen, or shortageLimit raised
 }
 
-// Mark is told of the beginning and the end of a span that should not take long, so that a watchdog sees one that does.
-type Mark interface {
+// Watchdog is told of the beginning and the end of a span that should not take long, so that a watchdog sees one that does.
+type Watchdog interface {
 	Begin()
 	End()
 }
 
-// noMark is the Mark of a listener without a watchdog.
-type noMark struct{}
+// noWatchdog is the Watchdog of a listener without a watchdog.
+type noWatchdog struct{}
 
 // Begin does nothing.
-func (noMark) Begin() {}
+func (noWatchdog) Begin() {}
 
 // End does nothing.
-func (noMark) End() {}
+func (noWatchdog) End() {}
 
 // Inherit returns a listener on a listening socket that whoever started the program holds too, for up to limit clients.
 // The socket is never shut down: others accept from it, before and after.
@@ -122,8 +122,8 @@
 
 func newListener(inner net.Listener, limit int, openedAt time.Time) *Listener {
 	l := &Listener{listener: inner, openedAt: openedAt, configuredLimit: limit, limit: limit, minLimit: max(1, limit/2),
-		clients: map[*Client]bool{}, Odd: func(error) {}, InHand: noMark{},
-		HalfFirst: defaultFirstCommandTimeout, HalfUsual: defaultCommandTimeout}
+		clients: map[*Client]bool{}, OnAcceptError: func(error) {}, AdmissionWatchdog: noWatchdog{},
+		FirstCommandTimeout: defaultFirstCommandTimeout, CommandTimeout: defaultCommandTimeout}
 	l.roomChanged.L = &l.mu
 	l.serving.Add(1) // Serve counts too: Close must wait for a client that is just being accepted.
 	return l
@@ -153,7 +153,7 @@
 			l.admit(inner, &backlog, called, serve)
 		case errors.Is(err, net.ErrClosed):
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded): // Set by awaitConnection or Leave.
+		case errors.Is(err, os.ErrDeadlineExceeded): // Set by awaitConnection or StopAccepting.
 			if !l.isShared && !l.acceptRemaining() {
 				return
 			}
@@ -200,7 +200,7 @@
 // handleAcceptError reports the first error of a run, makes room where descriptors are short, and waits a little.
 func (l *Listener) handleAcceptError(err error, failures *acceptFailures) {
 	if !failures.isReported {
-		l.Odd(err)
+		l.OnAcceptError(err)
 	}
 	failures.isReported = true
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
@@ -217,9 +217,9 @@
 	c := &Client{Conn: Conn{Conn: inner, budget: l.Budget}, listener: l, connectedAt: acceptedAt, idleSince: acceptedAt}
 	l.mu.Lock()
 	if l.evictIdle(); len(l.clients) >= l.limit {
-		l.InHand.Begin()
+		l.AdmissionWatchdog.Begin()
 		l.awaitRoom()
-		l.InHand.End()
+		l.AdmissionWatchdog.End()
 		backlog.recordDelay(acceptedAt)
 	}
 	c.arrivalTimes = newArrivalTimes(l.Stalls, pendingSince, time.Now())
--- a/transport/listener_test.go
+++ b/transport/listener_test.go
@@ -12,7 +12,7 @@
 func TestSharedListenerAcceptsNoClientWithoutRoom(t *testing.T) {
 	l, _ := inheritSharedListener(t, 1)
 	busy := make(chan *Client, 4)
-	go l.Serve(func(c *Client) { c.Begin(); busy <- c; c.Read(make([]byte, 1)) })
+	go l.Serve(func(c *Client) { c.BeginReply(); busy <- c; c.Read(make([]byte, 1)) })
 	for range 2 {
 		c, err := net.Dial("tcp", l.Address())
 		if err != nil {
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -119,8 +119,8 @@
 	return true
 }
 
-// Allow sets how many connections there may be from now on. Over that, idle ones are closed.
-func (p *Pool) Allow(limit int) {
+// SetLimit sets how many connections there may be from now on. Over that, idle ones are closed.
+func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
@@ -128,8 +128,8 @@
 	}
 }
 
-// Drop closes the idle connections to a server that is gone, or has another address.
-func (p *Pool) Drop(to Peer) {
+// DropPeer closes the idle connections to a server that is gone, or has another address.
+func (p *Pool) DropPeer(to Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle[to] {
@@ -161,15 +161,15 @@
 	}
 }
 
-// Briefly sets the servers that other instances look after: connections to these stay idle for a moment only.
-func (p *Pool) Briefly(servers map[int]bool) {
+// SetBriefServers sets the servers that other instances look after: connections to these stay idle for a moment only.
+func (p *Pool) SetBriefServers(servers map[int]bool) {
 	p.mu.Lock()
 	p.briefServers = servers
 	p.mu.Unlock()
 }
 
-// Fade closes idle connections, from now on after a moment, because another process takes over.
-func (p *Pool) Fade() {
+// CloseIdle closes idle connections, from now on after a moment, because another process takes over.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	p.idleTimeout = min(p.idleTimeout, handoverIdleTimeout)
 	p.mu.Unlock()
--- a/transport/pool_test.go
+++ b/transport/pool_test.go
@@ -12,13 +12,13 @@
 func TestLoweredLimitHoldsForConnectionsGivenBack(t *testing.T) {
 	address, _ := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
-	var lines []*Line
+	var lines []*PooledConn
 	for range 4 {
 		lines = append(lines, connect(t, p, address))
 	}
-	p.Allow(2)
+	p.SetLimit(2)
 	for _, line := range lines {
-		line.Done(true)
+		line.Release(true)
 	}
 	if n := p.Count(); n != 2 {
 		t.Errorf("%d are open, 2 are allowed", n)
@@ -33,13 +33,13 @@
 	p.minRest = 0
 	line := connect(t, p, address)
 	first := <-accepted
-	line.Done(true)
+	line.Release(true)
 	line = connect(t, p, address)
 	if len(accepted) != 0 || p.Count() != 1 {
 		t.Fatal("an idle connection that stands is not used again")
 	}
 	conn := line.Conn
-	line.Done(true)
+	line.Release(true)
 	first.Close()
 	for ended := false; !ended; _, ended = conn.peek() {
 	}
@@ -48,11 +48,11 @@
 		t.Fatal("a connection that the host has closed is used again")
 	}
 	second := <-accepted
-	if line.Hand([]byte("x"), testDeadline()) != Open {
+	if line.Send([]byte("x"), testDeadline()) != Open {
 		t.Fatal("the new one does not take anything")
 	}
 	readByte(second)
-	line.Done(true)
+	line.Release(true)
 	p.idleTimeout = 0
 	p.Sweep()
 	if p.Count() != 0 {
@@ -65,7 +65,7 @@
 	a, fromA := startPeer(t)
 	b, _ := startPeer(t)
 	p := NewPool(1, time.Minute, time.Second)
-	connect(t, p, a).Done(true)
+	connect(t, p, a).Release(true)
 	connect(t, p, b)
 	host := <-fromA
 	host.SetReadDeadline(testDeadline())
@@ -81,13 +81,13 @@
 	p := NewPool(8, time.Minute, time.Second)
 	old, young := connect(t, p, address), connect(t, p, address)
 	conn := old.Conn
-	old.Done(true)
-	young.Done(true)
+	old.Release(true)
+	young.Release(true)
 	conn.idleAt = conn.idleAt.Add(-time.Second)
 	if p.Sweep(); p.Count() != 2 {
 		t.Fatal("idle connections are not kept")
 	}
-	if p.Fade(); p.Count() != 1 {
+	if p.CloseIdle(); p.Count() != 1 {
 		t.Fatalf("%d idle connections are kept by one that goes", p.Count())
 	}
 }
@@ -100,22 +100,22 @@
 	p.minRest = time.Minute
 	first := connect(t, p, address)
 	conn := first.Conn
-	first.Done(true)
+	first.Release(true)
 	if second := connect(t, p, address); second.Conn == conn {
 		t.Fatal("a connection that has not rested is used again")
 	}
 	p.minRest = 0
-	other := p.Line()
+	other := p.NewConn()
 	if end := other.Connect(Peer{1, address}, testDeadline()); end != Open || other.Conn == conn {
 		t.Fatal("another server's connection is used", end)
 	}
 	if third := connect(t, p, address); third.Conn != conn {
 		t.Fatal("a connection that has rested is not used again")
 	} else {
-		third.Done(true)
+		third.Release(true)
 	}
 	host := <-accepted
-	p.Drop(Peer{0, address})
+	p.DropPeer(Peer{0, address})
 	host.SetReadDeadline(testDeadline())
 	if _, err := host.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || p.Count() != 2 {
 		t.Fatal("a connection to a server that is gone stands", err, p.Count())
@@ -127,12 +127,12 @@
 	address, accepted := startPeer(t)
 	p := NewPool(4, time.Minute, time.Second)
 	for server := range 2 {
-		line := p.Line()
+		line := p.NewConn()
 		if end := line.Connect(Peer{Server: server, Address: address}, time.Now().Add(time.Second)); end != Open {
 			t.Fatal(end)
 		}
 		defer (<-accepted).Close()
-		line.Done(true)
+		line.Release(true)
 	}
 	p.mu.Lock()
 	for _, list := range p.idle { // As if that much time had passed.
@@ -142,7 +142,7 @@
 	if p.Sweep(); p.Count() != 2 {
 		t.Errorf("%d are open", p.Count())
 	}
-	p.Briefly(map[int]bool{1: true})
+	p.SetBriefServers(map[int]bool{1: true})
 	if p.Sweep(); p.Count() != 1 || len(p.idle[Peer{0, address}]) != 1 {
 		t.Errorf("%d are open", p.Count())
 	}
--- a/transport/pooledconn_test.go
+++ b/transport/pooledconn_test.go
@@ -16,7 +16,7 @@
 	closed := l.Addr().String()
 	l.Close()
 	p := NewPool(1, time.Minute, 50*time.Millisecond)
-	if end := p.Line().Connect(Peer{0, closed}, testDeadline()); end != Refused {
+	if end := p.NewConn().Connect(Peer{0, closed}, testDeadline()); end != ConnectRefused {
 		t.Errorf("a closed port: %v", end)
 	}
 	// A listener that accepts nothing and whose queue is full lets no connection come up.
@@ -34,19 +34,19 @@
 	end := Open
 	many := NewPool(8, time.Minute, 50*time.Millisecond)
 	for n := 0; n < 8 && end == Open; n++ {
-		end = many.Line().Connect(Peer{0, full}, testDeadline())
+		end = many.NewConn().Connect(Peer{0, full}, testDeadline())
 	}
-	if end != NeverUp {
+	if end != ConnectTimedOut {
 		t.Errorf("a full queue: %v", end)
 	}
 	connect(t, p, address)
-	if end := p.Line().Connect(Peer{0, address}, testDeadline()); end != NoRoom {
+	if end := p.NewConn().Connect(Peer{0, address}, testDeadline()); end != LocalShortage {
 		t.Errorf("the second of one connection: %v", end)
 	}
-	cut := p.Line()
-	cut.Cut()
+	cut := p.NewConn()
+	cut.Cancel()
 	p.release()
-	if end := cut.Connect(Peer{0, address}, testDeadline()); end != Withdrawn {
+	if end := cut.Connect(Peer{0, address}, testDeadline()); end != CancelledBeforeSent {
 		t.Errorf("called off before it began: %v", end)
 	}
 }
@@ -61,30 +61,30 @@
 		name    string
 		message []byte
 		until   time.Duration
-		then    func(*Line, *net.TCPConn)
+		then    func(*PooledConn, *net.TCPConn)
 		want    End
 	}{
-		{"resets before the last byte", big, time.Minute, func(_ *Line, c *net.TCPConn) { c.SetLinger(0); c.Close() }, CutShort},
-		{"reads nothing", big, 50 * time.Millisecond, func(*Line, *net.TCPConn) {}, Stuck},
-		{"called off before the last byte", big, time.Minute, func(l *Line, _ *net.TCPConn) { l.Cut() }, Withdrawn},
-		{"withdrawn before the last byte", big, time.Minute, func(l *Line, _ *net.TCPConn) { l.Withdraw() }, Withdrawn},
-		{"resets after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, Broken},
-		{"ends after it", []byte("x"), time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.Close() }, Broken},
-		{"is silent", []byte("x"), 50 * time.Millisecond, func(*Line, *net.TCPConn) {}, Silent},
-		{"called off after it", []byte("x"), time.Minute, func(l *Line, c *net.TCPConn) { readByte(c); l.Cut() }, CalledOff},
+		{"resets before the last byte", big, time.Minute, func(_ *PooledConn, c *net.TCPConn) { c.SetLinger(0); c.Close() }, BrokenBeforeSent},
+		{"reads nothing", big, 50 * time.Millisecond, func(*PooledConn, *net.TCPConn) {}, TimedOutBeforeSent},
+		{"called off before the last byte", big, time.Minute, func(l *PooledConn, _ *net.TCPConn) { l.Cancel() }, CancelledBeforeSent},
+		{"withdrawn before the last byte", big, time.Minute, func(l *PooledConn, _ *net.TCPConn) { l.CancelUnsent() }, CancelledBeforeSent},
+		{"resets after it", []byte("x"), time.Minute, func(_ *PooledConn, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, BrokenAfterSent},
+		{"ends after it", []byte("x"), time.Minute, func(_ *PooledConn, c *net.TCPConn) { readByte(c); c.Close() }, BrokenAfterSent},
+		{"is silent", []byte("x"), 50 * time.Millisecond, func(*PooledConn, *net.TCPConn) {}, ResponseTimedOut},
+		{"called off after it", []byte("x"), time.Minute, func(l *PooledConn, c *net.TCPConn) { readByte(c); l.Cancel() }, CancelledAfterSent},
 	} {
 		line := connect(t, p, address)
 		other := <-accepted
 		go c.then(line, other)
 		until := time.Now().Add(c.until)
-		end := line.Hand(c.message, until)
+		end := line.Send(c.message, until)
 		if end == Open {
 			end = line.Fill(until)
 		}
 		if end != c.want {
 			t.Errorf("%s: %v, want %v", c.name, end, c.want)
 		}
-		line.Done(false)
+		line.Release(false)
 		other.Close()
 	}
 	if n := p.Count(); n != 0 {
@@ -99,27 +99,27 @@
 	p := NewPool(4, time.Minute, time.Second)
 	for _, c := range []struct {
 		look time.Duration
-		then func(*Line, *net.TCPConn)
+		then func(*PooledConn, *net.TCPConn)
 		want End
 	}{
-		{time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, CutShort},
-		{time.Minute, func(_ *Line, c *net.TCPConn) { readByte(c); c.CloseWrite() }, CutShort},
-		{time.Minute, func(_ *Line, c *net.TCPConn) { c.Write([]byte("x")) }, Garbled},
-		{time.Minute, func(l *Line, c *net.TCPConn) { readByte(c); l.Withdraw() }, Withdrawn},
-		{time.Millisecond, func(_ *Line, c *net.TCPConn) { io.CopyN(io.Discard, c, 7); c.Close() }, Broken},
+		{time.Minute, func(_ *PooledConn, c *net.TCPConn) { readByte(c); c.SetLinger(0); c.Close() }, BrokenBeforeSent},
+		{time.Minute, func(_ *PooledConn, c *net.TCPConn) { readByte(c); c.CloseWrite() }, BrokenBeforeSent},
+		{time.Minute, func(_ *PooledConn, c *net.TCPConn) { c.Write([]byte("x")) }, Malformed},
+		{time.Minute, func(l *PooledConn, c *net.TCPConn) { readByte(c); l.CancelUnsent() }, CancelledBeforeSent},
+		{time.Millisecond, func(_ *PooledConn, c *net.TCPConn) { io.CopyN(io.Discard, c, 7); c.Close() }, BrokenAfterSent},
 	} {
 		p.holdback = c.look
 		line := connect(t, p, address)
 		other := <-accepted
 		go c.then(line, other)
-		end := line.HandCarefully([]byte("message"), testDeadline(), isNeverUnwanted)
+		end := line.SendHoldingLastByte([]byte("message"), testDeadline(), isNeverUnwanted)
 		if end == Open {
 			end = line.Fill(testDeadline())
 		}
 		if end != c.want {
 			t.Errorf("%v, want %v", end, c.want)
 		}
-		line.Done(false)
+		line.Release(false)
 		other.Close()
 	}
 }
@@ -130,7 +130,7 @@
 	line := connect(t, NewPool(4, time.Minute, time.Second), address)
 	defer (<-accepted).Close()
 	line.Conn.dialDuration = time.Hour
-	if end := line.HandCarefully([]byte("ab"), time.Now().Add(time.Second), isNeverUnwanted); end != Open {
+	if end := line.SendHoldingLastByte([]byte("ab"), time.Now().Add(time.Second), isNeverUnwanted); end != Open {
 		t.Errorf("it ends as %v", end)
 	}
 }
@@ -143,10 +143,10 @@
 	p.minRest = 0
 	first := connect(t, p, address)
 	host := <-accepted
-	first.Done(true)
+	first.Release(true)
 	second := connect(t, p, address)
-	first.Cut()
-	if end := second.Hand([]byte("x"), testDeadline()); end != Open {
+	first.Cancel()
+	if end := second.Send([]byte("x"), testDeadline()); end != Open {
 		t.Fatal(end)
 	}
 	host.Write([]byte("y"))
--- a/transport/rawconn.go
+++ b/transport/rawconn.go
@@ -28,17 +28,17 @@
 	}
 }
 
-// awaitHangup waits, without reading, until the peer has closed its side (Left) or the read deadline passes (Stuck).
+// awaitHangup waits, without reading, until the peer has closed its side (ClientDisconnected) or the read deadline passes (TimedOutBeforeSent).
 func (c *Conn) awaitHangup() End {
 	raw := rawConn(c.Conn)
 	if raw == nil {
-		return Left
+		return ClientDisconnected
 	}
 	err := raw.Read(func(fd uintptr) bool { return hasEvent(fd, unix.POLLRDHUP) })
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return Stuck
+		return TimedOutBeforeSent
 	}
-	return Left
+	return ClientDisconnected
 }
 
 // HasEnded reports, without waiting, whether the peer has closed the connection, also where its end stands behind
--- a/transport/stop.go
+++ b/transport/stop.go
@@ -7,28 +7,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// The stop of a listener, in the order of a graceful shutdown: Last, Leave, Close, and Cut for what is left.
+// The stop of a listener, in the order of a graceful shutdown: DrainConnections, StopAccepting, Close, and ResetAll for what is left.
 
 const (
 	// drainAcceptTimeout is how long a stop waits for each accept of a connection that the kernel has taken.
 	drainAcceptTimeout = 10 * time.Millisecond
 	// closeInterval is how often Close asks clients to close that were accepted meanwhile, and looks at its deadline.
 	closeInterval = 20 * time.Millisecond
-	// cutPolls is how often Cut looks, within its wait, whether all clients have gone.
+	// cutPolls is how often ResetAll looks, within its wait, whether all clients have gone.
 	cutPolls = 50
 )
 
-// Last lets each client close with its next reply: right after that the client is least likely to be sending.
-func (l *Listener) Last() {
+// DrainConnections lets each client close with its next reply: right after that the client is least likely to be sending.
+func (l *Listener) DrainConnections() {
 	l.mu.Lock()
 	l.isDraining = true
 	l.mu.Unlock()
 }
 
-// Leave stops accepting; clients that are connected stay. Connections that the kernel has taken by then are still
+// StopAccepting stops accepting; clients that are connected stay. Connections that the kernel has taken by then are still
 // accepted, as there is room: what those clients have written counts as received, and closing the socket would reset
 // them. A shared socket stays open elsewhere, so that its connections wait for the next process.
-func (l *Listener) Leave() {
+func (l *Listener) StopAccepting() {
 	if !l.isShared {
 		l.listener.(*net.TCPListener).SetDeadline(time.Now())
 		return
@@ -41,7 +41,7 @@
 	l.mu.Unlock()
 }
 
-// acceptRemaining goes on accepting, after Leave, while connections wait in the kernel; once none does it closes the
+// acceptRemaining goes on accepting, after StopAccepting, while connections wait in the kernel; once none does it closes the
 // socket and returns false.
 func (l *Listener) acceptRemaining() bool {
 	if !l.hasPendingConnections() {
@@ -61,9 +61,9 @@
 }
 
 // Close stops accepting, closes clients that are or come between commands, and waits until all have gone (true) or the
-// deadline has passed (false). After false clients may still be connected: Cut ends those.
+// deadline has passed (false). After false clients may still be connected: ResetAll ends those.
 func (l *Listener) Close(deadline time.Time) bool {
-	l.Leave()
+	l.StopAccepting()
 	gone := make(chan struct{})
 	go func() { l.serving.Wait(); close(gone) }()
 	for {
@@ -100,9 +100,9 @@
 	l.listener.Close()
 }
 
-// Cut resets the connections of all clients that are left, so that none takes a part of a reply for a complete one, and
+// ResetAll resets the connections of all clients that are left, so that none takes a part of a reply for a complete one, and
 // waits a moment for their goroutines to end. It returns how many there were.
-func (l *Listener) Cut(wait time.Duration) (cut int) {
+func (l *Listener) ResetAll(wait time.Duration) (cut int) {
 	l.mu.Lock()
 	for c := range l.clients {
 		if inner, is := c.Conn.Conn.(*net.TCPConn); is {
--- a/transport/stop_test.go
+++ b/transport/stop_test.go
@@ -19,12 +19,12 @@
 		began := make(chan struct{}, 10)
 		go l.Serve(func(c *Client) {
 			for c.Fill(time.Time{}) == Open {
-				c.Begin()
+				c.BeginReply()
 				c.Skip(len(c.Unread()))
 				began <- struct{}{}
 				<-gate
 				c.Write([]byte("a"))
-				c.End()
+				c.EndReply()
 			}
 		})
 		var clients []net.Conn
@@ -43,8 +43,8 @@
 		}
 		ended := make(chan bool)
 		if last {
-			l.Last()
-			l.Leave()
+			l.DrainConnections()
+			l.StopAccepting()
 			go func() { ended <- l.Close(testDeadline()) }()
 		} else {
 			go func() { ended <- l.Close(testDeadline()) }()
@@ -82,7 +82,7 @@
 	began, over, gate := make(chan struct{}, 10), make(chan struct{}), make(chan struct{})
 	defer close(gate)
 	go func() {
-		l.Serve(func(c *Client) { c.Begin(); began <- struct{}{}; <-gate })
+		l.Serve(func(c *Client) { c.BeginReply(); began <- struct{}{}; <-gate })
 		close(over)
 	}()
 	for range 3 {
@@ -96,7 +96,7 @@
 	if l.Close(time.Now()) {
 		t.Error("all have ended")
 	}
-	l.Cut(50 * time.Millisecond)
+	l.ResetAll(50 * time.Millisecond)
 	select {
 	case <-over:
 	case <-time.After(5 * time.Second):
@@ -124,7 +124,7 @@
 	<-served // The next accept waits in the kernel.
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
-	if l.Leave(); time.Since(began) > time.Second {
+	if l.StopAccepting(); time.Since(began) > time.Second {
 		t.Errorf("it took %v to leave", time.Since(began))
 	}
 	if !l.Close(testDeadline()) || time.Since(began) > time.Second {
