--- a/cli/check.go
+++ b/cli/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/fleetconfig"
 	"hollylever/server"
 )
@@ -35,10 +35,10 @@
 
 // checkFile returns all that is wrong with a file: with a platform's configuration if it begins as JSON, with own
 // settings if not.
-func checkFile(file string) []fields.FieldError {
-	text, err := fields.Whole(file)
+func checkFile(file string) []config.FieldError {
+	text, err := config.ReadFile(file)
 	if err != nil {
-		return []fields.FieldError{{File: file, Why: err.Error()}}
+		return []config.FieldError{{File: file, Reason: err.Error()}}
 	}
 	if isConfiguration(file, text) {
 		return checkConfiguration(file, text)
@@ -52,24 +52,24 @@
 	return strings.HasSuffix(file, ".json") || strings.HasPrefix(start, "{")
 }
 
-func checkConfiguration(file string, text []byte) []fields.FieldError {
+func checkConfiguration(file string, text []byte) []config.FieldError {
 	_, mistakes := server.ParseConfiguration(file, text, func(string) string { return "" })
 	for n := range mistakes {
 		if mistakes[n].File != file { // Without variables only a file that is no JSON object has another name in it.
-			mistakes[n] = fields.FieldError{File: file, Why: "not a JSON object"}
+			mistakes[n] = config.FieldError{File: file, Reason: "not a JSON object"}
 		}
 	}
 	return mistakes
 }
 
-func checkSettings(file string, text []byte) []fields.FieldError {
-	settings, mistakes := fields.Parse(file, text, server.SettingsTables)
+func checkSettings(file string, text []byte) []config.FieldError {
+	settings, mistakes := config.Parse(file, text, server.SettingsTables)
 	if len(mistakes) > 0 {
 		return mistakes
 	}
 	if err := fleetconfig.Validate(settings, ""); err != nil {
 		field, why, _ := strings.Cut(err.Error(), ": ")
-		return []fields.FieldError{{File: file, Field: field, Why: why}}
+		return []config.FieldError{{File: file, Field: field, Reason: why}}
 	}
 	return nil
 }
@@ -77,8 +77,8 @@
 // describeDisagreement tells T, the longest time for which two processes under leases can act on contradicting
 // configurations, where a file has a fleet.
 func describeDisagreement(file string) string {
-	settings, mistakes := fields.Read(file, server.SettingsTables)
-	if len(mistakes) > 0 || !settings.Yes("fleet.on") {
+	settings, mistakes := config.Read(file, server.SettingsTables)
+	if len(mistakes) > 0 || !settings.Boolean("fleet.on") {
 		return ""
 	}
 	return fmt.Sprintf("; T is %v", fleetconfig.ParseLeaseTiming(settings).MaxDisagreement().Round(time.Millisecond))
--- a/cli/check_test.go
+++ b/cli/check_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/server"
 )
 
@@ -25,7 +25,7 @@
 		return file
 	}
 	good := configurationFile(t, nil)
-	if code, out, wrong := runCommand("check", good, put("good.toml", fields.Example(server.SettingsTables))); code != 0 || strings.Count(out, ": good\n") != 2 || wrong != "" {
+	if code, out, wrong := runCommand("check", good, put("good.toml", config.Example(server.SettingsTables))); code != 0 || strings.Count(out, ": good\n") != 2 || wrong != "" {
 		t.Errorf("good files: %d, %q, %q", code, out, wrong)
 	}
 	var nice bytes.Buffer
@@ -53,7 +53,7 @@
 // A setting is added and the example file is forgotten: it has to be what the program prints.
 func TestExampleFileIsUpToDate(t *testing.T) {
 	text, err := os.ReadFile("../deploy/hollylever.toml")
-	if err != nil || string(text) != fields.Example(server.SettingsTables) {
+	if err != nil || string(text) != config.Example(server.SettingsTables) {
 		t.Errorf("deploy/hollylever.toml: %v; hollylever config example > deploy/hollylever.toml mends it", err)
 	}
 }
--- a/cli/config.go
+++ b/cli/config.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/server"
 )
 
@@ -20,7 +20,7 @@
 func newConfigExampleCommand() *cobra.Command {
 	return &cobra.Command{Use: "example", Short: "Print a file with every field at its default", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			_, err := io.WriteString(c.OutOrStdout(), fields.Example(server.SettingsTables))
+			_, err := io.WriteString(c.OutOrStdout(), config.Example(server.SettingsTables))
 			return err
 		}}
 }
@@ -28,12 +28,12 @@
 func newConfigExplainCommand() *cobra.Command {
 	return &cobra.Command{Use: "explain [FIELD]", Short: "Explain a field, a table of them, or all", Args: cobra.MaximumNArgs(1),
 		ValidArgsFunction: func(*cobra.Command, []string, string) ([]string, cobra.ShellCompDirective) {
-			return fields.Names(server.SettingsTables), cobra.ShellCompDirectiveNoFileComp
+			return config.Names(server.SettingsTables), cobra.ShellCompDirectiveNoFileComp
 		},
 		RunE: func(c *cobra.Command, names []string) error {
-			text := fields.Explain(server.SettingsTables, strings.Join(names, ""))
+			text := config.Explain(server.SettingsTables, strings.Join(names, ""))
 			if text == "" {
-				known := strings.Join(fields.Names(server.SettingsTables), ", ")
+				known := strings.Join(config.Names(server.SettingsTables), ", ")
 				return exitError{fmt.Errorf("no field or table %q; there are %s", names[0], known), exitMistake}
 			}
 			_, err := io.WriteString(c.OutOrStdout(), text)
--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/server"
 )
 
@@ -58,7 +58,7 @@
 func TestGoldenSettings(t *testing.T) {
 	_, out, wrong := runCommand("config", "explain")
 	_, example, _ := runCommand("config", "example")
-	compareGolden(t, "settings.golden", out+wrong+example+strings.Join(fields.Names(server.SettingsTables), "\n"))
+	compareGolden(t, "settings.golden", out+wrong+example+strings.Join(config.Names(server.SettingsTables), "\n"))
 }
 
 // What the commands make of a door's answers, and the code with which each ends, is what scripts build on. The door
--- a/cli/propose.go
+++ b/cli/propose.go
@@ -9,14 +9,14 @@
 
 	"github.com/spf13/cobra"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/fleetconfig"
 )
 
 func newProposeCommand(a *adminClient) *cobra.Command {
 	return &cobra.Command{Use: "propose FILE", Short: "Propose what a file (TOML) has, and wait for the majority's answer", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, files []string) error {
-			text, err := fields.Whole(files[0])
+			text, err := config.ReadFile(files[0])
 			if err != nil {
 				return exitError{fmt.Errorf("%s: %w", files[0], err), exitMistake}
 			}
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,13 +6,13 @@
 	"os"
 	"runtime/debug"
 
-	"hollylever/benchlink"
+	"hollylever/simadapter"
 )
 
 func main() {
 	debug.SetGCPercent(400)
-	benchlink.Speaks = os.Getenv("HOLLYLEVER_PEERS") == "on"
-	if err := benchlink.Run(os.Stdin, os.Stdout); err != nil {
+	simadapter.ExchangesReports = os.Getenv("HOLLYLEVER_PEERS") == "on"
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/cmd/hollyfleet/main.go
+++ b/cmd/hollyfleet/main.go
@@ -6,8 +6,8 @@
 	"github.com/rs/zerolog"
 	"hollylever/cli"
 
+	"hollylever/config"
 	"hollylever/consensus"
-	"hollylever/fields"
 	"hollylever/fleet"
 	"hollylever/membership"
 	"hollylever/routing"
@@ -19,7 +19,7 @@
 
 // join implements server.Join. settingsDigest is of the operators' settings file.
 func join(
-	config fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger,
+	config config.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger,
 ) (server.Fleet, error) {
 	f, err := fleet.Start(config, name, zone, settingsDigest, balancerAdapter{b}, log)
 	if err != nil {
--- a/fields/read.go
+++ b/config/read.go
@@ -1,4 +1,4 @@
-package fields
+package config
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	File         string
 	Line, Column int    // from 1; 0: of the whole file
 	Field        string // table and field; empty: the file as a whole
-	Why          string
+	Reason       string
 }
 
 // Error is one line: file, place, field and what is wrong.
@@ -31,25 +31,25 @@
 	if e.Field != "" {
 		text += ": " + e.Field
 	}
-	return text + ": " + e.Why
+	return text + ": " + e.Reason
 }
 
 // Read reads a file. It gives all values, or all that is wrong with it.
-func Read(file string, parts []Part) (Values, []FieldError) {
-	content, err := Whole(file)
+func Read(file string, sections []Section) (Values, []FieldError) {
+	content, err := ReadFile(file)
 	if err != nil {
-		return Values{}, []FieldError{{File: file, Why: err.Error()}}
+		return Values{}, []FieldError{{File: file, Reason: err.Error()}}
 	}
-	return Parse(file, content, parts)
+	return Parse(file, content, sections)
 }
 
 // Parse is Read of content that is there already. file only names it in errors.
-func Parse(file string, content []byte, parts []Part) (Values, []FieldError) {
+func Parse(file string, content []byte, sections []Section) (Values, []FieldError) {
 	var tree map[string]any
 	if err := toml.Unmarshal(content, &tree); err != nil {
 		return Values{}, []FieldError{syntaxError(file, err)}
 	}
-	p := parser{file: file, parts: parts, values: Standard(parts)}
+	p := parser{file: file, sections: sections, values: Defaults(sections)}
 	p.tables, p.fields = findKeys(content)
 	for table, inner := range tree {
 		p.parseTable(table, inner)
@@ -65,7 +65,7 @@
 
 // syntaxError is what the TOML library says of a file's form, and of keys that stand twice.
 func syntaxError(file string, err error) FieldError {
-	e := FieldError{File: file, Why: strings.TrimPrefix(err.Error(), "toml: ")}
+	e := FieldError{File: file, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
 		e.Line, e.Column = decode.Position()
@@ -82,7 +82,7 @@
 // parser holds the values of a file against the declarations.
 type parser struct {
 	file   string
-	parts  []Part
+	sections  []Section
 	tables []keyPlace // headers, in their order
 	fields []keyPlace // "table.field", in their order
 	values Values
@@ -91,7 +91,7 @@
 
 // parseTable takes one key of the file's root.
 func (p *parser) parseTable(table string, inner any) {
-	place := slices.IndexFunc(p.parts, func(part Part) bool { return part.Table == table })
+	place := slices.IndexFunc(p.sections, func(section Section) bool { return section.Table == table })
 	fields, isTable := inner.(map[string]any)
 	switch {
 	case place < 0 && isTable:
@@ -102,18 +102,18 @@
 		p.add(find(table, p.fields, p.tables), "has to be a table")
 	default:
 		for name, raw := range fields {
-			p.parseField(&p.parts[place], name, raw)
+			p.parseField(&p.sections[place], name, raw)
 		}
 	}
 }
 
 // parseField takes one field of a known table.
-func (p *parser) parseField(part *Part, name string, raw any) {
-	full := part.Table + "." + name
+func (p *parser) parseField(section *Section, name string, raw any) {
+	full := section.Table + "." + name
 	at := find(full, p.fields, p.tables)
-	field := part.field(name)
+	field := section.field(name)
 	if field == nil {
-		p.add(at, "no such field; there are "+strings.Join(part.fieldNames(), ", "))
+		p.add(at, "no such field; there are "+strings.Join(section.fieldNames(), ", "))
 		return
 	}
 	parsed, err := field.parse(raw)
@@ -154,9 +154,9 @@
 }
 
 func (p *parser) tableNames() string {
-	names := make([]string, 0, len(p.parts))
-	for _, part := range p.parts {
-		names = append(names, part.Table)
+	names := make([]string, 0, len(p.sections))
+	for _, section := range p.sections {
+		names = append(names, section.Table)
 	}
 	return strings.Join(names, ", ")
 }
--- a/fields/fields_test.go
+++ b/config/section_test.go
@@ -1,4 +1,4 @@
-package fields
+package config
 
 import (
 	"bytes"
@@ -11,14 +11,14 @@
 	"time"
 )
 
-var parts = []Part{
+var parts = []Section{
 	{"log", "What is logged.", []Field{
-		{Name: "level", Kind: Word, Default: "info", Words: []string{"debug", "info"}, When: AtOnce, Help: "From which level on."},
-		{Name: "lines", Kind: Count, Default: "512", Least: "16", Most: "4096", When: AtStart, Help: "Kept back."}}},
+		{Name: "level", Kind: Option, Default: "info", Options: []string{"debug", "info"}, TakesEffect: OnReload, Help: "From which level on."},
+		{Name: "lines", Kind: Integer, Default: "512", Min: "16", Max: "4096", TakesEffect: OnRestart, Help: "Kept back."}}},
 	{"keep", "What is kept.", []Field{
-		{Name: "on", Kind: Yes, Default: "true", When: AtStart, Help: "Whether."},
-		{Name: "every", Kind: Duration, Default: "1s", Least: "100ms", Most: "1m", When: AtOnce, Help: "How often."},
-		{Name: "most", Kind: Size, Default: "8 MiB", Least: "1 KiB", Most: "8 MiB", When: AtOnce, Help: "How much."}}},
+		{Name: "on", Kind: Boolean, Default: "true", TakesEffect: OnRestart, Help: "Whether."},
+		{Name: "every", Kind: Duration, Default: "1s", Min: "100ms", Max: "1m", TakesEffect: OnReload, Help: "How often."},
+		{Name: "most", Kind: Size, Default: "8 MiB", Min: "1 KiB", Max: "8 MiB", TakesEffect: OnReload, Help: "How much."}}},
 }
 
 // Who mends a settings file is told of each error in one line that names the place and the field.
@@ -59,15 +59,15 @@
 // Values are the file's, or the defaults; the example file is the defaults, and a change is told by when it takes effect.
 func TestValuesDefaultsAndChanges(t *testing.T) {
 	v, wrong := Parse("f", []byte("keep.every = \"250ms\"\n[log]\nlevel = \"debug\""), parts)
-	if len(wrong) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Word("log.level") != "debug" || v.Count("log.lines") != 512 ||
-		!v.Yes("keep.on") || v.Count("keep.most") != 8<<20 {
+	if len(wrong) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Text("log.level") != "debug" || v.Integer("log.lines") != 512 ||
+		!v.Boolean("keep.on") || v.Integer("keep.most") != 8<<20 {
 		t.Errorf("%+v, %v", v, wrong)
 	}
-	w := Standard(parts)
-	if now, later := Changed(parts, v, w, AtOnce), Changed(parts, v, w, AtStart); strings.Join(now, " ") != "log.level keep.every" || len(later) > 0 {
+	w := Defaults(parts)
+	if now, later := ChangedFields(parts, v, w, OnReload), ChangedFields(parts, v, w, OnRestart); strings.Join(now, " ") != "log.level keep.every" || len(later) > 0 {
 		t.Errorf("what changed: %v at once, %v later", now, later)
 	}
-	if example, wrong := Parse("f", []byte(Example(parts)), parts); len(wrong) > 0 || len(Changed(parts, example, w, AtOnce))+len(Changed(parts, example, w, AtStart)) > 0 {
+	if example, wrong := Parse("f", []byte(Example(parts)), parts); len(wrong) > 0 || len(ChangedFields(parts, example, w, OnReload))+len(ChangedFields(parts, example, w, OnRestart)) > 0 {
 		t.Errorf("the example is not the defaults: %v\n%s", wrong, Example(parts))
 	}
 	if text := Explain(parts, "keep.every"); !strings.Contains(text, "100ms to 1m") || !strings.Contains(text, "at once") || Explain(parts, "none") != "" {
@@ -119,7 +119,7 @@
 			continue
 		}
 		taken++
-		every, most := v.Duration("keep.every"), v.Count("keep.most")
+		every, most := v.Duration("keep.every"), v.Integer("keep.most")
 		if most != 8<<20 && int64(every/time.Second)<<10 != most {
 			t.Fatalf("half of one file and half of another: %v and %d", every, most)
 		}
--- a/fields/value.go
+++ b/config/value.go
@@ -1,4 +1,4 @@
-package fields
+package config
 
 import (
 	"errors"
@@ -24,9 +24,9 @@
 // parse takes a value as the TOML library gives it.
 func (f *Field) parse(raw any) (value, error) {
 	switch f.Kind {
-	case Yes:
+	case Boolean:
 		return parseBoolean(raw)
-	case Word:
+	case Option:
 		return f.parseWord(raw)
 	case Text:
 		return f.parseText(raw)
@@ -35,8 +35,8 @@
 	if err != nil {
 		return value{}, err
 	}
-	if number < f.bound(f.Least) || number > f.bound(f.Most) {
-		return value{}, fmt.Errorf("is not from %s to %s", f.Least, f.Most)
+	if number < f.bound(f.Min) || number > f.bound(f.Max) {
+		return value{}, fmt.Errorf("is not from %s to %s", f.Min, f.Max)
 	}
 	return value{number: number}, nil
 }
@@ -55,10 +55,10 @@
 func (f *Field) parseWord(raw any) (value, error) {
 	text, isText := raw.(string)
 	if !isText {
-		return value{}, fmt.Errorf("has to be one of %s", strings.Join(f.Words, ", "))
+		return value{}, fmt.Errorf("has to be one of %s", strings.Join(f.Options, ", "))
 	}
-	if !slices.Contains(f.Words, text) {
-		return value{}, fmt.Errorf("%q is none of %s", text, strings.Join(f.Words, ", "))
+	if !slices.Contains(f.Options, text) {
+		return value{}, fmt.Errorf("%q is none of %s", text, strings.Join(f.Options, ", "))
 	}
 	return value{text: text}, nil
 }
@@ -75,9 +75,9 @@
 	return value{text: text}, nil
 }
 
-// parseNumber reads a Count, a Duration or a Size.
+// parseNumber reads an Integer, a Duration or a Size.
 func (f *Field) parseNumber(raw any) (int64, error) {
-	if f.Kind == Count {
+	if f.Kind == Integer {
 		number, isNumber := raw.(int64)
 		if !isNumber {
 			return 0, errNotInteger
@@ -102,8 +102,8 @@
 
 // maxText is how many bytes a text may have.
 func (f *Field) maxText() int {
-	if f.MaxText > 0 {
-		return f.MaxText
+	if f.MaxBytes > 0 {
+		return f.MaxBytes
 	}
 	return defaultMaxText
 }
--- a/fleet/connections.go
+++ b/fleet/connections.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/membership"
 	"hollylever/subset"
 )
@@ -16,11 +16,11 @@
 	endpoints []subset.Endpoint
 }
 
-func newConnectionSubset(own fields.Values) connectionSubset {
+func newConnectionSubset(own config.Values) connectionSubset {
 	return connectionSubset{config: subset.Config{
-		MinEndpoints: int(own.Count("fleet.tends")),
+		MinEndpoints: int(own.Integer("fleet.tends")),
 		MinBalancers: subset.DefaultConfig.MinBalancers,
-		ZoneLocal:    own.Yes("fleet.tends_near"),
+		ZoneLocal:    own.Boolean("fleet.tends_near"),
 	}}
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -23,8 +23,8 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
+	"hollylever/config"
 	"hollylever/consensus"
-	"hollylever/fields"
 	"hollylever/fleetconfig"
 	"hollylever/membership"
 	"hollylever/monotime"
@@ -133,33 +133,33 @@
 // process's handover file. settingsDigest is of the operators' settings file. The caller then calls Run, once. Errors
 // name the setting at fault.
 func Start(
-	own fields.Values, name, zone, settingsDigest string, balancer Balancer, log zerolog.Logger,
+	own config.Values, name, zone, settingsDigest string, balancer Balancer, log zerolog.Logger,
 ) (*Fleet, error) {
 	if err := fleetconfig.Validate(own, name); err != nil {
 		return nil, err
 	}
-	peers, err := fleetconfig.ParsePeers(own.Word("fleet.peers"))
+	peers, err := fleetconfig.ParsePeers(own.Text("fleet.peers"))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.peers: %w", err)
 	}
 	folder := os.Getenv("TMPDIR")
 	seed := drawSeed()
 	incarnation := nextIncarnation(folder, time.Now(), binary.LittleEndian.Uint32(seed[:4]))
-	trace, err := openTrace(own.Word("fleet.trace"))
+	trace, err := openTrace(own.Text("fleet.trace"))
 	if err != nil {
 		return nil, err
 	}
-	queue := queueSize(len(peers), int(own.Count("fleet.most")))
+	queue := queueSize(len(peers), int(own.Integer("fleet.most")))
 	f := &Fleet{
 		name: name, zone: zone, settingsDigest: settingsDigest, incarnation: incarnation,
-		leaseTiming: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Word("fleet.keepers")),
+		leaseTiming: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Text("fleet.keepers")),
 		balancer: balancer, log: log, trace: trace, handover: handoverIn(folder), inbox: newInbox(queue),
 		peerLists:   peerLists{maxBehind: own.Duration("fleet.behind")},
 		connections: newConnectionSubset(own),
-		evacuation:  newEvacuationState(own.Yes("fleet.zones"), balancer.SlowStartDuration()),
+		evacuation:  newEvacuationState(own.Boolean("fleet.zones"), balancer.SlowStartDuration()),
 		proposals:   map[string]chan reply{},
 	}
-	if own.Yes("fleet.signals") {
+	if own.Boolean("fleet.signals") {
 		f.outliers = newOutlierExchange(name, zone, f.incarnation, own.Duration("fleet.signal_delay"), queue)
 	}
 	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
@@ -168,11 +168,11 @@
 	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.leaseTiming, f.voters, f, source.IntN)
 	f.recallHandover()
 	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
-	f.openReplica = func() error { return f.startReplica(own.Word("fleet.state"), source.IntN) }
+	f.openReplica = func() error { return f.startReplica(own.Text("fleet.state"), source.IntN) }
 	if err := f.startFirst(); err != nil {
 		return nil, err
 	}
-	log.Info().Str("listen", own.Word("fleet.listen")).Bool("replica", f.replica.state != nil).
+	log.Info().Str("listen", own.Text("fleet.listen")).Bool("replica", f.replica.state != nil).
 		Dur("max_disagreement_ms", f.leaseTiming.MaxDisagreement()).Msg("fleet joined")
 	return f, nil
 }
--- a/fleet/inbox.go
+++ b/fleet/inbox.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sync/atomic"
 
+	"hollylever/config"
 	"hollylever/consensus"
-	"hollylever/fields"
 	"hollylever/fleetconfig"
 	"hollylever/membership"
 )
@@ -38,10 +38,10 @@
 // openExchange opens the exchange between members that the settings name, gossip or plain. delegate gets what it
 // receives.
 func openExchange(
-	own fields.Values, name string, peers []membership.Peer, delegate membership.Delegate,
+	own config.Values, name string, peers []membership.Peer, delegate membership.Delegate,
 ) (membership.Exchange, error) {
-	listen, rate := own.Word("fleet.listen"), fleetconfig.SendRate(own, len(peers))
-	if own.Word("fleet.way") == "gossip" {
+	listen, rate := own.Text("fleet.listen"), fleetconfig.SendRate(own, len(peers))
+	if own.Text("fleet.way") == "gossip" {
 		return membership.OpenGossip(name, listen, peers, rate, delegate)
 	}
 	return membership.OpenPlain(name, listen, peers, rate, delegate)
--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"slices"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 const (
@@ -37,19 +37,19 @@
 }
 
 // SendRate returns how many bytes per second a process sends at most, in a fleet of so many configured peers.
-func SendRate(own fields.Values, peers int) int {
-	if rate := int(own.Count("fleet.rate")); rate > 0 {
+func SendRate(own config.Values, peers int) int {
+	if rate := int(own.Integer("fleet.rate")); rate > 0 {
 		return rate
 	}
-	return baseSendRate + perMemberSendRate*max(peers, int(own.Count("fleet.most")))
+	return baseSendRate + perMemberSendRate*max(peers, int(own.Integer("fleet.most")))
 }
 
 // Validate checks that the fields of the [fleet] table fit together, for the process of a name; "": for any. It returns
 // nil where the table is not on, and an error that wraps an *InvalidFieldError for the first field that is wrong. Its
 // text begins with the table and the field. It is called before a process starts and by the commands that check its
 // settings.
-func Validate(own fields.Values, name string) error {
-	if !own.Yes("fleet.on") {
+func Validate(own config.Values, name string) error {
+	if !own.Boolean("fleet.on") {
 		return nil
 	}
 	if err := validateFields(own, name); err != nil {
@@ -58,22 +58,22 @@
 	return nil
 }
 
-func validateFields(own fields.Values, name string) error {
+func validateFields(own config.Values, name string) error {
 	if err := ParseLeaseTiming(own).Validate(); err != nil {
 		return err
 	}
-	peers, err := ParsePeers(own.Word("fleet.peers"))
-	replicas := ParseNames(own.Word("fleet.keepers"))
+	peers, err := ParsePeers(own.Text("fleet.peers"))
+	replicas := ParseNames(own.Text("fleet.keepers"))
 	switch {
 	case err != nil:
 		return &InvalidFieldError{Field: "peers", Err: err}
-	case own.Count("fleet.rate") != 0 && own.Count("fleet.rate") < minSendRate:
+	case own.Integer("fleet.rate") != 0 && own.Integer("fleet.rate") < minSendRate:
 		return invalid("rate", "is not 0, nor from %d on", minSendRate)
-	case own.Word("fleet.listen") == "":
+	case own.Text("fleet.listen") == "":
 		return invalid("listen", "missing")
 	case !isReplicaCount(len(replicas)):
 		return invalid("keepers", "names %d, not one, three, five or seven", len(replicas))
-	case name != "" && !isPeer(peers, name) && own.Word("fleet.way") == "plain":
+	case name != "" && !isPeer(peers, name) && own.Text("fleet.way") == "plain":
 		return invalid("peers", "%q, this process, is not among them", name)
 	}
 	return validateReplicas(replicas, peers)
--- a/fleetconfig/fleetconfig_test.go
+++ b/fleetconfig/fleetconfig_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 // largeFleet is how many processes the tests of size have.
@@ -16,7 +16,7 @@
 // A fleet that has grown to the largest size must still start from its settings: as many peers as may be, with the
 // longest names and addresses, are read, and one more is refused.
 func TestLargestFleetFitsIntoItsSettings(t *testing.T) {
-	readSettings := func(peers int) (fields.Values, []fields.FieldError) {
+	readSettings := func(peers int) (config.Values, []config.FieldError) {
 		var entries []string
 		for n := range peers {
 			name := fmt.Sprint(n, "-")
@@ -29,14 +29,14 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return fields.Read(file, []fields.Part{ConfigSection})
+		return config.Read(file, []config.Section{ConfigSection})
 	}
 	for _, count := range []int{largeFleet, MaxMembers} {
 		values, mistakes := readSettings(count)
 		if len(mistakes) > 0 {
 			t.Fatalf("%d peers: %.200s", count, mistakes[0])
 		}
-		if peers, err := ParsePeers(values.Word("fleet.peers")); err != nil || len(peers) != count {
+		if peers, err := ParsePeers(values.Text("fleet.peers")); err != nil || len(peers) != count {
 			t.Errorf("%d peers of %d, %v", len(peers), count, err)
 		}
 		if err := Validate(values, ""); err != nil {
@@ -47,7 +47,7 @@
 	if rate := SendRate(values, largeFleet); rate < 16_000_000 {
 		t.Errorf("%d bytes a second among %d", rate, largeFleet)
 	}
-	if rate := SendRate(fields.Standard([]fields.Part{ConfigSection}), 3); rate > 1_100_000 {
+	if rate := SendRate(config.Defaults([]config.Section{ConfigSection}), 3); rate > 1_100_000 {
 		t.Errorf("%d bytes a second among 3", rate)
 	}
 	values, mistakes := readSettings(MaxMembers + 1)
--- a/fleetconfig/golden_test.go
+++ b/fleetconfig/golden_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 var goField = regexp.MustCompile(`struct field \S+`)
@@ -59,7 +59,7 @@
 		if err := os.WriteFile(file, []byte("[fleet]\n"+text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		own, mistakes := fields.Read(file, []fields.Part{ConfigSection})
+		own, mistakes := config.Read(file, []config.Section{ConfigSection})
 		for _, mistake := range mistakes {
 			fmt.Fprintln(&lines, strings.ReplaceAll(mistake.Error(), file, "own.toml"))
 		}
@@ -69,7 +69,7 @@
 	for _, terms := range []LeaseTiming{{}, {LeaseDuration: 1e11}, {LeaseDuration: 1e9, ClockRateError: 0.2}, {LeaseDuration: 1e9, ClockRateError: -1}, {LeaseDuration: 1e9, MaxPause: 2e9}, {LeaseDuration: 1e9, MaxPause: -1}} {
 		fmt.Fprintln(&lines, terms.Validate())
 	}
-	fmt.Fprint(&lines, fields.Example([]fields.Part{ConfigSection}))
+	fmt.Fprint(&lines, config.Example([]config.Section{ConfigSection}))
 	const file = "testdata/fleet.golden"
 	if *update {
 		if err := os.WriteFile(file, lines.Bytes(), 0o600); err != nil {
--- a/fleetconfig/leasetiming.go
+++ b/fleetconfig/leasetiming.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 const (
@@ -29,12 +29,12 @@
 }
 
 // ParseLeaseTiming reads the lease timing from the [fleet] table.
-func ParseLeaseTiming(own fields.Values) LeaseTiming {
+func ParseLeaseTiming(own config.Values) LeaseTiming {
 	return LeaseTiming{
 		LeaseDuration:  own.Duration("fleet.lease"),
-		ClockRateError: float64(own.Count("fleet.rate_error")) / 1000, // The field is in thousandths.
+		ClockRateError: float64(own.Integer("fleet.rate_error")) / 1000, // The field is in thousandths.
 		MaxPause:       own.Duration("fleet.pause"),
-		MaxMembers:     int(own.Count("fleet.most")),
+		MaxMembers:     int(own.Integer("fleet.most")),
 	}
 }
 
--- a/fleetconfig/peers_test.go
+++ b/fleetconfig/peers_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 // A peer that is listed wrongly or twice would be unreachable, or counted twice, without a word; a start is refused
@@ -37,7 +37,7 @@
 		common + "peers = \"a=127.0.0.1:1, a=127.0.0.1:1\"\n": {Field: "peers", Err: ErrDuplicatePeer},
 		common + "lease = \"1s\"\npause = \"2s\"\n":           {Field: "pause"},
 	} {
-		own, mistakes := fields.Parse("own.toml", []byte(text), []fields.Part{ConfigSection})
+		own, mistakes := config.Parse("own.toml", []byte(text), []config.Section{ConfigSection})
 		if len(mistakes) > 0 {
 			t.Fatal(mistakes)
 		}
--- a/fleetconfig/proposal.go
+++ b/fleetconfig/proposal.go
@@ -7,7 +7,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"hollylever/fields"
+	"hollylever/config"
 )
 
 // Proposal is a change of the replicated configuration that an operator proposes, as a file states it (TOML) and as the
@@ -48,7 +48,7 @@
 
 // ParseProposal reads a proposal from the text of a file, whose name stands in the errors. It is strict: for each field
 // that is unknown, and for the first of another type, there is an error with its place.
-func ParseProposal(file string, text []byte) (Proposal, []fields.FieldError) {
+func ParseProposal(file string, text []byte) (Proposal, []config.FieldError) {
 	var proposal Proposal
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(&proposal)
@@ -56,26 +56,26 @@
 }
 
 // fieldErrors gives what decoding a file returned as errors with a place.
-func fieldErrors(file string, err error) []fields.FieldError {
+func fieldErrors(file string, err error) []config.FieldError {
 	var unknown *toml.StrictMissingError
 	var malformed *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &unknown):
-		var all []fields.FieldError
+		var all []config.FieldError
 		for n := range unknown.Errors {
 			all = append(all, fieldError(file, &unknown.Errors[n], "no such field; there are "+proposalFields))
 		}
 		return all
 	case errors.As(err, &malformed):
-		return []fields.FieldError{fieldError(file, malformed, strings.TrimPrefix(malformed.Error(), "toml: "))}
+		return []config.FieldError{fieldError(file, malformed, strings.TrimPrefix(malformed.Error(), "toml: "))}
 	default:
-		return []fields.FieldError{{File: file, Why: err.Error()}}
+		return []config.FieldError{{File: file, Reason: err.Error()}}
 	}
 }
 
-func fieldError(file string, at *toml.DecodeError, why string) fields.FieldError {
+func fieldError(file string, at *toml.DecodeError, why string) config.FieldError {
 	line, column := at.Position()
-	return fields.FieldError{File: file, Line: line, Column: column, Field: strings.Join(at.Key(), "."), Why: why}
+	return config.FieldError{File: file, Line: line, Column: column, Field: strings.Join(at.Key(), "."), Reason: why}
 }
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"hollylever/protocol"
-	"hollylever/tables"
+	"hollylever/settings"
 	"hollylever/transport"
 )
 
@@ -156,7 +156,7 @@
 
 // parseReport reads a server's load report, nil if there is none.
 func (b *Balancer) parseReport(text []byte) []float64 {
-	if load := make([]float64, len(b.catalog.reportFields)); tables.Report(text, "=", b.catalog.reportFields, load) {
+	if load := make([]float64, len(b.catalog.reportFields)); settings.ParseReport(text, "=", b.catalog.reportFields, load) {
 		return load
 	}
 	return nil
--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 	"github.com/tidwall/gjson"
 
-	"hollylever/tables"
+	"hollylever/settings"
 	"hollylever/transport"
 )
 
@@ -22,7 +22,7 @@
 	}
 	whole := []byte(strings.Replace(incrementalList(rows...), "false", "true", 1))
 	pool := transport.NewPool(8, time.Minute, time.Second)
-	r, err := New(tables.Flat(gjson.Parse(settings)), whole, "", 1, pool, 1<<20, "", nil, zerolog.Nop())
+	r, err := New(settings.Flatten(gjson.Parse(testSettings)), whole, "", 1, pool, 1<<20, "", nil, zerolog.Nop())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/routing/catalog.go
+++ b/routing/catalog.go
@@ -3,7 +3,7 @@
 import (
 	"strconv"
 
-	"hollylever/tables"
+	"hollylever/settings"
 )
 
 // catalog holds what the settings name, and the index by which the policy knows each name. It does not change after
@@ -22,23 +22,23 @@
 }
 
 // newCatalog reads the names from the settings.
-func newCatalog(settings map[string]any) catalog {
+func newCatalog(values map[string]any) catalog {
 	c := catalog{
-		workloads:    tables.Places(settings, "workloads", ".name"),
+		workloads:    settings.NameIndices(values, "workloads", ".name"),
 		isSingleShot: map[int]bool{},
-		tenants:      tables.Places(settings, "tenants", ".name"),
-		machineTypes: tables.Places(settings, "hostTypes", ""),
-		zones:        tables.Places(settings, "zones", ""),
-		reportFields: tables.Places(settings, "report.fields", ""),
+		tenants:      settings.NameIndices(values, "tenants", ".name"),
+		machineTypes: settings.NameIndices(values, "hostTypes", ""),
+		zones:        settings.NameIndices(values, "zones", ""),
+		reportFields: settings.NameIndices(values, "report.fields", ""),
 	}
 	c.machineTypeNames, c.zoneNames = namesByIndex(c.machineTypes), namesByIndex(c.zones)
 	for _, w := range c.workloads {
-		c.isSingleShot[w] = settings["workloads."+strconv.Itoa(w)+".effect"] == "single_shot"
+		c.isSingleShot[w] = values["workloads."+strconv.Itoa(w)+".effect"] == "single_shot"
 	}
 	for w := range len(c.workloads) {
-		c.expectedTimes = append(c.expectedTimes, int64(settingNumber(settings, "workloads."+strconv.Itoa(w)+".expectedTime")*1e6))
+		c.expectedTimes = append(c.expectedTimes, int64(settingNumber(values, "workloads."+strconv.Itoa(w)+".expectedTime")*1e6))
 	}
-	c.onlyDrainingBinds, _ = settings["invariants.onlyDrainingBinds"].(bool)
+	c.onlyDrainingBinds, _ = values["invariants.onlyDrainingBinds"].(bool)
 	return c
 }
 
--- a/routing/endpointlist_test.go
+++ b/routing/endpointlist_test.go
@@ -9,7 +9,7 @@
 	"github.com/tidwall/gjson"
 
 	"hollylever/fakes"
-	"hollylever/tables"
+	"hollylever/settings"
 )
 
 // Over long days new endpoints keep coming: memory must not grow with them, and an index must not become another
@@ -58,7 +58,7 @@
 // and used; one that drained, is ejected or has lost its address is not, and none is retained for ever.
 func TestRemovedEndpointIsRetainedWhereOnlyDrainingBinds(t *testing.T) {
 	begun := func() *Balancer {
-		stated := tables.Flat(gjson.Parse(settings))
+		stated := settings.Flatten(gjson.Parse(testSettings))
 		stated["invariants.onlyDrainingBinds"] = true
 		b := newTestBalancerWith(t, 1<<20, stated)
 		b.setEjections(manualEjections, []string{"s"})
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -5,7 +5,7 @@
 
 	"hollylever/policy"
 	"hollylever/protocol"
-	"hollylever/tables"
+	"hollylever/settings"
 	"hollylever/transport"
 )
 
@@ -30,7 +30,7 @@
 // endpointTable holds the endpoints by the index that the policy knows them by. Balancer.mu guards it.
 type endpointTable struct {
 	all        []endpoint // one without a name is a free place
-	indices    tables.Indices
+	indices    settings.IndexAllocator
 	byName     map[string]int
 	everListed nameHistory
 }
@@ -59,7 +59,7 @@
 
 // allocate returns the index of a free place.
 func (t *endpointTable) allocate() int {
-	i := t.indices.Take()
+	i := t.indices.Allocate()
 	if i == len(t.all) {
 		t.all = append(t.all, endpoint{})
 	}
@@ -158,7 +158,7 @@
 	delete(b.endpoints.byName, e.name)
 	*e = endpoint{health: policy.Removed}
 	b.policy.RemoveEndpoint(i)
-	b.endpoints.indices.Give(i)
+	b.endpoints.indices.Free(i)
 }
 
 // releaseAttempt notes that an attempt is no longer held against an endpoint; under the lock.
--- a/routing/exchange_test.go
+++ b/routing/exchange_test.go
@@ -27,8 +27,8 @@
 			ended += n
 		}
 	}
-	if b.counters.total("trips") == 0 || ended != b.counters.total("trips") || b.requests.indices.Out() != 0 || b.requests.bytes != 0 {
-		t.Fatalf("%v, %d held, %d bytes", b.counters.sinceStart, b.requests.indices.Out(), b.requests.bytes)
+	if b.counters.total("trips") == 0 || ended != b.counters.total("trips") || b.requests.indices.InUse() != 0 || b.requests.bytes != 0 {
+		t.Fatalf("%v, %d held, %d bytes", b.counters.sinceStart, b.requests.indices.InUse(), b.requests.bytes)
 	}
 }
 
--- a/routing/figures.go
+++ b/routing/figures.go
@@ -121,7 +121,7 @@
 func (b *Balancer) Summary(clients int, cpu time.Duration, collections uint64) {
 	b.mu.Lock()
 	line := b.log.Info().Int("clients", clients).Int("hosts_open", b.pool.Count()).
-		Int("held", b.requests.indices.Out()).Int("servers", len(b.endpoints.byName)).Uint64("index", b.list.index).
+		Int("held", b.requests.indices.InUse()).Int("servers", len(b.endpoints.byName)).Uint64("index", b.list.index).
 		Int64("cpu_ms", cpu.Milliseconds()).Uint64("collections", collections)
 	since := b.counters.sinceSummary()
 	b.mu.Unlock()
--- a/routing/golden_test.go
+++ b/routing/golden_test.go
@@ -16,7 +16,7 @@
 	"github.com/tidwall/gjson"
 
 	"hollylever/fakes"
-	"hollylever/tables"
+	"hollylever/settings"
 	"hollylever/transport"
 )
 
@@ -41,7 +41,7 @@
 func TestHostsOutByHandAreReadAndWrittenAsBefore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "hollylever.bans")
 	made := func() *Balancer {
-		b, err := New(tables.Flat(gjson.Parse(fakes.Settings)), []byte(fakes.List(1, true, fakes.Entry("a/1", "127.0.0.1:1", "Ready"), fakes.Entry("b", "127.0.0.1:2", "Ready"),
+		b, err := New(settings.Flatten(gjson.Parse(fakes.Settings)), []byte(fakes.List(1, true, fakes.Entry("a/1", "127.0.0.1:1", "Ready"), fakes.Entry("b", "127.0.0.1:2", "Ready"),
 			fakes.Entry("ü<\"", "127.0.0.1:3", "Terminating"))), "", 1, transport.NewPool(8, time.Minute, time.Second), 1<<20, file, nil, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 
 	"hollylever/fakes"
-	"hollylever/tables"
+	"hollylever/settings"
 	"hollylever/transport"
 )
 
-const settings = `{"allowed":{"cancelling":true,"connIdle":5000,"dialTimeout":200,"mostHeld":3,"mostTrips":3,"retryAfter":true,
+const testSettings = `{"allowed":{"cancelling":true,"connIdle":5000,"dialTimeout":200,"mostHeld":3,"mostTrips":3,"retryAfter":true,
 "maxRetryAfter":2000},"balancers":1,"hostTypes":["std"],"zones":["z"],"workloads":[{"name":"read","effect":"free",
 "group":"all","expectedTime":5000,"hardStop":3000,"value":1,"tardyValue":0.2}]}`
 
@@ -37,7 +37,7 @@
 
 // newTestBalancer makes a balancer with one endpoint, at which nothing listens, and so many bytes for requests.
 func newTestBalancer(t *testing.T, most int64) *Balancer {
-	return newTestBalancerWith(t, most, tables.Flat(gjson.Parse(settings)))
+	return newTestBalancerWith(t, most, settings.Flatten(gjson.Parse(testSettings)))
 }
 
 // newTestBalancerWith is newTestBalancer with other settings.
@@ -97,7 +97,7 @@
 
 // newBalancerWithSeed is newBalancerBefore with a seed.
 func newBalancerWithSeed(t *testing.T, seed uint64, host string, changes map[string]any) *Balancer {
-	stated := tables.Flat(gjson.Parse(fakes.Settings))
+	stated := settings.Flatten(gjson.Parse(fakes.Settings))
 	for name, value := range changes {
 		stated[name] = value
 	}
@@ -140,7 +140,7 @@
 func (b *Balancer) requestsHeld() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.requests.indices.Out()
+	return b.requests.indices.InUse()
 }
 
 // getCommand is a read of one key.
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -1,13 +1,13 @@
 package routing
 
-import "hollylever/tables"
+import "hollylever/settings"
 
 // requestTable holds the requests that have not been released, and what they take. Balancer.mu guards it.
 type requestTable struct {
 	slots          []requestSlot
-	indices        tables.Indices  // of slots
-	openIDs        map[string]bool // of requests that have no final answer
-	bytes          int64           // of memory that the requests take
+	indices        settings.IndexAllocator // of slots
+	openIDs        map[string]bool         // of requests that have no final answer
+	bytes          int64                   // of memory that the requests take
 	maxBytes       int64
 	maxHeld        int // requests, by the settings
 	maxHeldByFleet int // requests, by the fleet's configuration; it counts once leaseCheck is set
@@ -38,7 +38,7 @@
 // allocate takes a slot for a request and returns its index, and the channel on which the request is sent its events.
 func (t *requestTable) allocate() (int, chan event) {
 	events := make(chan event, t.eventCapacity)
-	i := t.indices.Take()
+	i := t.indices.Allocate()
 	if i == len(t.slots) {
 		t.slots = append(t.slots, requestSlot{})
 	}
@@ -49,11 +49,11 @@
 // release frees a slot.
 func (t *requestTable) release(i int) {
 	t.slots[i] = requestSlot{}
-	t.indices.Give(i)
+	t.indices.Free(i)
 }
 
 // isFull reports whether there is no capacity for one more request of so many bytes.
 func (t *requestTable) isFull(bytes int64, isFleetLimited bool) bool {
-	held := t.indices.Out()
+	held := t.indices.InUse()
 	return held >= t.maxHeld || isFleetLimited && held >= t.maxHeldByFleet || t.bytes+bytes > t.maxBytes
 }
--- a/server/configuration.go
+++ b/server/configuration.go
@@ -10,7 +10,7 @@
 
 	"github.com/tidwall/gjson"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/transport"
 )
 
@@ -139,9 +139,9 @@
 // ParseConfiguration parses and checks a configuration. getenv returns the LB_ variables that go before the file, ""
 // for one that is not set. It returns the configuration, or every mistake in it: those of the file with the line and
 // column, those of a variable with its name as the file, and a file that is no JSON object as a mistake of LB_CONFIG.
-func ParseConfiguration(file string, text []byte, getenv func(string) string) (*Configuration, []fields.FieldError) {
+func ParseConfiguration(file string, text []byte, getenv func(string) string) (*Configuration, []config.FieldError) {
 	if !isJSONObject(text) {
-		return nil, []fields.FieldError{{File: "LB_CONFIG", Why: file + " is not a JSON object"}}
+		return nil, []config.FieldError{{File: "LB_CONFIG", Reason: file + " is not a JSON object"}}
 	}
 	p := newConfigurationParser(file, text, getenv)
 	p.parseAddresses()
--- a/server/configuration_parser.go
+++ b/server/configuration_parser.go
@@ -11,9 +11,9 @@
 
 	"github.com/tidwall/gjson"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/protocol"
-	"hollylever/tables"
+	"hollylever/settings"
 )
 
 // Bounds of the configuration. Times are in milliseconds, as in the file.
@@ -38,7 +38,7 @@
 	text     []byte
 	object   gjson.Result
 	getenv   func(string) string
-	mistakes []fields.FieldError
+	mistakes []config.FieldError
 
 	configuration *Configuration
 	settings      map[string]any // the configuration's, by path
@@ -46,7 +46,7 @@
 
 func newConfigurationParser(file string, text []byte, getenv func(string) string) *configurationParser {
 	object := gjson.ParseBytes(text)
-	settings := object.Get("settings")
+	stated := object.Get("settings")
 	c := &Configuration{
 		File:             file,
 		Name:             object.Get("name").String(),
@@ -55,8 +55,8 @@
 		MemoryMB:         object.Get("limits.memory_mb").Num,
 		MaxDescriptors:   int(object.Get("limits.sockets").Num),
 		EndpointList:     []byte(object.Get("known").Raw),
-		Settings:         tables.Flat(settings),
-		SettingsDigest:   fmt.Sprintf("%x", sha256.Sum256([]byte(settings.Raw)))[:16],
+		Settings:         settings.Flatten(stated),
+		SettingsDigest:   fmt.Sprintf("%x", sha256.Sum256([]byte(stated.Raw)))[:16],
 	}
 	if name := getenv("LB_NAME"); name != "" {
 		c.Name = name
@@ -67,12 +67,12 @@
 // reject notes a mistake of a field of the file.
 func (p *configurationParser) reject(field, why string) {
 	line, column := position(p.text, field)
-	p.mistakes = append(p.mistakes, fields.FieldError{File: p.file, Line: line, Column: column, Field: field, Why: why})
+	p.mistakes = append(p.mistakes, config.FieldError{File: p.file, Line: line, Column: column, Field: field, Reason: why})
 }
 
 // rejectVariable notes a mistake of a variable.
 func (p *configurationParser) rejectVariable(name, why string) {
-	p.mistakes = append(p.mistakes, fields.FieldError{File: name, Why: why})
+	p.mistakes = append(p.mistakes, config.FieldError{File: name, Reason: why})
 }
 
 // position is where a field is in a JSON text, from 1; for one that is missing, where the object that it belongs to
@@ -223,7 +223,7 @@
 	balancers, stated := p.settings["balancers"]
 	p.check("settings.balancers", !stated || isNumberWithin(balancers, 1, 1e6), "not a number from 1 to 1000000")
 	p.check("settings.weights", p.isOneOf("weights", "silent", "none", "nominal", "rough", "live"), "none of silent, nominal, rough and live")
-	_, ownZoneIsListed := tables.Places(p.settings, "zones", "")[p.configuration.zone()]
+	_, ownZoneIsListed := settings.NameIndices(p.settings, "zones", "")[p.configuration.zone()]
 	p.check("settings.zone", p.isOneOf("zone", "") || ownZoneIsListed, "none of settings.zones")
 }
 
@@ -247,7 +247,7 @@
 // areReportFieldsValid tells whether the fields of a load report are names, each once.
 func (p *configurationParser) areReportFieldsValid() bool {
 	count := p.count("report.fields")
-	names, listed := tables.Places(p.settings, "report.fields", ""), p.object.Get("settings.report.fields")
+	names, listed := settings.NameIndices(p.settings, "report.fields", ""), p.object.Get("settings.report.fields")
 	_, hasEmptyName := names[""]
 	return int(count) == len(names) && !hasEmptyName && count <= maxReportFields && (!listed.Exists() || listed.IsArray())
 }
--- a/server/handover_test.go
+++ b/server/handover_test.go
@@ -19,8 +19,8 @@
 
 	"hollylever/fakes"
 	"hollylever/routing"
+	"hollylever/settings"
 	"hollylever/snapshot"
-	"hollylever/tables"
 )
 
 // waitUntil waits until a condition holds.
@@ -213,7 +213,7 @@
 }
 
 // fingerprint is that of the stand-ins' settings.
-func fingerprint() uint64 { return routing.Fingerprint(tables.Flat(gjson.Parse(fakes.Settings))) }
+func fingerprint() uint64 { return routing.Fingerprint(settings.Flatten(gjson.Parse(fakes.Settings))) }
 
 // A measurement, with HOLLYLEVER_MEASURE=1: to how many hosts each key is fetched in the seconds after an upgrade
 // during which three hosts of fifteen restart cold and empty, with the snapshot and without.
--- a/server/main.go
+++ b/server/main.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/routing"
 )
 
@@ -25,7 +25,7 @@
 // Join starts the membership of a balancer in a fleet, as the checked table "fleet" of its own settings says.
 // settingsDigest names the operators' settings that the process runs with, so that members can tell whether they run
 // with the same ones.
-type Join func(settings fields.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger) (Fleet, error)
+type Join func(settings config.Values, name, zone, settingsDigest string, b *routing.Balancer, log zerolog.Logger) (Fleet, error)
 
 // Main serves as the platform starts the program: under LB_CONFIG and the other variables, with LB_EXTRA naming the
 // balancer's own settings. It ends the process with 1 and one line on standard error if the start fails. join is nil in
--- a/server/run.go
+++ b/server/run.go
@@ -7,7 +7,7 @@
 
 	"github.com/rs/zerolog"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/routing"
 	"hollylever/siblings"
 	"hollylever/snapshot"
@@ -41,7 +41,7 @@
 
 // startTasks starts what runs beside the loop of Run, until the context ends. Clients are accepted from here on.
 func (s *Server) startTasks(ctx context.Context) {
-	if s.settings.Yes("watch.on") {
+	if s.settings.Boolean("watch.on") {
 		go s.stalls.Run(ctx)
 	}
 	go s.listener.Serve(s.balancer.Serve)
@@ -114,15 +114,15 @@
 	s.configuration = c
 }
 
-func (s *Server) applySettings(settings fields.Values) {
-	for _, name := range fields.Changed(SettingsTables, s.settings, settings, fields.AtStart) {
+func (s *Server) applySettings(settings config.Values) {
+	for _, name := range config.ChangedFields(SettingsTables, s.settings, settings, config.OnRestart) {
 		s.log.Info().Str("field", name).Msg("setting applies after restart")
 	}
-	for _, name := range fields.Changed(SettingsTables, s.settings, settings, fields.AtOnce) {
+	for _, name := range config.ChangedFields(SettingsTables, s.settings, settings, config.OnReload) {
 		s.log.Info().Str("field", name).Msg("setting applied")
 	}
 	s.settings = settings
-	zerolog.SetGlobalLevel(logLevels[settings.Word("log.level")])
+	zerolog.SetGlobalLevel(logLevels[settings.Text("log.level")])
 	s.stalls.SetThreshold(settings.Duration("watch.over"))
 	s.summaryTicker.Reset(settings.Duration("log.summary"))
 	select {
--- a/server/server.go
+++ b/server/server.go
@@ -26,7 +26,7 @@
 	"github.com/rs/zerolog"
 
 	"hollylever/admin"
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/fleetconfig"
 	"hollylever/routing"
 	"hollylever/siblings"
@@ -57,7 +57,7 @@
 	join         Join
 
 	configuration *Configuration // in force: from the start or from the last good reload
-	settings      fields.Values  // likewise, the balancer's own
+	settings      config.Values  // likewise, the balancer's own
 	capacity      capacity       // as the configuration states it
 
 	log       zerolog.Logger
@@ -144,7 +144,7 @@
 	debug.SetGCPercent(collectorPercent(s.capacity.memoryBytes))
 }
 
-func (s *Server) inFleet() bool { return s.settings.Yes("fleet.on") }
+func (s *Server) inFleet() bool { return s.settings.Boolean("fleet.on") }
 
 // openStateDirectory joins the other processes of this balancer and reads the snapshot of an earlier one, both in
 // $TMPDIR. Neither is needed to serve: an error is logged, and the process runs as without.
@@ -160,7 +160,7 @@
 			s.log.Warn().Err(err).Msg("sibling processes not joined")
 		}
 	}
-	if s.settings.Yes("learnt.on") {
+	if s.settings.Boolean("learnt.on") {
 		s.snapshotPath = filepath.Join(directory, snapshotFile)
 		s.readSnapshot()
 	}
--- a/server/settings.go
+++ b/server/settings.go
@@ -8,23 +8,23 @@
 	"github.com/rs/zerolog"
 	"github.com/rs/zerolog/diode"
 
-	"hollylever/fields"
+	"hollylever/config"
 	"hollylever/fleetconfig"
 	"hollylever/snapshot"
 	"hollylever/stallwatch"
 )
 
 // SettingsTables are the tables that the file of the balancer's own settings may hold.
-var SettingsTables = []fields.Part{logTable, stallwatch.ConfigSection, snapshot.ConfigSection, fleetconfig.ConfigSection}
+var SettingsTables = []config.Section{logTable, stallwatch.ConfigSection, snapshot.ConfigSection, fleetconfig.ConfigSection}
 
-var logTable = fields.Part{Table: "log", Help: "The log, on standard error.", Fields: []fields.Field{
-	{Name: "level", Kind: fields.Word, Default: "info", Words: []string{"debug", "info", "warn", "error"}, When: fields.AtOnce,
+var logTable = config.Section{Table: "log", Help: "The log, on standard error.", Fields: []config.Field{
+	{Name: "level", Kind: config.Option, Default: "info", Options: []string{"debug", "info", "warn", "error"}, TakesEffect: config.OnReload,
 		Help: "From which level on lines are logged."},
-	{Name: "form", Kind: fields.Word, Default: "json", Words: []string{"json", "console"}, When: fields.AtStart,
+	{Name: "form", Kind: config.Option, Default: "json", Options: []string{"json", "console"}, TakesEffect: config.OnRestart,
 		Help: "One JSON object a line, or lines for people."},
-	{Name: "summary", Kind: fields.Duration, Default: "10s", Least: "1s", Most: "1h", When: fields.AtOnce,
+	{Name: "summary", Kind: config.Duration, Default: "10s", Min: "1s", Max: "1h", TakesEffect: config.OnReload,
 		Help: "How often the summary is logged."},
-	{Name: "lines", Kind: fields.Count, Default: "4096", Least: "16", Most: "65536", When: fields.AtStart,
+	{Name: "lines", Kind: config.Integer, Default: "4096", Min: "16", Max: "65536", TakesEffect: config.OnRestart,
 		Help: "How many lines wait for whoever reads the log; more, and the oldest are lost. A list of a thousand cache hosts can change at once."},
 }}
 
@@ -36,11 +36,11 @@
 
 // readSettings reads the balancer's own settings. With an empty name all are at their defaults. The error is the first
 // mistake of the file.
-func readSettings(file string) (fields.Values, error) {
+func readSettings(file string) (config.Values, error) {
 	if file == "" {
-		return fields.Standard(SettingsTables), nil
+		return config.Defaults(SettingsTables), nil
 	}
-	values, mistakes := fields.Read(file, SettingsTables)
+	values, mistakes := config.Read(file, SettingsTables)
 	if len(mistakes) > 0 {
 		return values, mistakes[0]
 	}
@@ -49,14 +49,14 @@
 
 // newLogger makes the log, on standard error. Logging never blocks: lines that the reader does not take in time are
 // dropped, the oldest first. writes times the writes; flush writes what is left, for at most flushTimeout.
-func newLogger(settings fields.Values, name string) (log zerolog.Logger, writes *stallwatch.Timer, flush func()) {
+func newLogger(settings config.Values, name string) (log zerolog.Logger, writes *stallwatch.Timer, flush func()) {
 	writes = &stallwatch.Timer{}
 	var output io.Writer = stallwatch.TimedWriter{Writer: os.Stderr, Timer: writes}
-	if settings.Word("log.form") == "console" {
+	if settings.Text("log.form") == "console" {
 		output = zerolog.ConsoleWriter{Out: output, NoColor: true, TimeFormat: "15:04:05.000"}
 	}
-	buffered := diode.NewWriter(output, int(settings.Count("log.lines")), 0, nil)
-	zerolog.SetGlobalLevel(logLevels[settings.Word("log.level")])
+	buffered := diode.NewWriter(output, int(settings.Integer("log.lines")), 0, nil)
+	zerolog.SetGlobalLevel(logLevels[settings.Text("log.level")])
 	return zerolog.New(buffered).With().Timestamp().Str("balancer", name).Logger(), writes, func() { closeWithin(buffered, flushTimeout) }
 }
 
--- a/tables/tables_test.go
+++ b/settings/settings_test.go
@@ -1,4 +1,4 @@
-package tables
+package settings
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 	fields := map[string]int{"util": 0, "qps": 1, "beyond": 9}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		into := []float64{-1, -1}
-		read := Report(text, "=", fields, into)
+		read := ParseReport(text, "=", fields, into)
 		for _, x := range into {
 			if x < 0 || x > maxReportedFigure || !read && !math.IsNaN(x) {
 				t.Fatalf("%q: %v, %t", text, into, read)
@@ -27,7 +27,7 @@
 // A field that cannot be read must not take the ones beside it with it.
 func TestReportSkipsWhatItCannotRead(t *testing.T) {
 	into := make([]float64, 2)
-	if !Report([]byte("x0=3,qps=12.5,util=oops"), "=", map[string]int{"util": 0, "qps": 1}, into) || into[1] != 12.5 ||
+	if !ParseReport([]byte("x0=3,qps=12.5,util=oops"), "=", map[string]int{"util": 0, "qps": 1}, into) || into[1] != 12.5 ||
 		!math.IsNaN(into[0]) {
 		t.Fatal(into)
 	}
--- a/benchlink/adapter.go
+++ b/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package benchlink is the adapter between the operators' simulator and the decision module: it reads batches of events, calls the module for each,
+// Package simadapter is the adapter between the operators' simulator and the decision module: it reads batches of events, calls the module for each,
 // and writes what the module does. The wire's words are translated in wire.go. It decides nothing.
-package benchlink
+package simadapter
 
 import (
 	"bufio"
--- a/benchlink/codec.go
+++ b/simadapter/codec.go
@@ -1,4 +1,4 @@
-package benchlink
+package simadapter
 
 import (
 	"bufio"
--- a/benchlink/instance.go
+++ b/simadapter/instance.go
@@ -1,4 +1,4 @@
-package benchlink
+package simadapter
 
 import (
 	"encoding/base64"
@@ -7,7 +7,7 @@
 	"github.com/tidwall/gjson"
 
 	"hollylever/policy"
-	"hollylever/tables"
+	"hollylever/settings"
 )
 
 // requestSlot ties a request's small index to its id. It is free again once the request has ended and no attempt is in flight.
@@ -29,7 +29,7 @@
 
 	requests map[uint64]int // open ones, by id
 	slots    []requestSlot
-	indices  tables.Indices
+	indices  settings.IndexAllocator
 
 	classes      map[string]int
 	tenants      map[string]int
@@ -51,27 +51,27 @@
 	if in.err != nil {
 		return nil
 	}
-	settings := tables.Flat(gjson.ParseBytes(env))
+	values := settings.Flatten(gjson.ParseBytes(env))
 	n := &instance{
 		name:         name,
 		reply:        reply,
 		endpoints:    map[string]int{},
 		requests:     map[uint64]int{},
-		classes:      tables.Places(settings, "workloads", ".name"),
-		tenants:      tables.Places(settings, "tenants", ".name"),
-		machineTypes: tables.Places(settings, "hostTypes", ""),
-		zones:        tables.Places(settings, "zones", ""),
-		reportFields: tables.Places(settings, "report.fields", ""),
+		classes:      settings.NameIndices(values, "workloads", ".name"),
+		tenants:      settings.NameIndices(values, "tenants", ".name"),
+		machineTypes: settings.NameIndices(values, "hostTypes", ""),
+		zones:        settings.NameIndices(values, "zones", ""),
+		reportFields: settings.NameIndices(values, "report.fields", ""),
 	}
 	n.figures = make([]float64, len(n.reportFields))
-	n.module = policy.New(now, seed, settings, n)
-	n.peers = newPeers(now, settings)
+	n.module = policy.New(now, seed, values, n)
+	n.peers = newPeers(now, values)
 	return n
 }
 
 // openRequest gives a request an index.
 func (n *instance) openRequest(id uint64) int {
-	index := n.indices.Take()
+	index := n.indices.Allocate()
 	if index == len(n.slots) {
 		n.slots = append(n.slots, requestSlot{})
 	}
@@ -85,7 +85,7 @@
 	slot := &n.slots[index]
 	if at, isOpen := n.requests[slot.id]; isOpen && at == index && slot.hasEnded && slot.inFlight == 0 {
 		delete(n.requests, slot.id)
-		n.indices.Give(index)
+		n.indices.Free(index)
 	}
 }
 
@@ -323,7 +323,7 @@
 
 // handleReport hands over the load report that came along, if it can be read.
 func (n *instance) handleReport(in *reader, endpoint int) {
-	if tables.Report(in.find("usage"), ":", n.reportFields, n.figures) {
+	if settings.ParseReport(in.find("usage"), ":", n.reportFields, n.figures) {
 		n.module.HandleLoadReport(endpoint, n.figures)
 	}
 }
--- a/benchlink/peers.go
+++ b/simadapter/peers.go
@@ -1,4 +1,4 @@
-package benchlink
+package simadapter
 
 import (
 	"encoding/base64"
@@ -8,9 +8,9 @@
 	"hollylever/policy"
 )
 
-// Speaks is whether balancers use what the settings let them tell each other. Off: on the deployments where they may, it gains nothing
+// ExchangesReports is whether balancers use what the settings let them tell each other. Off: on the deployments where they may, it gains nothing
 // (docs/results.md), as their endpoints seldom fail one attempt after another, and each balancer has enough to go by.
-var Speaks bool
+var ExchangesReports bool
 
 const (
 	// tickInterval is how often the detector is looked at: a fraction of the time that reports take.
@@ -37,7 +37,7 @@
 
 func newPeers(now int64, settings map[string]any) *peers {
 	number := func(name string) float64 { x, _ := settings[name].(float64); return x }
-	if mayTalk, _ := settings["allowed.peers"].(bool); !mayTalk || !Speaks {
+	if mayTalk, _ := settings["allowed.peers"].(bool); !mayTalk || !ExchangesReports {
 		return nil
 	}
 	p := &peers{indices: map[uint32]int{}}
--- a/stallwatch/config.go
+++ b/stallwatch/config.go
@@ -1,10 +1,10 @@
 package stallwatch
 
-import "hollylever/fields"
+import "hollylever/config"
 
 // ConfigSection is this package's table of the program's own settings file.
-var ConfigSection = fields.Part{Table: "watch", Help: "What notices that the program stood still.", Fields: []fields.Field{
-	{Name: "on", Kind: fields.Yes, Default: "true", When: fields.AtStart, Help: "Whether anything looks."},
-	{Name: "over", Kind: fields.Duration, Default: "100ms", Least: "50ms", Most: "10s", When: fields.AtOnce,
+var ConfigSection = config.Section{Table: "watch", Help: "What notices that the program stood still.", Fields: []config.Field{
+	{Name: "on", Kind: config.Boolean, Default: "true", TakesEffect: config.OnRestart, Help: "Whether anything looks."},
+	{Name: "over", Kind: config.Duration, Default: "100ms", Min: "50ms", Max: "10s", TakesEffect: config.OnReload,
 		Help: "The least time that counts as standing still."},
 }}
