--- a/config/read.go
+++ b/config/read.go
@@ -81,12 +81,12 @@
 
 // parser holds the values of a file against the declarations.
 type parser struct {
-	file   string
-	sections  []Section
-	tables []keyPlace // headers, in their order
-	fields []keyPlace // "table.field", in their order
-	values Values
-	errors []FieldError
+	file     string
+	sections []Section
+	tables   []keyPlace // headers, in their order
+	fields   []keyPlace // "table.field", in their order
+	values   Values
+	errors   []FieldError
 }
 
 // parseTable takes one key of the file's root.
