--- a/cli/client.go
+++ b/cli/client.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	requestTimeout  = 2 * time.Second // the admin endpoint owes an answer within one
-	proposalTimeout = 8 * time.Second // and to a proposal, which waits for a majority, within six
+	requestTimeout  = 2 * time.Second // the admin endpoint answers within one
+	proposalTimeout = 8 * time.Second // it answers a proposal, which waits up to 5 s for a majority, within six
 	maxResponse     = 16 << 20        // bytes; the state of a thousand cache hosts and members takes under 1 MB
 )
 
--- a/cmd/hollylab/agree.go
+++ b/cmd/hollylab/agree.go
@@ -146,7 +146,8 @@
 	w.wrong("the balancers do not agree on version %d", version)
 }
 
-// cutApart: a ban is agreed on while one balancer is cut off; it says that it is alone, and takes the ban when it is back.
+// cutApart: a ban is agreed on while one balancer is cut off; it says that it is alone, and takes the ban when it is
+// back.
 func cutApart(ctx context.Context, w *town, over time.Duration) {
 	host, last := w.hosts[1].Name, balancerCount-1
 	w.agree(ctx, 1)
@@ -183,7 +184,8 @@
 	w.agree(ctx, version)
 }
 
-// died: the keeper that leads is killed. What it held dies with it; the others lose nothing, and lead without it. It comes back, with its file.
+// died: the keeper that leads is killed. What it held dies with it; the others lose nothing, and lead without it. It
+// comes back, with its file.
 func died(ctx context.Context, w *town, over time.Duration) {
 	w.agree(ctx, 1)
 	s, _ := w.actsOn(0)
--- a/cmd/hollylab/curves.go
+++ b/cmd/hollylab/curves.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// share gives the most that one host is in use by over the mean: where hosts choose balancers, and where each balancer takes the first twenty
-// in its own order, which is what is commonly done with rendezvous hashing.
+// share gives the most that one host is in use by over the mean: where hosts choose balancers, and where each balancer
+// takes the first twenty in its own order, which is what is commonly done with rendezvous hashing.
 func share(balancers, hosts int) (ours, theirs float64) {
 	var all []subset.Balancer
 	var of []subset.Endpoint
--- a/cmd/hollylab/main.go
+++ b/cmd/hollylab/main.go
@@ -1,5 +1,5 @@
-// Command hollylab shows hollylever at work, and puts load on balancers: experiments live here, with what they need, so that what
-// serves stays lean.
+// Command hollylab shows hollylever at work, and puts load on balancers: experiments live here, with what they need, so
+// that what serves stays lean.
 package main
 
 import (
--- a/cmd/hollylab/zone.go
+++ b/cmd/hollylab/zone.go
@@ -9,7 +9,8 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// zoneFails: the hosts of one zone hang while the list calls them ready, then restart cold. The fleet leaves the zone and comes back to it.
+// zoneFails: the hosts of one zone hang while the list calls them ready, then restart cold. The fleet leaves the zone
+// and comes back to it.
 func zoneFails(ctx context.Context, w *town, over time.Duration) {
 	w.agree(ctx, 1)
 	var goOn []func()
--- a/cmd/hollylever/main_test.go
+++ b/cmd/hollylever/main_test.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The platform starts the program by the deploy file, with a library of its own loaded into it: `run` has to become one process by
-// exec, of a file that the C linker has linked, with an interpreter and the C library to be found by it.
+// The platform starts the program by the deploy file, with a library of its own loaded into it: `run` has to become one
+// process by exec, of a file that the C linker has linked, with an interpreter and the C library to be found by it.
 func TestIsBuiltAsTheDeployFileSays(t *testing.T) {
 	root := filepath.Join("..", "..")
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
--- a/cmd/hollylever/memory_test.go
+++ b/cmd/hollylever/memory_test.go
@@ -12,11 +12,12 @@
 	"hollylever/fakes"
 )
 
-// maxStart is how much of memory the program takes before it has a list, whatever the size of the fleet that the settings state, in KiB.
+// maxStart is how much of memory the program takes before it has a list, whatever the size of the fleet that the
+// settings state, in KiB.
 const maxStart = 12 << 10
 
-// The program as the deploy file builds it, one of 1,024 balancers, takes no more than that at the start. The collector's state differs by some
-// hundred KiB from start to start: the least of three counts.
+// The program as the deploy file builds it, one of 1,024 balancers, takes no more than that at the start. The
+// collector's state differs by some hundred KiB from start to start: the least of three counts.
 func TestMemoryAtTheStart(t *testing.T) {
 	root := filepath.Join("..", "..")
 	program := filepath.Join(t.TempDir(), "hollylever")
--- a/config/file.go
+++ b/config/file.go
@@ -20,8 +20,9 @@
 	errChanged    = errors.New("it changed while it was read")
 )
 
-// ReadFile reads a regular file of at most MaxFileBytes bytes. It guards against a file that is written over in place while it is read: half of one file and half of another
-// can be a file, too. It is therefore read twice, and refused where the two differ.
+// ReadFile reads a regular file of at most MaxFileBytes bytes. It guards against a file that is written over in place
+// while it is read: half of one file and half of another can be a file, too. It is therefore read twice, and refused
+// where the two differ.
 func ReadFile(file string) ([]byte, error) {
 	opened, err := os.OpenFile(file, os.O_RDONLY|unix.O_NONBLOCK, 0) // A pipe must not hold the process up.
 	if err != nil {
--- a/config/section.go
+++ b/config/section.go
@@ -1,6 +1,6 @@
-// Package config reads hollylever's own settings, one TOML file. Each package declares the table of its settings beside the code that uses it, and the server
-// puts the tables together. Defaults, the example file and the explanations for people are made from the same declarations. The platform's own
-// configuration file is not this package's business.
+// Package config reads hollylever's own settings, one TOML file. Each package declares the table of its settings beside
+// the code that uses it, and the server puts the tables together. Defaults, the example file and the explanations for
+// people are made from the same declarations. The platform's own configuration file is not this package's business.
 //
 // Read gives either all values or all errors, each with its place in the file; it changes nothing by itself.
 package config
--- a/config/section_test.go
+++ b/config/section_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// Values are the file's, or the defaults; the example file is the defaults, and a change is told by when it takes effect.
+// Values are the file's, or the defaults; the example file is the defaults, and a change is told by when it takes
+// effect.
 func TestValuesDefaultsAndChanges(t *testing.T) {
 	v, wrong := Parse("f", []byte("keep.every = \"250ms\"\n[log]\nlevel = \"debug\""), parts)
 	if len(wrong) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Text("log.level") != "debug" || v.Integer("log.lines") != 512 ||
--- a/consensus/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -166,7 +166,7 @@
 	return request.at, seq != 0 && request.seq == seq
 }
 
-// HandleLeaseResponse takes a lease, or news. A lease counts only where all revisions that it speaks of are known.
+// HandleLeaseResponse takes a lease, or revisions without one. A lease counts only where all revisions that it speaks of are known.
 func (h *LeaseHolder) HandleLeaseResponse(now int64, response *LeaseResponse) {
 	isComplete := h.learn(response)
 	if response.Leader != "" && response.Leader != h.leader {
--- a/decay/decay_test.go
+++ b/decay/decay_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Old failures that never fade would keep a recovered server avoided. A sum is 1/e of itself after one TimeConstant, and a clock that goes back
-// neither revives nor moves it.
+// Old failures that never fade would keep a recovered server avoided. A sum is 1/e of itself after one TimeConstant,
+// and a clock that goes back neither revives nor moves it.
 func TestSumDecays(t *testing.T) {
 	var sum Sum
 	sum.Add(0, 8)
@@ -18,8 +18,8 @@
 	}
 }
 
-// An average that lags would let a burst pass for load, and load for a burst: it approaches a level that holds, and decays as a sum does
-// after that level has ended.
+// An average that lags would let a burst pass for load, and load for a burst: it approaches a level that holds, and
+// decays as a sum does after that level has ended.
 func TestAverageIsTimeWeighted(t *testing.T) {
 	var average Average
 	average.Update(0, 0)
--- a/decay/golden_test.go
+++ b/decay/golden_test.go
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// Each decision of a balancer reads these counts: a sum that is off by a bit changes what is decided long after. Over times that
-// stand still, go on and go back, each value stays as version 860147b computed it.
+// Each decision of a balancer reads these counts: a sum that is off by a bit changes what is decided long after. Over
+// times that stand still, go on and go back, each value stays as version 860147b computed it.
 func TestGoldenTrace(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(1, 1))
 	record := func(values ...float64) {
--- a/evacuation/golden_test.go
+++ b/evacuation/golden_test.go
@@ -97,9 +97,9 @@
 	compareGolden(t, "proposals.golden", lines)
 }
 
-// Processes that stand at different places of the way send the same key to different endpoints. Seeded ways out and back,
-// by operators and by the fleet, with slow steps, own zones, clocks that jump and processes that go on from another's
-// place.
+// Processes that stand at different places of the way send the same key to different endpoints. Seeded ways out and
+// back, by operators and by the fleet, with slow steps, own zones, clocks that jump and processes that go on from
+// another's place.
 func TestGoldenRamps(t *testing.T) {
 	lines := []string{fmt.Sprint(AutomaticPrefix, " ", MinRemainingShare, " ", rampSteps)}
 	for seed := range uint64(8) {
--- a/evacuation/ramp.go
+++ b/evacuation/ramp.go
@@ -22,10 +22,10 @@
 
 // RampDurations are how long whole ways take, in nanoseconds.
 type RampDurations struct {
-	// Leaves is the way out of a zone that an operator evacuated. One that fails is left at once: whatever still went
-	// there would get no answer.
+	// EvacuationNanos is the way out of a zone that an operator evacuated. One that fails is left at once: whatever
+	// still went there would get no answer.
 	EvacuationNanos int64
-	// Returns is the way back: one and a half times the warm-up of an endpoint.
+	// RecoveryNanos is the way back: one and a half times the warm-up of an endpoint.
 	RecoveryNanos int64
 }
 
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -38,7 +38,8 @@
 type Exchange interface {
 	// Send sends a message to one member. An error says that it was not sent; nil does not say that it arrives.
 	Send(to string, message []byte) error
-	// PublishState sends this process's state to all members; long lists are cut to what fits. It is called once a second.
+	// PublishState sends this process's state to all members; long lists are cut to what fits. It is called once a
+	// second.
 	PublishState(state MemberState)
 	// RequestFullState asks a member for its state with complete lists.
 	RequestFullState(name string)
--- a/monotime/clock.go
+++ b/monotime/clock.go
@@ -1,5 +1,6 @@
-// Package monotime reads the machine's clock since its boot (CLOCK_BOOTTIME). All processes of the machine read the same time; it goes
-// on while they or the machine are suspended, and is not stepped with the wall clock. Spans between two processes are measured by it.
+// Package monotime reads the machine's clock since its boot (CLOCK_BOOTTIME). All processes of the machine read the
+// same time; it goes on while they or the machine are suspended, and is not stepped with the wall clock. Spans between
+// two processes are measured by it.
 package monotime
 
 import (
@@ -21,8 +22,8 @@
 	return sinceBoot.Nano()
 }
 
-// BootID returns the kernel's name for this boot of the machine; "" where the system does not tell. Two times of Now can be compared only
-// under the same one. It reads the file once; any goroutine may call it.
+// BootID returns the kernel's name for this boot of the machine; "" where the system does not tell. Two times of Now
+// can be compared only under the same one. It reads the file once; any goroutine may call it.
 var BootID = sync.OnceValue(func() string {
 	content, err := os.ReadFile(bootIDFile)
 	if err != nil {
--- a/monotime/clock_test.go
+++ b/monotime/clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A snapshot's age and the order of a balancer's processes are told by this clock. Were it to go back, or its boot to be named
-// otherwise at each call, a process would refuse what the one before it left.
+// A snapshot's age and the order of a balancer's processes are told by this clock. Were it to go back, or its boot to
+// be named otherwise at each call, a process would refuse what the one before it left.
 func TestClockAdvancesUnderOneBootID(t *testing.T) {
 	before := Now()
 	if before <= 0 {
--- a/outage/detector.go
+++ b/outage/detector.go
@@ -1,13 +1,14 @@
-// Package outage detects zones that have stopped answering, from the outcomes of one balancer's own attempts. Package policy calls it
-// for each attempt that is answered or fails, and asks it before it selects a server.
+// Package outage detects zones that have stopped answering, from the outcomes of one balancer's own attempts. Package
+// policy calls it for each attempt that is answered or fails, and asks it before it selects a server.
 //
-// A balancer of a large fleet sends each server one request in many seconds, so that a lost zone would cost it an attempt for each of
-// the zone's servers if it found them out one by one. Failures of different servers of one zone without a response of that zone between
-// them tell sooner, as long as other zones respond meanwhile: the detector asks how probable such a series would be if the zone failed
-// no more often than the others, and suspects the zone when that is improbable.
+// A balancer of a large fleet sends each server one request in many seconds, so that a lost zone would cost it an
+// attempt for each of the zone's servers if it found them out one by one. Failures of different servers of one zone
+// without a response of that zone between them tell sooner, as long as other zones respond meanwhile: the detector asks
+// how probable such a series would be if the zone failed no more often than the others, and suspects the zone when that
+// is improbable.
 //
-// The package does no I/O: times are nanoseconds of the caller's clock, and random draws are handed in. A Detector must not be used
-// concurrently.
+// The package does no I/O: times are nanoseconds of the caller's clock, and random draws are handed in. A Detector must
+// not be used concurrently.
 package outage
 
 import (
@@ -16,22 +17,23 @@
 )
 
 const (
-	// maxFalseAlarmProbability is how improbable a series of failures has to be, were the zone like the others, to suspect it. A false
-	// alarm costs little, as the zone's next response ends it and other zones serve meanwhile; each further failure that is waited for
-	// costs a request.
+	// maxFalseAlarmProbability is how improbable a series of failures has to be, were the zone like the others, to
+	// suspect it. A false alarm costs little, as the zone's next response ends it and other zones serve meanwhile; each
+	// further failure that is waited for costs a request.
 	maxFalseAlarmProbability = 1.0 / 50
 	// priorFailures of priorAttempts are assumed of the other zones until their outcomes tell.
 	priorFailures = 1.0
 	priorAttempts = 10.0
-	// outcomeWindow is over how many outcomes a zone's counts are averaged: long enough to tell a rate of some percent, short enough
-	// to forget a fault that has passed.
+	// outcomeWindow is over how many outcomes a zone's counts are averaged: long enough to tell a rate of some percent,
+	// short enough to forget a fault that has passed.
 	outcomeWindow = 64.0
 	// minFailedServers is how many different servers make a series. The failures of one alone tell of that server.
 	minFailedServers = 2
-	// maxFailedServers bounds the servers remembered of a series, and with them the memory and the time of an outcome. A longer
-	// series is called for only where more than 94 in 100 attempts fail everywhere.
+	// maxFailedServers bounds the servers remembered of a series, and with them the memory and the time of an outcome.
+	// A longer series is called for only where more than 94 in 100 attempts fail everywhere.
 	maxFailedServers = 64
-	// maxBackoffFactor bounds by how much longer a zone is avoided when more of its servers have failed, so that its return is noticed.
+	// maxBackoffFactor bounds by how much longer a zone is avoided when more of its servers have failed, so that its
+	// return is noticed.
 	maxBackoffFactor = 8
 )
 
@@ -54,10 +56,12 @@
 	isSuspected    bool // kept, as it is asked for each server at each request and changes with outcomes alone
 }
 
-// New returns a Detector that tries a suspected zone again with a probability that grows over backoffNanos, in nanoseconds.
+// New returns a Detector that tries a suspected zone again with a probability that grows over backoffNanos, in
+// nanoseconds.
 func New(backoffNanos int64) *Detector { return &Detector{backoffNanos: float64(backoffNanos)} }
 
-// zone returns a zone by its index in the settings. Index -1, of servers whose zone the settings do not name, is one more zone.
+// zone returns a zone by its index in the settings. Index -1, of servers whose zone the settings do not name, is one
+// more zone.
 func (d *Detector) zone(index int) *zoneHistory {
 	for len(d.zones) < index+2 {
 		d.zones = append(d.zones, zoneHistory{})
@@ -100,8 +104,8 @@
 	}
 }
 
-// IsSuspected tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one of these has
-// responded since it began.
+// IsSuspected tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one
+// of these has responded since it began.
 func (d *Detector) IsSuspected(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
 
 // isLikelyLost works out what IsSuspected tells, for a position in d.zones.
@@ -119,15 +123,17 @@
 		}
 		failures += other.failures
 		attempts += other.attempts
-		// Guards against a fault of this balancer's own, such as its network: nobody responds then, and no zone is to blame.
+		// Guards against a fault of this balancer's own, such as its network: nobody responds then, and no zone is to
+		// blame.
 		otherResponded = otherResponded || other.lastResponseAt > z.seriesStartAt
 	}
 	seriesProbability := math.Pow(failures/attempts, float64(len(z.failedServers)))
 	return otherResponded && seriesProbability < maxFalseAlarmProbability
 }
 
-// ShouldAvoid tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is tried again with a
-// probability that grows with the time since its last failure, and more slowly the more of its servers have failed.
+// ShouldAvoid tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is
+// tried again with a probability that grows with the time since its last failure, and more slowly the more of its
+// servers have failed.
 func (d *Detector) ShouldAvoid(zoneIndex int, now int64, draw float64) bool {
 	if !d.IsSuspected(zoneIndex) {
 		return false
--- a/outage/detector_test.go
+++ b/outage/detector_test.go
@@ -7,8 +7,8 @@
 	second = 1000 * ms
 )
 
-// A zone is lost, and each request that is sent there costs its client a timeout. It has to be suspected after a few failures, and only
-// by those that can't be put down to one server, to chance or to this balancer's own network.
+// A zone is lost, and each request that is sent there costs its client a timeout. It has to be suspected after a few
+// failures, and only by those that can't be put down to one server, to chance or to this balancer's own network.
 func TestZoneIsSuspectedAfterImprobableFailures(t *testing.T) {
 	const zone, otherZone = 0, 1
 	for name, c := range map[string]struct {
@@ -86,8 +86,8 @@
 	}
 }
 
-// A zone is avoided after it has recovered, and its servers idle while the others are overloaded. It has to be tried again, more often
-// the longer it has not failed, and used by all requests after its first response.
+// A zone is avoided after it has recovered, and its servers idle while the others are overloaded. It has to be tried
+// again, more often the longer it has not failed, and used by all requests after its first response.
 func TestSuspectedZoneIsTriedAgain(t *testing.T) {
 	d := New(3 * second)
 	for server := range 5 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// All servers fail at times, and a zone like the others is avoided by chance: the others would carry its load. That stays rare, however
-// often all fail.
+// All servers fail at times, and a zone like the others is avoided by chance: the others would carry its load. That
+// stays rare, however often all fail.
 func TestFalseAlarmsAreRare(t *testing.T) {
 	for _, rate := range []float64{0.01, 0.05, 0.125, 0.3, 0.6} {
 		d, random, alarms := New(3*second), uint64(1), 0
--- a/outage/golden_test.go
+++ b/outage/golden_test.go
@@ -14,8 +14,9 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// A zone that is suspected an attempt sooner or later than before costs or saves requests without any test turning red. Over five
-// zones that fail at times, one or two of them wholly, each answer of the detector stays as that of version 860147b.
+// A zone that is suspected an attempt sooner or later than before costs or saves requests without any test turning red.
+// Over five zones that fail at times, one or two of them wholly, each answer of the detector stays as that of version
+// 860147b.
 func TestGoldenTrace(t *testing.T) {
 	trace, suspected, avoided := sha256.New(), 0, 0
 	for seed := range uint64(40) {
--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -10,8 +10,8 @@
 	minReturnSpread = 1000 * millisecond
 	// maxReturnSpread bounds that after relapses.
 	maxReturnSpread = 16000 * millisecond
-	// delaysPerSpread is how many message delays a spread lasts at least: of those that are left, at most a quarter
-	// moves before the effect of the first can be heard.
+	// delaysPerSpread is how many message delays a spread lasts at least: no more than a quarter of the members changes
+	// over before a report of what the first ones met can reach the others.
 	delaysPerSpread = 4
 	// relapseWindow is how soon after a recovery a new ejection counts as a relapse, which doubles the next spread.
 	relapseWindow = 20000 * millisecond
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,7 +6,8 @@
 	"hollylever/quota"
 )
 
-// When a request is rejected at once. Two rules, in this order.
+// When a request is rejected at once. Two rules, in this order; a third, that its turn in its key's queue would come
+// too late, stands in keyqueue.go.
 //
 // A tenant's quota (package quota). While too many attempts end late or with an error, a growing part of what a tenant
 // asks beyond its quota is rejected, so that tenants within their quotas are served.
@@ -154,7 +155,7 @@
 		case b.outages.IsSuspected(endpoint.zone):
 			attempts += endpoint.load.inFlight
 			endpoints++
-		case endpoint.outlier.connectFailedAt > 0:
+		case endpoint.outlier.silentSince > 0:
 			unreachedAttempts += endpoint.load.inFlight
 			unreached++
 		}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -164,7 +164,7 @@
 		for index := range b.endpoints {
 			b.endpoints[index].load.inFlight = 5
 			if index < c.hanging {
-				b.endpoints[index].outlier.connectFailedAt = unixStart
+				b.endpoints[index].outlier.silentSince = unixStart
 			}
 		}
 		if attempts, endpoints := b.unresponsive(); attempts != c.attempts || endpoints != c.endpoints {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -20,6 +20,9 @@
 //	endpoints.go     the endpoint list
 //	snapshot.go      learned state out and in, over a restart
 //	settings.go      the settings, typed, read once
+//	executor.go      what the module acts through, and the terms of its events
+//	evidence.go      the clock by which observations fade, and the random source
+//	reason.go        why a request was rejected or failed
 //
 // Times and durations are whole nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and
 // zones are small indices; those of classes, tenants, machine types and zones are their places in the settings. A
@@ -158,7 +161,7 @@
 // and is not hedged, and it counts as load at no endpoint: how long it takes is up to its client.
 func (b *Balancer) HandleResponseStarted(index, attempt int) {
 	request := &b.requests[index]
-	request.start()
+	request.beginStreaming()
 	request.attempts[attempt].state = completed
 	b.addInFlight(request, request.attempts[attempt].endpoint, -1)
 }
@@ -206,7 +209,7 @@
 // begun goes on.
 func (b *Balancer) ExpireRequest(now int64, index int) {
 	b.advanceClock(now)
-	if request := &b.requests[index]; request.isOpen && !request.hasStarted() {
+	if request := &b.requests[index]; request.isOpen && !request.isStreaming() {
 		b.finish(now, index, DeadlineNear)
 	}
 }
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -76,12 +76,12 @@
 }
 
 // start removes the deadline of a request whose answer has begun.
-func (r *requestState) start() {
+func (r *requestState) beginStreaming() {
 	r.usefulUntil, r.deadline, r.timerAt = math.MaxInt64, math.MaxInt64, 0
 }
 
 // hasStarted tells whether its answer has begun.
-func (r *requestState) hasStarted() bool { return r.usefulUntil == math.MaxInt64 }
+func (r *requestState) isStreaming() bool { return r.usefulUntil == math.MaxInt64 }
 
 // hasTried tells whether an attempt went to an endpoint.
 func (r *requestState) hasTried(endpoint int) bool {
@@ -188,7 +188,7 @@
 		b.closeRequest(now, index, storedAt)
 		return
 	}
-	if request.inFlight > 0 || request.hasStarted() {
+	if request.inFlight > 0 || request.isStreaming() {
 		return // Another attempt may still answer, or does.
 	}
 	switch {
@@ -215,9 +215,9 @@
 	case now >= request.deadline:
 		return true
 	case outcome == TimedOut:
-		return true // The client has gone, whatever remaining time it stated.
+		return true // An attempt runs up to the deadline: the client waits no longer.
 	case outcome == NotSent && b.settings.deadlineDrift > 0:
-		return true // So it has.
+		return true // Withdrawn because the client has gone, before the time that it stated.
 	case result.Endpoint == b.origin && outcome != Rejected && outcome != ConnectFailed:
 		return true // The origin has answered, and there is only one.
 	case outcome != Errored:
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -16,8 +16,9 @@
 // A throttled key: its attempts fail at one endpoint after the other, by the odds of a sequential probability ratio
 // test (Wald, 1945) against the part of all attempts that are poor. What holds such a key up is behind all endpoints,
 // as a lock or an expensive computation is, and each attempt that waits there keeps capacity from other keys. Its
-// concurrency grows with timely answers and shrinks with failures, and what its attempts do is not held against
-// endpoints. This guards all other keys; else the endpoints would look like outliers one after the other.
+// concurrency grows with timely answers and shrinks with failures, and how its attempts end is not held against
+// endpoints (observations.go). This guards all other keys; else the endpoints would look like outliers one after the
+// other. A connection that fails and an attempt that is overdue mark their endpoint for a moment whatever the key is.
 //
 // No queue holds a request whose turn would come too late to have value: it is rejected at once.
 
--- a/policy/observations.go
+++ b/policy/observations.go
@@ -3,7 +3,10 @@
 import "math"
 
 // What the end of an attempt teaches, and what load reports tell. Each count belongs to the rule that decides by it;
-// this file says which outcomes go where. All of it is this balancer's own, and the sums fade by the clock of evidence.
+// this file says which outcomes go where. Three observations are no ends of attempts and stand with their rules: an
+// attempt that is overdue (hedge in retry.go), a restart that the list does not show (detectRestart in slowstart.go),
+// and an origin with no capacity left (dispatch in dispatch.go). All of it is this balancer's own, and the sums fade by
+// the clock of evidence.
 
 const (
 	// lateRatio is the part of the objective after which an answer counts as late, so that queues show before answers
@@ -139,7 +142,7 @@
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
 	case isSuccess:
-		endpoint.outlier.connectFailedAt, endpoint.restart.failures = 0, 0
+		endpoint.outlier.silentSince, endpoint.restart.failures = 0, 0
 		endpoint.retries.earn()
 		b.retries.earn()
 		b.count(&endpoint.outlier.outcomes.successes)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -42,9 +42,9 @@
 
 // outlierState is what speaks against an endpoint.
 type outlierState struct {
-	outcomes        outcomeCounts
-	connectFailedAt int64   // when a connection failed or an attempt was overdue last, if nothing was answered since; 0
-	peerVerdict     float64 // of other balancers, 0 to 1; under 0: this one has the probe lease
+	outcomes    outcomeCounts
+	silentSince int64   // when a connection failed or an attempt was overdue last, if nothing was answered since; 0
+	peerVerdict float64 // of other balancers, 0 to 1; under 0: this one has the probe lease
 }
 
 // isProbe tells whether this balancer holds the probe lease for an endpoint that others eject.
@@ -74,9 +74,9 @@
 // lease the outage of its zone does not keep the endpoint from being tried.
 func (b *Balancer) isUnreachable(endpoint *endpointState, draw func() float64) bool {
 	state := &endpoint.outlier
-	age := float64(b.clock.now-state.connectFailedAt) / float64(timeConstant)
+	age := float64(b.clock.now-state.silentSince) / float64(timeConstant)
 	switch {
-	case state.connectFailedAt > 0 && draw() < math.Exp(-age):
+	case state.silentSince > 0 && draw() < math.Exp(-age):
 		return true
 	case state.peerVerdict > 0 && draw() < state.peerVerdict:
 		return true
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -110,13 +110,13 @@
 			b.outcomes.successes.Value, s.outcomes.failures.Value, s.peerVerdict = 100, 20, -1
 		}, likelyDraw, false},
 		"a connection just failed": {func(b *Balancer, s *outlierState) {
-			s.connectFailedAt = b.clock.now
+			s.silentSince = b.clock.now
 		}, 0.99, true},
 		"a connection failed a time constant ago, a low draw": {func(b *Balancer, s *outlierState) {
-			s.connectFailedAt = b.clock.now - timeConstant
+			s.silentSince = b.clock.now - timeConstant
 		}, 0.36, true},
 		"a connection failed a time constant ago, a high draw": {func(b *Balancer, s *outlierState) {
-			s.connectFailedAt = b.clock.now - timeConstant
+			s.silentSince = b.clock.now - timeConstant
 		}, 0.37, false},
 		"a verdict of 0.4, a low draw":  {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.39, true},
 		"a verdict of 0.4, a high draw": {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.41, false},
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -3,7 +3,7 @@
 // Reason is why a request got a final answer that no endpoint gave.
 type Reason int
 
-// The reasons. All but AttemptFailed and DeadlineNear end requests before they cost an endpoint anything more.
+// The reasons. All but AttemptFailed and DeadlineNear end a request while no endpoint is at work on it.
 const (
 	OverQuota     Reason = iota // its tenant asks for more than its quota
 	Overloaded                  // more is in flight than endpoints answer in time
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -91,7 +91,7 @@
 	silent := request.attempts[len(request.attempts)-1].endpoint
 	overdue := &b.endpoints[silent]
 	b.outages.RecordFailure(overdue.zone, silent, now)
-	overdue.outlier.connectFailedAt = now
+	overdue.outlier.silentSince = now
 	isZoneLost := b.outages.IsSuspected(overdue.zone)
 	if !isZoneLost {
 		b.count(&b.overdue)
@@ -107,7 +107,7 @@
 	if target == noEndpoint || now >= request.usefulUntil || !b.canDispatch(now, request, target) {
 		return
 	}
-	overdue.outlier.outcomes.failures.Add(b.clock.evidence, 1)
+	overdue.outlier.outcomes.failures.Add(b.clock.evidence, 1) // Only here: else its own end counts it.
 	b.send(now, index, target)
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -108,17 +108,16 @@
 	perSecond := b.clock.pace * float64(second) / float64(timeConstant)
 	capacity := b.warmingCapacity(now, endpoint)
 	peak := b.warmThroughput.update(now, b.clock.evidence, perSecond)
-	share := max(peak*endpoint.weight, minThroughput/b.fleetSize)
-	arriving := b.admission.arrivals.ValueAt(b.clock.evidence) * perSecond * endpoint.weight / max(1, b.totalWeight)
+	usualRate := max(peak*endpoint.weight, minThroughput/b.fleetSize) // what a warm one answers, in requests a second
+	arrivingRate := b.admission.arrivals.ValueAt(b.clock.evidence) * perSecond * endpoint.weight / max(1, b.totalWeight)
 	if peak == 0 {
-		share = max(share, arriving)
+		usualRate = max(usualRate, arrivingRate)
 	}
-	rate := share * capacity * b.processShare
-	share = max(share, arriving)
-	saved := max(float64(b.settings.overloadAfter)/float64(burstWindows*second), slowStartBurst/share)
+	rate := usualRate * capacity * b.processShare
+	savedSeconds := max(float64(b.settings.overloadAfter)/float64(burstWindows*second), slowStartBurst/max(usualRate, arrivingRate))
 	state := &endpoint.slowStart
 	refilled := state.tokens + rate*float64(now-state.updatedAt)/float64(second)
-	state.tokens, state.updatedAt = min(refilled, rate*saved), now
+	state.tokens, state.updatedAt = min(refilled, rate*savedSeconds), now
 	return state.tokens
 }
 
@@ -176,7 +175,7 @@
 		if detector.failures == restartConnectFailures+1 {
 			b.admission.lowerTolerance(now)
 		}
-		endpoint.outlier.connectFailedAt = now
+		endpoint.outlier.silentSince = now
 	case Reset:
 		detector.failures = max(1, detector.failures)
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -117,7 +117,7 @@
 		Failures:        b.encodeSum(e.outlier.outcomes.failures),
 		Rejected:        b.encodeSum(e.rejected),
 		RetryTokens:     float32(e.retries.tokens),
-		ConnectFailedAt: e.outlier.connectFailedAt,
+		ConnectFailedAt: e.outlier.silentSince,
 		ServedRate:      float32(e.report.servedRate),
 		Strain:          float32(e.report.strain),
 	}
@@ -134,9 +134,9 @@
 	e.rejected = b.decodeSum(from.Rejected)
 	e.retries.tokens = float64(from.RetryTokens)
 	e.report = loadReport{servedRate: float64(from.ServedRate), strain: float64(from.Strain)}
-	e.outlier.connectFailedAt = 0
+	e.outlier.silentSince = 0
 	if from.ConnectFailedAt > 0 {
-		e.outlier.connectFailedAt = at(from.ConnectFailedAt)
+		e.outlier.silentSince = at(from.ConnectFailedAt)
 	}
 	e.slowStart.tokens, e.slowStart.updatedAt = 0, now
 }
--- a/protocol/frame.go
+++ b/protocol/frame.go
@@ -17,8 +17,8 @@
 const (
 	// MaxValue is the longest value, in bytes, that is held as a matter of course.
 	MaxValue = 64 << 10
-	// MaxLargeValue is the longest value, in bytes, that there may be: over MaxValue it is held out of a budget, or passed
-	// on as it comes.
+	// MaxLargeValue is the longest value, in bytes, that there may be: over MaxValue it is held out of a budget, or
+	// passed on as it comes.
 	MaxLargeValue = 4 << 20
 )
 
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -11,8 +11,8 @@
 
 const get = "*4\r\n$5\r\nC.GET\r\n$3\r\nkey\r\n$2\r\nid\r\n$22\r\nc=read,t=acme,d=480.5,\r\n"
 
-// Clients send anything, in any pieces: a part of a command is never taken for a whole one, nor for malformed, and what is
-// forwarded can be read again.
+// Clients send anything, in any pieces: a part of a command is never taken for a whole one, nor for malformed, and what
+// is forwarded can be read again.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []string{get, get + get, "*1\r\n$4\r\nPING\r\n", "PING\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n",
 		"*1\r\n$-5\r\n\r\n", "*1\r\n$99999999999999999999\r\n", "*2000000000\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*1\r\n$1\r\nabc",
@@ -96,8 +96,8 @@
 		`"group":3,"status":%s,"weight":1.0,"since_ms":%f}]}`, status, since)
 }
 
-// A server sends something else than the protocol has words for, whole or in pieces. It ends the attempt as malformed and
-// counts for nothing else; a report that can't be read spoils no response.
+// A server sends something else than the protocol has words for, whole or in pieces. It ends the attempt as malformed
+// and counts for nothing else; a report that can't be read spoils no response.
 func TestMalformedResponsesTellNothingOfTheAttempt(t *testing.T) {
 	for spoilt, want := range map[string]transport.End{"-ERR failed\r\n": transport.Failed,
 		"-ERR failed inflight=7,queue=\x00?\r\n": transport.Failed, "-BUSY util=\xff\r\n": transport.Rejected,
@@ -118,8 +118,8 @@
 	}
 }
 
-// A client states a time that is no number of the protocol's, such as inf, or leaves out the workload: the request is an
-// error, and no server sees it.
+// A client states a time that is no number of the protocol's, such as inf, or leaves out the workload: the request is
+// an error, and no server sees it.
 func TestAttributesAreReadOrRefusedAsAWhole(t *testing.T) {
 	a, err := ParseAttributes([]byte("c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9"))
 	if string(a.Workload) != "read" || string(a.Tenant) != "acme" || a.TimeoutNanos != 480.5e6 || a.PredictedNanos != 2.5e6 || err != nil {
@@ -141,7 +141,8 @@
 	}
 }
 
-// A request is forwarded with its own attributes, also unknown ones, and a timeout that is what is left for this attempt.
+// A request is forwarded with its own attributes, also unknown ones, and a timeout that is what is left for this
+// attempt.
 func TestRequestIsForwardedAsReceivedButForItsTimeout(t *testing.T) {
 	words := [][]byte{[]byte("C.SET"), []byte("key"), []byte("id"), []byte("c=put,d=480,k=5c,x=9"), []byte("v\r\n")}
 	want := "*5\r\n$5\r\nC.SET\r\n$3\r\nkey\r\n$2\r\nid\r\n$20\r\nc=put,d=101,k=5c,x=9\r\n$3\r\nv\r\n\r\n"
@@ -157,8 +158,8 @@
 	}
 }
 
-// A server that is loaded says so in a response, a rejection or an error. The report is returned from each, else a server
-// that only rejects would look idle.
+// A server that is loaded says so in a response, a rejection or an error. The report is returned from each, else a
+// server that only rejects would look idle.
 func TestLoadReportIsReadWhereverTheProtocolHasOne(t *testing.T) {
 	for answer, want := range map[string]string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$13\r\nqps=1,queue=0\r\n": "qps=1,queue=0",
 		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n": "", "-BUSY qps=1,queue=9\r\n": "qps=1,queue=9", "-BUSY\r\n": "BUSY",
--- a/protocol/response.go
+++ b/protocol/response.go
@@ -11,8 +11,8 @@
 
 // Response is a server's response. Value and Report alias the bytes it was read from.
 type Response struct {
-	// End is how the attempt ended by it: Succeeded, Failed, Rejected; Malformed where it is malformed; Open while it is
-	// not complete.
+	// End is how the attempt ended by it: Succeeded, Failed, Rejected; Malformed where it is malformed; Open while it
+	// is not complete.
 	End         transport.End
 	Value       []byte      // the value or receipt; not nil with Succeeded
 	Report      []byte      // the load report; may be no report at all, which its reader finds out
@@ -81,8 +81,8 @@
 // lastWord returns the word of an error line in which its load report stands, if it has one.
 func lastWord(line []byte) []byte { return line[bytes.LastIndexByte(line, ' ')+1:] }
 
-// ParseLargeValueHeader reports a response that begins with a value over MaxValue: how long that is, and at which byte it begins; 0
-// for any other response.
+// ParseLargeValueHeader reports a response that begins with a value over MaxValue: how long that is, and at which byte
+// it begins; 0 for any other response.
 func ParseLargeValueHeader(received []byte) (size, start int) {
 	rest, is := bytes.CutPrefix(received, []byte(firstLargeLine))
 	digits, _, isComplete := bytes.Cut(rest, []byte(lineEnd))
--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -15,9 +15,10 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// A draw more or less, or a share that is off by a bit, changes each decision that comes after it. Over tenants with and without
-// quotas that change, times in which attempts end in time and late, with load reports and without, and a limiter that takes over from
-// another, each decision, the draws it takes and what is handed on stay as those of version 860147b.
+// A draw more or less, or a share that is off by a bit, changes each decision that comes after it. Over tenants with
+// and without quotas that change, times in which attempts end in time and late, with load reports and without, and a
+// limiter that takes over from another, each decision, the draws it takes and what is handed on stay as those of
+// version 860147b.
 func TestGoldenTrace(t *testing.T) {
 	trace, rejected := sha256.New(), 0
 	for seed := range uint64(20) {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -1,11 +1,13 @@
-// Package quota decides which requests one balancer rejects because their tenant asks for more than its share of the fleet, while the
-// fleet responds late. Package policy asks it once for each request and tells it how attempts end.
+// Package quota decides which requests one balancer rejects because their tenant asks for more than its share of the
+// fleet, while the fleet responds late. Package policy asks it once for each request and tells it how attempts end.
 //
-// A tenant's quota is stated for the whole fleet. A balancer knows only its own requests, so it estimates which part of the fleet's
-// traffic comes to it, and holds each tenant to that part of its quota. How many of the requests beyond a share are admitted follows
-// additive increase, multiplicative decrease: all while attempts end in time, fewer while too many end late.
+// A tenant's quota is stated for the whole fleet. A balancer knows only its own requests, so it estimates which part of
+// the fleet's traffic comes to it, and holds each tenant to that part of its quota. How many of the requests beyond a
+// share are admitted follows additive increase, multiplicative decrease: all while attempts end in time, fewer while
+// too many end late.
 //
-// The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Limiter must not be used concurrently.
+// The package does no I/O: the clock, the random draws and what load reports tell are handed in. A Limiter must not be
+// used concurrently.
 package quota
 
 import (
@@ -17,15 +19,16 @@
 )
 
 const (
-	// estimateLifetimeNanos is how long an estimate of the own traffic share is used: it sorts the tenants, which may be many.
+	// estimateLifetimeNanos is how long an estimate of the own traffic share is used: it sorts the tenants, which may
+	// be many.
 	estimateLifetimeNanos = int64(50e6)
-	// maxLateRatio is the part of attempts that may end late before requests beyond a share are rejected, and lateSlack how many more
-	// attempts: the first late one of few must not count as overload.
+	// maxLateRatio is the part of attempts that may end late before requests beyond a share are rejected, and lateSlack
+	// how many more attempts: the first late one of few must not count as overload.
 	maxLateRatio = 0.06
 	lateSlack    = 0.5
-	// minAdmittedFraction of the requests beyond a share are always admitted, so that a tenant is never shut out by an estimate that
-	// is wrong. admittedDecrease (a factor) and admittedIncrease (a term) move the fraction after each attempt: it falls by half
-	// within 14 late ones, and is back within 100 others.
+	// minAdmittedFraction of the requests beyond a share are always admitted, so that a tenant is never shut out by an
+	// estimate that is wrong. admittedDecrease (a factor) and admittedIncrease (a term) move the fraction after each
+	// attempt: it falls by half within 14 late ones, and is back within 100 others.
 	minAdmittedFraction = 0.02
 	admittedDecrease    = 0.95
 	admittedIncrease    = 0.01
@@ -53,7 +56,8 @@
 	loads              []tenantLoad // used again by each estimate
 }
 
-// New returns a Limiter for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without one.
+// New returns a Limiter for tenants with these quotas, in requests a second of the whole fleet; 0 for a tenant without
+// one.
 func New(quotas []float64) *Limiter {
 	l := &Limiter{admittedFraction: 1}
 	for _, quota := range quotas {
@@ -75,8 +79,9 @@
 	EvenShare     float64 // the part of a balancer that gets as much as each other
 }
 
-// ShouldReject counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share. It takes one random
-// draw from 0 to 1 for a tenant with a quota, and a second one if the first makes the request one beyond the share.
+// ShouldReject counts a request of a tenant, -1 for none, and tells whether to reject it as beyond the tenant's share.
+// It takes one random draw from 0 to 1 for a tenant with a quota, and a second one if the first makes the request one
+// beyond the share.
 func (l *Limiter) ShouldReject(tenant int, traffic Traffic, draw func() float64) bool {
 	if tenant < 0 || l.tenants[tenant].quota <= 0 {
 		return false
@@ -88,18 +93,19 @@
 		trafficShare = l.estimateTrafficShare(traffic)
 	}
 	requests, share := t.requests.Value, t.quota*traffic.WindowSeconds*max(trafficShare, traffic.EvenShare)
-	// Guards against thin traffic: a count varies by its square root, and a tenant inside its share would often seem to be beyond it.
+	// Guards against thin traffic: a count varies by its square root, and a tenant inside its share would often seem to
+	// be beyond it.
 	tolerance := math.Sqrt(share)
 	isBeyondShare := draw()*requests > share+tolerance
 	return isBeyondShare && draw() > l.admittedFraction
 }
 
-// estimateTrafficShare returns which part of the fleet's traffic comes here: the median of the tenants' quota shares, weighted by quota
-// (the lower one). Tenants that use more than their quota, or hardly any of it, do not move it as long as they hold less than half of
-// all quotas.
+// estimateTrafficShare returns which part of the fleet's traffic comes here: the median of the tenants' quota shares,
+// weighted by quota (the lower one). Tenants that use more than their quota, or hardly any of it, do not move it as
+// long as they hold less than half of all quotas.
 //
-// The lowest quota share in place of the median would be near zero wherever one small tenant is quiet by chance, and all others would
-// seem to be beyond their shares.
+// The lowest quota share in place of the median would be near zero wherever one small tenant is quiet by chance, and
+// all others would seem to be beyond their shares.
 func (l *Limiter) estimateTrafficShare(traffic Traffic) float64 {
 	if traffic.Now < l.estimateValidUntil {
 		return l.trafficShare
@@ -124,8 +130,8 @@
 	return l.trafficShare
 }
 
-// RecordOutcomes takes the decaying counts of attempts that ended in time and late, after each attempt. While too many end late, fewer
-// requests beyond a share are admitted.
+// RecordOutcomes takes the decaying counts of attempts that ended in time and late, after each attempt. While too many
+// end late, fewer requests beyond a share are admitted.
 func (l *Limiter) RecordOutcomes(timely, late float64) {
 	if late > maxLateRatio*(timely+late)+lateSlack {
 		l.admittedFraction = max(minAdmittedFraction, l.admittedFraction*admittedDecrease)
@@ -146,7 +152,8 @@
 	return counts
 }
 
-// Restore continues where another Limiter was: with its AdmittedFraction, and its RequestCounts for as many tenants as both have.
+// Restore continues where another Limiter was: with its AdmittedFraction, and its RequestCounts for as many tenants as
+// both have.
 func (l *Limiter) Restore(admittedFraction float64, requests []decay.Sum) {
 	l.admittedFraction = admittedFraction
 	for i := range min(len(requests), len(l.tenants)) {
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -9,8 +9,9 @@
 
 const windowSeconds = float64(decay.TimeConstant) / 1e9
 
-// rejectedRatios has tenants send requests to the whole fleet for a minute, at these rates a second, while attempts end late. It returns
-// the part of each tenant's requests at one balancer, which gets trafficShare of the fleet's traffic, that was rejected in the last half.
+// rejectedRatios has tenants send requests to the whole fleet for a minute, at these rates a second, while attempts end
+// late. It returns the part of each tenant's requests at one balancer, which gets trafficShare of the fleet's traffic,
+// that was rejected in the last half.
 func rejectedRatios(seed uint64, rates, quotas []float64, trafficShare, evenShare float64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	l := New(quotas)
@@ -36,8 +37,8 @@
 	return rejected
 }
 
-// A balancer of a large fleet gets some ten requests a second of six tenants. By chance one of them is quiet for a moment, and all others
-// seem to be beyond their shares: as all are inside them, few of their requests may be rejected.
+// A balancer of a large fleet gets some ten requests a second of six tenants. By chance one of them is quiet for a
+// moment, and all others seem to be beyond their shares: as all are inside them, few of their requests may be rejected.
 func TestThinTrafficInsideSharesIsAdmitted(t *testing.T) {
 	quotas := []float64{690, 600, 570, 540, 420, 180} // of a fleet of 3,000 a second
 	rates := []float64{552, 540, 570, 486, 400, 126}
@@ -50,8 +51,8 @@
 	}
 }
 
-// One tenant asks four times its share while the fleet is overloaded, and every tenant's requests end late. Its own are the ones to be
-// rejected, at a balancer that gets all traffic and at one of many.
+// One tenant asks four times its share while the fleet is overloaded, and every tenant's requests end late. Its own are
+// the ones to be rejected, at a balancer that gets all traffic and at one of many.
 func TestTenantBeyondItsShareIsRejected(t *testing.T) {
 	quotas := []float64{600, 600, 600, 600}
 	rates := []float64{2400, 600, 500, 550}
@@ -65,8 +66,8 @@
 	}
 }
 
-// A tenant is beyond its share, and the fleet has room for it. Rejecting it would lose requests for nothing: quotas bind only while
-// attempts end late.
+// A tenant is beyond its share, and the fleet has room for it. Rejecting it would lose requests for nothing: quotas
+// bind only while attempts end late.
 func TestNothingIsRejectedWhileAttemptsEndInTime(t *testing.T) {
 	l := New([]float64{1})
 	for n := range 1000 {
@@ -83,8 +84,8 @@
 	}
 }
 
-// Half of a tenant's traffic comes to one balancer while the other tenant is idle. The estimate from quotas would put all of it beyond the
-// tenant's share; load reports know better, and go first.
+// Half of a tenant's traffic comes to one balancer while the other tenant is idle. The estimate from quotas would put
+// all of it beyond the tenant's share; load reports know better, and go first.
 func TestLoadReportsOverrideTheEstimate(t *testing.T) {
 	l := New([]float64{300, 300})
 	l.Restore(0, nil)
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -56,7 +56,7 @@
 	return x.writeRequest(line, deadline), false
 }
 
-// checkClient is Open, or Withdrawn where the client has gone by now: nothing may be sent for it.
+// checkClient is Open, or CancelledBeforeSent where the client has gone by now: nothing may be sent for it.
 func (x *exchange) checkClient() transport.End {
 	if !x.client.isGone() {
 		return transport.Open
--- a/routing/clientconn.go
+++ b/routing/clientconn.go
@@ -91,14 +91,15 @@
 	}
 	if c.Grow(protocol.MinCommandLength(c.Unread())) == transport.LocalShortage {
 		c.BeginReply()
-		r.answer(protocol.AppendRejected(nil, 0)) // It was never begun, and cannot be read any further.
+		// It was never begun, and cannot be read any further: as after a command that breaks the protocol.
+		r.answer(protocol.AppendRejected(nil, 0))
 		return transport.Malformed
 	}
 	return c.Fill(r.partSince)
 }
 
-// handle answers a command, or starts a request. It is Left where the client of a request has gone: what waited
-// unread, for capacity or while the process was held up, has no client any more.
+// handle answers a command, or starts a request. It is ClientDisconnected where the client of a request has gone: what
+// waited unread, for capacity or while the process was held up, has no client any more.
 func (r *commandReader) handle(arguments [][]byte, length int) transport.End {
 	verb, err := protocol.ParseRequest(arguments)
 	if verb.IsRequest() && r.client.HasEnded() {
--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -31,6 +31,18 @@
 	}
 }
 
+// collect takes what has reached servers by now.
+func (a *receivedAttempts) collect() {
+	for {
+		select {
+		case c := <-a.came:
+			a.seen[c.Words[2]] = append(a.seen[c.Words[2]], c)
+		default:
+			return
+		}
+	}
+}
+
 // attemptsDue is what a client waits for when it disconnects. Each case brings the request of one that leaves to
 // wait, and, once it has left, that of one that stays: an attempt of the latter of the same kind, whose time comes
 // later, proves that the former's never will.
@@ -57,7 +69,8 @@
 	for _, due := range attemptsDue {
 		for _, l := range clientDisconnects {
 			if strings.Contains(l.name, "burst") || strings.Contains(l.name, "kernel") {
-				// What they send before they go takes longer than a backoff: TestWaitingRequestEndsWithItsClient has them.
+				// What they send before they go takes longer than a backoff: TestWaitingRequestEndsWithItsClient has
+				// them.
 				continue
 			}
 			t.Run(due.name+", "+l.name, func(t *testing.T) {
@@ -118,10 +131,14 @@
 					held.Say(fakes.Settled("v"))
 				}
 				all.await(t, "stayer", due.before+1, due.handle)
-				for _, c := range all.seen["leaver"] {
-					c.Say(fakes.Settled("v")) // What is in flight may end.
-				}
-				until(t, "the end of its request", func() bool { return b.requestsHeld() == 1 })
+				answered := 0
+				until(t, "the end of its request", func() bool {
+					all.collect() // One decided before it went may reach its server after the stayer's.
+					for ; answered < len(all.seen["leaver"]); answered++ {
+						all.seen["leaver"][answered].Say(fakes.Settled("v")) // What is in flight may end.
+					}
+					return b.requestsHeld() == 1
+				})
 				if came := len(all.seen["leaver"]); came > decided || due.deaf && came > 0 {
 					t.Errorf("%d attempts for a client that has gone, %d before", came, decided)
 				}
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,5 +1,6 @@
-// Package routing carries requests from clients to cache servers and their answers back. It connects the decisions
-// of package policy with connections, clocks and timers; it takes no decision of its own.
+// Package routing carries requests from clients to cache servers and their answers back. It connects the decisions of
+// package policy with connections, clocks and timers. It decides nothing that package policy could: it bounds memory
+// and requests in hand, and ends attempts early enough for the answer's way to the client.
 //
 // # A request's life
 //
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -8,8 +8,8 @@
 	"hollylever/transport"
 )
 
-// outcomeByEnd is what an attempt's end is to the policy. TurnedAway up to Withdrawn prove that it never ran: its
-// last byte was not sent.
+// outcomeByEnd is what an attempt's end is to the policy. Rejected up to CancelledBeforeSent prove that it never
+// ran: its last byte was not sent.
 var outcomeByEnd = map[transport.End]policy.Outcome{
 	transport.Succeeded:           policy.OK,
 	transport.Failed:              policy.Errored,
@@ -54,7 +54,7 @@
 	slot          int // in the request table
 	events        chan event
 	bytes         int64                   // of memory that the request takes
-	lines         []*transport.PooledConn // the connection of each attempt
+	connections   []*transport.PooledConn // the connection of each attempt
 	attemptsEnded int
 	isAnswered    bool // it has its final answer, or its client has gone and needs none
 	isClientGone  bool
@@ -126,7 +126,7 @@
 	if !slot.isFinal {
 		slot.isFinal = true
 		b.counters.increment(counterDisconnected)
-		if x.attemptsEnded == len(x.lines) {
+		if x.attemptsEnded == len(x.connections) {
 			b.counters.increment(counterDisconnectedWaiting)
 		}
 		b.policy.HandleClientCancelled(b.now(), x.slot)
@@ -136,14 +136,14 @@
 
 // withdrawUnsent ends the attempts whose last byte has not been sent.
 func (x *exchange) withdrawUnsent() {
-	for _, line := range x.lines {
+	for _, line := range x.connections {
 		line.CancelUnsent()
 	}
 }
 
 func (e attemptStarted) handle(x *exchange) {
 	line := x.balancer.pool.NewConn()
-	x.lines = append(x.lines, line)
+	x.connections = append(x.connections, line)
 	x.record.attempts = append(x.record.attempts, attemptRecord{server: e.name, sent: time.Since(x.client.receivedAt)})
 	if x.isAnswered {
 		line.Cancel() // The client disconnected between the decision and this.
@@ -151,7 +151,7 @@
 	go x.runAttempt(line, e.attempt)
 }
 
-func (e attemptCancelled) handle(x *exchange) { x.lines[e.number].Cancel() }
+func (e attemptCancelled) handle(x *exchange) { x.connections[e.number].Cancel() }
 
 func (e requestRejected) handle(x *exchange) {
 	x.finish(protocol.AppendRejected(nil, e.retryAfter), outcomeRejected)
@@ -185,7 +185,7 @@
 		return
 	}
 	x.large, x.isAnswered, x.record.outcome = e.value, true, outcomeAnswered
-	for number, line := range x.lines {
+	for number, line := range x.connections {
 		if number != e.number {
 			line.Cancel()
 		}
--- a/routing/executor.go
+++ b/routing/executor.go
@@ -39,7 +39,7 @@
 	slot.events <- requestRejected{retryAfter}
 }
 
-// Fail ends a request of which nobody can tell whether it ran, or that has no time left.
+// Fail ends a request of which nobody can tell whether it ran.
 func (b *Balancer) Fail(request int, reason policy.Reason) {
 	slot := &b.requests.slots[request]
 	slot.isFinal = true
--- a/server/run.go
+++ b/server/run.go
@@ -89,7 +89,7 @@
 // reload reads both configuration files again (SIGHUP). If either is bad, neither is taken: what was in force stays.
 //
 // Of the platform's file only the discovery address applies to a running process. Of the balancer's own settings those
-// apply that are marked fields.AtOnce; the others are logged and apply at the next start.
+// apply that are marked config.OnReload; the others are logged and apply at the next start.
 func (s *Server) reload() {
 	configuration, err := rereadConfiguration()
 	settings, settingsErr := readSettings(s.settingsFile)
@@ -133,7 +133,7 @@
 
 // writeSnapshots writes what the balancer learned at the interval that was sent last. Guards against a process that is
 // killed: it leaves a snapshot at most one interval old, from which the next process starts.
-func writeSnapshots(ctx context.Context, keeper *routing.SnapshotWriter, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
+func writeSnapshots(ctx context.Context, writer *routing.SnapshotWriter, group *siblings.Group, intervals <-chan time.Duration, log zerolog.Logger) {
 	failed, ticker := false, time.NewTicker(time.Hour) // The first interval is sent before the goroutine starts.
 	for {
 		select {
@@ -147,7 +147,7 @@
 		if group != nil && !group.IsSnapshotWriter() {
 			continue // Another process of this balancer has learned more.
 		}
-		err := keeper.Write()
+		err := writer.Write()
 		if err != nil && !errors.Is(err, snapshot.ErrLocked) && !failed {
 			log.Warn().Err(err).Msg("snapshot not written") // Once for a run of errors.
 		}
--- a/settings/indices.go
+++ b/settings/indices.go
@@ -1,6 +1,7 @@
 package settings
 
-// IndexAllocator gives out small indices; those given back are used again first, the last one first. The zero value is ready. It does not lock.
+// IndexAllocator gives out small indices; those given back are used again first, the last one first. The zero value is
+// ready. It does not lock.
 type IndexAllocator struct {
 	next int   // the lowest that was never out
 	free []int // given back
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings holds what every driver of the decision module needs at the edge: the operators' settings as a plain map of dotted names, the
-// tables that turn their names into small indices, the reader of load reports, and small indices for requests and endpoints that come and go.
+// Package settings holds what every driver of the decision module needs at the edge: the operators' settings as a plain
+// map of dotted names, the tables that turn their names into small indices, the reader of load reports, and small
+// indices for requests and endpoints that come and go.
 package settings
 
 import (
@@ -10,7 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Flatten turns the settings into a plain map of dotted names to values ("workloads.0.name"), a list's length under its own name.
+// Flatten turns the settings into a plain map of dotted names to values ("workloads.0.name"), a list's length under its
+// own name.
 func Flatten(object gjson.Result) map[string]any {
 	settings := map[string]any{}
 	flatten(settings, "", object)
@@ -41,7 +43,8 @@
 	}
 }
 
-// NameIndices gives each name of a list in the settings its place there. inner leads to the name within an entry (".name"); empty: the entry is the name.
+// NameIndices gives each name of a list in the settings its place there. inner leads to the name within an entry
+// (".name"); empty: the entry is the name.
 func NameIndices(settings map[string]any, list, inner string) map[string]int {
 	count, _ := settings[list].(float64)
 	places := make(map[string]int, int(count))
@@ -52,12 +55,13 @@
 	return places
 }
 
-// maxReportedFigure is the largest figure of a load report that is taken: no endpoint serves a billion requests a second.
+// maxReportedFigure is the largest figure of a load report that is taken: no endpoint serves a billion requests a
+// second.
 const maxReportedFigure = 1e9
 
-// ParseReport reads an endpoint's load report, names and values between commas, into the places that the settings give its
-// fields. A figure that is missing, no plain number, negative or huge becomes NaN: none. It tells whether anything was read. It guards the
-// decision module against whatever an endpoint sends.
+// ParseReport reads an endpoint's load report, names and values between commas, into the places that the settings give
+// its fields. A figure that is missing, no plain number, negative or huge becomes NaN: none. It tells whether anything
+// was read. It guards the decision module against whatever an endpoint sends.
 func ParseReport(text []byte, between string, fields map[string]int, into []float64) bool {
 	for i := range into {
 		into[i] = math.NaN()
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A load report is whatever an endpoint sends: taken as it is, a figure that is no number would poison every later decision. Figures are plain
-// numbers or none.
+// A load report is whatever an endpoint sends: taken as it is, a figure that is no number would poison every later
+// decision. Figures are plain numbers or none.
 func FuzzReport(f *testing.F) {
 	for _, text := range []string{"util=0.61,qps=7", "qps=NaN,util=-1", "qps=inf", "qps=0x1p4", "qps=1e300", "=,=,", "qps", "x=5",
 		"util=0.61,,qps=\xff", "qps=1,qps=2"} {
--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	// initialConnectionsDivisor and initialMemoryDivisor are which part of the limits a process gets to start with: an eighth of the
-	// connections, enough to serve the first clients that move over, and a quarter of the memory, as the runtime maps some before the
-	// process can publish a claim.
+	// initialConnectionsDivisor and initialMemoryDivisor are which part of the limits a process gets to start with: an
+	// eighth of the connections, enough to serve the first clients that move over, and a quarter of the memory, as the
+	// runtime maps some before the process can publish a claim.
 	initialConnectionsDivisor = 8
 	initialMemoryDivisor      = 4
 
@@ -14,9 +14,11 @@
 	clientsPerDrainingConnection = 4
 	minDrainingConnections       = 8
 
-	// minAttemptShare is the least part of the attempts that a process counts as its own, so that one that has sent none can begin.
+	// minAttemptShare is the least part of the attempts that a process counts as its own, so that one that has sent
+	// none can begin.
 	minAttemptShare = 0.1
-	// successorAttemptShare is that beside a process that drains: its clients move over at once, and their attempts with them.
+	// successorAttemptShare is that beside a process that drains: its clients move over at once, and their attempts
+	// with them.
 	successorAttemptShare = 0.5
 )
 
@@ -66,8 +68,9 @@
 	return all
 }
 
-// targetClaim returns what a process should come to claim. Processes that serve have what they use and divide evenly what nobody uses:
-// so no client is asked to go for a process that has none yet, and the division follows the clients as they move over.
+// targetClaim returns what a process should come to claim. Processes that serve have what they use and divide evenly
+// what nobody uses: so no client is asked to go for a process that has none yet, and the division follows the clients
+// as they move over.
 func targetClaim(total Resources, own processState, others []processState) Resources {
 	all := takeCensus(own, others)
 	target := forEachResource(func(r resource) int64 {
@@ -87,7 +90,8 @@
 		return own.Usage.of(r) + max(0, available-forStarting-all.servingUsage.of(r))/all.serving
 	})
 	if len(others) == 0 && own.Phase != Draining {
-		// Guards against a new process that starts while this one holds all memory: it maps its first part before it can claim it.
+		// Guards against a new process that starts while this one holds all memory: it maps its first part before it
+		// can claim it.
 		target.MemoryBytes -= initialNeed(total, memory)
 	}
 	return target
@@ -118,8 +122,9 @@
 	return forEachResource(func(r resource) int64 { return min(own.Claim.of(r), target.of(r)) })
 }
 
-// attemptShare returns the process's part of the attempts that all processes send, from 0 to 1. What all processes together may send to
-// cold servers is divided by it. The parts may add up to more than 1 for a moment, as each is at least minAttemptShare.
+// attemptShare returns the process's part of the attempts that all processes send, from 0 to 1. What all processes
+// together may send to cold servers is divided by it. The parts may add up to more than 1 for a moment, as each is at
+// least minAttemptShare.
 func attemptShare(own processState, others []processState) float64 {
 	if len(others) == 0 {
 		return 1
@@ -137,8 +142,8 @@
 	return max(minShare, own.Attempts/attempts)
 }
 
-// isSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned: the one that has served longest,
-// or the last one that drains. Two writers would take turns to replace what the other has learned.
+// isSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned: the one that has
+// served longest, or the last one that drains. Two writers would take turns to replace what the other has learned.
 func isSnapshotWriter(own processState, others []processState) bool {
 	for _, other := range others {
 		isOlder := own.Phase == Serving && other.Phase == Serving && other.StartedAt < own.StartedAt
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -16,9 +16,9 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// During an upgrade both versions divide the limits by the same rule, each from the other's state. Were one to aim for other figures
-// than the other expects, both would wait for room or close connections that need not go. Over seeded plans each figure stays as
-// version 860147b computed it.
+// During an upgrade both versions divide the limits by the same rule, each from the other's state. Were one to aim for
+// other figures than the other expects, both would wait for room or close connections that need not go. Over seeded
+// plans each figure stays as version 860147b computed it.
 func TestGoldenDivision(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
 	randomState := func() processState {
@@ -70,8 +70,9 @@
 	}
 }
 
-// A new version that can't read the old one's state takes it for half written, and is given nothing while it starts. The fixtures are
-// states that version 860147b published; each is written the same to the byte and read by the process beside it with the same content.
+// A new version that can't read the old one's state takes it for half written, and is given nothing while it starts.
+// The fixtures are states that version 860147b published; each is written the same to the byte and read by the process
+// beside it with the same content.
 func TestPublishedStatesStayReadable(t *testing.T) {
 	for name, state := range map[string]processState{
 		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting,
--- a/siblings/group.go
+++ b/siblings/group.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// maxProcesses bounds the processes of one balancer. An upgrade takes two, and one that is started amid another three.
+	// maxProcesses bounds the processes of one balancer. An upgrade takes two, and one that is started amid another
+	// three.
 	maxProcesses = 8
 	// attemptDecay is the time in which counted attempts decay to 1/e. Clients move over to a new process that quickly.
 	attemptDecay = 300 * time.Millisecond
@@ -29,8 +30,8 @@
 
 // Group is this process's place among the processes of its balancer. Its methods may be called concurrently.
 //
-// Each process has a slot: a file that it holds locked while it runs, and writes its state to. The kernel releases the lock however the
-// process ends, which frees its claim.
+// Each process has a slot: a file that it holds locked while it runs, and writes its state to. The kernel releases the
+// lock however the process ends, which frees its claim.
 type Group struct {
 	total     Resources // what all processes may use together
 	directory string
@@ -45,8 +46,9 @@
 	updatedAt    time.Time      // of the last Update
 }
 
-// Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns ErrTooMany if no
-// slot is free. If only publishing the state fails it returns the group with the error: Update publishes again.
+// Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns
+// ErrTooMany if no slot is free. If only publishing the state fails it returns the group with the error: Update
+// publishes again.
 func Join(directory string, total Resources) (*Group, error) {
 	raiseLock, err := openFile(filepath.Join(directory, raiseLockFile), os.O_CREATE)
 	if err != nil {
@@ -110,8 +112,8 @@
 	}
 }
 
-// readState returns what the process of a slot has published. A slot without a file was never taken; one whose lock is free belonged to
-// a process that has ended, and what it claimed is free too.
+// readState returns what the process of a slot has published. A slot without a file was never taken; one whose lock is
+// free belonged to a process that has ended, and what it claimed is free too.
 func readState(path string) (content []byte, isRunning bool) {
 	file, err := openFile(path, 0)
 	if err != nil {
@@ -126,9 +128,9 @@
 	return content[:n], true
 }
 
-// Update publishes what this process uses and how many attempts it has handed over since its start, and adjusts its claim. It returns what
-// the process may use from now on, its part of the attempts to cold servers, and how many other processes run. After an error these are
-// right, but the others have not been told.
+// Update publishes what this process uses and how many attempts it has handed over since its start, and adjusts its
+// claim. It returns what the process may use from now on, its part of the attempts to cold servers, and how many other
+// processes run. After an error these are right, but the others have not been told.
 func (g *Group) Update(usage Resources, attempts int) (allowed Resources, share float64, others int, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,9 +149,10 @@
 
 // adjustClaim reads the others' states, then changes and publishes this process's claim.
 //
-// The lock guards against two processes that raise their claims into the same unclaimed rest, which would add up to more than there is.
-// It is held from before the others are read until the claim is published, and never waited for: a process that stands still with it
-// must not stop the others. Whoever does not get it only lowers its claim, and may raise it at the next Update.
+// The lock guards against two processes that raise their claims into the same unclaimed rest, which would add up to
+// more than there is. It is held from before the others are read until the claim is published, and never waited for: a
+// process that stands still with it must not stop the others. Whoever does not get it only lowers its claim, and may
+// raise it at the next Update.
 func (g *Group) adjustClaim() error {
 	mayRaise := tryLock(g.raiseLock, unix.LOCK_EX)
 	g.readOthers()
@@ -168,7 +171,8 @@
 	g.own.Phase = phase
 }
 
-// IsSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned, as of the last Update.
+// IsSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned, as of the last
+// Update.
 func (g *Group) IsSnapshotWriter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/siblings/group_test.go
+++ b/siblings/group_test.go
@@ -37,8 +37,9 @@
 	return allowed
 }
 
-// An upgrade goes in any way that upgrades go: a process is killed, never gets ready, or crashes after it did. A claim that stayed behind
-// would leave the balancer with a part of its connections and memory for good: in the end the one process that is left has all.
+// An upgrade goes in any way that upgrades go: a process is killed, never gets ready, or crashes after it did. A claim
+// that stayed behind would leave the balancer with a part of its connections and memory for good: in the end the one
+// process that is left has all.
 func TestLastProcessHasAllResources(t *testing.T) {
 	everything := Resources{limits.ClientConnections, limits.EndpointConnections, limits.MemoryBytes - limits.MemoryBytes/4}
 	for name, upgrade := range map[string]func(directory string, old *Group) *Group{
@@ -126,9 +127,9 @@
 	}
 }
 
-// Processes come, go, die, hang and update late, and files are half written. Were the claims to add up to more than the limits, the balancer
-// would run out of descriptors or memory amid an upgrade: they never do, and no process uses more than it claims. A process here takes up
-// to what it was allowed, and gives back at random.
+// Processes come, go, die, hang and update late, and files are half written. Were the claims to add up to more than the
+// limits, the balancer would run out of descriptors or memory amid an upgrade: they never do, and no process uses more
+// than it claims. A process here takes up to what it was allowed, and gives back at random.
 func TestClaimsNeverExceedTheLimits(t *testing.T) {
 	for seed := range uint64(150) {
 		random, directory := rand.New(rand.NewPCG(seed, 2)), t.TempDir()
@@ -182,8 +183,8 @@
 	}
 }
 
-// Processes are started in a loop, each beside the others. A ninth one would take a claim that no other reads: it is refused, and the next
-// one gets in once a process has ended.
+// Processes are started in a loop, each beside the others. A ninth one would take a claim that no other reads: it is
+// refused, and the next one gets in once a process has ended.
 func TestNoMoreProcessesThanSlots(t *testing.T) {
 	directory := t.TempDir()
 	var running []*Group
@@ -200,8 +201,8 @@
 	}
 }
 
-// Two processes serve, or one drains beside the other. Cold servers must not get more attempts than one balancer may send, and the
-// snapshot must be by the process that knows most.
+// Two processes serve, or one drains beside the other. Cold servers must not get more attempts than one balancer may
+// send, and the snapshot must be by the process that knows most.
 func TestAttemptSharesAndSnapshotWriter(t *testing.T) {
 	old, successor := processState{StartedAt: 1, Phase: Serving, Attempts: 90}, processState{StartedAt: 2, Phase: Serving, Attempts: 30}
 	if p := attemptShare(old, []processState{successor}); p != 0.75 {
--- a/siblings/state.go
+++ b/siblings/state.go
@@ -70,10 +70,12 @@
 	Attempts  float64   `json:"trips"` // attempts handed over, decaying over attemptDecay
 }
 
-// startedAtBase is added to the machine's clock, so that a process counts as younger than one of a version that publishes Unix time.
+// startedAtBase is added to the machine's clock, so that a process counts as younger than one of a version that
+// publishes Unix time.
 const startedAtBase = int64(1) << 62
 
-// stateSize is the size of a published state in bytes, padded with spaces: a shorter state leaves nothing of the one before it.
+// stateSize is the size of a published state in bytes, padded with spaces: a shorter state leaves nothing of the one
+// before it.
 const stateSize = 512
 
 // encodeState returns the state as it is published.
@@ -88,7 +90,8 @@
 	return append(content, bytes.Repeat([]byte(" "), stateSize-len(content))...), nil
 }
 
-// decodeState returns a state that another process has published. It never fails, as that process is there whatever it published:
+// decodeState returns a state that another process has published. It never fails, as that process is there whatever it
+// published:
 //   - Nothing yet: the process has just come and claims nothing.
 //   - Half written, or not what a process publishes: its claim can't be told, so it counts as claiming everything. Nothing is raised
 //     beside it until it publishes again, and no aim changes, as its phase is unknown.
@@ -103,7 +106,8 @@
 	return state
 }
 
-// isValid tells whether a process can have published the state: its claim is within the limits, its phase is one of ours.
+// isValid tells whether a process can have published the state: its claim is within the limits, its phase is one of
+// ours.
 func (s *processState) isValid(total Resources) bool {
 	for _, r := range resources {
 		if claim := s.Claim.of(r); claim < 0 || claim > total.of(r) {
--- a/simadapter/adapter.go
+++ b/simadapter/adapter.go
@@ -1,5 +1,6 @@
-// Package simadapter is the adapter between the operators' simulator and the decision module: it reads batches of events, calls the module for each,
-// and writes what the module does. The wire's words are translated in wire.go. It decides nothing.
+// Package simadapter is the adapter between the operators' simulator and the decision module: it reads batches of
+// events, calls the module for each, and writes what the module does. The wire's words are translated in wire.go. It
+// decides nothing.
 package simadapter
 
 import (
@@ -12,7 +13,8 @@
 // readBufferBytes holds most batches whole: they can be megabytes long.
 const readBufferBytes = 1 << 20
 
-// Run plays batches until the input ends between two of them. A batch that breaks the wire's form ends it with a MalformedError.
+// Run plays batches until the input ends between two of them. A batch that breaks the wire's form ends it with a
+// MalformedError.
 func Run(input io.Reader, output io.Writer) error {
 	a := &adapter{
 		in:        &reader{in: bufio.NewReaderSize(input, readBufferBytes)},
--- a/simadapter/codec.go
+++ b/simadapter/codec.go
@@ -26,8 +26,8 @@
 
 type pair struct{ name, value []byte }
 
-// reader takes lines apart. Its first error stays in err, and further calls return zeros, so that an event is read field by field and
-// checked once.
+// reader takes lines apart. Its first error stays in err, and further calls return zeros, so that an event is read
+// field by field and checked once.
 type reader struct {
 	in       *bufio.Reader
 	line     int
--- a/simadapter/instance.go
+++ b/simadapter/instance.go
@@ -10,7 +10,8 @@
 	"hollylever/settings"
 )
 
-// requestSlot ties a request's small index to its id. It is free again once the request has ended and no attempt is in flight.
+// requestSlot ties a request's small index to its id. It is free again once the request has ended and no attempt is in
+// flight.
 type requestSlot struct {
 	id       uint64
 	inFlight int // attempts
--- a/simadapter/peers.go
+++ b/simadapter/peers.go
@@ -8,22 +8,25 @@
 	"hollylever/policy"
 )
 
-// ExchangesReports is whether balancers use what the settings let them tell each other. Off: on the deployments where they may, it gains nothing
-// (docs/results.md), as their endpoints seldom fail one attempt after another, and each balancer has enough to go by.
+// ExchangesReports is whether balancers use what the settings let them tell each other. Off: on the deployments where
+// they may, it gains nothing (docs/results.md), as their endpoints seldom fail one attempt after another, and each
+// balancer has enough to go by.
 var ExchangesReports bool
 
 const (
 	// tickInterval is how often the detector is looked at: a fraction of the time that reports take.
 	tickInterval = 20 * int64(1e6)
 
-	// bytesPerAttempt is what each attempt earns for messages, of the 256 bytes whose price is a point for each first attempt.
+	// bytesPerAttempt is what each attempt earns for messages, of the 256 bytes whose price is a point for each first
+	// attempt.
 	bytesPerAttempt = 8.0
 
 	// maxSavedBytes bounds what is saved up to a few messages.
 	maxSavedBytes = 4 * outlier.MaxMessageBytes
 )
 
-// peers is what one balancer observes, tells and hears of endpoints, where the settings let balancers talk. A nil one does nothing.
+// peers is what one balancer observes, tells and hears of endpoints, where the settings let balancers talk. A nil one
+// does nothing.
 type peers struct {
 	detector   *outlier.Detector
 	objectives []int64  // by class
@@ -119,8 +122,8 @@
 	n.talk(now)
 }
 
-// talk hands the module what is ejected, and sends the message that is due. It guards the price of messages, which attempts pay for: in a large fleet
-// few balancers speak, and seldom.
+// talk hands the module what is ejected, and sends the message that is due. It guards the price of messages, which
+// attempts pay for: in a large fleet few balancers speak, and seldom.
 func (n *instance) talk(now int64) {
 	p := n.peers
 	if p == nil {
--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -57,8 +57,9 @@
 	return f.Read("n1", 7, now, maxAge)
 }
 
-// A process is killed, or a disk fails, and the snapshot is truncated or has a changed byte. Restored, it would mislead the balancer's
-// decisions until it had learned better: at every byte either is refused, and a complete one comes back as it was.
+// A process is killed, or a disk fails, and the snapshot is truncated or has a changed byte. Restored, it would mislead
+// the balancer's decisions until it had learned better: at every byte either is refused, and a complete one comes back
+// as it was.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	s := sample(5)
 	f, content := writeSnapshot(t, s)
@@ -81,8 +82,9 @@
 	}
 }
 
-// A snapshot has a right checksum and makes no sense, as a defect of the writer left it, or it is of another balancer or another time.
-// An index of it could lead the decision module out of bounds, or its figures astray: it is refused, with the error that says why.
+// A snapshot has a right checksum and makes no sense, as a defect of the writer left it, or it is of another balancer
+// or another time. An index of it could lead the decision module out of bounds, or its figures astray: it is refused,
+// with the error that says why.
 func TestSnapshotThatMakesNoSenseOrDoesNotApplyIsRefused(t *testing.T) {
 	for name, c := range map[string]struct {
 		spoil func(s *Snapshot)
@@ -114,8 +116,9 @@
 	}
 }
 
-// The wall clock is stepped between two processes. Were the age told by it alone, what was learned a second ago would be refused or
-// taken for older than it is: under the same boot the machine's own clock tells the age, and a small step back counts as none.
+// The wall clock is stepped between two processes. Were the age told by it alone, what was learned a second ago would
+// be refused or taken for older than it is: under the same boot the machine's own clock tells the age, and a small step
+// back counts as none.
 func TestSteppedClockDoesNotAgeASnapshot(t *testing.T) {
 	s := sample(0)
 	s.WrittenAt += int64(maxAge) / 2 // The clock went back by less than the bound.
@@ -149,8 +152,8 @@
 	})
 }
 
-// The directory is writable for others, and somebody puts a link, a pipe or a file of their own in the snapshot's place, to steer the
-// balancer or to have it write over another file: nothing of theirs is read or written.
+// The directory is writable for others, and somebody puts a link, a pipe or a file of their own in the snapshot's
+// place, to steer the balancer or to have it write over another file: nothing of theirs is read or written.
 func TestFilesOfOthersAreNeitherReadNorWritten(t *testing.T) {
 	f, content := writeSnapshot(t, sample(1))
 	other := f.Path + ".other"
@@ -188,7 +191,8 @@
 // writerEnv makes the test binary the process that is killed.
 const writerEnv = "HOLLYLEVER_SNAPSHOT_TEST"
 
-// A process is killed amid a write. The process after it must find the snapshot before that, complete, and be able to write its own.
+// A process is killed amid a write. The process after it must find the snapshot before that, complete, and be able to
+// write its own.
 func TestKillDuringWriteLeavesACompleteSnapshot(t *testing.T) {
 	if path := os.Getenv(writerEnv); path != "" {
 		f, s := &File{Path: path}, sample(4000)
@@ -224,7 +228,8 @@
 	}
 }
 
-// Two processes of a balancer write at the same time. Both in one file, they would leave a mixture: the second one gives up.
+// Two processes of a balancer write at the same time. Both in one file, they would leave a mixture: the second one
+// gives up.
 func TestConcurrentWriterGivesUp(t *testing.T) {
 	f, _ := writeSnapshot(t, sample(1))
 	file, err := os.OpenFile(f.Path+".new", os.O_CREATE|os.O_WRONLY, 0o600)
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -37,9 +37,9 @@
 			Endpoints: []policy.EndpointState{server(1000), server(2000)}, Keys: []uint64{11, 12, 13}, Places: []uint32{1, 0, 1}}}
 }
 
-// A process is upgraded and reads the snapshot of the one before with fields lost or in each other's place, since the file's form
-// followed a renamed field: it starts cold, or with another host's figures. The fixture is a file that version 860147b wrote; it is
-// read with the same content and written the same to the byte.
+// A process is upgraded and reads the snapshot of the one before with fields lost or in each other's place, since the
+// file's form followed a renamed field: it starts cold, or with another host's figures. The fixture is a file that
+// version 860147b wrote; it is read with the same content and written the same to the byte.
 func TestStoredSnapshotStaysReadable(t *testing.T) {
 	path := filepath.Join("testdata", "snapshot-v2")
 	if *update {
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,9 +1,9 @@
-// Package snapshot keeps what a balancer has learned in one bounded file, so that the process that follows it in an upgrade or a restart
-// goes on with it instead of starting cold.
+// Package snapshot keeps what a balancer has learned in one bounded file, so that the process that follows it in an
+// upgrade or a restart goes on with it instead of starting cold.
 //
-// Package routing fills a Snapshot and restores from one. This package writes it to a File, completely or not at all (file.go), and
-// reads it back only if it is complete, recent, of the same balancer and under the same settings. Whatever else is found there is
-// refused with an error, and the process starts as if there were no file.
+// Package routing fills a Snapshot and restores from one. This package writes it to a File, completely or not at all
+// (file.go), and reads it back only if it is complete, recent, of the same balancer and under the same settings.
+// Whatever else is found there is refused with an error, and the process starts as if there were no file.
 //
 // The file is a header of fixed size, then the snapshot in CBOR (format.go).
 package snapshot
@@ -17,19 +17,22 @@
 	"hollylever/policy"
 )
 
-// Errors of a snapshot that is refused. Read wraps them with the reason; the caller logs it and starts without a snapshot.
+// Errors of a snapshot that is refused. Read wraps them with the reason; the caller logs it and starts without a
+// snapshot.
 var (
 	// ErrInvalid says that the file is not a complete snapshot as this version writes it.
 	ErrInvalid = errors.New("invalid snapshot")
-	// ErrNotApplicable says that the snapshot is complete, but belongs to another balancer, to other settings or to another time.
+	// ErrNotApplicable says that the snapshot is complete, but belongs to another balancer, to other settings or to
+	// another time.
 	ErrNotApplicable = errors.New("snapshot does not apply")
 )
 
-// Snapshot is what one process leaves for the next. Its keys in the file are pinned by the tags: a file that is there at an upgrade
-// was written by the version before.
+// Snapshot is what one process leaves for the next. Its keys in the file are pinned by the tags: a file that is there
+// at an upgrade was written by the version before.
 type Snapshot struct {
 	BalancerName string `cbor:"Name"`
-	// SettingsFingerprint identifies the operators' settings: BalancerState's indices of workloads, tenants and kinds depend on them.
+	// SettingsFingerprint identifies the operators' settings: BalancerState's indices of workloads, tenants and kinds
+	// depend on them.
 	SettingsFingerprint uint64 `cbor:"Settings"`
 
 	// When it was taken, by both clocks: see age.
@@ -46,8 +49,9 @@
 	Age time.Duration `cbor:"-"` // when it was read; Read sets it, Write ignores it
 }
 
-// age returns how old the snapshot is. Guards against a wall clock that was stepped between the two processes: under the same boot of
-// the machine the clock since the boot tells the age, which nobody steps. It may be negative where only the wall clock can tell.
+// age returns how old the snapshot is. Guards against a wall clock that was stepped between the two processes: under
+// the same boot of the machine the clock since the boot tells the age, which nobody steps. It may be negative where
+// only the wall clock can tell.
 func (s *Snapshot) age(now time.Time) time.Duration {
 	if s.BootID != "" && s.BootID == monotime.BootID() {
 		return time.Duration(monotime.Now() - s.SinceBoot)
@@ -55,8 +59,8 @@
 	return time.Duration(now.UnixNano() - s.WrittenAt)
 }
 
-// checkApplies returns ErrNotApplicable if the snapshot is not for this balancer, these settings and this time. An age under zero
-// counts as zero down to -maxAge; a wall clock that went back further leaves nothing to tell the age by.
+// checkApplies returns ErrNotApplicable if the snapshot is not for this balancer, these settings and this time. An age
+// under zero counts as zero down to -maxAge; a wall clock that went back further leaves nothing to tell the age by.
 func (s *Snapshot) checkApplies(balancerName string, settingsFingerprint uint64, maxAge time.Duration) error {
 	switch {
 	case s.BalancerName != balancerName:
--- a/stallwatch/counters.go
+++ b/stallwatch/counters.go
@@ -84,7 +84,8 @@
 }
 
 const (
-	// threadListInterval is how often the process's threads are listed anew. Listing allocates; reading their counts does not.
+	// threadListInterval is how often the process's threads are listed anew. Listing allocates; reading their counts
+	// does not.
 	threadListInterval = time.Second
 	// statTick is the unit of the times in /proc/stat.
 	statTick = 10 * time.Millisecond
@@ -92,7 +93,8 @@
 	stealField = 8
 )
 
-// procReader reads the kernel's counts from /proc. It keeps its buffers, as it reads often and should leave nothing to collect.
+// procReader reads the kernel's counts from /proc. It keeps its buffers, as it reads often and should leave nothing to
+// collect.
 type procReader struct {
 	schedstatFiles []string // of the process's threads
 	listedAt       time.Time
@@ -101,7 +103,8 @@
 	statBuffer      [256]byte
 }
 
-// steal returns for how long a hypervisor ran something else than this machine, over all cores; 0 where the kernel does not tell.
+// steal returns for how long a hypervisor ran something else than this machine, over all cores; 0 where the kernel does
+// not tell.
 func (p *procReader) steal() time.Duration {
 	content, err := readInto("/proc/stat", p.statBuffer[:])
 	if err != nil {
--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -1,11 +1,12 @@
 // Package stallwatch detects that the program stalled, and logs why.
 //
-// A Detector is a goroutine that should wake up every 25 ms; how late it does tells how long the whole process did not run. Beside that
-// it takes the decision module's lock as a request would, and reads the timers (timer.go) around accepted connections and writes of the
-// log. Where anything took too long, it reads the counts of the kernel and the runtime (counters.go), diagnoses the cause (diagnose.go,
-// which has no clock and does no I/O) and logs it (report.go).
+// A Detector is a goroutine that should wake up every 25 ms; how late it does tells how long the whole process did not
+// run. Beside that it takes the decision module's lock as a request would, and reads the timers (timer.go) around
+// accepted connections and writes of the log. Where anything took too long, it reads the counts of the kernel and the
+// runtime (counters.go), diagnoses the cause (diagnose.go, which has no clock and does no I/O) and logs it (report.go).
 //
-// While nothing stalls that costs two wake-ups every 25 ms and some readings of counts every 100 ms, and nothing per request.
+// While nothing stalls that costs two wake-ups every 25 ms and some readings of counts every 100 ms, and nothing per
+// request.
 package stallwatch
 
 import (
@@ -21,9 +22,11 @@
 )
 
 const (
-	// wakeupInterval is how often the Detector wakes up, and how often it takes the lock: a quarter of the default threshold.
+	// wakeupInterval is how often the Detector wakes up, and how often it takes the lock: a quarter of the default
+	// threshold.
 	wakeupInterval = 25 * time.Millisecond
-	// wakeupsPerReading is after how many wake-ups the counters are read: a stall is measured against counts that are 100 ms old at most.
+	// wakeupsPerReading is after how many wake-ups the counters are read: a stall is measured against counts that are
+	// 100 ms old at most.
 	wakeupsPerReading = 4
 	// cpuHistoryReadings is how many readings of the CPU time are remembered: those of one second.
 	cpuHistoryReadings = 10
@@ -64,8 +67,8 @@
 // oldest returns the CPU time at the oldest reading; 0, as at the start of the process, until the ring is full.
 func (h *cpuHistory) oldest() time.Duration { return h.readings[h.count%cpuHistoryReadings] }
 
-// New returns a detector of stalls of the process, of the lock, and of what the timers measure: its Accept, and logWrite around writes of
-// the log. It reports to log.
+// New returns a detector of stalls of the process, of the lock, and of what the timers measure: its Accept, and
+// logWrite around writes of the log. It reports to log.
 func New(lock sync.Locker, log zerolog.Logger, logWrite *Timer) *Detector {
 	d := &Detector{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
 	d.SetThreshold(DefaultThreshold)
@@ -152,8 +155,9 @@
 
 // takeResumeSignals returns how many SIGCONTs came since the last call.
 //
-// timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again, and the signal has
-// to come through the runtime first. Without waiting for it a moment, the stop would be reported as a frozen machine.
+// timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again,
+// and the signal has to come through the runtime first. Without waiting for it a moment, the stop would be reported as
+// a frozen machine.
 func (d *Detector) takeResumeSignals(timeout time.Duration) (count int) {
 	if len(d.resumeSignals) == 0 && timeout > 0 {
 		select {
--- a/stallwatch/detector_test.go
+++ b/stallwatch/detector_test.go
@@ -16,8 +16,9 @@
 
 const ms = time.Millisecond
 
-// Whoever is on call looks for the cause that the log names. A machine that did not run, a collector, a lock and a log that nobody reads
-// need different people: each observation gets its cause, and what was late because the whole process was is not named beside it.
+// Whoever is on call looks for the cause that the log names. A machine that did not run, a collector, a lock and a log
+// that nobody reads need different people: each observation gets its cause, and what was late because the whole process
+// was is not named beside it.
 func TestEachObservationGetsItsCause(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -103,8 +104,8 @@
 	lock.Unlock()
 }
 
-// A part of the program is held up while the rest runs: a lock, an accepted connection, a log that nobody reads. Each is caused here, and
-// has to be logged with its cause; the last one once the log is read again.
+// A part of the program is held up while the rest runs: a lock, an accepted connection, a log that nobody reads. Each
+// is caused here, and has to be logged with its cause; the last one once the log is read again.
 func TestStallsOfPartsAreLogged(t *testing.T) {
 	out, lock := &blockableLog{lines: make(chan []byte, 100)}, &sync.Mutex{}
 	var logWrite Timer
@@ -143,8 +144,8 @@
 // stoppedEnv makes the test binary the process that is stopped.
 const stoppedEnv = "HOLLYLEVER_WATCH_TEST"
 
-// A limit on CPU time, or a person, stops the process by a signal. Requests expire meanwhile, and without its cause they would look like a
-// defect of the balancer: the process reports the stop once it goes on.
+// A limit on CPU time, or a person, stops the process by a signal. Requests expire meanwhile, and without its cause
+// they would look like a defect of the balancer: the process reports the stop once it goes on.
 func TestStopBySignalIsReported(t *testing.T) {
 	if os.Getenv(stoppedEnv) != "" {
 		var logWrite Timer
--- a/stallwatch/diagnose.go
+++ b/stallwatch/diagnose.go
@@ -43,14 +43,16 @@
 	Duration time.Duration
 }
 
-// Diagnose names what stalled the program over a gap, if anything did: at most one cause of the whole process, and each part of it that
-// was held up on top of that. threshold is the least time that counts as a stall. It has no clock and does no I/O.
+// Diagnose names what stalled the program over a gap, if anything did: at most one cause of the whole process, and each
+// part of it that was held up on top of that. threshold is the least time that counts as a stall. It has no clock and
+// does no I/O.
 func Diagnose(o Observation, threshold time.Duration) (stalls []Stall) {
 	if o.WakeupDelay >= threshold {
 		stalls = append(stalls, Stall{processCause(o), o.WakeupDelay})
 	}
 	for _, part := range []Stall{{CauseLock, o.Lock}, {CauseAccept, o.Accept}, {CauseLog, o.Log}} {
-		// A process that did not run explains what else was late for as long: a part is named only where it was held up for longer.
+		// A process that did not run explains what else was late for as long: a part is named only where it was held up
+		// for longer.
 		if part.Duration >= DefaultThreshold && part.Duration-o.WakeupDelay >= threshold/2 {
 			stalls = append(stalls, part)
 		}
@@ -58,8 +60,9 @@
 	return stalls
 }
 
-// processCause names why the whole process was late. The order counts: what the kernel says goes before what can be guessed from the
-// CPU time, and a pause of the collector during which the process was not run is no fault of the collector.
+// processCause names why the whole process was late. The order counts: what the kernel says goes before what can be
+// guessed from the CPU time, and a pause of the collector during which the process was not run is no fault of the
+// collector.
 func processCause(o Observation) Cause {
 	switch {
 	case o.ResumeSignals > 0 && o.CPU <= o.WakeupDelay/2:
--- a/stallwatch/golden_test.go
+++ b/stallwatch/golden_test.go
@@ -16,8 +16,8 @@
 
 var update = flag.Bool("update", false, "write the golden values in testdata anew")
 
-// A stall that is named after the wrong cause sends whoever is on call to the wrong machine. Over a grid of observations, each cause and its
-// duration stay as version 860147b found them.
+// A stall that is named after the wrong cause sends whoever is on call to the wrong machine. Over a grid of
+// observations, each cause and its duration stay as version 860147b found them.
 func TestGoldenCauses(t *testing.T) {
 	trace, seen := sha256.New(), map[Cause]int{}
 	for _, threshold := range []time.Duration{50 * ms, DefaultThreshold, 400 * ms} {
@@ -56,7 +56,8 @@
 	}
 }
 
-// The kernel gives its counts as text. Read from another column, they would have a starved process reported as a frozen machine.
+// The kernel gives its counts as text. Read from another column, they would have a starved process reported as a frozen
+// machine.
 func TestKernelCountsAreParsed(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	proc := procReader{listedAt: now}
@@ -92,8 +93,8 @@
 	}
 }
 
-// A pause that is read from the wrong bucket is reported as another cause, or not at all. The longest one is the lower bound of the last
-// bucket that grew; counts that can't be compared tell of none.
+// A pause that is read from the wrong bucket is reported as another cause, or not at all. The longest one is the lower
+// bound of the last bucket that grew; counts that can't be compared tell of none.
 func TestLongestSinceIsTheLastBucketThatGrew(t *testing.T) {
 	sample := []metrics.Sample{{Name: metricNames[schedulingLatencyMetric]}}
 	metrics.Read(sample)
--- a/stallwatch/report.go
+++ b/stallwatch/report.go
@@ -14,8 +14,8 @@
 	reportInterval = 2 * time.Second
 	// maxQueuedReports bounds the lines that wait for a log that takes nothing.
 	maxQueuedReports = 16
-	// maxStackBytes bounds the stacks that are searched for the holder of the lock, and with them the time for which the runtime stops
-	// the program to write them down.
+	// maxStackBytes bounds the stacks that are searched for the holder of the lock, and with them the time for which
+	// the runtime stops the program to write them down.
 	maxStackBytes = 64 << 10
 	// maxFunctions is how many functions are named that may hold the lock.
 	maxFunctions = 3
@@ -64,8 +64,8 @@
 	}
 }
 
-// run logs what is queued, until the context ends. It guards against a log whose reader stands still: only this goroutine waits for it,
-// and the Detector goes on measuring.
+// run logs what is queued, until the context ends. It guards against a log whose reader stands still: only this
+// goroutine waits for it, and the Detector goes on measuring.
 func (r *reporter) run(ctx context.Context) {
 	for {
 		select {
@@ -91,8 +91,9 @@
 // modulePath begins the name of each function of this program in a stack.
 const modulePath = "hollylever/"
 
-// runningFunctions names functions of the program in which goroutines are that wait for nothing, or at least not for the network, a
-// channel or a lock: one of them holds the lock that can't be had. It stops the program while the stacks are written down.
+// runningFunctions names functions of the program in which goroutines are that wait for nothing, or at least not for
+// the network, a channel or a lock: one of them holds the lock that can't be had. It stops the program while the stacks
+// are written down.
 func runningFunctions() string {
 	buffer := make([]byte, maxStackBytes)
 	stacks := strings.Split(string(buffer[:runtime.Stack(buffer, true)]), "\n\n")
@@ -109,7 +110,8 @@
 	return strings.Join(functions[:min(len(functions), maxFunctions)], " ")
 }
 
-// isWaiting tells by the first line of a goroutine's stack whether it waits for something that a holder of the lock does not wait for.
+// isWaiting tells by the first line of a goroutine's stack whether it waits for something that a holder of the lock
+// does not wait for.
 func isWaiting(header string) bool {
 	for _, state := range []string{"IO wait", "chan ", "select", "Mutex.Lock", "semacquire"} {
 		if strings.Contains(header, state) {
@@ -119,7 +121,8 @@
 	return false
 }
 
-// firstOwnFunction returns the innermost function of this program in a stack's frames, without module path and arguments.
+// firstOwnFunction returns the innermost function of this program in a stack's frames, without module path and
+// arguments.
 func firstOwnFunction(frames string) (string, bool) {
 	for _, line := range strings.Split(frames, "\n") {
 		if call, ok := strings.CutPrefix(line, modulePath); ok {
--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -12,8 +12,8 @@
 // clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
 func clock() int64 { return int64(time.Since(clockStart)) + 1 }
 
-// Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be inside; of several
-// the newest is measured. Any goroutine may call its methods, and none waits.
+// Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be
+// inside; of several the newest is measured. Any goroutine may call its methods, and none waits.
 type Timer struct{ enteredAt, longest atomic.Int64 }
 
 // Begin enters the section.
@@ -28,8 +28,8 @@
 	}
 }
 
-// takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with its time so far;
-// isInside tells that this is the longest.
+// takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with
+// its time so far; isInside tells that this is the longest.
 func (t *Timer) takeLongest() (longest time.Duration, isInside bool) {
 	longest = time.Duration(t.longest.Swap(0))
 	if enteredAt := t.enteredAt.Load(); enteredAt > 0 {
--- a/stallwatch/usage.go
+++ b/stallwatch/usage.go
@@ -15,14 +15,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// UsageMeter measures what the process uses from call to call. The zero value is ready; it must not be used concurrently.
+// UsageMeter measures what the process uses from call to call. The zero value is ready; it must not be used
+// concurrently.
 type UsageMeter struct {
 	cpu      time.Duration
 	gcCycles uint64
 }
 
-// SinceLast returns the CPU time that the process used, and how often the garbage collector ran, since the last call; at first since the
-// process began.
+// SinceLast returns the CPU time that the process used, and how often the garbage collector ran, since the last call;
+// at first since the process began.
 func (m *UsageMeter) SinceLast() (cpu time.Duration, gcCycles uint64) {
 	sample := []metrics.Sample{{Name: metricNames[gcCyclesMetric]}}
 	metrics.Read(sample)
--- a/store/disk_faults_test.go
+++ b/store/disk_faults_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// The disk is full or fails for a while, and works again. A record that was torn then must not stand before later ones: the next start
-// would end there, and lose what was acknowledged after it.
+// The disk is full or fails for a while, and works again. A record that was torn then must not stand before later ones:
+// the next start would end there, and lose what was acknowledged after it.
 func TestTransientDiskFaultLosesNothingAcknowledged(t *testing.T) {
 	for name, fail := range map[string]func(f *faultyFile){
 		"short write":                         func(f *faultyFile) { f.writeLimit = 7 },
@@ -95,8 +95,8 @@
 	}
 }
 
-// After a crash the file can have its new length without the new bytes, and ends in zeros. Taken for damage, they would cost a replica
-// all it has stored: they are no records and no damage, unless something stands behind them.
+// After a crash the file can have its new length without the new bytes, and ends in zeros. Taken for damage, they would
+// cost a replica all it has stored: they are no records and no damage, unless something stands behind them.
 func TestZerosAfterTheLastRecordAreIgnored(t *testing.T) {
 	for _, zeros := range []int{1, 7, 8, 24, 4096} {
 		path := filepath.Join(t.TempDir(), "log")
@@ -134,8 +134,8 @@
 	}
 }
 
-// The log has been replaced, and syncing its directory fails: a crash may bring the old file back. What is acknowledged meanwhile
-// would be lost with the new file, so nothing is until the directory has been synced.
+// The log has been replaced, and syncing its directory fails: a crash may bring the old file back. What is acknowledged
+// meanwhile would be lost with the new file, so nothing is until the directory has been synced.
 func TestNothingIsAcknowledgedWhileARenameMayBeUndone(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l := openExpecting(t, path)
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -17,8 +17,9 @@
 	return [][]byte{{1}, []byte("term 3, vote b1"), {0, 0, 7, 0}, bytes.Repeat([]byte("entry "), 900), []byte("last")}
 }
 
-// A replica is upgraded and its log is unreadable, or read as damaged: it comes back without its vote and its entries. The
-// fixtures are files that version 860147b wrote; each is opened, shows the same records, and is written the same to the byte.
+// A replica is upgraded and its log is unreadable, or read as damaged: it comes back without its vote and its entries.
+// The fixtures are files that version 860147b wrote; each is opened, shows the same records, and is written the same to
+// the byte.
 func TestStoredLogsStayReadable(t *testing.T) {
 	written := filepath.Join(t.TempDir(), "log")
 	l, _, err := Open(written)
--- a/store/log.go
+++ b/store/log.go
@@ -1,10 +1,13 @@
-// Package store keeps records on disk through a crash. A replica (package consensus) stores its votes, log entries and snapshots in it.
+// Package store keeps records on disk through a crash. A replica (package consensus) stores its votes, log entries and
+// snapshots in it.
 //
-// A Log is one file: a magic, then each record with its length and checksum (record.go). Append is durable when it returns. Replace
-// writes another file and renames it over the first, so that either all old or all new records are there.
+// A Log is one file: a magic, then each record with its length and checksum (record.go). Append is durable when it
+// returns. Replace writes another file and renames it over the first, so that either all old or all new records are
+// there.
 //
-// A file that ends amid a record lost the end of an Append that never returned, and is truncated there. Anything else that does not
-// fit is ErrCorrupt, and nothing of the file is used: a replica that forgot a vote it has cast could cast it twice.
+// A file that ends amid a record lost the end of an Append that never returned, and is truncated there. Anything else
+// that does not fit is ErrCorrupt, and nothing of the file is used: a replica that forgot a vote it has cast could cast
+// it twice.
 package store
 
 import (
@@ -19,7 +22,8 @@
 // ErrCorrupt says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
 var ErrCorrupt = errors.New("log is corrupt")
 
-// ErrLocked says that another process has the file open. Over an upgrade the caller tries again once that process has ended.
+// ErrLocked says that another process has the file open. Over an upgrade the caller tries again once that process has
+// ended.
 var ErrLocked = errors.New("log is locked by another process")
 
 // file is what Log needs of an os.File. Tests put a failing one in its place.
@@ -30,7 +34,8 @@
 	Sync() error
 }
 
-// Log is an open file of records. Its methods must not be called concurrently. Another process can't open the file before Close.
+// Log is an open file of records. Its methods must not be called concurrently. Another process can't open the file
+// before Close.
 type Log struct {
 	path string
 	file file
@@ -44,8 +49,9 @@
 
 // Open opens the file at path, or creates it, and returns the records in it.
 //
-// It returns ErrLocked where another process has the file. With ErrCorrupt it returns an empty log all the same, and what was there
-// remains as PATH.damaged; the caller either goes on with the empty log or closes it. Other errors come from the file system.
+// It returns ErrLocked where another process has the file. With ErrCorrupt it returns an empty log all the same, and
+// what was there remains as PATH.damaged; the caller either goes on with the empty log or closes it. Other errors come
+// from the file system.
 func Open(path string) (*Log, [][]byte, error) {
 	lock, err := lockFile(path + ".lock")
 	if err != nil {
@@ -60,8 +66,8 @@
 	return l, records, err
 }
 
-// lockFile opens or creates a file and takes an exclusive lock on it, which the kernel releases when the file is closed or the
-// process ends, however it ends. It does not wait: a lock that another process has is ErrLocked.
+// lockFile opens or creates a file and takes an exclusive lock on it, which the kernel releases when the file is closed
+// or the process ends, however it ends. It does not wait: a lock that another process has is ErrLocked.
 func lockFile(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -101,16 +107,16 @@
 	if err := l.dropTail(); err != nil {
 		return nil, err
 	}
-	// Guards against a crash of the process before this one between its write and its sync: the records that were read may be in
-	// the system's memory alone, and the caller will act on them.
+	// Guards against a crash of the process before this one between its write and its sync: the records that were read
+	// may be in the system's memory alone, and the caller will act on them.
 	if err := l.file.Sync(); err != nil {
 		return nil, fmt.Errorf("sync log: %w", err)
 	}
 	return records, nil
 }
 
-// Append adds records in one write and waits until they are on the disk. After an error none of them counts, and Append may be called
-// again. A record must have 1 byte to 4 MiB.
+// Append adds records in one write and waits until they are on the disk. After an error none of them counts, and Append
+// may be called again. A record must have 1 byte to 4 MiB.
 func (l *Log) Append(records [][]byte) error {
 	content, err := appendRecords(nil, records)
 	if err != nil {
@@ -123,8 +129,9 @@
 	if _, err := l.file.Write(content); err != nil {
 		return fmt.Errorf("append to log: %w", err)
 	}
-	// Guards against a sync that fails once: the system may then take the unwritten pages for written, and a second sync succeeds
-	// without them. The tail is marked, so the next Append truncates it and writes its own records, instead of syncing again.
+	// Guards against a sync that fails once: the system may then take the unwritten pages for written, and a second
+	// sync succeeds without them. The tail is marked, so the next Append truncates it and writes its own records,
+	// instead of syncing again.
 	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("sync log: %w", err)
 	}
@@ -133,8 +140,9 @@
 	return nil
 }
 
-// prepareAppend makes the file's name durable and drops what a failed Append left, where either is needed. Until both have
-// succeeded nothing new may be acknowledged: it would stand behind a torn record, or in a file whose rename a crash can undo.
+// prepareAppend makes the file's name durable and drops what a failed Append left, where either is needed. Until both
+// have succeeded nothing new may be acknowledged: it would stand behind a torn record, or in a file whose rename a
+// crash can undo.
 func (l *Log) prepareAppend() error {
 	if l.isNameUnsure {
 		if err := l.syncDirectory(filepath.Dir(l.path)); err != nil {
@@ -160,8 +168,8 @@
 	return nil
 }
 
-// Replace puts records in the place of all that are there, and waits until that is on the disk. After an error either the old or the new
-// records are there; nothing is acknowledged by a later Append before it is sure which.
+// Replace puts records in the place of all that are there, and waits until that is on the disk. After an error either
+// the old or the new records are there; nothing is acknowledged by a later Append before it is sure which.
 func (l *Log) Replace(records [][]byte) error {
 	content, err := appendRecords([]byte(fileMagic), records)
 	if err != nil {
@@ -209,8 +217,8 @@
 	return directory.Sync()
 }
 
-// Close closes the file and lets another process open it. All acknowledged records are on the disk already, so there is no error to
-// return.
+// Close closes the file and lets another process open it. All acknowledged records are on the disk already, so there is
+// no error to return.
 func (l *Log) Close() {
 	if l.file != nil {
 		l.file.Close()
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// The machine loses power amid an append, and the file ends anywhere. A replica that then refused its log would need a person to come
-// back, and one that took half a record would act on what nobody wrote: all complete records are there, and appending goes on.
+// The machine loses power amid an append, and the file ends anywhere. A replica that then refused its log would need a
+// person to come back, and one that took half a record would act on what nobody wrote: all complete records are there,
+// and appending goes on.
 func TestLogTruncatedAtAnyByteKeepsCompleteRecords(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log")
@@ -49,8 +50,8 @@
 	}
 }
 
-// A disk returns another byte than was written. A replica that went on with what is left could vote twice in a term: nothing of the
-// file is used, the caller is told so, and the file stays for whoever looks into it.
+// A disk returns another byte than was written. A replica that went on with what is left could vote twice in a term:
+// nothing of the file is used, the caller is told so, and the file stays for whoever looks into it.
 func TestDamagedLogIsReportedAndPutAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l, _, _ := Open(path)
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,6 +1,6 @@
-// Package subset says which endpoints a balancer keeps idle connections to and checks the health of, out of all it may
-// use. It takes nothing from the ordinary path: the candidates of a key are the same for all balancers, and an endpoint
-// outside the subset is sent to whenever a key asks for it. Only what costs while nothing is sent is divided.
+// Package subset says which endpoints a balancer keeps idle connections to, out of all it may use. It takes nothing
+// from the ordinary path: the candidates of a key are the same for all balancers, and an endpoint outside the subset is
+// sent to whenever a key asks for it. Only what costs while nothing is sent is divided.
 //
 // Each endpoint chooses its balancers, not each balancer its endpoints: it takes the first ones in its own order, by
 // rendezvous hashing (see package rendezvous). So all endpoints of one weight have exactly as many; a balancer that
@@ -31,10 +31,10 @@
 	Weight     float64
 }
 
-// Config says how large subsets are. More of either costs idle connections and health checks.
+// Config says how large subsets are. More of either costs idle connections.
 type Config struct {
 	MinEndpoints int  // endpoints that a balancer has in the mean, at least
-	MinBalancers int  // balancers that an endpoint has, at least: when some of them go, others still check it
+	MinBalancers int  // balancers that an endpoint has, at least: when some of them go, others still have a connection
 	ZoneLocal    bool // prefer balancers of the endpoint's zone, where it has enough of them
 }
 
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// If one balancer more made all choose anew, each deployment would reopen all connections of the fleet. Over seeded joins
-// and leaves no more than 1.2 times the least moves, as long as the number for each endpoint stays the same. The order of
-// the lists does not matter.
+// If one balancer more made all choose anew, each deployment would reopen all connections of the fleet. Over seeded
+// joins and leaves no more than 1.2 times the least moves, as long as the number for each endpoint stays the same. The
+// order of the lists does not matter.
 func TestJoinsAndLeavesMoveLittle(t *testing.T) {
 	steps := 300
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
--- a/transport/arrivals_test.go
+++ b/transport/arrivals_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A client pipelines commands, over many reads, and some are skipped meanwhile: each byte keeps the time of the read that
-// brought it, and memory stays bounded.
+// A client pipelines commands, over many reads, and some are skipped meanwhile: each byte keeps the time of the read
+// that brought it, and memory stays bounded.
 func TestEachByteHasTheTimeOfItsRead(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
@@ -42,8 +42,8 @@
 	}
 }
 
-// A client connects and writes while nothing is accepted. What was there as it was admitted counts from when it may have
-// begun to wait; what arrived later does not.
+// A client connects and writes while nothing is accepted. What was there as it was admitted counts from when it may
+// have begun to wait; what arrived later does not.
 func TestFirstBytesCountFromTheWaitToBeAccepted(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
--- a/transport/await.go
+++ b/transport/await.go
@@ -7,10 +7,10 @@
 // behind what was not read.
 const surplusTimeout = 20 * time.Millisecond
 
-// AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more than
-// its buffer holds for surplusTimeout (Overfull), or until its connection ends. It reads meanwhile, because a close
-// behind bytes that are not read goes unseen; with drop set what it reads is discarded, else it stays in the buffer.
-// Only the client's reading goroutine may call it.
+// AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more
+// than its buffer holds for surplusTimeout (Overfull), or until its connection ends. It reads meanwhile, because a
+// close behind bytes that are not read goes unseen; with drop set what it reads is discarded, else it stays in the
+// buffer. Only the client's reading goroutine may call it.
 func (c *Client) AwaitReplies(maxPending int, drop bool) End {
 	for {
 		c.listener.mu.Lock()
--- a/transport/budget_test.go
+++ b/transport/budget_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Several clients send large values at once. Buffers over the usual size grow out of one budget, of which one has half at
-// most, and give it back when they are done.
+// Several clients send large values at once. Buffers over the usual size grow out of one budget, of which one has half
+// at most, and give it back when they are done.
 func TestLargeBuffersShareABudget(t *testing.T) {
 	budget, most := NewBudget(5*MaxBuffer), 2*MaxBuffer
 	a, b, c := &Conn{budget: budget}, &Conn{budget: budget}, &Conn{budget: budget}
--- a/transport/client.go
+++ b/transport/client.go
@@ -74,8 +74,8 @@
 	c.interruptRead()
 }
 
-// interruptRead ends a read that waits, by a deadline that has passed. The deadline is long past by any clock, so that a
-// step of the wall clock can't make it a future one.
+// interruptRead ends a read that waits, by a deadline that has passed. The deadline is long past by any clock, so that
+// a step of the wall clock can't make it a future one.
 func (c *Client) interruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
 
 // commandDeadline returns by when a command, of which the first byte came at begun, must be complete; zero: none has
@@ -130,8 +130,8 @@
 	c.listener.mu.Unlock()
 }
 
-// EndReply counts one reply as done. A client that is to close does so with its last one. Where no valid command has come,
-// idleSince stays at the time of the connect: errors in reply to noise must not extend a client's time.
+// EndReply counts one reply as done. A client that is to close does so with its last one. Where no valid command has
+// come, idleSince stays at the time of the connect: errors in reply to noise must not extend a client's time.
 func (c *Client) EndReply() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -150,8 +150,8 @@
 }
 
 // Fill reads once more and returns Open, or the connection's end. begun: since when a command has begun to come, zero
-// if none has. ClosedIdle: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has closed
-// the connection. Only the reading goroutine may call it.
+// if none has. ClosedIdle: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has
+// closed the connection. Only the reading goroutine may call it.
 func (c *Client) Fill(begun time.Time) End {
 	for {
 		if end := c.ensureSpace(); end != Open {
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -2,13 +2,13 @@
 // the one buffer that each connection has, and the ways in which one can end. It knows nothing of what the bytes mean.
 //
 // A client's connection: Listener.Serve accepts it, waits for room among the clients (limit.go) and runs the given
-// function in a goroutine of its own, the only one that reads the connection. That function calls Client.Fill until
-// the connection ends; BeginReply and EndReply bracket each reply that is owed. A client between commands may be asked to make
-// room: its reader is woken and closes the connection itself, so that nothing that was read is lost.
+// function in a goroutine of its own, the only one that reads the connection. That function calls Client.Fill until the
+// connection ends; BeginReply and EndReply bracket each reply that is owed. A client between commands may be asked to
+// make room: its reader is woken and closes the connection itself, so that nothing that was read is lost.
 //
 // A server's connection: Pool.NewConn begins an attempt, Connect takes an idle connection or dials one, Send writes the
-// request, Fill reads the response, Release gives the connection back. Cancel and CancelUnsent cancel the attempt from any
-// goroutine.
+// request, Fill reads the response, Release gives the connection back. Cancel and CancelUnsent cancel the attempt from
+// any goroutine.
 //
 // How a connection ended is an End; what of it may have reached the other side is the caller's reason to retry or not.
 package transport
@@ -98,7 +98,8 @@
 	}
 }
 
-// EnlargeEmptyBuffer makes an empty buffer as large as an idle one may stay, where much is about to be read and discarded.
+// EnlargeEmptyBuffer makes an empty buffer as large as an idle one may stay, where much is about to be read and
+// discarded.
 func (c *Conn) EnlargeEmptyBuffer() {
 	if c.start == c.end && len(c.buffer) < maxIdleBuffer {
 		c.buffer = make([]byte, maxIdleBuffer)
--- a/transport/end.go
+++ b/transport/end.go
@@ -31,24 +31,27 @@
 	ConnectRefused
 	// ConnectTimedOut: connect did not complete within its timeout; the peer has seen no byte of the request.
 	ConnectTimedOut
-	// LocalShortage: this machine or its limits left no connection or buffer; no peer is at fault, none has seen anything.
+	// LocalShortage: this machine or its limits left no connection or buffer; no peer is at fault, none has seen
+	// anything.
 	LocalShortage
 
 	// BrokenBeforeSent: the connection broke before the last byte was handed over; the peer began nothing.
 	BrokenBeforeSent
-	// TimedOutBeforeSent: the deadline passed before the last byte was handed over; the peer began nothing. Of a client: it did not
-	// complete a command, or did not read its replies, in time.
+	// TimedOutBeforeSent: the deadline passed before the last byte was handed over; the peer began nothing. Of a
+	// client: it did not complete a command, or did not read its replies, in time.
 	TimedOutBeforeSent
 	// CancelledBeforeSent: cancelled before the last byte was handed over; the peer began nothing.
 	CancelledBeforeSent
 
-	// BrokenAfterSent: the connection broke or was closed after the last byte was handed over; the peer may have run the request.
+	// BrokenAfterSent: the connection broke or was closed after the last byte was handed over; the peer may have run
+	// the request.
 	BrokenAfterSent
 	// ResponseTimedOut: no complete response came before the deadline; the peer may have run the request, or may yet.
 	ResponseTimedOut
 	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may yet.
 	CancelledAfterSent
-	// Malformed: what came is malformed, or too long; a server may have run the request, a client can't be read any further.
+	// Malformed: what came is malformed, or too long; a server may have run the request, a client can't be read any
+	// further.
 	Malformed
 
 	// ClientDisconnected: the client closed its connection.
--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A system call fails at connect, before or after the last byte of a request was handed over. The end tells where nothing
-// was begun, where nobody can tell, and where the server is not at fault.
+// A system call fails at connect, before or after the last byte of a request was handed over. The end tells where
+// nothing was begun, where nobody can tell, and where the server is not at fault.
 func TestSystemErrorsMapToEnds(t *testing.T) {
 	for _, c := range []struct {
 		errno              error
--- a/transport/limit_test.go
+++ b/transport/limit_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// Clients that may only hold so many connections keep them idle after one command. With a quarter of the room taken they
-// are closed soon, so that the others can connect.
+// Clients that may only hold so many connections keep them idle after one command. With a quarter of the room taken
+// they are closed soon, so that the others can connect.
 func TestClientsWithOneCommandAreClosedSoonerInACrowd(t *testing.T) {
 	l := &Listener{limit: 8, clients: map[*Client]bool{}}
 	for n := range 3 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// A client was asked to close amid a command, and let complete it while there was room. Once there is none it is closed,
-// and new clients do not wait for it.
+// A client was asked to close amid a command, and let complete it while there was room. Once there is none it is
+// closed, and new clients do not wait for it.
 func TestPartialCommandHoldsUpNoNewClient(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 2)
 	if err != nil {
--- a/transport/listener.go
+++ b/transport/listener.go
@@ -57,7 +57,8 @@
 	shortageAt      time.Time // when the shortage was last seen, or shortageLimit raised
 }
 
-// Watchdog is told of the beginning and the end of a span that should not take long, so that a watchdog sees one that does.
+// Watchdog is told of the beginning and the end of a span that should not take long, so that a watchdog sees one that
+// does.
 type Watchdog interface {
 	Begin()
 	End()
--- a/transport/pool_test.go
+++ b/transport/pool_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Over an upgrade two processes hold connections, which servers count together. The one that stops keeps idle ones for a
-// moment only.
+// Over an upgrade two processes hold connections, which servers count together. The one that stops keeps idle ones for
+// a moment only.
 func TestFadeClosesIdleConnectionsAfterAMoment(t *testing.T) {
 	address, _ := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
@@ -92,8 +92,8 @@
 	}
 }
 
-// A faulty server sends a second copy of a response, or a new server has an old one's address. A connection that has not
-// rested, or belongs to another server, must not carry the next request.
+// A faulty server sends a second copy of a response, or a new server has an old one's address. A connection that has
+// not rested, or belongs to another server, must not carry the next request.
 func TestConnectionIsReusedOnlyForItsServerAndRested(t *testing.T) {
 	address, accepted := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
--- a/transport/pooledconn.go
+++ b/transport/pooledconn.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// minHoldback and twice the time that the connection took to dial is how long SendHoldingLastByte holds the last byte
-	// back: a server's close that is under way takes about a round trip to arrive.
+	// minHoldback and twice the time that the connection took to dial is how long SendHoldingLastByte holds the last
+	// byte back: a server's close that is under way takes about a round trip to arrive.
 	minHoldback = 2 * time.Millisecond
 	// maxSlowDialHoldback bounds the second part: a dial may be late for other reasons than the way's length.
 	maxSlowDialHoldback = 25 * time.Millisecond
 )
 
-// PooledConn is one attempt's hold on a connection to a server. Its own goroutine calls Connect, then Send, then Fill, and
-// Release at the end; any other may call Cancel or CancelUnsent at any time, and once these have returned nothing more goes out.
+// PooledConn is one attempt's hold on a connection to a server. Its own goroutine calls Connect, then Send, then Fill,
+// and Release at the end; any other may call Cancel or CancelUnsent at any time, and once these have returned nothing
+// more goes out.
 type PooledConn struct {
 	*Conn
 	pool *Pool
@@ -156,8 +157,8 @@
 	}
 }
 
-// Release ends the hold. isClean: the response was read in full, or nothing was sent; the connection then goes back to the
-// pool, any other is closed. After it Cancel does nothing, since the connection may be another attempt's.
+// Release ends the hold. isClean: the response was read in full, or nothing was sent; the connection then goes back to
+// the pool, any other is closed. After it Cancel does nothing, since the connection may be another attempt's.
 func (l *PooledConn) Release(isClean bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/rawconn.go
+++ b/transport/rawconn.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// awaitHangup waits, without reading, until the peer has closed its side (ClientDisconnected) or the read deadline passes (TimedOutBeforeSent).
+// awaitHangup waits, without reading, until the peer has closed its side (ClientDisconnected) or the read deadline
+// passes (TimedOutBeforeSent).
 func (c *Conn) awaitHangup() End {
 	raw := rawConn(c.Conn)
 	if raw == nil {
--- a/transport/stop.go
+++ b/transport/stop.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The stop of a listener, in the order of a graceful shutdown: DrainConnections, StopAccepting, Close, and ResetAll for what is left.
+// The stop of a listener, in the order of a graceful shutdown: DrainConnections, StopAccepting, Close, and ResetAll for
+// what is left.
 
 const (
 	// drainAcceptTimeout is how long a stop waits for each accept of a connection that the kernel has taken.
@@ -18,16 +19,17 @@
 	cutPolls = 50
 )
 
-// DrainConnections lets each client close with its next reply: right after that the client is least likely to be sending.
+// DrainConnections lets each client close with its next reply: right after that the client is least likely to be
+// sending.
 func (l *Listener) DrainConnections() {
 	l.mu.Lock()
 	l.isDraining = true
 	l.mu.Unlock()
 }
 
-// StopAccepting stops accepting; clients that are connected stay. Connections that the kernel has taken by then are still
-// accepted, as there is room: what those clients have written counts as received, and closing the socket would reset
-// them. A shared socket stays open elsewhere, so that its connections wait for the next process.
+// StopAccepting stops accepting; clients that are connected stay. Connections that the kernel has taken by then are
+// still accepted, as there is room: what those clients have written counts as received, and closing the socket would
+// reset them. A shared socket stays open elsewhere, so that its connections wait for the next process.
 func (l *Listener) StopAccepting() {
 	if !l.isShared {
 		l.listener.(*net.TCPListener).SetDeadline(time.Now())
@@ -41,8 +43,8 @@
 	l.mu.Unlock()
 }
 
-// acceptRemaining goes on accepting, after StopAccepting, while connections wait in the kernel; once none does it closes the
-// socket and returns false.
+// acceptRemaining goes on accepting, after StopAccepting, while connections wait in the kernel; once none does it
+// closes the socket and returns false.
 func (l *Listener) acceptRemaining() bool {
 	if !l.hasPendingConnections() {
 		l.listener.Close()
@@ -100,8 +102,8 @@
 	l.listener.Close()
 }
 
-// ResetAll resets the connections of all clients that are left, so that none takes a part of a reply for a complete one, and
-// waits a moment for their goroutines to end. It returns how many there were.
+// ResetAll resets the connections of all clients that are left, so that none takes a part of a reply for a complete
+// one, and waits a moment for their goroutines to end. It returns how many there were.
 func (l *Listener) ResetAll(wait time.Duration) (cut int) {
 	l.mu.Lock()
 	for c := range l.clients {
--- a/transport/stop_test.go
+++ b/transport/stop_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Whoever holds the socket too ends its non-blocking mode, so that an accept blocks in the kernel until the next client.
-// A stop must not wait for that.
+// Whoever holds the socket too ends its non-blocking mode, so that an accept blocks in the kernel until the next
+// client. A stop must not wait for that.
 func TestLeaveWaitsForNoBlockedAccept(t *testing.T) {
 	l, held := inheritSharedListener(t, 4)
 	served := make(chan bool, 4)
