--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -2,26 +2,29 @@
 
 import "slices"
 
-// What may never be sent, whatever else speaks for it:
+// Eligibility: the rules that forbid an attempt whatever selection prefers. The following is never sent:
 //
-//   - nothing to an endpoint that is draining or removed by the list,
-//   - nothing beyond its budget to an endpoint that warms up (slowstart.go),
-//   - no further attempt of a request whose effect could happen twice,
-//   - nothing after the deadline, before the request's turn, or beyond the number of attempts that the settings allow.
+//   - an attempt at an endpoint that the endpoint list states as draining or removed,
+//   - an attempt at a warming endpoint beyond its slow-start budget (slowstart.go),
+//   - a further attempt of a request if its effect could then happen twice,
+//   - an attempt after the request's deadline, before its turn in its key queue, or beyond the maximum number of
+//     attempts in the settings.
 //
-// isEligible and canDispatch are the only gates before Executor.Send, canReject is the only one before Executor.Reject.
-// They hold by themselves: a fault in selection or in a retry does not make an effect happen twice.
+// canDispatch, which includes isEligible, is the only check before Executor.Send, and canReject is the only one before
+// Executor.Reject. They do not rely on earlier checks, so that a fault in selection or in a retry cannot make an effect
+// happen twice.
 
 const (
-	// maxStall is how long the process may be held up between a decision and what comes of it, in nanoseconds.
+	// maxStall is the longest time, in nanoseconds, that the process is assumed to stall between a decision and its
+	// execution.
 	maxStall = 150 * millisecond
 
-	// dedupMargin: one in so many parts of the window in which endpoints drop repeats is left unused, at least
-	// maxStall.
+	// dedupMargin is the divisor of the deduplication window that gives the safety margin at the window's end. The
+	// margin is at least maxStall.
 	dedupMargin = 10
 )
 
-// canDispatch tells whether a request may be sent to an endpoint now. It is the gate before Executor.Send.
+// canDispatch reports whether a request may be sent to an endpoint now. It is checked before each Executor.Send.
 func (b *Balancer) canDispatch(now int64, request *requestState, index int) bool {
 	isQueued := request.queue != nil && !request.isDequeued
 	if !request.isOpen || isQueued || now >= request.deadline || len(request.attempts) >= b.settings.maxAttempts {
@@ -30,15 +33,16 @@
 	return b.isEligible(now, request, index)
 }
 
-// isEligible tells whether the rules about endpoints and effects allow an attempt at an endpoint. A warming endpoint's
-// budget is drawn for, and spent, as this is asked (slowstart.go).
+// isEligible reports whether the rules about endpoints and effects allow an attempt at an endpoint. For a warming
+// endpoint the call itself may make the random draw on its slow-start budget, which spends a fractional token
+// (hasSlowStartBudget in slowstart.go).
 func (b *Balancer) isEligible(now int64, request *requestState, index int) bool {
 	hasBudget := index == b.origin || !b.isWarmingUp(now, index) || b.hasSlowStartBudget(now, index)
-	return hasBudget && b.isListed(&b.endpoints[index]) && b.mayRunAgain(now, request, index)
+	return hasBudget && b.isListed(&b.endpoints[index]) && b.isSafeToRepeat(now, request, index)
 }
 
-// mayRunAgain tells whether an attempt at an endpoint could not make an effect happen twice that must happen once.
-func (b *Balancer) mayRunAgain(now int64, request *requestState, index int) bool {
+// isSafeToRepeat reports whether a further attempt at an endpoint cannot repeat an effect that must happen once.
+func (b *Balancer) isSafeToRepeat(now int64, request *requestState, index int) bool {
 	class, target := &b.settings.classes[request.class], &b.endpoints[index]
 	for number := range request.attempts {
 		earlier := &request.attempts[number]
@@ -50,16 +54,16 @@
 			return false
 		case earlier.state == inFlight && !b.settings.mayHedge:
 			return false
-		case class.effect == Idempotent && !b.dropsRepeat(now, class, earlier, target):
+		case class.effect == Idempotent && !b.willDeduplicate(now, class, earlier, target):
 			return false
 		}
 	}
 	return true
 }
 
-// dropsRepeat tells whether an endpoint knows of an earlier attempt, and still will when a further one arrives. That
-// may take as long as a connection may take to come up, and as long as the process may be held up.
-func (b *Balancer) dropsRepeat(now int64, class *requestClass, earlier *attempt, target *endpointState) bool {
+// willDeduplicate reports whether target is in the group of endpoints that know of an earlier attempt, and will still
+// remember it when a further attempt arrives. That may take up to the dial timeout plus a stall of the process.
+func (b *Balancer) willDeduplicate(now int64, class *requestClass, earlier *attempt, target *endpointState) bool {
 	margin := max(class.dedupWindow/dedupMargin, maxStall)
 	if now-earlier.sentAt >= class.dedupWindow-margin-b.settings.dialTimeout {
 		return false
@@ -73,7 +77,8 @@
 	return true
 }
 
-// canReject tells whether a request may be answered as rejected, which promises that sending it again does no harm.
+// canReject reports whether a request may be answered as rejected. A rejection promises the client that sending the
+// request again does no harm.
 func (b *Balancer) canReject(request *requestState) bool {
 	class := &b.settings.classes[request.class]
 	if class.effect == Safe {
