--- a/policy/selection.go
+++ b/policy/selection.go
@@ -2,75 +2,81 @@
 
 import "math"
 
-// Which of a key's candidates gets the attempt: one at random, passing over those that are well above the mean load or
-// latency (randomized load balancing over a few hashed choices). Inputs are the attempts in flight, now and on average,
-// per unit of weight, and the latency in nanoseconds.
+// Selection of the endpoint of an attempt among a key's candidates: one at random, passing over those whose load or
+// latency is well above the mean (randomized load balancing over a few hashed choices). The inputs are the attempts in
+// flight per unit of weight, both current and averaged, and the latency in nanoseconds.
 //
-// The latency of an endpoint follows from Little's law: attempts in flight on average, over the rate at which they are
-// sent. So an endpoint that answers nothing shows, too. With hundreds of balancers hardly anything of one of them is in
-// flight at an endpoint when the next request comes: the average over time and the latency show what the moment does
-// not.
+// The latency of an endpoint is computed by Little's law: the average number of attempts in flight, divided by the rate
+// at which attempts are sent. This also covers an endpoint that answers nothing. With hundreds of balancers, each one
+// rarely has an attempt in flight at an endpoint when the next request arrives, so the current number alone says
+// little. The average and the latency make up for that.
 //
-// This guards against a slow endpoint that would still take its third of the keys, which shows as late answers from one
-// endpoint while others are idle. The guard holds since the chance to be passed over grows with the latency, and falls
-// again as soon as others get slower; being a draw, it keeps balancers that see the same from acting in step.
+// Without this rule, a slow endpoint would still serve a third of the requests of its keys, and its answers would be
+// late while other endpoints are idle. The probability of being passed over grows with the latency of an endpoint
+// relative to the mean, so it falls again when the others get slower. The decision is random so that balancers with
+// equal observations do not all change endpoints at the same time.
 
 const (
-	// overloadRatio is how many times the mean load may be in flight at an endpoint before it is passed over.
+	// overloadRatio is the multiple of the mean load above which an endpoint is passed over.
 	overloadRatio = 1.1
 
-	// overloadSlack is how much more may be, as slack for chance.
+	// overloadSlack is added to that limit to allow for random variation.
 	overloadSlack = 0.3
 
-	// latencyExponent turns a uniform draw into one near 1, so that an endpoint that is slower than the mean is kept
-	// with a probability of (mean latency / its latency) to the fifth power.
+	// latencyExponent is the power to which a uniform draw is raised. With 1/5, an endpoint slower than the mean is
+	// kept with probability (mean latency / its latency)^5.
 	latencyExponent = 0.2
 
-	// jammedRatio is over how many times the mean latency an endpoint is left out until all are candidates, as it is
-	// after a rejection: one key can be more than its candidates can take.
+	// jammedRatio is the multiple of the mean latency above which an endpoint is left out until all endpoints are
+	// candidates. If all candidates are left out, the candidate set grows as it does after a rejection: the load of a
+	// single key can exceed what its candidates can serve.
 	jammedRatio = 3.0
 
-	// priorAttempts is the weight, in attempts, of what all endpoints of its machine type tell of one.
+	// priorAttempts is the weight, in attempts, of the prior in a latency estimate: the mean latency of a larger group,
+	// such as all endpoints of the same machine type.
 	priorAttempts = 2.0
 
-	// rejectionWeight is as how many attempts in flight a rejection counts: it tells of other balancers' attempts.
+	// rejectionWeight is the number of attempts in flight that a rejection counts as: it is evidence of the load from
+	// other balancers.
 	rejectionWeight = 2.0
 
-	// maxConnectFailureRatio is the part of the attempts that may fail to connect before the own zone no longer goes
-	// first: a lost zone is found out endpoint by endpoint, and it may be the own one.
+	// maxConnectFailureRatio is the ratio of failed connections to successful attempts from which on endpoints in the
+	// balancer's own zone are no longer preferred. A zone outage is discovered endpoint by endpoint, and it may be the
+	// own zone that is lost.
 	maxConnectFailureRatio = 0.05
 )
 
-// loadMeter is how many attempts are in flight, now and on average over time.
+// loadMeter holds the number of attempts in flight and its average over time.
 type loadMeter struct {
 	inFlight int
 	average  average
 }
 
-// settle brings the average up to now. It is called before inFlight changes.
+// settle updates the average to the present. It must be called before inFlight changes.
 func (m *loadMeter) settle(evidence int64) { m.average.Update(evidence, m.inFlight) }
 
-// latencyRecord is how long attempts took, at endpoints of one machine type or at all. The sums fade.
+// latencyRecord holds decaying sums of the latency of attempts at the endpoints of one machine type, or at all
+// endpoints.
 type latencyRecord struct {
 	answers  sum
-	time     sum // of these, nanoseconds
-	rejected sum // each counts as taking the time constant
+	time     sum // total latency of these answers, in nanoseconds
+	rejected sum // rejections; each counts as an attempt that took timeConstant
 }
 
-// mean is how long an attempt takes, in nanoseconds. While little is known it leans on others, the mean of a larger
-// group.
+// mean returns the mean latency of an attempt, in nanoseconds. others, the mean of a larger group, counts as
+// priorAttempts attempts, so it dominates while there are few answers.
 func (l *latencyRecord) mean(evidence int64, others float64) float64 {
 	rejected := l.rejected.ValueAt(evidence)
 	n := l.answers.ValueAt(evidence) + rejected + priorAttempts
 	return (l.time.ValueAt(evidence) + rejected*float64(timeConstant) + priorAttempts*others) / n
 }
 
-// meanLatency is how long an attempt takes at caches, in nanoseconds.
+// meanLatency returns the mean latency of attempts at caches, in nanoseconds.
 func (b *Balancer) meanLatency() float64 { return b.fleetwide.latency.mean(b.clock.evidence, 0) }
 
-// loadAndLatency is how many attempts are in flight at an endpoint on average, per unit of weight, and how many
-// nanoseconds each takes. While little is known of it, the latter leans on the answers of its machine type. While its
-// cache fills after an evacuation, it counts as no slower than the mean.
+// loadAndLatency returns the average number of attempts in flight at an endpoint per unit of weight, and the latency of
+// an attempt there in nanoseconds. The mean latency of the endpoint's machine type is the prior of the latency. While
+// the endpoint's cache fills after an evacuation, its latency is capped at the mean of all caches.
 func (b *Balancer) loadAndLatency(index int) (load, latency float64) {
 	endpoint := &b.endpoints[index]
 	evidence := b.clock.evidence
@@ -84,13 +90,13 @@
 	return own / endpoint.weight, latency
 }
 
-// selectionOrder is the order in which the candidates of a request are tried.
+// selectionOrder defines the order in which the candidates of a request are tried.
 type selectionOrder struct {
-	ordered bool // by rank, not at random: many reads miss, and a key is to be fetched for one cache
-	strict  bool // and whatever the load: the origin is failing, or all balancers agree that many reads miss
+	ordered bool // by rank instead of at random: the miss rate is high, and a key should be fetched for one cache only
+	strict  bool // also regardless of load: the origin is failing, or all balancers agree that the miss rate is high
 }
 
-// selectionOrder returns the order that the misses of late ask for.
+// selectionOrder returns the order that the recent miss rate calls for.
 func (b *Balancer) selectionOrder() selectionOrder {
 	evidence := b.clock.evidence
 	ordered := b.misses.areFrequent(evidence)
@@ -98,10 +104,10 @@
 	return selectionOrder{ordered, strict}
 }
 
-// selectEndpoint returns a candidate that is not well above the mean in load or latency; if all are, the one with the
-// least load; noEndpoint if none may be sent to. Suspected outliers are passed over. Once all endpoints are candidates
-// and all that may be sent to are suspected, it returns the one of them with the least in flight, which is still better
-// than nothing.
+// selectEndpoint returns a candidate whose load and latency are not well above the mean. If there is none, it returns
+// the candidate with the least load. It passes over suspected outliers; only if all endpoints are candidates and every
+// one that may be tried is suspected, it returns the suspect with the fewest attempts in flight. It returns noEndpoint
+// if no candidate qualifies.
 func (b *Balancer) selectEndpoint(now int64, request *requestState) int {
 	order := b.selectionOrder()
 	n := b.rankCandidates(request.key, request.candidateCount, order.ordered)
@@ -111,22 +117,22 @@
 	}
 	local := b.moveLocalFirst(n, order.strict)
 	maxLatency := b.maxLatency()
-	leastLoaded, leastSuspected, leastLoad := noEndpoint, noEndpoint, 0.0
+	leastLoaded, leastBusySuspect, leastLoad := noEndpoint, noEndpoint, 0.0
 	for ; n > 0; n, local = n-1, local-1 {
 		index := b.drawCandidate(n, local, order.ordered)
-		if !b.mayTry(now, request, index) {
+		if !b.canAttempt(now, request, index) {
 			continue
 		}
 		endpoint := &b.endpoints[index]
 		if b.isSuspected(request, index) {
-			if leastSuspected == noEndpoint || endpoint.load.inFlight < b.endpoints[leastSuspected].load.inFlight {
-				leastSuspected = index
+			if leastBusySuspect == noEndpoint || endpoint.load.inFlight < b.endpoints[leastBusySuspect].load.inFlight {
+				leastBusySuspect = index
 			}
 			continue
 		}
 		load, latency := b.loadAndLatency(index)
 		load += float64(endpoint.load.inFlight)
-		if b.isJammed(request, endpoint, latency) {
+		if b.hasExcessiveLatency(request, endpoint, latency) {
 			continue
 		}
 		if order.strict || b.isNearMean(load, maxLoad, latency, maxLatency) {
@@ -137,21 +143,21 @@
 		}
 	}
 	if leastLoaded == noEndpoint && request.candidateCount >= len(b.ready) {
-		return leastSuspected
+		return leastBusySuspect
 	}
 	return leastLoaded
 }
 
-// maxLoad is the load above which an endpoint is passed over: that of the mean endpoint now and on average, and some
-// slack.
+// maxLoad returns the load above which an endpoint is passed over. It is based on the sum of the current and the
+// average load of the mean endpoint.
 func (b *Balancer) maxLoad() float64 {
 	mean := float64(b.load.inFlight)/float64(max(1, len(b.ready))) +
 		b.load.average.Update(b.clock.evidence, b.load.inFlight)/max(1, b.totalWeight)
 	return overloadRatio*mean + overloadSlack
 }
 
-// maxLatency is the latency above which an endpoint is likely passed over, in nanoseconds. With cache-aside, a key that
-// moves costs an attempt and a fetch of its own, and only an endpoint that is nearly jammed loses keys.
+// maxLatency returns the latency, in nanoseconds, above which an endpoint may be passed over. With cache-aside it is
+// jammedRatio times as high, as each key that moves costs an extra attempt and an origin fetch.
 func (b *Balancer) maxLatency() float64 {
 	if b.settings.cacheAside {
 		return b.meanLatency() * jammedRatio
@@ -159,17 +165,17 @@
 	return b.meanLatency()
 }
 
-// isJammed tells whether an endpoint is left out until all are candidates. One for which this balancer holds the probe
-// lease is not.
-func (b *Balancer) isJammed(request *requestState, endpoint *endpointState, latency float64) bool {
+// hasExcessiveLatency reports whether an endpoint is left out because of its latency until all endpoints are
+// candidates. An endpoint for which this balancer holds the probe lease is never left out.
+func (b *Balancer) hasExcessiveLatency(request *requestState, endpoint *endpointState, latency float64) bool {
 	if request.candidateCount >= len(b.ready) || endpoint.outlier.isProbe() {
 		return false
 	}
 	return latency > jammedRatio*b.meanLatency()
 }
 
-// isNearMean tells whether an endpoint's load is not well above the mean, nor, by a draw, its latency. Nothing is drawn
-// where its load is.
+// isNearMean reports whether an endpoint's load is at most maxLoad and its latency passes a random check against
+// maxLatency. It draws no random number if the load is too high.
 func (b *Balancer) isNearMean(load, maxLoad, latency, maxLatency float64) bool {
 	if load <= maxLoad {
 		return math.Pow(b.random.float64(), latencyExponent)*latency <= maxLatency
@@ -177,23 +183,24 @@
 	return false
 }
 
-// moveLastReadFirst puts the cache that answered a key last first among n candidates, so that while many reads miss the
-// key is fetched for one cache only.
+// moveLastReadFirst moves the cache that answered a key last to the front of the first n candidates, so that the key is
+// fetched for one cache only while the miss rate is high.
 func (b *Balancer) moveLastReadFirst(key uint64, n int) {
 	last := b.recentKeys[key%maxRecentKeys]
 	if last.key != key {
 		return
 	}
-	for place := range n {
-		if b.candidates[place].endpoint == last.endpoint {
-			b.candidates[0], b.candidates[place] = b.candidates[place], b.candidates[0]
+	for position := range n {
+		if b.candidates[position].endpoint == last.endpoint {
+			b.candidates[0], b.candidates[position] = b.candidates[position], b.candidates[0]
 		}
 	}
 }
 
-// moveLocalFirst puts those of n candidates that are in this balancer's zone, as crossing zones costs, or for which it
-// holds the probe lease, before the others, and returns how many they are. It moves none where the order is strict, as
-// all balancers need one order then, nor while many connections fail.
+// moveLocalFirst moves the preferred ones among the first n candidates to the front, keeping their order, and returns
+// their number. Preferred are endpoints in this balancer's zone, as traffic between zones is expensive, and those for
+// which it holds the probe lease. It moves none if the order is strict, as all balancers must then use the same order,
+// nor while many connections fail.
 func (b *Balancer) moveLocalFirst(n int, isStrict bool) (local int) {
 	connectFailures := b.connectFailures.ValueAt(b.clock.evidence)
 	if isStrict || n == 0 {
@@ -202,11 +209,11 @@
 	if connectFailures >= maxConnectFailureRatio*(b.outcomes.successes.ValueAt(b.clock.evidence)+1) {
 		return 0
 	}
-	for place := range n {
-		candidate := b.candidates[place]
+	for position := range n {
+		candidate := b.candidates[position]
 		endpoint := &b.endpoints[candidate.endpoint]
 		if endpoint.zone == b.settings.zone || endpoint.outlier.isProbe() {
-			copy(b.candidates[local+1:place+1], b.candidates[local:place])
+			copy(b.candidates[local+1:position+1], b.candidates[local:position])
 			b.candidates[local] = candidate
 			local++
 		}
@@ -214,24 +221,25 @@
 	return local
 }
 
-// drawCandidate takes the next of the first n candidates out of them: the first, where they are ordered; else one at
-// random, of the local ones while there are any.
+// drawCandidate removes one of the first n candidates and returns its endpoint: the first one if ordered, else a random
+// one of the first local candidates, or of all n if local is 0 or less.
 func (b *Balancer) drawCandidate(n, local int, ordered bool) int {
-	place := 0
+	position := 0
 	if !ordered {
 		if local <= 0 {
 			local = n
 		}
-		place = b.random.intN(local)
+		position = b.random.intN(local)
 	}
-	index := b.candidates[place].endpoint
-	copy(b.candidates[place:n], b.candidates[place+1:n])
+	index := b.candidates[position].endpoint
+	copy(b.candidates[position:n], b.candidates[position+1:n])
 	return index
 }
 
-// mayTry tells whether a candidate may get the next attempt: the rules allow it, retry tokens pay for it, and it has
-// not been tried, unless there may be no other left.
-func (b *Balancer) mayTry(now int64, request *requestState, index int) bool {
+// canAttempt reports whether a candidate may get the next attempt: the eligibility rules allow it, there are retry
+// tokens for a retry, and the request has not tried it yet. An endpoint may be tried again once the request has had as
+// many attempts as there are ready endpoints.
+func (b *Balancer) canAttempt(now int64, request *requestState, index int) bool {
 	if !b.isEligible(now, request, index) {
 		return false
 	}
@@ -242,8 +250,8 @@
 	return !request.hasTried(index) || len(b.ready) <= len(request.attempts)
 }
 
-// isSuspected tells whether a candidate is passed over as an outlier. An endpoint for which this balancer holds the
-// probe lease gets no request that may run only once.
+// isSuspected reports whether a candidate is passed over as an outlier. An endpoint for which this balancer holds the
+// probe lease gets no non-idempotent request, as the probe may be lost with its effect unknown.
 func (b *Balancer) isSuspected(request *requestState, index int) bool {
 	if b.endpoints[index].outlier.isProbe() && b.settings.classes[request.class].effect == NonIdempotent {
 		return true
