--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,96 +2,99 @@
 
 import "math"
 
-// What an endpoint that has just started may be sent (slow start). An endpoint states its start. For the time of the
-// warm-up it can do startCapacity of its usual, climbing to the whole, and falls over if it is sent more than
-// overloadMultiple times that for overloadAfter.
+// Slow start: the limit on the attempts at an endpoint that has started recently. Endpoints state when they started.
+// During the warm-up an endpoint's capacity rises from startCapacity to its full capacity, and the endpoint crashes if
+// it is sent more than overloadMultiple times its capacity for overloadAfter.
 //
-// Its budget at this balancer is a token bucket: what a warm endpoint answers here per second and unit of weight, times
-// the part of its usual that it can do by now. An endpoint that is as busy as a warm one, for what it can do, is below
-// its limit by the overload multiple. The budget guards warming endpoints against the sum of all balancers, each of
-// which sends little: pushed over, they fall, and start again. It shows as endpoints that come and go.
+// The limit is a token bucket at each balancer. It refills at the rate at which a warm endpoint answers this balancer,
+// per unit of weight, times the fraction of full capacity that the warming endpoint has by now. A warming endpoint is
+// then as busy, relative to its capacity, as a warm one, which is below its limit by the overload multiple. Each
+// balancer sends little, but without the limit the sum over all balancers would crash a warming endpoint, which would
+// then restart and crash again.
 //
-// Shares are far below one request where the fleet is large, and whole ones that were saved up would come from all
-// balancers at once. So a request is let in by chance, with the tokens that there are as its probability, and the
-// tokens are spent either way. What all balancers let in together is, in the mean, what all shares come to.
-// docs/design.md, exception 9; slowstart_fleet_test.go plays 5 to 300 balancers against the rule.
+// In a large fleet, a balancer's share is far below one request. Fractions that were saved up to whole requests would
+// be sent by all balancers at the same time. Instead, a fractional token is the probability that a request is allowed,
+// and is spent whether or not it is, so that the fleet as a whole sends, on average, the sum of all shares. See
+// docs/design.md, exception 9; slowstart_fleet_test.go simulates fleets of 5 to 300 balancers.
 
 const (
-	// slowStartMargin is the part of what the overload multiple allows that is used at most: machines differ, and so do
-	// balancers' shares of the traffic.
+	// slowStartMargin is the fraction of the overload multiple that is used at most, as machines and the balancers'
+	// shares of the traffic differ.
 	slowStartMargin = 0.9
 
-	// provenHalfAt is how many answers of late prove half of what answers can prove of a warming endpoint. What it is
-	// sent beyond its stated capacity rests on these.
-	provenHalfAt = 8.0
+	// halfConfidenceAnswers is the number of recent successes at which a warming endpoint without rejections or
+	// failures gets half of the maximum that is sent beyond its stated capacity.
+	halfConfidenceAnswers = 8.0
 
-	// slowStartBurst is how much may be saved up, as a multiple of what comes in between two requests that could go
-	// there. With less, a balancer that sees few requests would let hardly any in; with more, an endpoint that was sent
-	// nothing for a while would get all that was saved at once.
+	// slowStartBurst bounds the bucket, as a multiple of the tokens earned between two requests that could go to the
+	// endpoint. With a smaller bound, a balancer with little traffic would send hardly anything; with a larger one, an
+	// idle endpoint would later receive all the saved tokens' worth of requests at once.
 	slowStartBurst = 1.5
 
-	// burstWindows: at least what comes in within one in so many parts of overloadAfter may be saved up.
-	burstWindows = 4
+	// minBurstDivisor is the divisor of overloadAfter that gives the least time whose tokens the bucket can hold.
+	minBurstDivisor = 4
 
-	// peakWindow is in how many time constants the most that warm endpoints answered fades to 1/e: there may be no warm
-	// one left.
-	peakWindow = 10
+	// peakTimeConstants is the number of time constants in which the peak throughput of warm endpoints decays to 1/e.
+	// The peak is kept because there may be no warm endpoint left to measure.
+	peakTimeConstants = 10
 
-	// minThroughput is the least that a warm endpoint is taken to answer all balancers together, in requests a second.
+	// minThroughput is the least rate, in requests per second, at which a warm endpoint is assumed to answer all
+	// balancers together.
 	minThroughput = 0.5
 )
 
-// slowStartState is an endpoint's start and its token bucket.
+// slowStartState holds the start time of an endpoint and its token bucket.
 type slowStartState struct {
-	stamp     int64   // its last start as the list states it
-	startedAt int64   // the latest that it can have started; 0: long ago
-	isWarm    bool    // by the last update of the list
-	tokens    float64 // requests that it may be sent
-	updatedAt int64   // when the tokens were refilled last
+	listedStart int64   // last start as the endpoint list states it
+	startedAt   int64   // latest time at which it can have started; 0: long ago
+	isWarm      bool    // as of the last update of the endpoint list
+	tokens      float64 // requests that may be sent to it
+	updatedAt   int64   // last refill of the tokens
 }
 
-// restarted takes the start that the list states, and tells whether it is a new one. Where stamps may be off, by
-// stampError, the endpoint counts as started at the latest time that the stamp and the present allow: it is not taken
-// for warm too soon.
-func (s *slowStartState) restarted(now, stamp, stampError int64) bool {
-	isLater := stamp > s.stamp
-	isEarlier := stamp > 0 && stamp < s.stamp
+// restarted records the start that the endpoint list states and reports whether it is a new one. If the stated starts
+// are inexact by up to stampError, the endpoint counts as started at the latest possible time that is not in the
+// future, so that it does not count as warm too soon.
+func (s *slowStartState) restarted(now, listedStart, stampError int64) bool {
+	isLater := listedStart > s.listedStart
+	isEarlier := listedStart > 0 && listedStart < s.listedStart
 	if !isLater && !(isEarlier && stampError > 0) {
 		return false
 	}
-	s.stamp, s.startedAt = stamp, max(1, min(now, stamp+stampError))
+	s.listedStart, s.startedAt = listedStart, max(1, min(now, listedStart+stampError))
 	s.tokens, s.updatedAt = 0, 0
 	return true
 }
 
-// begin has the endpoint count as started now, where a restart was seen that the list has not told.
+// begin sets the start to now, after a restart that was detected but is not in the endpoint list.
 func (s *slowStartState) begin(now int64) {
 	s.startedAt, s.tokens, s.updatedAt = now, 0, 0
 }
 
-// warmThroughput is what warm endpoints answer this balancer per unit of weight. It does not rise as warm endpoints
-// leave the list, since each answer is divided by the weight of those that there are at the time.
+// warmThroughput is the rate at which warm endpoints answer this balancer, per unit of weight. Each answer is divided
+// by the total weight of the warm endpoints at its time, so that the rate does not rise when warm endpoints leave the
+// list.
 type warmThroughput struct {
-	answers sum     // each divided by the weight of the warm endpoints
-	peak    float64 // the most of late, in answers a second; it fades
-	peakAt  int64
+	answers sum     // each divided by the total weight of the warm endpoints
+	peak    float64 // decaying peak of the rate, in answers per second
+	peakAt  int64   // last update of peak
 }
 
-// update brings the peak up to now and returns it. perSecond turns the sum of answers into a rate.
+// update brings the peak up to date and returns it. perSecond converts the sum of answers into a rate per second.
 func (w *warmThroughput) update(now, evidence int64, perSecond float64) float64 {
-	faded := w.peak * math.Exp(-float64(now-w.peakAt)/float64(peakWindow*timeConstant))
-	w.peak, w.peakAt = max(w.answers.ValueAt(evidence)*perSecond, faded), now
+	decayed := w.peak * math.Exp(-float64(now-w.peakAt)/float64(peakTimeConstants*timeConstant))
+	w.peak, w.peakAt = max(w.answers.ValueAt(evidence)*perSecond, decayed), now
 	return w.peak
 }
 
-// isWarmingUp tells whether an endpoint has started within the warm-up.
+// isWarmingUp reports whether an endpoint started less than the warm-up time ago.
 func (b *Balancer) isWarmingUp(now int64, index int) bool {
 	startedAt := b.endpoints[index].slowStart.startedAt
 	return startedAt > 0 && now < startedAt+b.settings.warmUp
 }
 
-// hasSlowStartBudget tells whether a warming endpoint may be sent a request now. A fraction of a token is the chance
-// that it may. It is drawn for once at each time, and spent either way.
+// hasSlowStartBudget reports whether a warming endpoint may be sent a request now. If the bucket holds less than one
+// token, the fraction is the probability of a yes. It is drawn once at each time, and spent whatever the result.
 func (b *Balancer) hasSlowStartBudget(now int64, index int) bool {
 	state := &b.endpoints[index].slowStart
 	if state.updatedAt < now && b.refillSlowStart(now, index) < 1 {
@@ -100,66 +103,69 @@
 	return state.tokens >= 1
 }
 
-// refillSlowStart brings a warming endpoint's tokens up to now and returns them. The endpoint gets what a warm one
-// answers, times the part of that which it can do. Before any warm one has answered, there may be none: then it gets
-// its part of what arrives.
+// refillSlowStart refills a warming endpoint's token bucket up to now and returns the tokens. The rate is the
+// throughput of a warm endpoint times the warming endpoint's capacity and this process's share of the balancer's
+// attempts. While no warm endpoint has answered yet, as there may be none, the endpoint's share of the arriving
+// requests takes the place of that throughput if it is higher than the minimum.
 func (b *Balancer) refillSlowStart(now int64, index int) float64 {
 	endpoint := &b.endpoints[index]
 	perSecond := b.clock.pace * float64(second) / float64(timeConstant)
 	capacity := b.warmingCapacity(now, endpoint)
 	peak := b.warmThroughput.update(now, b.clock.evidence, perSecond)
-	usualRate := max(peak*endpoint.weight, minThroughput/b.fleetSize) // what a warm one answers, in requests a second
+	warmRate := max(peak*endpoint.weight, minThroughput/b.fleetSize) // in requests per second
 	arrivingRate := b.admission.arrivals.ValueAt(b.clock.evidence) * perSecond * endpoint.weight / max(1, b.totalWeight)
 	if peak == 0 {
-		usualRate = max(usualRate, arrivingRate)
+		warmRate = max(warmRate, arrivingRate)
 	}
-	rate := usualRate * capacity * b.processShare
-	savedSeconds := max(float64(b.settings.overloadAfter)/float64(burstWindows*second), slowStartBurst/max(usualRate, arrivingRate))
+	rate := warmRate * capacity * b.processShare
+	burstSeconds := max(float64(b.settings.overloadAfter)/float64(minBurstDivisor*second), slowStartBurst/max(warmRate, arrivingRate))
 	state := &endpoint.slowStart
 	refilled := state.tokens + rate*float64(now-state.updatedAt)/float64(second)
-	state.tokens, state.updatedAt = min(refilled, rate*savedSeconds), now
+	state.tokens, state.updatedAt = min(refilled, rate*burstSeconds), now
 	return state.tokens
 }
 
-// warmingCapacity is the part of its usual that a warming endpoint may be sent: the stated part, climbing to the whole,
-// times a factor within the overload multiple that rises with its answers of late. What it rejects or fails lowers the
-// factor.
+// warmingCapacity returns the load that a warming endpoint may be sent, as a fraction of the throughput of a warm one.
+// It is the capacity that the settings state for the time since the start, times a factor that stays within the
+// overload multiple. The factor rises with recent successes and falls with rejections and failures.
 func (b *Balancer) warmingCapacity(now int64, endpoint *endpointState) float64 {
 	s, evidence := &b.settings, b.clock.evidence
-	stated := s.startCapacity + (1-s.startCapacity)*max(0, float64(now-endpoint.slowStart.startedAt)/float64(s.warmUp))
-	most := slowStartMargin * s.overloadMultiple
-	proved := endpoint.outlier.outcomes.successes.ValueAt(evidence) * b.clock.pace
+	statedCapacity := s.startCapacity + (1-s.startCapacity)*max(0, float64(now-endpoint.slowStart.startedAt)/float64(s.warmUp))
+	maxFactor := slowStartMargin * s.overloadMultiple
+	successes := endpoint.outlier.outcomes.successes.ValueAt(evidence) * b.clock.pace
 	rejected, failed := endpoint.rejected.ValueAt(evidence), endpoint.outlier.outcomes.failures.ValueAt(evidence)
-	return stated * (min(1, most) + max(0, most-1)*proved/(proved+provenHalfAt*(1+rejected+failed)))
+	return statedCapacity * (min(1, maxFactor) + max(0, maxFactor-1)*successes/(successes+halfConfidenceAnswers*(1+rejected+failed)))
 }
 
-// restartDetector finds a restart that the list does not show: attempts broke, and then no connection came about, with
-// no answer between. It guards an endpoint that has restarted against being taken for warm until the list tells.
+// restartDetector detects a restart that the endpoint list does not show: an attempt ended with a reset connection, and
+// further connections failed with no success in between. Without it, the endpoint would count as warm until the list
+// states its restart.
 type restartDetector struct {
-	failures int // 0: none broke since the last answer; else 1, and one for each connection that failed since
+	failures int // 0: no reset since the last success; else 1 plus the number of failed connections since
 }
 
 const (
-	// restartConnectFailures is after how many failed connections an endpoint whose attempts broke counts as restarted.
-	// One alone may be the network.
+	// restartConnectFailures is the number of failed connections after a reset from which on an endpoint counts as
+	// restarted. A single one may be a network fault.
 	restartConnectFailures = 2
 
-	// restartTolerance is the factor by which a restart lowers how much may be in flight before requests are rejected
-	// for overload: what made the endpoint fall may have been more than it bears, as health checks restart one that
-	// holds too much.
+	// restartTolerance is the factor by which a restart lowers the admission limiter's tolerance, and with it the
+	// number of attempts in flight above which requests are rejected. Overload may have caused the restart, as health
+	// checks restart an endpoint that holds too many requests.
 	restartTolerance = 0.7
 
-	// minOverloadTolerance is the least that restarts lower it to: endpoints may also crash for reasons of their own.
+	// minOverloadTolerance is the least tolerance after restarts, as endpoints may also crash for other reasons.
 	minOverloadTolerance = 0.3
 
-	// restartSpacing is the time, in nanoseconds, within which several restarts lower it once.
+	// restartSpacing is the time, in nanoseconds, within which several restarts lower the tolerance only once.
 	restartSpacing = second / 2
 
-	// toleranceRecovery is the time, in nanoseconds, in which it recovers by 1.
+	// toleranceRecovery is the time, in nanoseconds, in which the tolerance recovers by 1.
 	toleranceRecovery = 40 * second
 )
 
-// detectRestart takes the end of an attempt. recordEndpointOutcome resets the detector at an answer.
+// detectRestart updates the restart detector of an endpoint with the result of an attempt. It does not reset the
+// detector after a success: recordEndpointOutcome does.
 func (b *Balancer) detectRestart(now int64, result AttemptResult) {
 	endpoint := &b.endpoints[result.Endpoint]
 	detector := &endpoint.restart
@@ -181,14 +187,14 @@
 	}
 }
 
-// lowerTolerance takes a restart that load may have caused.
+// lowerTolerance lowers the tolerance after a restart that overload may have caused.
 func (a *admissionLimiter) lowerTolerance(now int64) {
 	if now > a.loweredAt+restartSpacing {
 		a.tolerance, a.loweredAt = max(minOverloadTolerance, a.tolerance*restartTolerance), now
 	}
 }
 
-// recover raises the tolerance for a time that has passed, in nanoseconds.
-func (a *admissionLimiter) recover(span int64) {
-	a.tolerance = min(1, a.tolerance+float64(span)/float64(toleranceRecovery))
+// recover raises the tolerance in proportion to the elapsed time, in nanoseconds.
+func (a *admissionLimiter) recover(elapsed int64) {
+	a.tolerance = min(1, a.tolerance+float64(elapsed)/float64(toleranceRecovery))
 }
