--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// slowStartDeployment is what one deployment's settings say of endpoints that warm up, and how busy a warm one is.
+// slowStartDeployment holds the slow-start settings of a deployment and the load of its warm endpoints.
 type slowStartDeployment struct {
 	name                            string
 	startCapacity, overloadMultiple float64
 	warmUp, overloadAfter           int64
-	perEndpoint                     float64 // requests a second that a warm endpoint answers
-	latency                         int64   // of a request
+	endpointRate                    float64 // requests per second that a warm endpoint answers
+	latency                         int64   // of an attempt
 }
 
-// slowStartDeployments are settings as deployments have them.
+// slowStartDeployments are realistic slow-start settings.
 var slowStartDeployments = []slowStartDeployment{
 	{"short warm-up", 0.32, 3, 3500 * ms, second, 40, 10 * ms},
 	{"warm by requests", 0.12, 2.5, 9 * second, 2 * second, 18, 25 * ms},
@@ -26,13 +26,14 @@
 	{"long warm-up", 0.1, 2.5, 35 * second, 2 * second, 12, 30 * ms},
 }
 
-// budget is how many requests the settings allow an endpoint in overloadAfter, so long after its start.
-func (d slowStartDeployment) budget(since int64) float64 {
-	part := min(1, d.startCapacity+(1-d.startCapacity)*float64(since)/float64(d.warmUp))
-	return d.overloadMultiple * part * d.perEndpoint * float64(d.overloadAfter) / float64(second)
+// budget returns the number of requests that the settings allow an endpoint within overloadAfter, at an age since its
+// start.
+func (d slowStartDeployment) budget(age int64) float64 {
+	capacity := min(1, d.startCapacity+(1-d.startCapacity)*float64(age)/float64(d.warmUp))
+	return d.overloadMultiple * capacity * d.endpointRate * float64(d.overloadAfter) / float64(second)
 }
 
-// attemptEnd is an attempt that ends at a time, or, with request -1, a timer whose tag is in attempt.
+// attemptEnd is the scheduled end of an attempt or, if request is -1, a timer whose tag is in attempt.
 type attemptEnd struct {
 	at                       int64
 	member, request, attempt int
@@ -40,7 +41,7 @@
 	outcome                  Outcome
 }
 
-// attemptEnds is a heap by time.
+// attemptEnds is a heap ordered by time.
 type attemptEnds []attemptEnd
 
 func (e attemptEnds) Len() int { return len(e) }
@@ -53,18 +54,18 @@
 
 func (e *attemptEnds) Pop() any { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-// slowStartMember is one balancer of a slowStartFleet and its Executor.
+// slowStartMember is a balancer of a slowStartFleet and the Executor of that balancer.
 type slowStartMember struct {
 	discardExecutor
 	fleet       *slowStartFleet
 	index       int
 	balancer    *Balancer
-	freeIndices []int       // indices of requests that may be used again
-	attempts    map[int]int // of each request that is under way
+	freeIndices []int       // indices of finished requests, for reuse
+	attempts    map[int]int // number of attempts by open request
 	nextIndex   int
 }
 
-// release gives a request its final answer: its index may be used again.
+// release frees the index of a request that has its final answer.
 func (m *slowStartMember) release(request int) {
 	m.freeIndices = append(m.freeIndices, request)
 	m.attempts[request] = 0
@@ -92,22 +93,24 @@
 	f.sent[endpoint] = append(f.sent[endpoint], f.now)
 }
 
-// slowStartFleet is a number of balancers before endpoints that answer all they get, on a virtual clock.
+// slowStartFleet simulates balancers that send to the same endpoints, on a virtual clock. Reachable endpoints answer
+// all attempts.
 type slowStartFleet struct {
 	deployment        slowStartDeployment
 	now               int64
 	random            randomSource
 	members           []*slowStartMember
-	cumulativeWeights []float64 // of the load, by member
+	cumulativeWeights []float64 // cumulative share of the load, by member
 	events            attemptEnds
-	sent              [][]int64 // when, for each endpoint
+	sent              [][]int64 // send times by endpoint
 	started           []int64
 	health            []Health
-	unreachable       []bool // endpoints that take no connection, whatever the list says
+	unreachable       []bool // endpoints that refuse connections, whatever the endpoint list states
 	settings          map[string]any
 }
 
-// newSlowStartFleet begins a fleet. With uneven, one balancer in five has five times the load of the others.
+// newSlowStartFleet returns a fleet with a number of members and ready endpoints. If uneven, one balancer in five gets
+// five times the load of the others.
 func newSlowStartFleet(d slowStartDeployment, seed uint64, members, endpoints int, uneven bool) *slowStartFleet {
 	f := &slowStartFleet{deployment: d, now: unixStart, random: randomSource{seed + 1, 7}, sent: make([][]int64, endpoints),
 		started: make([]int64, endpoints), health: make([]Health, endpoints), unreachable: make([]bool, endpoints)}
@@ -126,14 +129,14 @@
 	return f
 }
 
-// newMember begins a balancer that knows nothing.
+// newMember returns a balancer without observations.
 func (f *slowStartFleet) newMember(index int) *slowStartMember {
 	m := &slowStartMember{fleet: f, index: index, attempts: map[int]int{}}
 	m.balancer = New(f.now, f.random.uint64(), f.settings, m)
 	return m
 }
 
-// updateList tells all members the present list.
+// updateList sends the current endpoint list to all members.
 func (f *slowStartFleet) updateList() {
 	for _, m := range f.members {
 		m.balancer.BeginEndpointUpdate(FullList)
@@ -144,10 +147,10 @@
 	}
 }
 
-// request hands a request with a key of its own to a member, drawn by its part of the load.
+// request sends a request with a random key to a member that is drawn in proportion to its share of the load.
 func (f *slowStartFleet) request() {
-	at, i := f.random.float64()*f.cumulativeWeights[len(f.cumulativeWeights)-1], 0
-	for f.cumulativeWeights[i] <= at {
+	draw, i := f.random.float64()*f.cumulativeWeights[len(f.cumulativeWeights)-1], 0
+	for f.cumulativeWeights[i] <= draw {
 		i++
 	}
 	m := f.members[i]
@@ -160,9 +163,9 @@
 	m.balancer.HandleRequest(f.now, request, RequestInfo{Remaining: 2 * second, Tenant: -1, Key: f.random.uint64(), HasKey: true})
 }
 
-// run plays for so long, with so many requests a second.
-func (f *slowStartFleet) run(length int64, rate float64) {
-	for end := f.now + length; ; {
+// run simulates a duration in which requests arrive at random at a rate per second.
+func (f *slowStartFleet) run(duration int64, rate float64) {
+	for end := f.now + duration; ; {
 		next := f.now + int64(-math.Log(1-f.random.float64())/rate*float64(second))
 		for len(f.events) > 0 && f.events[0].at <= min(next, end) {
 			e := heap.Pop(&f.events).(attemptEnd)
@@ -186,9 +189,10 @@
 	}
 }
 
-// worstExcess is the most that an endpoint was sent in overloadAfter, over what the settings allow and chance explains:
-// over 1 it falls over.
-func (f *slowStartFleet) worstExcess(index int) (most float64, sum int, allowed float64) {
+// worstExcess finds the window of overloadAfter, during the warm-up, in which an endpoint was sent the most requests
+// relative to the limit, which is the budget plus an allowance for random variation. It returns the ratio to the limit,
+// which is over 1 if the endpoint would crash, and the number of requests and the budget of that window.
+func (f *slowStartFleet) worstExcess(index int) (worst float64, sent int, allowed float64) {
 	from := 0
 	for n, at := range f.sent[index] {
 		if at < f.started[index] || at > f.started[index]+f.deployment.warmUp {
@@ -199,28 +203,29 @@
 			from++
 		}
 		budget := f.deployment.budget(at - f.started[index])
-		if over := float64(n-from+1) / (budget + 2*math.Sqrt(budget) + 2); over > most {
-			most, sum, allowed = over, n-from+1, budget
+		if excess := float64(n-from+1) / (budget + 2*math.Sqrt(budget) + 2); excess > worst {
+			worst, sent, allowed = excess, n-from+1, budget
 		}
 	}
-	return most, sum, allowed
+	return worst, sent, allowed
 }
 
-// receivedShare is the part of what a warm endpoint answers that one was sent from its start on.
-func (f *slowStartFleet) receivedShare(index int, since int64) float64 {
+// receivedShare returns the number of requests sent to an endpoint in a duration from its start on, as a fraction of
+// what a warm endpoint answers in that time.
+func (f *slowStartFleet) receivedShare(index int, duration int64) float64 {
 	sent := 0
 	for _, at := range f.sent[index] {
-		if at >= f.started[index] && at < f.started[index]+since {
+		if at >= f.started[index] && at < f.started[index]+duration {
 			sent++
 		}
 	}
-	return float64(sent) / (f.deployment.perEndpoint * float64(since) / float64(second))
+	return float64(sent) / (f.deployment.endpointRate * float64(duration) / float64(second))
 }
 
-// fleetEndpoints is how many endpoints a fleet has.
+// fleetEndpoints is the number of endpoints of a simulated fleet.
 const fleetEndpoints = 20
 
-// restart has the first so many endpoints start again, and tells all members.
+// restart restarts the first endpoints, as many as given, and updates the endpoint list of all members.
 func (f *slowStartFleet) restart(endpoints int) {
 	for index := range endpoints {
 		f.started[index] = f.now
@@ -228,9 +233,10 @@
 	f.updateList()
 }
 
-// drainOthers leaves one endpoint, which warms up, for all the load.
-func (f *slowStartFleet) drainOthers(after int64, rate float64) {
-	f.run(after, rate)
+// drainOthers runs the load for a duration, then drains all endpoints but the first, which is warming up, and runs the
+// load on that one.
+func (f *slowStartFleet) drainOthers(duration int64, rate float64) {
+	f.run(duration, rate)
 	for index := 1; index < fleetEndpoints; index++ {
 		f.health[index] = Draining
 	}
@@ -238,19 +244,19 @@
 	f.run(2*f.deployment.overloadAfter, rate)
 }
 
-// slowStartLoads is what a fleet goes through from the moment on at which endpoints that have just started, the first
-// so many, are listed.
-var slowStartLoads = []struct {
-	name     string
-	starting int  // endpoints that have just started
-	uneven   bool // one balancer in five has five times the load of the others
-	warms    bool // the load goes on to the end of the warm-up: enough of it has to reach the starting ones
-	play     func(f *slowStartFleet, rate float64)
+// slowStartScenarios are the events from the time on at which the endpoint list shows that the first endpoints have
+// just started.
+var slowStartScenarios = []struct {
+	name         string
+	starting     int  // number of endpoints that have just started
+	uneven       bool // one balancer in five gets five times the load of the others
+	coversWarmUp bool // the load lasts for the whole warm-up, and enough of it must reach the starting endpoints
+	run          func(f *slowStartFleet, rate float64)
 }{
-	{"usual", 1, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
-	{"uneven", 1, true, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
-	{"three in ten", fleetEndpoints * 3 / 10, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
-	{"burst", 1, false, true, func(f *slowStartFleet, rate float64) {
+	{"steady load", 1, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
+	{"uneven load", 1, true, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
+	{"three in ten endpoints start", fleetEndpoints * 3 / 10, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
+	{"load rises by half", 1, false, true, func(f *slowStartFleet, rate float64) {
 		f.run(f.deployment.warmUp/4, rate)
 		f.run(f.deployment.warmUp*3/4, rate*1.5)
 	}},
@@ -262,44 +268,44 @@
 		f.updateList()
 		f.run(f.deployment.warmUp, rate)
 	}},
-	{"the others drain at once", 1, false, false, func(f *slowStartFleet, rate float64) { f.drainOthers(0, rate) }},
-	{"the others drain later", 1, false, false, func(f *slowStartFleet, rate float64) { f.drainOthers(f.deployment.warmUp*2/3, rate) }},
-	{"the others are cut off", 2, false, false, func(f *slowStartFleet, rate float64) {
+	{"all other endpoints drain at once", 1, false, false, func(f *slowStartFleet, rate float64) { f.drainOthers(0, rate) }},
+	{"all other endpoints drain late in the warm-up", 1, false, false, func(f *slowStartFleet, rate float64) { f.drainOthers(f.deployment.warmUp*2/3, rate) }},
+	{"all other endpoints become unreachable", 2, false, false, func(f *slowStartFleet, rate float64) {
 		f.run(f.deployment.warmUp/3, rate)
 		for index := 2; index < fleetEndpoints; index++ {
 			f.unreachable[index] = true
 		}
 		f.run(2*f.deployment.overloadAfter, rate)
 	}},
-	{"silence, then all at once", 1, false, false, func(f *slowStartFleet, rate float64) {
+	{"all other endpoints drain after a time without requests", 1, false, false, func(f *slowStartFleet, rate float64) {
 		f.now += f.deployment.warmUp / 3
 		f.drainOthers(0, rate)
 	}},
 }
 
-// An endpoint restarts before 5 to 300 balancers. Each sends it little, and what they send together could push it over,
-// after which it starts again. In overloadAfter all together send it no more than N + 2 x root of N + 2, N being what
-// the settings allow it then, taken here from what a warm endpoint answers, which is less than it can do. And it does
-// get a part: an endpoint that gets nothing never warms.
+// An endpoint restarts in a fleet of 5 to 300 balancers. Each balancer sends it little, but together they could crash
+// it again. Within overloadAfter they must send it no more than N + 2*sqrt(N) + 2 requests, where N is the number that
+// the settings allow at the time. N is computed from what a warm endpoint answers, which is less than its capacity. The
+// endpoint must also receive a share of the requests, as it would otherwise never warm up.
 func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
-	const minReceived = 0.25 // of what a warm endpoint answers, over the warm-up
+	const minReceived = 0.25 // of what a warm endpoint answers during the warm-up
 	for _, d := range slowStartDeployments {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			for _, members := range []int{5, 20, 30, 100, 300} {
-				for n, load := range slowStartLoads {
-					f := newSlowStartFleet(d, uint64(members+n), members, fleetEndpoints, load.uneven)
-					rate := d.perEndpoint * fleetEndpoints
+				for n, scenario := range slowStartScenarios {
+					f := newSlowStartFleet(d, uint64(members+n), members, fleetEndpoints, scenario.uneven)
+					rate := d.endpointRate * fleetEndpoints
 					f.run(10*second, rate)
-					f.restart(load.starting)
-					load.play(f, rate)
-					for index := range load.starting {
-						if worst, sum, budget := f.worstExcess(index); worst > 1 {
-							t.Errorf("%d balancers, %s: %d requests to warming endpoint %d within %v, of %.1f allowed", members, load.name,
-								sum, index, time.Duration(d.overloadAfter), budget)
+					f.restart(scenario.starting)
+					scenario.run(f, rate)
+					for index := range scenario.starting {
+						if worst, sent, budget := f.worstExcess(index); worst > 1 {
+							t.Errorf("%d balancers, %s: %d requests sent to warming endpoint %d within %v, budget %.1f", members, scenario.name,
+								sent, index, time.Duration(d.overloadAfter), budget)
 						}
-						if received := f.receivedShare(index, d.warmUp); load.warms && received < minReceived {
-							t.Errorf("%d balancers, %s: warming endpoint %d has %.2f of a warm one's requests", members, load.name, index, received)
+						if received := f.receivedShare(index, d.warmUp); scenario.coversWarmUp && received < minReceived {
+							t.Errorf("%d balancers, %s: warming endpoint %d received %.2f of a warm one's requests, want at least %.2f", members, scenario.name, index, received, minReceived)
 						}
 					}
 				}
@@ -308,10 +314,10 @@
 	}
 }
 
-// Warm endpoints leave the list or restart, and the last one takes their load. What a warm endpoint answers is taken
-// for each: it does not rise, and with it the budget of those that warm up, as others leave.
+// Warm endpoints leave the endpoint list or restart until only one is left. The throughput of a warm endpoint, on which
+// the budget of the warming ones is based, must not rise because the same answers are divided among fewer endpoints.
 func TestSlowStartBudgetIgnoresWarmEndpointsLeaving(t *testing.T) {
-	for name, leave := range map[string]func(f *slowStartFleet){
+	for name, removeWarm := range map[string]func(f *slowStartFleet){
 		"drained": func(f *slowStartFleet) {
 			for index := 1; index < fleetEndpoints-1; index++ {
 				f.health[index] = Draining
@@ -321,14 +327,14 @@
 		"restarted": func(f *slowStartFleet) { f.restart(fleetEndpoints - 1) },
 	} {
 		f := newSlowStartFleet(slowStartDeployments[0], 1, 1, fleetEndpoints, false)
-		f.run(15*second, slowStartDeployments[0].perEndpoint*fleetEndpoints)
+		f.run(15*second, slowStartDeployments[0].endpointRate*fleetEndpoints)
 		f.restart(1)
 		b := f.members[0].balancer
 		b.refillSlowStart(f.now, 0)
 		before := b.warmThroughput.peak
-		leave(f)
+		removeWarm(f)
 		if b.refillSlowStart(f.now+ms, 0); b.warmThroughput.peak > 1.1*before {
-			t.Errorf("%s: a warm endpoint answers %.1f a second, and %.1f once one is left", name, before, b.warmThroughput.peak)
+			t.Errorf("%s: throughput of a warm endpoint = %.1f per second before, %.1f with one left", name, before, b.warmThroughput.peak)
 		}
 	}
 }
