--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -2,55 +2,57 @@
 
 import "math"
 
-// Which endpoints are passed over because their attempts fail. Inputs are the successes and failures of an endpoint and
-// of all, which fade.
+// Outlier detection: passing over endpoints whose attempts fail. The inputs are decaying counts of the successes and
+// failures of each endpoint and of all endpoints.
 //
-// Each time a candidate is looked at, a chance of success is drawn from the beta posterior of its successes and
-// failures (Thompson sampling, 1933, by a normal approximation). The endpoint is passed over if that is under
-// successRatioFloor of the chance that all endpoints have: where all fail alike, as when the origin is failing, none is
-// passed over. A failed connection, the verdict of other balancers and the outage of a zone tell more than an error,
-// and are drawn for first.
+// Each time a candidate is examined, a success ratio is drawn from the beta posterior of its successes and failures
+// (Thompson sampling, 1933, with a normal approximation). The endpoint is passed over if the drawn ratio is below
+// successRatioFloor times the success ratio of all endpoints. So if all endpoints fail alike, for example because the
+// origin is failing, none is passed over. A failed connection, the verdict of other balancers and a zone outage are
+// stronger evidence than an error, and are checked first.
 //
-// This guards against endpoints that the list still shows and that are dead, or that fail fast and so never look busy,
-// which shows as errors from one endpoint or zone while the others are well. The guard holds since a failing endpoint
-// is picked ever more rarely; being a draw, it is still tried now and then, so that it is found again, and balancers do
-// not act in step.
+// This covers endpoints that are dead although the endpoint list still shows them, and endpoints that fail fast and
+// therefore never look busy. Without it, requests fail at one endpoint or zone while the others are healthy. A failing
+// endpoint is selected less and less often. As the decision is random, the endpoint is still tried now and then, so
+// that its recovery is noticed, and balancers do not all change endpoints at the same time.
 
 const (
-	// successRatioFloor is the part of all endpoints' chance of success under which one is passed over.
+	// successRatioFloor is the fraction of the success ratio of all endpoints below which an endpoint is passed over.
 	successRatioFloor = 0.6
 
-	// priorSuccesses and priorFailures are taken for an endpoint's before it has any: it is most likely well.
+	// priorSuccesses and priorFailures are added to the counts of an endpoint and of all endpoints. An endpoint without
+	// attempts is most likely healthy.
 	priorSuccesses = 2.0
 	priorFailures  = 0.1
 
-	// minFailures is how many failures, the prior's among them, it takes before an endpoint may be passed over. One
-	// with less than half a failure of its own left is not.
+	// minFailures is the least number of failures, priorFailures included, from which on an endpoint may be passed over
+	// for its success ratio: its own failures, which decay, must come to at least half a failure.
 	minFailures = 0.6
 
-	// A normal variable is approximated by the sum of four uniform ones (Irwin-Hall), whose mean is uniformSumMean and
-	// whose variance is one over uniformSumPrecision.
+	// A normal variable is approximated by the sum of four uniform variables (Irwin-Hall distribution), which has the
+	// mean uniformSumMean and the variance 1/uniformSumPrecision.
 	uniformSumMean      = 2
 	uniformSumPrecision = 3
 
-	// likelyDraw stands for each draw where nothing may be drawn: it is the median.
-	likelyDraw = 0.5
+	// medianDraw is the median of a uniform draw. It replaces random draws where the random source must not advance.
+	medianDraw = 0.5
 )
 
-// outcomeCounts are attempts that succeeded, and those that failed in a way that tells of the endpoint.
+// outcomeCounts holds decaying counts of the attempts that succeeded, and of those that failed in a way that is
+// evidence against the endpoint.
 type outcomeCounts struct{ successes, failures sum }
 
-// outlierState is what speaks against an endpoint.
+// outlierState is the evidence on whether an endpoint is an outlier.
 type outlierState struct {
 	outcomes    outcomeCounts
-	silentSince int64   // when a connection failed or an attempt was overdue last, if nothing was answered since; 0
-	peerVerdict float64 // of other balancers, 0 to 1; under 0: this one has the probe lease
+	silentSince int64   // last failed connection or overdue attempt, if there was no success since; 0: none
+	peerVerdict float64 // of other balancers, 0 to 1; negative: this balancer holds the probe lease
 }
 
-// isProbe tells whether this balancer holds the probe lease for an endpoint that others eject.
+// isProbe reports whether this balancer holds the probe lease for an endpoint that the fleet has ejected.
 func (o *outlierState) isProbe() bool { return o.peerVerdict < 0 }
 
-// isOutlier draws whether an endpoint is passed over. draw returns a random number from 0 up to 1.
+// isOutlier decides at random whether an endpoint is passed over. draw returns a random number from 0 up to 1.
 func (b *Balancer) isOutlier(index int, draw func() float64) bool {
 	endpoint := &b.endpoints[index]
 	state, evidence := &endpoint.outlier, b.clock.evidence
@@ -63,15 +65,15 @@
 		return false
 	}
 	n := successes + failures
-	all := b.outcomes.successes.ValueAt(evidence) + priorSuccesses
+	fleetSuccesses := b.outcomes.successes.ValueAt(evidence) + priorSuccesses
 	deviation := draw() + draw() + draw() + draw() - uniformSumMean
-	chance := successes/n + deviation*math.Sqrt(uniformSumPrecision*successes*failures/(n+1))/n
-	return chance < successRatioFloor*all/(all+b.outcomes.failures.ValueAt(evidence)+priorFailures)
+	drawnRatio := successes/n + deviation*math.Sqrt(uniformSumPrecision*successes*failures/(n+1))/n
+	return drawnRatio < successRatioFloor*fleetSuccesses/(fleetSuccesses+b.outcomes.failures.ValueAt(evidence)+priorFailures)
 }
 
-// isUnreachable draws whether an endpoint is passed over for what tells more than an error: a connection that failed,
-// which fades over the time constant; the verdict of other balancers; a zone that stopped answering. With the probe
-// lease the outage of its zone does not keep the endpoint from being tried.
+// isUnreachable decides at random whether an endpoint is passed over on evidence that is stronger than an error: a
+// failed connection or overdue attempt, which decays with the time constant; the verdict of other balancers; an outage
+// of its zone. A zone outage does not matter for an endpoint for which this balancer holds the probe lease.
 func (b *Balancer) isUnreachable(endpoint *endpointState, draw func() float64) bool {
 	state := &endpoint.outlier
 	age := float64(b.clock.now-state.silentSince) / float64(timeConstant)
@@ -84,8 +86,8 @@
 	return !state.isProbe() && b.outages.ShouldAvoid(endpoint.zone, b.clock.now, draw())
 }
 
-// IsLikelyOutlier tells whether an endpoint is more likely to be passed over than not. It draws nothing, so that asking
-// changes no decision.
+// IsLikelyOutlier reports whether an endpoint is more likely to be passed over than not. It draws no random number, so
+// the call does not affect later decisions.
 func (b *Balancer) IsLikelyOutlier(index int) bool {
-	return b.isOutlier(index, func() float64 { return likelyDraw })
+	return b.isOutlier(index, func() float64 { return medianDraw })
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint dies and the list still shows it. Its first failed connections take nearly all of its traffic away, and
-// it is still tried now and then.
+// An endpoint dies and the endpoint list still shows it as ready. After its first failed connections it must lose
+// nearly all of its traffic, but still be tried now and then.
 func TestFailedConnectMakesOutlier(t *testing.T) {
 	h := newHarness(t, 1, 8, nil)
 	tried := 0
@@ -19,12 +19,12 @@
 		}
 	}
 	if tried > 12 || tried == 0 {
-		t.Fatalf("an endpoint that takes no connection any more got %d of 600", tried)
+		t.Fatalf("an endpoint that refuses connections was tried %d times in 600 requests, want 1 to 12", tried)
 	}
 }
 
-// An endpoint fails all it gets, and fast: it never looks busy, and would draw more traffic than the others. It gets a
-// few attempts of 300.
+// An endpoint answers every attempt with a fast error. It never looks busy, so without outlier detection it would
+// attract more traffic than the others.
 func TestFastErrorsMakeOutlier(t *testing.T) {
 	h := newHarness(t, 1, 8, nil)
 	for range 300 {
@@ -38,21 +38,21 @@
 		}
 	}
 	if h.sendCounts[3] > 20 {
-		t.Fatalf("an endpoint that only fails got %d of 300", h.sendCounts[3])
+		t.Fatalf("an endpoint that fails every attempt received %d of 300, want at most 20", h.sendCounts[3])
 	}
 }
 
-// The other balancers agree that an endpoint fails. It gets nothing, however many keys it has. The balancer that holds
-// the probe lease tries it, first among a key's candidates and though it takes it for an outlier itself: else nobody
-// would find out that the endpoint is well again.
+// The other balancers agree that an endpoint fails. It must get no attempts, however many keys it is a candidate for.
+// The balancer that holds the probe lease must prefer it among a key's candidates, even if its own observations make
+// the endpoint an outlier: otherwise no balancer would notice its recovery.
 func TestPeerVerdictEjectsAndProbes(t *testing.T) {
 	h := newHarness(t, 3, 6, nil)
 	if sends, _ := h.sendKeys(300, 1); sends[2] == 0 {
-		t.Fatal("the endpoint has no keys")
+		t.Fatal("no attempt was sent to the endpoint before its ejection")
 	}
 	h.balancer.UpdatePeerVerdict(2, 1)
 	if sends, _ := h.sendKeys(300, 1); sends[2] != 0 {
-		t.Errorf("%d attempts went to an ejected endpoint", sends[2])
+		t.Errorf("%d attempts were sent to an ejected endpoint, want none", sends[2])
 	}
 	for range 20 {
 		h.balancer.endpoints[2].outlier.outcomes.failures.Add(h.balancer.clock.evidence, 1)
@@ -61,12 +61,12 @@
 	suspected, _ := h.sendKeys(30, 1)
 	h.balancer.UpdatePeerVerdict(2, -1)
 	if probed, _ := h.sendKeys(30, 1); probed[2] < 10 || suspected[2] > probed[2]/2 {
-		t.Errorf("%d attempts while it is an outlier, %d with the probe lease", suspected[2], probed[2])
+		t.Errorf("%d attempts at the outlier without the probe lease, %d with it, want at least 10 and twice as many as without", suspected[2], probed[2])
 	}
 }
 
-// The probe of an ejected endpoint may be lost with its effect unknown. A request that may run only once is never the
-// probe; another one is.
+// The probe of an ejected endpoint may be lost with its effect unknown. A non-idempotent request must never be used as
+// the probe; other requests must be.
 func TestProbeIsNeverNonIdempotent(t *testing.T) {
 	h := newHarness(t, 9, 6, nil)
 	h.sendKeys(60, 1)
@@ -74,41 +74,42 @@
 	for key := uint64(1); key <= 200; key++ {
 		i := h.request(NonIdempotent, key, 1500*ms)
 		if h.requests[i].attempts[0].endpoint == 2 {
-			t.Fatalf("non-idempotent request %d is the probe", i)
+			t.Fatalf("non-idempotent request %d was sent as a probe", i)
 		}
 		h.endAttempt(i, 0, OK)
 	}
 	if sends, _ := h.sendKeys(60, 1); sends[2] == 0 {
-		t.Error("nothing probes it")
+		t.Error("no safe request was sent as a probe")
 	}
 }
 
-// The chance that an endpoint is passed over, by what speaks against it: its failures against those of all, a failed
-// connection that fades, the verdict of the other balancers. Each draw is set here, so that the chances stand by
-// themselves. An endpoint of which little is known, or for which the probe lease is held, is not passed over.
+// The probability that an endpoint is passed over must follow from its failures relative to those of all endpoints,
+// from the age of a failed connection, and from the verdict of the other balancers. All draws are fixed here, so that
+// the probabilities can be checked exactly. An endpoint with too few failures, or with the probe lease held by this
+// balancer, must not be passed over for its failures.
 func TestIsOutlierFollowsEvidence(t *testing.T) {
 	const index = 1
 	for name, c := range map[string]struct {
 		prepare func(b *Balancer, state *outlierState)
-		draw    float64 // each one
+		draw    float64 // result of every draw
 		want    bool
 	}{
-		"nothing known": {func(*Balancer, *outlierState) {}, 0, false},
-		"half a failure": {func(_ *Balancer, s *outlierState) {
+		"no observations": {func(*Balancer, *outlierState) {}, 0, false},
+		"less than half a failure": {func(_ *Balancer, s *outlierState) {
 			s.outcomes.failures.Value = 0.4
 		}, 0, false},
 		"failures while others succeed": {func(b *Balancer, s *outlierState) {
 			b.outcomes.successes.Value, s.outcomes.failures.Value = 100, 20
-		}, likelyDraw, true},
+		}, medianDraw, true},
 		"failures while all fail": {func(b *Balancer, s *outlierState) {
 			b.outcomes.failures.Value, s.outcomes.failures.Value = 100, 20
-		}, likelyDraw, false},
+		}, medianDraw, false},
 		"few failures among successes": {func(b *Balancer, s *outlierState) {
 			b.outcomes.successes.Value, s.outcomes.successes.Value, s.outcomes.failures.Value = 100, 20, 2
-		}, likelyDraw, false},
+		}, medianDraw, false},
 		"failures, with the probe lease": {func(b *Balancer, s *outlierState) {
 			b.outcomes.successes.Value, s.outcomes.failures.Value, s.peerVerdict = 100, 20, -1
-		}, likelyDraw, false},
+		}, medianDraw, false},
 		"a connection just failed": {func(b *Balancer, s *outlierState) {
 			s.silentSince = b.clock.now
 		}, 0.99, true},
@@ -124,7 +125,7 @@
 		b, _ := newSnapshotBalancer(unixStart, 0, 0, 0)
 		c.prepare(b, &b.endpoints[index].outlier)
 		if got := b.isOutlier(index, func() float64 { return c.draw }); got != c.want {
-			t.Errorf("%s: an outlier %t", name, got)
+			t.Errorf("%s: isOutlier = %t, want %t", name, got, c.want)
 		}
 	}
 }
