--- a/policy/outage_test.go
+++ b/policy/outage_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// sparseTraffic is one of 279 balancers before 168 endpoints in two zones. It gets 16 requests a second, of six tenants
-// that are all within their quotas.
+// sparseTraffic simulates one of 279 balancers with 168 endpoints in two zones. It receives 16 requests per second, by
+// default of six tenants that are all within their quotas.
 type sparseTraffic struct {
 	*harness
 	tenants     []int
 	nextArrival int64
 }
 
-// newSparseTraffic begins with all endpoints ready. change replaces settings by their dotted names.
+// newSparseTraffic returns the simulation with all endpoints ready. change overrides settings by their dotted names.
 func newSparseTraffic(t *testing.T, seed uint64, change map[string]any) *sparseTraffic {
 	values := map[string]any{"balancers": 279.0, "allowed.secondCopies": true, "allowed.mostTrips": 3.0, "zones": 2.0,
 		"zones.0": "a", "zones.1": "b", "zone": "b", "tenants": 6.0, "workloads.0.expectedTime": 300.0, "workloads.0.tardyValue": 0.0}
@@ -29,7 +29,7 @@
 	return f
 }
 
-// tenant draws a request's tenant; -1 where there are none.
+// tenant draws the tenant of a request, or returns -1 if there are no tenants.
 func (f *sparseTraffic) tenant() int {
 	if len(f.tenants) == 0 {
 		return -1
@@ -37,12 +37,12 @@
 	return f.tenants[f.balancer.random.intN(len(f.tenants))]
 }
 
-// play sends requests for a time. answers tells how an attempt at an endpoint ends and when. It returns how many
-// requests came and how many of them were answered within the objective.
-func (f *sparseTraffic) play(span int64, answers func(endpoint int, sentAt int64) (Outcome, int64)) (came, served int) {
+// run sends requests for a duration. answers returns the outcome of an attempt at an endpoint and the time of its end.
+// run returns the number of requests and how many of them were answered within the objective.
+func (f *sparseTraffic) run(duration int64, answers func(endpoint int, sentAt int64) (Outcome, int64)) (total, served int) {
 	first := len(f.requests)
 	inTime := map[int]bool{}
-	for end := f.now + span; f.now < end; f.advance(ms) {
+	for end := f.now + duration; f.now < end; f.advance(ms) {
 		if f.now >= f.nextArrival {
 			f.nextArrival += 20*ms + int64(f.balancer.random.intN(int(85*ms)))
 			f.requests = append(f.requests, testRequest{isOpen: true, clientGoneAt: f.now + 600*ms})
@@ -61,18 +61,19 @@
 		}
 	}
 	for i := first; i < len(f.requests); i++ {
-		came++
+		total++
 		if inTime[i] {
 			served++
 		}
 	}
-	return came, served
+	return total, served
 }
 
-// healthy is an endpoint that answers.
+// healthy is the behaviour of an endpoint that answers.
 func healthy(_ int, sentAt int64) (Outcome, int64) { return OK, sentAt + 45*ms }
 
-// lostZone refuses connections at one half of the first zone's endpoints and never answers at the others.
+// lostZone is the behaviour of endpoints while the first zone is lost: half of its endpoints fail connections, and the
+// other half never answer.
 func lostZone(endpoint int, sentAt int64) (Outcome, int64) {
 	switch {
 	case endpoint%2 == 1:
@@ -83,37 +84,38 @@
 	return TimedOut, sentAt + 600*ms
 }
 
-// A zone is lost, and the balancer sees so little traffic that finding out each of its 84 endpoints would take minutes.
-// It detects the zone as one: most requests are served by the other zone meanwhile, and all once it is back.
+// A zone is lost, and the balancer has so little traffic that detecting each of its 84 endpoints by itself would take
+// minutes. The loss must be detected for the zone as a whole: the other zone must serve most requests during the
+// outage, and nearly all requests must be served after it.
 func TestLostZoneIsDetectedAsOne(t *testing.T) {
 	for _, change := range []map[string]any{nil, {"allowed.secondCopies": false}, {"tenants": 0.0}} {
-		came, served, after, servedAfter := 0, 0, 0, 0
+		total, served, totalAfter, servedAfter := 0, 0, 0, 0
 		for seed := range uint64(6) {
 			f := newSparseTraffic(t, seed, change)
-			f.play(10*second, healthy)
-			n, ok := f.play(5*second, lostZone)
-			came, served = came+n, served+ok
-			f.play(4*second, healthy)
-			n, ok = f.play(6*second, healthy)
-			after, servedAfter = after+n, servedAfter+ok
+			f.run(10*second, healthy)
+			n, ok := f.run(5*second, lostZone)
+			total, served = total+n, served+ok
+			f.run(4*second, healthy)
+			n, ok = f.run(6*second, healthy)
+			totalAfter, servedAfter = totalAfter+n, servedAfter+ok
 		}
-		if share := float64(served) / float64(came); share < 0.85 {
-			t.Errorf("%v: %.3f of %d served while a zone is lost", change, share, came)
+		if share := float64(served) / float64(total); share < 0.85 {
+			t.Errorf("settings %v: share of %d requests served while a zone was lost = %.3f, want at least 0.85", change, total, share)
 		}
-		if share := float64(servedAfter) / float64(after); share < 0.97 {
-			t.Errorf("%v: %.3f of %d served once it is back", change, share, after)
+		if share := float64(servedAfter) / float64(totalAfter); share < 0.97 {
+			t.Errorf("settings %v: share of %d requests served after the outage = %.3f, want at least 0.97", change, totalAfter, share)
 		}
 	}
 }
 
-// All is well and there is little traffic. Counts are small and vary by chance, which must not look like overload or an
-// exceeded quota: requests of tenants within their quotas are served.
+// There is little traffic and all endpoints are healthy. Small counts vary at random, which must not be taken for
+// overload or an exceeded quota: requests of tenants within their quotas must be served.
 func TestSparseTrafficIsServed(t *testing.T) {
 	for seed := range uint64(4) {
 		f := newSparseTraffic(t, seed, nil)
-		f.play(3*second, healthy)
-		if came, served := f.play(20*second, healthy); float64(served) < 0.97*float64(came) {
-			t.Errorf("seed %d: %d of %d served: %v", seed, served, came, f.reasons)
+		f.run(3*second, healthy)
+		if total, served := f.run(20*second, healthy); float64(served) < 0.97*float64(total) {
+			t.Errorf("seed %d: %d of %d requests served, want at least 97%%; rejections by reason: %v", seed, served, total, f.reasons)
 		}
 	}
 }
