--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -94,7 +94,7 @@
 }
 
 // hasSlowStartBudget reports whether a warming endpoint may be sent a request now. If the bucket holds less than one
-// token, the fraction is the probability of a yes. It is drawn once at each time, and spent whatever the result.
+// token, the fraction is the probability that it may; it is drawn once at each time, and spent whatever the result.
 func (b *Balancer) hasSlowStartBudget(now int64, index int) bool {
 	state := &b.endpoints[index].slowStart
 	if state.updatedAt < now && b.refillSlowStart(now, index) < 1 {
