--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -139,8 +139,8 @@
 		if !isAnnounced || a.Incarnation == old || now-a.at > joinWindowHeartbeats*r.heartbeatInterval() {
 			continue
 		}
-		quietSince := max(r.peers.lastHeard[old], r.leader.since, r.leader.memberChangeAt)
-		if now-quietSince < int64(r.timing.GranterTimeout()) {
+		unchangedSince := max(r.peers.lastHeard[old], r.leader.since, r.leader.memberChangeAt)
+		if now-unchangedSince < int64(r.timing.GranterTimeout()) {
 			continue
 		}
 		changes := []*pb.ConfChangeSingle{{Type: pb.ConfChangeAddNode.Enum(), NodeId: new(a.Incarnation)}}
@@ -168,6 +168,6 @@
 		maps.Copy(r.state.Voters, voters)
 		r.peers.addVoters(r.state.Voters)
 	}
-	r.log.conf = r.node.ApplyConfChange(change)
-	r.log.compactSoon() // One that joins is sent a snapshot, and takes none that it is not in.
+	r.log.confState = r.node.ApplyConfChange(change)
+	r.log.forceCompaction() // One that joins is sent a snapshot, and takes none that it is not in.
 }
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -86,8 +86,8 @@
 	checkGolden(t, "traces.golden", []byte(strings.Join(lines, "")))
 }
 
-// examples are messages and records of every kind, each field filled.
-func examples() (names []string, packed map[string][]byte) {
+// encodingExamples are messages and records of every kind, each field filled.
+func encodingExamples() (names []string, packed map[string][]byte) {
 	digest, source, from := "d2", "127.0.0.1:7", uint64(9)
 	change := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a",
 		"b"}, UnejectEndpoints: []string{"c"},
@@ -142,7 +142,7 @@
 // While a fleet is upgraded, processes of two builds speak to each other, and a new build reads what an old one
 // stored: the bytes stay.
 func TestGoldenBytes(t *testing.T) {
-	names, packed := examples()
+	names, packed := encodingExamples()
 	var lines []byte
 	for _, name := range names {
 		lines = fmt.Appendf(lines, "%s: %x\n", name, packed[name])
--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -8,8 +8,8 @@
 // maxMessageBytes bounds a message: all active revisions and what is pending fit.
 const maxMessageBytes = 2 << 20
 
-// errNotMessage refuses bytes that no process of a fleet sends.
-var errNotMessage = errors.New("not a message of the fleet")
+// errInvalidMessage refuses bytes that no process of a fleet sends.
+var errInvalidMessage = errors.New("not a message of the fleet")
 
 // Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its
 // own process.
@@ -95,24 +95,24 @@
 func UnmarshalMessage(bytes []byte) (*Message, error) {
 	m := &Message{}
 	if len(bytes) > maxMessageBytes {
-		return nil, errNotMessage
+		return nil, errInvalidMessage
 	}
 	if err := strictDecoding.Unmarshal(bytes, m); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotMessage, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidMessage, err)
 	}
-	if m.contents() != 1 || m.From == "" || len(m.From) > maxNameBytes {
-		return nil, errNotMessage
+	if m.payloadCount() != 1 || m.From == "" || len(m.From) > maxNameBytes {
+		return nil, errInvalidMessage
 	}
 	if m.Proposal != nil {
 		if err := m.Proposal.Validate(); err != nil {
-			return nil, fmt.Errorf("%w: %w", errNotMessage, err)
+			return nil, fmt.Errorf("%w: %w", errInvalidMessage, err)
 		}
 	}
 	return m, nil
 }
 
-// contents is how many of the fields that a message has one of are there.
-func (m *Message) contents() (n int) {
+// payloadCount is how many of the fields that a message has one of are there.
+func (m *Message) payloadCount() (n int) {
 	for _, isPresent := range []bool{
 		len(m.Raft) > 0,
 		m.LeaseRequest != nil,
--- a/consensus/raftlog.go
+++ b/consensus/raftlog.go
@@ -24,10 +24,10 @@
 	maxLogBytes   = 4 << 20
 )
 
-// errNotRecord and errNotSnapshot say that a record, or what a peer sent, is not what a replica writes.
+// errInvalidRecord and errInvalidSnapshot say that a record, or what a peer sent, is not what a replica writes.
 var (
-	errNotRecord   = errors.New("not a record of a replica")
-	errNotSnapshot = errors.New("not a snapshot of the replicated state")
+	errInvalidRecord   = errors.New("not a record of a replica")
+	errInvalidSnapshot = errors.New("not a snapshot of the replicated state")
 )
 
 // record is what a replica stores. One field is there; the first record of a log has the incarnation.
@@ -40,18 +40,18 @@
 
 // raftLog is raft's log in memory and the records that make it last.
 type raftLog struct {
-	storage Storage
-	entries *raft.MemoryStorage
-	conf    *pb.ConfState // the voters, by incarnation
-	hard    *pb.HardState // term, vote and commit index as they were written last
-	applied uint64        // index of the last entry that the state has
+	storage   Storage
+	entries   *raft.MemoryStorage
+	confState *pb.ConfState // the voters, by incarnation
+	hardState *pb.HardState // term, vote and commit index as they were written last
+	applied   uint64        // index of the last entry that the state has
 
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 }
 
 func newRaftLog(storage Storage) raftLog {
-	return raftLog{storage: storage, entries: raft.NewMemoryStorage(), hard: &pb.HardState{}, conf: &pb.ConfState{}}
+	return raftLog{storage: storage, entries: raft.NewMemoryStorage(), hardState: &pb.HardState{}, confState: &pb.ConfState{}}
 }
 
 // load takes up the records that a storage has, and tells whether there was more than an incarnation. The state is
@@ -60,7 +60,7 @@
 	for n, bytes := range records {
 		var rec record
 		if err := strictDecoding.Unmarshal(bytes, &rec); err != nil || n == 0 && rec.Incarnation == 0 {
-			return false, fmt.Errorf("replica log, record %d: %w", n, errNotRecord)
+			return false, fmt.Errorf("replica log, record %d: %w", n, errInvalidRecord)
 		}
 		if n == 0 {
 			r.incarnation = rec.Incarnation
@@ -73,7 +73,7 @@
 		hasState = hasState || isState
 	}
 	if hasState {
-		r.log.setHardState(r.log.hard)
+		r.log.setHardState(r.log.hardState)
 	}
 	return hasState, nil
 }
@@ -86,7 +86,7 @@
 		if err := proto.Unmarshal(rec.HardState, hard); err != nil {
 			return false, fmt.Errorf("hard state: %w", err)
 		}
-		r.log.hard = hard
+		r.log.hardState = hard
 	case rec.Entry != nil:
 		e := &pb.Entry{}
 		if err := proto.Unmarshal(rec.Entry, e); err != nil {
@@ -114,13 +114,13 @@
 func (r *Replica) restore(snapshot *pb.Snapshot) error {
 	state, err := unmarshalState(snapshot.GetData())
 	if err != nil || !state.isConsistent() {
-		return errNotSnapshot
+		return errInvalidSnapshot
 	}
 	if err := r.log.entries.ApplySnapshot(snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return fmt.Errorf("apply snapshot: %w", err)
 	}
 	r.state = state
-	r.log.applied, r.log.conf = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetConfState()
+	r.log.applied, r.log.confState = snapshot.GetMetadata().GetIndex(), snapshot.GetMetadata().GetConfState()
 	r.log.entriesSinceSnapshot = 0
 	r.peers.addVoters(r.state.Voters)
 	return nil
@@ -133,7 +133,7 @@
 
 // writeBootstrap writes the snapshot with which a history begins.
 func (l *raftLog) writeBootstrap(snapshot *pb.Snapshot, hard *pb.HardState) error {
-	l.hard = hard
+	l.hardState = hard
 	return l.storage.Append([][]byte{
 		encode(record{Snapshot: marshalProto(snapshot)}),
 		encode(record{HardState: marshalProto(hard)}),
@@ -151,7 +151,7 @@
 	}
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 		records = append(records, encode(record{HardState: marshalProto(ready.HardState)}))
-		l.hard = ready.HardState
+		l.hardState = ready.HardState
 	}
 	if len(records) == 0 {
 		return nil
@@ -169,50 +169,50 @@
 		l.bytesSinceSnapshot += len(e.GetData())
 	}
 	if ready.HardState != nil {
-		l.setHardState(l.hard)
+		l.setHardState(l.hardState)
 	}
 	return nil
 }
 
 func (l *raftLog) setHardState(hard *pb.HardState) {
-	l.hard = hard
+	l.hardState = hard
 	_ = l.entries.SetHardState(hard) // In memory: it returns no error.
 }
 
-// compactSoon has the next compactLog write a snapshot, however short the log is.
-func (l *raftLog) compactSoon() { l.entriesSinceSnapshot = maxLogEntries }
+// forceCompaction has the next compactLog write a snapshot, however short the log is.
+func (l *raftLog) forceCompaction() { l.entriesSinceSnapshot = maxLogEntries }
 
-func (l *raftLog) isLong() bool {
+func (l *raftLog) needsCompaction() bool {
 	return l.entriesSinceSnapshot >= maxLogEntries || l.bytesSinceSnapshot >= maxLogBytes
 }
 
 // compactLog puts a snapshot of the state in the place of a long log, in memory and in storage.
 func (r *Replica) compactLog() error {
 	l := &r.log
-	if !l.isLong() || l.applied == 0 {
+	if !l.needsCompaction() || l.applied == 0 {
 		return nil
 	}
 	l.entriesSinceSnapshot, l.bytesSinceSnapshot = 0, 0
-	snapshot, err := l.entries.CreateSnapshot(l.applied, l.conf, r.state.marshal())
+	snapshot, err := l.entries.CreateSnapshot(l.applied, l.confState, r.state.marshal())
 	if err != nil {
 		return nil // There is one of this index already.
 	}
 	_ = l.entries.Compact(l.applied) // It fails only where the log is that short already.
 	records := [][]byte{encode(record{Incarnation: r.incarnation}), encode(record{Snapshot: marshalProto(snapshot)})}
 	last, _ := l.entries.LastIndex()
-	if rest, err := l.entries.Entries(l.applied+1, last+1, maxLogRead); err == nil {
+	if rest, err := l.entries.Entries(l.applied+1, last+1, maxLogReadBytes); err == nil {
 		for _, e := range rest {
 			records = append(records, encode(record{Entry: marshalProto(e)}))
 		}
 	}
-	if err := l.storage.Replace(append(records, encode(record{HardState: marshalProto(l.hard)}))); err != nil {
+	if err := l.storage.Replace(append(records, encode(record{HardState: marshalProto(l.hardState)}))); err != nil {
 		return fmt.Errorf("compact replica log: %w", err)
 	}
 	return nil
 }
 
-// maxLogRead, in bytes, is no bound: all entries after a snapshot are read at once.
-const maxLogRead = 1 << 30
+// maxLogReadBytes, in bytes, is no bound: all entries after a snapshot are read at once.
+const maxLogReadBytes = 1 << 30
 
 // marshalProto is raft's own encoding, the same for the same content.
 func marshalProto(m proto.Message) []byte {
--- a/consensus/recorded_test.go
+++ b/consensus/recorded_test.go
@@ -147,7 +147,7 @@
 	revisions, minRevision := r.History()
 	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n",
 		len(records), r.incarnation, r.IsBootstrapped(), minRevision,
-		r.log.applied, marshalProto(r.log.hard), encode(r.state.Voters), encode(r.state.Unaccepted), encode(revisions))
+		r.log.applied, marshalProto(r.log.hardState), encode(r.state.Voters), encode(r.state.Unaccepted), encode(revisions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
 		var r record
 		return strictDecoding.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
--- a/consensus/replica.go
+++ b/consensus/replica.go
@@ -226,9 +226,9 @@
 }
 
 // stepRaft hands a message of another replica to raft.
-func (r *Replica) stepRaft(now int64, packed []byte) {
+func (r *Replica) stepRaft(now int64, data []byte) {
 	m := &pb.Message{}
-	if proto.Unmarshal(packed, m) != nil || m.GetTo() != r.incarnation || raft.IsLocalMsg(m.GetType()) {
+	if proto.Unmarshal(data, m) != nil || m.GetTo() != r.incarnation || raft.IsLocalMsg(m.GetType()) {
 		return
 	}
 	r.peers.recordHeard(now, m.GetFrom())
@@ -281,7 +281,7 @@
 // persistReady writes the hard state, entries and snapshot that raft has ready, and takes them up.
 func (r *Replica) persistReady(now int64, ready *raft.Ready) error {
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
-		if vote := ready.GetVote(); vote != r.log.hard.GetVote() && vote != r.incarnation {
+		if vote := ready.GetVote(); vote != r.log.hardState.GetVote() && vote != r.incarnation {
 			r.resetElectionTimer(now) // It voted for another, which gets its time.
 		}
 		r.term = ready.HardState.GetTerm()
@@ -314,10 +314,10 @@
 }
 
 // setLeadership takes up what raft says of who leads.
-func (r *Replica) setLeadership(now int64, leads bool) {
+func (r *Replica) setLeadership(now int64, isLeading bool) {
 	switch {
-	case leads == r.IsLeader():
-	case leads:
+	case isLeading == r.IsLeader():
+	case isLeading:
 		r.becomeLeader(now)
 	default:
 		r.becomeFollower()
@@ -361,17 +361,17 @@
 	if len(e.GetData()) == 0 || strictDecoding.Unmarshal(e.GetData(), &c) != nil {
 		return
 	}
-	isOwn := r.IsLeader() && e.GetTerm() == r.term // This replica wrote it, in the term in which it still leads.
+	isOwnEntry := r.IsLeader() && e.GetTerm() == r.term // This replica wrote it, in the term in which it still leads.
 	switch {
 	case c.Propose != nil:
-		r.applyProposal(now, c.Propose, e.GetTerm(), isOwn)
+		r.applyProposal(now, c.Propose, e.GetTerm(), isOwnEntry)
 	case c.Accept != "":
-		r.applyAcceptance(c.Accept, isOwn)
+		r.applyAcceptance(c.Accept, isOwnEntry)
 	case c.Withdraw != "":
 		r.state.withdraw(c.Withdraw)
 	case c.MinRevision != 0:
 		r.state.MinRevision = max(r.state.MinRevision, min(c.MinRevision, r.state.latest().Number))
-		if isOwn {
+		if isOwnEntry {
 			r.notifyHolders()
 		}
 	}
--- a/consensus/statemachine.go
+++ b/consensus/statemachine.go
@@ -15,15 +15,15 @@
 	maxActiveRevisions = 1024
 	maxActiveBytes     = 960 << 10
 	maxActiveNames     = 640 << 10
-	// maxPlainStateBytes is up to which size a state is written in the form that builds before deltas read, so that a
+	// maxFullHistoryStateBytes is up to which size a state is written in the form that builds before deltas read, so that a
 	// fleet can go back.
-	maxPlainStateBytes = 512 << 10
+	maxFullHistoryStateBytes = 512 << 10
 	// minNameBytes is what the shortest name takes, encoded.
 	minNameBytes = 3
 )
 
-// errNotProposed refuses the acceptance of a proposal that is not among those written in this term.
-var errNotProposed = errors.New("not among what was written")
+// errUnknownProposal refuses the acceptance of a proposal that is not among those written in this term.
+var errUnknownProposal = errors.New("not among what was written")
 
 // replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock,
 // on chance or on the order of a map.
@@ -53,8 +53,8 @@
 }
 
 // initialState is what a history begins with: an empty first revision.
-func initialState(founder uint64, voters map[string]uint64) replicatedState {
-	return replicatedState{History: []Revision{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: founder}
+func initialState(bootstrapIncarnation uint64, voters map[string]uint64) replicatedState {
+	return replicatedState{History: []Revision{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: bootstrapIncarnation}
 }
 
 // isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the
@@ -70,15 +70,15 @@
 	for n := range s.History {
 		names += s.History[n].Config.nameCount()
 	}
-	if names*minNameBytes <= maxPlainStateBytes { // Else it is over the bound anyway, and encoding it would take long.
-		if bytes := encode(s); len(bytes) <= maxPlainStateBytes {
+	if names*minNameBytes <= maxFullHistoryStateBytes { // Else it is over the bound anyway, and encoding it would take long.
+		if bytes := encode(s); len(bytes) <= maxFullHistoryStateBytes {
 			return bytes
 		}
 	}
-	short := *s
-	all := newRevisionChain(s.History)
-	short.History, short.Chain = nil, &all
-	return encode(short)
+	compact := *s
+	chain := newRevisionChain(s.History)
+	compact.History, compact.Chain = nil, &chain
+	return encode(compact)
 }
 
 // unmarshalState reads either form.
@@ -127,7 +127,7 @@
 	}
 	at := slices.IndexFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Proposal.ID == id })
 	if at < 0 {
-		return 0, errNotProposed
+		return 0, errUnknownProposal
 	}
 	proposal := s.Unaccepted[at].Proposal
 	s.withdraw(id)
