--- a/consensus/doc.go
+++ b/consensus/doc.go
@@ -1,12 +1,13 @@
-// Package consensus replicates one ordered history of revisions of a small configuration that many balancers act on,
-// and grants the leases under which they do.
+// Package consensus replicates an ordered history of revisions of a small configuration that many load balancers act
+// on, and grants the leases under which they act.
 //
-// A Replica is one of the few processes whose majority decides on revisions, by raft. A LeaseHolder is in every
-// process: it asks the leader for a lease again and again and tells which configuration is in force here. What a
-// revision tightens is in force as soon as it is heard; what it loosens waits until no process is under a lease that
-// was granted without it. So no two processes under leases act on configurations that contradict each other for
-// longer than a stated time.
+// A Replica is one of the few processes that decide on revisions by majority, using raft. Every process has a
+// LeaseHolder, which renews its lease with the leader and provides the effective configuration. What a revision
+// tightens takes effect in a process as soon as it learns of the revision. What a revision loosens takes effect only
+// once no process holds a lease that was granted without that revision. Two processes with leases therefore act on
+// contradictory configurations for no longer than LeaseTiming.MaxDisagreement.
 //
-// Both are deterministic state machines without I/O: the clock, chance, the network and the storage are handed in, so
-// the same code runs on sockets and in a seeded run of a million steps. docs/design/agreement.md has the reasons.
+// Replica and LeaseHolder are deterministic state machines that do no I/O of their own: the clock, the random source,
+// the network and the storage are passed in. The same code runs on sockets and in simulations that are reproducible
+// from their seed. docs/design/agreement.md has the reasons for the design.
 package consensus
--- a/consensus/timing.go
+++ b/consensus/timing.go
@@ -2,6 +2,6 @@
 
 import "hollylever/fleetconfig"
 
-// LeaseTiming is the stated length of a lease and the bounds that follow from it. All processes of a fleet have the
-// same.
+// LeaseTiming holds the lease duration and the bounds that follow from it. All processes of a fleet use the same
+// values.
 type LeaseTiming = fleetconfig.LeaseTiming
