--- a/consensus/config.go
+++ b/consensus/config.go
@@ -6,33 +6,33 @@
 	"maps"
 )
 
-// Bounds of a configuration: 1,024 hosts and 1,024 zones with names as long as may be fit. All active revisions go
-// into one message.
+// Bounds of a configuration. 1,024 endpoints and 1,024 zones with names of the maximum length fit. All active
+// revisions together have to fit into one message.
 const (
-	maxNames       = 4096      // hosts; zones
-	maxLimits      = 4096      // stated limits
-	maxNameBytes   = 256       // of a name or a text
-	maxConfigBytes = 640 << 10 // of a configuration
+	maxNames       = 4096      // ejected endpoints, and also evacuated zones
+	maxLimits      = 4096      // limits
+	maxNameBytes   = 256       // per name or text
+	maxConfigBytes = 640 << 10 // per encoded configuration
 )
 
-// ReplicatedConfig is what all processes of a fleet agree on. Slices and maps are shared between revisions and are
-// never changed in place.
+// ReplicatedConfig is the configuration that all processes of a fleet agree on. Revisions share its slices and maps,
+// which are therefore never modified in place.
 type ReplicatedConfig struct {
-	// EjectedEndpoints are the hosts that operators ejected, sorted.
+	// EjectedEndpoints are the endpoints that operators ejected, sorted.
 	EjectedEndpoints []string `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
-	// Limits are stated bounds by name, such as a tenant's quota.
+	// Limits maps the names of limits, such as a tenant's quota, to their values.
 	Limits map[string]int64 `cbor:"2,keyasint,omitempty" json:"limits,omitempty"`
-	// SettingsDigest is that of the settings file in force.
+	// SettingsDigest is the digest of the settings file in effect.
 	SettingsDigest string `cbor:"3,keyasint,omitempty" json:"settings_digest,omitempty"`
-	// DiscoverySource is the address of the discovery whose endpoint list counts.
+	// DiscoverySource is the address of the discovery service whose endpoint lists are used.
 	DiscoverySource string `cbor:"4,keyasint,omitempty" json:"list_of,omitempty"`
-	// MinListIndex is the index from which on lists of that discovery count.
+	// MinListIndex is the lowest index of an endpoint list from that service that is used.
 	MinListIndex uint64 `cbor:"5,keyasint,omitempty" json:"list_from,omitempty"`
 	// EvacuatedZones are the evacuated zones, sorted.
 	EvacuatedZones []string `cbor:"6,keyasint,omitempty" json:"zones_left,omitempty"`
 }
 
-// nameCount is how many names a configuration has: what it takes in memory follows from that.
+// nameCount returns the number of names in the configuration, on which its memory use depends.
 func (c *ReplicatedConfig) nameCount() int {
 	return len(c.EjectedEndpoints) + len(c.EvacuatedZones) + len(c.Limits)
 }
@@ -41,45 +41,47 @@
 	return len(c.EjectedEndpoints) <= maxNames && len(c.EvacuatedZones) <= maxNames && len(c.Limits) <= maxLimits
 }
 
-// Revision is one place of the history.
+// Revision is one entry of the history.
 type Revision struct {
-	// Number counts revisions from 1.
+	// Number is the position in the history, from 1.
 	Number uint64 `cbor:"1,keyasint" json:"version"`
-	// ProposalID is that of the proposal that made it; empty for the first.
+	// ProposalID is the ID of the proposal that became this revision; empty for the first revision.
 	ProposalID string `cbor:"2,keyasint,omitempty" json:"id,omitempty"`
-	// Author is who proposed it, and Reason the reason that was given.
+	// Author is who proposed the revision, and Reason is the reason that they gave.
 	Author string `cbor:"3,keyasint,omitempty" json:"by,omitempty"`
 	Reason string `cbor:"4,keyasint,omitempty" json:"why,omitempty"`
-	// Config is the whole configuration as of this revision.
+	// Config is the complete configuration as of this revision.
 	Config ReplicatedConfig `cbor:"5,keyasint" json:"document"`
 
-	delta      *Proposal // what it changed against the one before, where that is known
-	deltaBytes int       // of delta, encoded
+	delta      *Proposal // the changes from the previous revision; nil if unknown
+	deltaBytes int       // encoded size of delta
 }
 
-// digestLength, in hexadecimal digits, is enough that two revisions of one number do not share a digest by chance.
+// digestLength is the number of hexadecimal digits in a digest: enough that two different revisions with the same
+// number do not get the same digest by chance.
 const digestLength = 16
 
-// Digest tells a revision from every other that could have its number.
+// Digest returns a hash of the revision, which distinguishes it from other revisions with the same number.
 func (r Revision) Digest() string {
 	return fmt.Sprintf("%x", sha256.Sum256(encode(r)))[:digestLength]
 }
 
-// EffectiveConfig is what a process acts on: the strictest of the revisions that are in force here.
+// EffectiveConfig is the configuration that a process acts on: the strictest configuration of the revisions that are
+// active in this process.
 type EffectiveConfig struct {
-	// MinRevision and LatestRevision are the first and the last of these revisions; 0: none is known.
+	// MinRevision and LatestRevision are the first and the last of these revisions; 0 if none is known.
 	MinRevision    uint64 `json:"Floor"`
 	LatestRevision uint64 `json:"Latest"`
-	// IsLeased tells whether the process is under a lease. Without one it acts alone, on what it knows.
+	// IsLeased reports whether the process holds a lease. Without one, it acts on the revisions that it last knew.
 	IsLeased bool `json:"Leased"`
-	// BudgetShare is this process's share of the fleet's budgets, 0 to 1; 0: they are not divided.
+	// BudgetShare is this process's share of the fleet's budgets, from 0 to 1; 0 if budgets are not divided.
 	BudgetShare float64 `json:"Part"`
 
 	ReplicatedConfig
 }
 
-// strictest puts revisions in a row together: what any of them forbids is forbidden, and what is neither stricter nor
-// looser is as the first has it.
+// strictest returns the strictest configuration of consecutive revisions: whatever any of them forbids is forbidden.
+// Values that are neither stricter nor looser than others come from the first revision.
 func strictest(revisions []Revision) ReplicatedConfig {
 	if len(revisions) == 0 {
 		return ReplicatedConfig{}
@@ -93,8 +95,8 @@
 	return config.tightenedBy(revisions)
 }
 
-// tightenedBy is a configuration with all that later revisions make stricter: more ejected hosts and evacuated zones,
-// lower limits, a higher first index of lists.
+// tightenedBy returns the configuration with everything that the revisions make stricter: more ejected endpoints and
+// evacuated zones, lower limits, and a higher min list index.
 func (c ReplicatedConfig) tightenedBy(revisions []Revision) ReplicatedConfig {
 	limits := map[string]int64{}
 	maps.Copy(limits, c.Limits)
@@ -105,7 +107,7 @@
 		c.EvacuatedZones = union(c.EvacuatedZones, later.EvacuatedZones)
 		c.MinListIndex = max(c.MinListIndex, later.MinListIndex)
 		for name, limit := range later.Limits {
-			if current, isStated := c.Limits[name]; !isStated || limit < current {
+			if current, exists := c.Limits[name]; !exists || limit < current {
 				c.Limits[name] = limit
 			}
 		}
