--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -5,103 +5,105 @@
 	"fmt"
 )
 
-// maxMessageBytes bounds a message: all active revisions and what is pending fit.
+// maxMessageBytes bounds an encoded message. All active revisions and the pending proposals fit into one message.
 const maxMessageBytes = 2 << 20
 
-// errInvalidMessage refuses bytes that no process of a fleet sends.
-var errInvalidMessage = errors.New("not a message of the fleet")
+// errInvalidMessage is returned for bytes that no process of a fleet sends.
+var errInvalidMessage = errors.New("invalid fleet message")
 
-// Sender carries a message to a process by its name, or loses it. It does not block; it may be given the name of its
-// own process.
+// Sender sends a message to the process with the given name, which may be this process itself. It does not block, and
+// the message may be lost.
 type Sender interface{ Send(to string, m *Message) }
 
-// Message is what processes tell each other. One of the fields is there, besides From and Ticket.
+// Message is a message between two processes. Exactly one field is set besides From and Ticket.
 type Message struct {
-	From           string          `cbor:"1,keyasint"`           // the name of the process that sent it
-	Raft           []byte          `cbor:"2,keyasint,omitempty"` // between replicas
-	LeaseRequest   *LeaseRequest   `cbor:"3,keyasint,omitempty"` // a lease holder to a replica
-	LeaseResponse  *LeaseResponse  `cbor:"4,keyasint,omitempty"` // and back
-	Announcement   *Announcement   `cbor:"5,keyasint,omitempty"` // a replica to the others
-	Proposal       *Proposal       `cbor:"6,keyasint,omitempty"` // a proposer to a replica
-	ProposalResult *ProposalResult `cbor:"7,keyasint,omitempty"` // and back
-	Ticket         *ProposalTicket `cbor:"8,keyasint,omitempty"` // of a proposal
+	From           string          `cbor:"1,keyasint"`           // name of the sending process
+	Raft           []byte          `cbor:"2,keyasint,omitempty"` // a raft message between replicas
+	LeaseRequest   *LeaseRequest   `cbor:"3,keyasint,omitempty"` // from a lease holder to a replica
+	LeaseResponse  *LeaseResponse  `cbor:"4,keyasint,omitempty"` // from a replica to a lease holder
+	Announcement   *Announcement   `cbor:"5,keyasint,omitempty"` // from a replica to the other replicas
+	Proposal       *Proposal       `cbor:"6,keyasint,omitempty"` // from a proposer to a replica
+	ProposalResult *ProposalResult `cbor:"7,keyasint,omitempty"` // from a replica to a proposer
+	Ticket         *ProposalTicket `cbor:"8,keyasint,omitempty"` // the ticket of Proposal; nil if it has none yet
 }
 
-// ProposalTicket lets a proposal be written: by the leader that issued it, in the same term, for as long as an answer
-// to it is owed.
+// ProposalTicket permits a proposal to be written to the log. Only the leader that issued the ticket accepts it, in the
+// same term, and only for as long as a proposer waits for the result.
 type ProposalTicket struct {
 	Term     uint64 `cbor:"1,keyasint"`
-	IssuedAt int64  `cbor:"2,keyasint"` // nanoseconds of the leader's clock
+	IssuedAt int64  `cbor:"2,keyasint"` // nanoseconds on the leader's clock
 }
 
 // LeaseRequest asks for a lease.
 type LeaseRequest struct {
-	// Seq counts the requests of this holder, from 1.
+	// Seq is the sequence number among the requests of this holder, from 1.
 	Seq uint64 `cbor:"1,keyasint"`
-	// Incarnation is that of the process: it may have come back under the same name.
+	// Incarnation distinguishes this process from earlier ones with the same name.
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// KnownRevision and MinRevision are the latest and the min revision that it knows; 0: none.
+	// KnownRevision and MinRevision are the latest revision and the min revision that the holder knows; 0 if none.
 	KnownRevision uint64 `cbor:"3,keyasint"`
 	MinRevision   uint64 `cbor:"4,keyasint"`
-	// ShareSeq is the request for which the budget share was granted that it acts on; 0: none.
+	// ShareSeq is the Seq of the request that was granted the budget share that the holder now uses; 0 if none.
 	ShareSeq uint64 `cbor:"5,keyasint,omitempty"`
-	// RequestRate is how many requests a second come to it from clients.
+	// RequestRate is how many requests per second the process receives from clients.
 	RequestRate float64 `cbor:"6,keyasint,omitempty"`
-	// AcceptsDeltas tells that it takes deltas in place of whole revisions; builds before deltas do not.
+	// AcceptsDeltas reports whether the holder accepts deltas in place of full revisions. Builds without delta
+	// support do not.
 	AcceptsDeltas bool `cbor:"7,keyasint,omitempty"`
 }
 
-// LeaseResponse is a lease if Seq is not 0; else it only tells later revisions, or who leads.
+// LeaseResponse grants a lease if Seq is not 0. Otherwise, it only carries later revisions or the name of the leader.
 type LeaseResponse struct {
-	// Seq is that of the request.
+	// Seq is the Seq of the request that is granted.
 	Seq uint64 `cbor:"1,keyasint,omitempty"`
-	// Leader is who leads, by its name.
+	// Leader is the name of the leader.
 	Leader string `cbor:"2,keyasint,omitempty"`
-	// MinRevision is the revision under which, or a later one, all leases are.
+	// MinRevision is the min revision: all leases are under this revision or a later one.
 	MinRevision uint64 `cbor:"3,keyasint,omitempty"`
-	// Revisions are those from the min revision on that the holder lacks.
+	// Revisions are the revisions from the min revision on that the holder does not have.
 	Revisions []Revision `cbor:"4,keyasint,omitempty"`
-	// HistoryID tells histories apart: a fleet that lost one begins another.
+	// HistoryID identifies the history. A fleet that lost its history starts another one, with another ID.
 	HistoryID uint64 `cbor:"5,keyasint,omitempty"`
-	// BudgetShare is the holder's share of the fleet's budgets, 0 to 1, for as long as the lease; 0: they are not
-	// divided.
+	// BudgetShare is the holder's share of the fleet's budgets, from 0 to 1, for the duration of the lease; 0 if
+	// budgets are not divided.
 	BudgetShare float64 `cbor:"6,keyasint,omitempty"`
-	// Deltas are what later revisions changed, one after the other. The first of them follows the last of Revisions
-	// or, where there is none, the revision BaseRevision, which the holder said that it knows.
+	// Deltas are the changes of later revisions, in order. The first delta applies to the last of Revisions or, if
+	// Revisions is empty, to the revision numbered BaseRevision, which the holder knows according to its request.
 	Deltas       []Proposal `cbor:"7,keyasint,omitempty"`
 	BaseRevision uint64     `cbor:"8,keyasint,omitempty"`
 }
 
-// Announcement tells what a replica has: the incarnation of its state, and the voters that it knows of.
+// Announcement is sent by a replica to announce the incarnation of its state and the voters that it knows.
 type Announcement struct {
 	Incarnation uint64            `cbor:"1,keyasint"`
-	Voters      map[string]uint64 `cbor:"2,keyasint,omitempty"` // incarnations by name; none: it knows no history
-	IsBootstrap bool              `cbor:"3,keyasint,omitempty"` // no build sets it; the key stays taken
+	Voters      map[string]uint64 `cbor:"2,keyasint,omitempty"` // incarnations by name; empty if it knows no history
+	IsBootstrap bool              `cbor:"3,keyasint,omitempty"` // set by no build; its key must not be reused
 }
 
-// ProposalResult is what became of a proposal.
+// ProposalResult is the result of a proposal or, if Ticket is set, the request to send the proposal again with that
+// ticket. If it is not final, the proposal may still become a revision: the history shows whether it did.
 type ProposalResult struct {
 	ID       string          `cbor:"1,keyasint"`
-	Revision uint64          `cbor:"2,keyasint,omitempty"` // its revision, if it was accepted
-	Reason   string          `cbor:"3,keyasint,omitempty"` // why not
-	IsFinal  bool            `cbor:"4,keyasint,omitempty"` // false: it may still be in force, the history tells
-	Ticket   *ProposalTicket `cbor:"5,keyasint,omitempty"` // no answer yet: send it again, with this
+	Revision uint64          `cbor:"2,keyasint,omitempty"` // the revision that the proposal became; 0 if none
+	Reason   string          `cbor:"3,keyasint,omitempty"` // why the proposal was not accepted
+	IsFinal  bool            `cbor:"4,keyasint,omitempty"` // whether the result cannot change any more
+	Ticket   *ProposalTicket `cbor:"5,keyasint,omitempty"` // nil if the proposal is not to be sent again
 }
 
-// Marshal encodes a message for UnmarshalMessage.
+// Marshal encodes the message. UnmarshalMessage decodes it.
 func (m *Message) Marshal() []byte { return encode(m) }
 
-// UnmarshalMessage takes no message that is not complete and within bounds.
+// UnmarshalMessage decodes a message. It returns an error for one that is incomplete or exceeds a bound.
 func UnmarshalMessage(bytes []byte) (*Message, error) {
 	m := &Message{}
 	if len(bytes) > maxMessageBytes {
-		return nil, errInvalidMessage
+		return nil, fmt.Errorf("%w: %d bytes, at most %d are allowed", errInvalidMessage, len(bytes), maxMessageBytes)
 	}
 	if err := strictDecoding.Unmarshal(bytes, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", errInvalidMessage, err)
 	}
-	if m.payloadCount() != 1 || m.From == "" || len(m.From) > maxNameBytes {
-		return nil, errInvalidMessage
+	if n := m.payloadCount(); n != 1 || m.From == "" || len(m.From) > maxNameBytes {
+		return nil, fmt.Errorf("%w: %d payloads, sender name of %d bytes", errInvalidMessage, n, len(m.From))
 	}
 	if m.Proposal != nil {
 		if err := m.Proposal.Validate(); err != nil {
@@ -111,7 +113,7 @@
 	return m, nil
 }
 
-// payloadCount is how many of the fields that a message has one of are there.
+// payloadCount returns how many payload fields, of which a valid message has exactly one, are set.
 func (m *Message) payloadCount() (n int) {
 	for _, isPresent := range []bool{
 		len(m.Raft) > 0,
