--- a/consensus/endpointlists.go
+++ b/consensus/endpointlists.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// EndpointListState is what a process tells of the endpoint list that it acts on.
+// EndpointListState is what a process reports about the endpoint list that it uses.
 type EndpointListState struct {
-	Name          string // of the process
-	Index, Digest uint64 // of the list
+	Name          string // name of the process
+	Index, Digest uint64 // index and digest of the list
 	Drained       []DrainedEndpoint
 }
 
-// DrainedEndpoint is a host that a list called draining or gone from an index on.
+// DrainedEndpoint is an endpoint that is draining or gone according to lists from Index on.
 type DrainedEndpoint struct {
 	Host  string
 	Index uint64
 }
 
-// ListComparison is what the lists of others tell about one's own.
+// ListComparison is the result of comparing this process's endpoint list with those of its peers.
 type ListComparison struct {
-	// DrainedEndpoints are hosts that a later list, or another under the same index, calls draining or gone; sorted.
+	// DrainedEndpoints are the endpoints that are draining or gone according to a later list, or to a different list
+	// with the same index; sorted.
 	DrainedEndpoints []string
-	// PeerAhead is a process that has a later list, and LatestIndex the highest index of these lists; empty and 0:
-	// none is later.
+	// PeerAhead is the peer with the latest list, and LatestIndex is the index of that list. They are empty and 0 if no
+	// peer has a later list than this process.
 	PeerAhead   string
 	LatestIndex uint64
-	// ConflictingPeer is a process that has another list under the same index; empty: none has.
+	// ConflictingPeer is a peer that has a different list with the same index; empty if there is none.
 	ConflictingPeer string
 }
 
-// CompareLists compares one's own list with others'. Drains beyond the own index count, and so do those of another
-// list under the same index; that a host is ready never does. A process whose discovery is late would else go on
-// sending to a host that is shutting down.
+// CompareLists compares this process's list with those of its peers. Drains after the own index are adopted, and so are
+// the drains of a different list with the same index. That an endpoint is ready is never adopted. Without the
+// comparison, a process whose discovery lags would go on sending requests to an endpoint that is shutting down.
 func CompareLists(index, digest uint64, others []EndpointListState) (c ListComparison) {
 	for _, other := range others {
 		isConflicting := other.Index == index && other.Digest != digest
@@ -53,19 +54,21 @@
 	return c
 }
 
-// rollbackWindow is how long a list of a lower index than before has to stay until it is taken for a discovery that
-// began anew: a stale replica of discovery that answers now and then is over sooner.
+// rollbackWindow is how long the index has to stay below the highest one until this is taken for a discovery service
+// that restarted its numbering. Answers that a stale discovery replica gives now and then do not last that long.
 const rollbackWindow = int64(time.Minute)
 
-// ListRollbackGuard holds one's own list against an earlier one of a higher index. A discovery that answers from a
-// stale copy would else call hosts ready that drain. The zero value is ready for use.
+// ListRollbackGuard compares the process's own list with an earlier one that had a higher index. Without it, a
+// discovery service that answers from a stale copy could present draining endpoints as ready. The zero value is ready
+// for use.
 type ListRollbackGuard struct {
 	highest         EndpointListState
-	rolledBackSince int64 // nanoseconds; 0: the list did not go back
+	rolledBackSince int64 // nanoseconds; 0 if the list is not rolled back
 }
 
-// Observe takes one's own list at a time in nanoseconds. While the list is rolled back, it gives what the list was
-// before, which counts like another process's; isNew tells that it just went back.
+// Observe records the process's own list at a time in nanoseconds. While the list is rolled back, it returns the list
+// from before the rollback, which is to be treated like a peer's list; isNew reports whether this call is the first to
+// see the rollback.
 func (g *ListRollbackGuard) Observe(now int64, list EndpointListState) (before []EndpointListState, isNew bool) {
 	switch {
 	case list.Index >= g.highest.Index || g.rolledBackSince != 0 && now-g.rolledBackSince >= rollbackWindow:
@@ -77,16 +80,16 @@
 	return []EndpointListState{g.highest}, isNew
 }
 
-// PersistentCondition tells once when a condition has held for a while, so that a log line is written for what stays
-// and not for what passes. The zero value is ready for use.
+// PersistentCondition reports once that a condition has held for some time, so that lasting conditions are logged and
+// transient ones are not. The zero value is ready for use.
 type PersistentCondition struct {
 	since      int64 // nanoseconds
 	holds      bool
 	isReported bool
 }
 
-// Observe takes whether the condition holds at a time in nanoseconds. It returns true once each time that the
-// condition has held for the window without a break.
+// Observe records whether the condition holds at a time in nanoseconds. It returns true once per uninterrupted period
+// in which the condition holds, as soon as that period has lasted for the window.
 func (c *PersistentCondition) Observe(now int64, holds bool, window time.Duration) bool {
 	if !holds || !c.holds {
 		*c = PersistentCondition{since: now, holds: holds}
