--- a/consensus/replica.go
+++ b/consensus/replica.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// heartbeatsPerLease is how often a leader is heard within the length of a lease: often enough that a follower
-	// misses several in a row before it campaigns.
+	// heartbeatsPerLease is how many heartbeats a leader sends within the duration of a lease: enough that a follower
+	// only campaigns after it has missed several in a row.
 	heartbeatsPerLease = 16
-	// electionTimeoutsPerLease makes a follower campaign after a quarter to half of a lease without a leader. That
-	// leaves holders the rest of their leases to hear of the next leader.
+	// electionTimeoutsPerLease makes a follower campaign after a quarter to half of a lease duration without a leader.
+	// Lease holders have the rest of their leases to find the next leader.
 	electionTimeoutsPerLease = 4
-	// raftElectionTicks is never reached: raft's own election timer draws from the system's chance, and no run could
-	// be repeated from its seed. electionTimer takes its place.
+	// raftElectionTicks is never reached. Raft's own election timer uses the system's random source, which would make
+	// simulations irreproducible; electionTimer replaces it.
 	raftElectionTicks = 1 << 30
-	// maxRaftMessageBytes bounds the entries in one raft message: a follower that is far behind is not sent all of
-	// them at once. A single larger entry goes alone.
+	// maxRaftMessageBytes bounds the entries in one raft message, so that a follower that is far behind is not sent
+	// all of them at once. A single entry that is larger is sent on its own.
 	maxRaftMessageBytes = 64 << 10
-	// maxRaftMessagesInFlight bounds what is sent to a follower that does not answer.
+	// maxRaftMessagesInFlight bounds how many messages are sent to a follower without an acknowledgement.
 	maxRaftMessagesInFlight = 64
 )
 
-// Replica is one of the processes whose majority decides which revisions are in force: a raft node, the replicated
-// state and, while it leads, the leases and the proposals that it answers for. It never blocks but in its Storage,
-// and it does not lock: one goroutine calls all methods. All times are nanoseconds of that process's own clock.
+// Replica is one of the processes that decide on revisions by majority. It has a raft node, the replicated state and,
+// while it leads, the leases that it granted and the proposals that it has to answer. It blocks only in its Storage. It
+// is not safe for concurrent use. All times are nanoseconds on the process's own clock.
 type Replica struct {
 	Name        string
-	incarnation uint64   // raft's ID, which goes with the stored state: a replica that lost that has another
-	replicas    []string // names of all replicas, in the order of the settings: the first bootstraps the fleet
+	incarnation uint64   // the raft ID, stored with the state; a replica that lost its state has a new one
+	replicas    []string // names of all replicas, in the order of the settings; the first bootstraps the fleet
 	timing      LeaseTiming
 	sender      Sender
-	random      func(n int) int // draws below n
-	err         error           // why it stopped; nil while it runs
+	random      func(n int) int // returns a number below n
+	err         error           // why the replica stopped; nil while it runs
 
-	node  *raft.RawNode // nil until the replica has a state or has heard of one
+	node  *raft.RawNode // nil until the replica has a state or learns that a history exists
 	log   raftLog
 	state replicatedState
-	term  uint64 // of the last hard state that was written since the start; 0: none yet
+	term  uint64 // of the last hard state that was written since the start; 0 if none was
 
 	nextTick int64
 	election electionTimer
@@ -54,23 +54,23 @@
 // electionTimer decides when a follower campaigns.
 type electionTimer struct {
 	campaignAt    int64
-	leaderHeardAt int64 // 0: never
+	leaderHeardAt int64 // 0 if no leader was heard yet
 }
 
-// leadership is what only a leader has. becomeLeader and becomeFollower begin it anew, so nothing that an earlier
-// leader of this replica was asked is answered in a later term.
+// leadership is the state that only a leader has. becomeLeader and becomeFollower reset it, so that a request from one
+// term of this replica's leadership is never answered in a later term.
 type leadership struct {
-	since               int64 // 0: this replica does not take itself for the leader
+	since               int64 // when this replica became the leader; 0 while it is not
 	leases              leaseTable
 	proposals           proposalTable
-	proposedMinRevision uint64 // the last that was proposed and may not be committed yet
-	memberChangeAt      int64  // when a change of the voters was proposed last; 0: not in this term
+	proposedMinRevision uint64 // the last one that was proposed; it may not be committed yet
+	memberChangeAt      int64  // when a change of the voters was last proposed; 0 if not in this term
 }
 
-// NewReplica opens a replica with the records that its storage has, in their order. Without records it bootstraps a
-// fleet or joins one, under the given incarnation; with records it has theirs. replicas are the names of all
-// replicas, the same in the same order at each; random draws below n. An error tells which record cannot be read, or
-// that the first one cannot be written.
+// NewReplica starts a replica from the records of its storage, in their order. With records, the replica has the
+// incarnation that is stored in them. Without records, it bootstraps a fleet or joins one, under the given incarnation.
+// replicas are the names of all replicas, in the same order in each process; random returns a number below n.
+// NewReplica returns an error if a record cannot be read, or if the first record cannot be written.
 func NewReplica(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, records [][]byte,
 	storage Storage, sender Sender, random func(n int) int) (*Replica, error) {
 	r := &Replica{
@@ -103,7 +103,7 @@
 	return r, nil
 }
 
-// startNode begins to take part in raft.
+// startNode starts the raft node.
 func (r *Replica) startNode(now int64) (err error) {
 	r.node, err = raft.NewRawNode(&raft.Config{
 		ID:                        r.incarnation,
@@ -113,9 +113,9 @@
 		Applied:                   r.log.applied,
 		MaxSizePerMsg:             maxRaftMessageBytes,
 		MaxInflightMsgs:           maxRaftMessagesInFlight,
-		PreVote:                   true, // One that was cut off does not raise the term when it comes back.
+		PreVote:                   true, // A replica that was partitioned does not raise the term when it returns.
 		Logger:                    discardLogger{},
-		DisableProposalForwarding: true, // A proposal is written by the leader that issued its ticket, or by none.
+		DisableProposalForwarding: true, // Only the leader that issued a proposal's ticket writes the proposal.
 	})
 	r.resetElectionTimer(now)
 	if err != nil {
@@ -124,13 +124,14 @@
 	return nil
 }
 
-// resetElectionTimer puts the next campaign off, as a leader was heard or another candidate got this replica's vote.
+// resetElectionTimer postpones the next campaign. It is called at the start, when a leader is heard, when another
+// candidate gets this replica's vote, and when this replica campaigns.
 func (r *Replica) resetElectionTimer(now int64) {
 	timeout := r.electionTimeout()
 	r.election.campaignAt = now + timeout + int64(r.random(int(timeout)))
 }
 
-// electionTimeout is the shortest time without a leader after which a follower campaigns.
+// electionTimeout returns the shortest time without a leader after which a follower campaigns.
 func (r *Replica) electionTimeout() int64 {
 	return int64(r.timing.LeaseDuration) / electionTimeoutsPerLease
 }
@@ -139,29 +140,29 @@
 	return int64(r.timing.LeaseDuration) / heartbeatsPerLease
 }
 
-// IsLeader tells whether this replica takes itself for the leader. Another may lead already; a lease is only granted
-// once a majority has confirmed this one.
+// IsLeader reports whether this replica considers itself the leader. Another replica may have become the leader
+// already, so leases are only granted once a majority has confirmed the leadership.
 func (r *Replica) IsLeader() bool { return r.leader.since != 0 }
 
-// IsBootstrapped tells whether this replica knows a history.
+// IsBootstrapped reports whether this replica has a history.
 func (r *Replica) IsBootstrapped() bool { return r.node != nil && len(r.state.History) > 0 }
 
-// History returns the revisions that this replica has, oldest first, and the lowest one that a lease can be under.
-// The caller does not change them.
+// History returns the revisions that this replica has, oldest first, and the min revision. The caller must not modify
+// the revisions.
 func (r *Replica) History() (revisions []Revision, minRevision uint64) {
 	return r.state.History, r.state.MinRevision
 }
 
-// Err returns why the replica stopped: its storage failed, or a peer sent what raft cannot take. From then on it
-// neither sends nor answers. It is nil while the replica runs.
+// Err returns why the replica stopped: its storage failed, or a peer sent a message that raft cannot process. A stopped
+// replica sends no messages. Err returns nil while the replica runs.
 func (r *Replica) Err() error { return r.err }
 
-// TimeUntilTick is how long Tick has nothing to do.
+// TimeUntilTick returns the time until Tick has something to do.
 func (r *Replica) TimeUntilTick(now int64) time.Duration {
 	return time.Duration(max(0, r.nextTick-now))
 }
 
-// Tick does what is due at this time: heartbeats, campaigns, announcements, time-outs. The driver calls it once
+// Tick does what is due at this time: heartbeats, campaigns, announcements and timeouts. The caller calls it once
 // TimeUntilTick has passed; earlier calls do nothing.
 func (r *Replica) Tick(now int64) {
 	if r.err != nil || now < r.nextTick {
@@ -174,12 +175,12 @@
 		return
 	}
 	if r.state.Voters[r.Name] != r.incarnation {
-		r.announceToAll() // It lost its state or is new: the leader lets it in when it hears this.
+		r.announceToAll() // It lost its state or is new: the announcement makes the leader add it to the voters.
 	}
 	r.node.Tick()
 	if !r.IsLeader() && now >= r.election.campaignAt {
 		r.resetElectionTimer(now)
-		_ = r.node.Campaign() // It fails where this replica is no voter, and then there is nothing to do.
+		_ = r.node.Campaign() // It fails if this replica is not a voter; then there is nothing to do.
 	}
 	if r.IsLeader() {
 		r.leaderTick(now)
@@ -187,7 +188,7 @@
 	r.processReady(now)
 }
 
-// leaderTick does what only a leader does.
+// leaderTick does the part of Tick that only a leader does.
 func (r *Replica) leaderTick(now int64) {
 	r.dropOverdueRequests(now)
 	r.confirmLeadership(now)
@@ -196,18 +197,17 @@
 	r.replaceLostIncarnation(now)
 }
 
-// HandleMessage takes a message of another process, or of this one's lease holder.
+// HandleMessage processes a message from another process or from the lease holder of this process.
 //
-// Raft panics at messages that its own code never sends. A peer that is faulty or forged can send one, and without
-// the guard it would end this process, which serves requests too. So the replica stops alone, and Err tells which
-// peer sent it.
+// Raft panics on messages that its own code never sends, but a faulty or forged peer can send them. HandleMessage
+// recovers from the panic because this process also serves requests: only the replica stops, and Err names the peer.
 func (r *Replica) HandleMessage(now int64, m *Message) {
 	if r.err != nil {
 		return
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			r.err = fmt.Errorf("handle message of %s: raft panicked: %v", m.From, cause)
+			r.err = fmt.Errorf("handle message from %s: raft panicked: %v", m.From, cause)
 		}
 	}()
 	switch {
@@ -225,7 +225,7 @@
 	r.processReady(now)
 }
 
-// stepRaft hands a message of another replica to raft.
+// stepRaft passes a message from another replica to raft.
 func (r *Replica) stepRaft(now int64, data []byte) {
 	m := &pb.Message{}
 	if proto.Unmarshal(data, m) != nil || m.GetTo() != r.incarnation || raft.IsLocalMsg(m.GetType()) {
@@ -239,21 +239,21 @@
 			r.election.leaderHeardAt = now
 		}
 	case pb.MsgPreVote:
-		// A replica that no longer hears the leader, but is heard, would unseat a leader that all others hear, again
-		// and again: those who hear the leader ignore it.
+		// A replica that can send to the others but does not receive from the leader would repeatedly depose a leader
+		// that all others hear. So replicas that hear the leader ignore its campaign.
 		hearsLeader := r.election.leaderHeardAt != 0 && now-r.election.leaderHeardAt < r.electionTimeout()
 		if r.IsLeader() || hearsLeader {
 			return
 		}
 	}
-	_ = r.node.Step(m) // Raft refuses messages of replicas that it does not know: they are dropped.
+	_ = r.node.Step(m) // Raft rejects messages from replicas that it does not know; they are dropped.
 }
 
-// knownLeader is the name of the leader as raft has it; "" where there is none or its name is not known.
+// knownLeader returns the name of the leader according to raft, or "" if there is none or its name is not known.
 func (r *Replica) knownLeader() string { return r.peers.names[r.node.BasicStatus().Lead] }
 
-// processReady carries out all that raft has ready. What has to last is written before anything is sent: a vote or an
-// acknowledgement that leaves before it is on disk can be given a second time after a crash, and then two leaders
+// processReady processes everything that raft has ready. Records are persisted before any message is sent: if a vote or
+// an acknowledgement were sent before it is on disk, the replica could vote again after a crash, and two leaders could
 // have a majority in one term.
 func (r *Replica) processReady(now int64) {
 	for r.err == nil && r.node != nil && r.node.HasReady() {
@@ -278,11 +278,12 @@
 	}
 }
 
-// persistReady writes the hard state, entries and snapshot that raft has ready, and takes them up.
+// persistReady writes the hard state, entries and snapshot that raft has ready, and then adds them to the state in
+// memory.
 func (r *Replica) persistReady(now int64, ready *raft.Ready) error {
 	if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
 		if vote := ready.GetVote(); vote != r.log.hardState.GetVote() && vote != r.incarnation {
-			r.resetElectionTimer(now) // It voted for another, which gets its time.
+			r.resetElectionTimer(now) // It voted for another candidate, which gets time to win.
 		}
 		r.term = ready.HardState.GetTerm()
 	}
@@ -297,7 +298,7 @@
 	return r.log.append(ready)
 }
 
-// sendRaft sends raft's messages to those replicas whose names are known.
+// sendRaft sends raft's messages to the replicas whose names are known.
 func (r *Replica) sendRaft(messages []*pb.Message) {
 	for _, m := range messages {
 		name := r.peers.names[m.GetTo()]
@@ -306,14 +307,14 @@
 		}
 		r.sender.Send(name, &Message{From: r.Name, Raft: marshalProto(m)})
 		if m.GetType() == pb.MsgSnap {
-			// Whether it arrives is not known here; raft sends it again if the follower's answers show that it did
-			// not.
+			// Whether the snapshot arrives is not known here. Raft sends it again if the follower's responses show that
+			// it did not.
 			r.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
 
-// setLeadership takes up what raft says of who leads.
+// setLeadership records whether this replica leads according to raft.
 func (r *Replica) setLeadership(now int64, isLeading bool) {
 	switch {
 	case isLeading == r.IsLeader():
@@ -324,8 +325,8 @@
 	}
 }
 
-// becomeLeader begins without leases and proposals. The min revision stays where it is until all leases of earlier
-// leaders have expired, and budget shares do not grow until then.
+// becomeLeader starts a leadership without leases and proposals. Until all leases of earlier leaders have expired, the
+// min revision does not advance and budget shares do not grow.
 func (r *Replica) becomeLeader(now int64) {
 	r.leader = newLeadership(r.leader.leases.requestCount)
 	r.leader.since = now
@@ -334,8 +335,8 @@
 	}
 }
 
-// becomeFollower tells the proposers who wait that their proposals' fate is open: a later leader may still commit
-// what was written. Tickets of the term are void from here on.
+// becomeFollower answers all waiting proposers that the result of their proposals is unknown: a later leader may still
+// commit what was written. Tickets of the term are no longer valid.
 func (r *Replica) becomeFollower() {
 	for _, p := range r.leader.proposals.pending {
 		r.answerProposal(p, &ProposalResult{ID: p.proposal.ID, Reason: reasonLeaderChanged})
@@ -343,13 +344,13 @@
 	r.leader = newLeadership(r.leader.leases.requestCount)
 }
 
-// newLeadership is empty, but the numbers of lease requests go on: a late confirmation of an earlier term is then not
-// taken for one of this.
+// newLeadership returns an empty leadership that continues the numbering of lease requests, so that a late confirmation
+// from an earlier term is not mistaken for one of this term.
 func newLeadership(requestCount uint64) leadership {
 	return leadership{leases: leaseTable{requestCount: requestCount, granted: map[holderID]*grantedLease{}}}
 }
 
-// applyEntry takes up an entry that a majority has written.
+// applyEntry applies a committed entry to the state.
 func (r *Replica) applyEntry(now int64, e *pb.Entry) {
 	r.log.applied = e.GetIndex()
 	r.state.beginTerm(e.GetTerm())
@@ -361,7 +362,8 @@
 	if len(e.GetData()) == 0 || strictDecoding.Unmarshal(e.GetData(), &c) != nil {
 		return
 	}
-	isOwnEntry := r.IsLeader() && e.GetTerm() == r.term // This replica wrote it, in the term in which it still leads.
+	// This replica wrote the entry, in the term that it still leads.
+	isOwnEntry := r.IsLeader() && e.GetTerm() == r.term
 	switch {
 	case c.Propose != nil:
 		r.applyProposal(now, c.Propose, e.GetTerm(), isOwnEntry)
@@ -377,5 +379,5 @@
 	}
 }
 
-// proposeCommand hands a command to raft, and tells whether raft took it.
+// proposeCommand proposes a command to raft and reports whether raft accepted it.
 func (r *Replica) proposeCommand(c command) bool { return r.node.Propose(encode(c)) == nil }
