--- a/consensus/raftlog.go
+++ b/consensus/raftlog.go
@@ -9,53 +9,57 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Storage is where a replica's records go, in order. What Append was given is there after any crash once it has
-// returned without an error; Replace puts records in the place of all that were there, or changes nothing. A replica
-// whose storage returns an error stops.
+// Storage persists a replica's records in order. Once Append has returned without an error, its records survive any
+// crash. Replace either replaces all records or changes nothing. A replica whose storage returns an error stops.
 type Storage interface {
 	Append(records [][]byte) error
 	Replace(records [][]byte) error
 }
 
 const (
-	// maxLogEntries and maxLogBytes are how much of the log is kept before a snapshot takes its place: they bound the
-	// time of a start and the file, and keep the cost of a snapshot away from most proposals.
+	// maxLogEntries and maxLogBytes are the size of the log at which a snapshot replaces it. They bound the time that
+	// a start takes and the size of the file, while most proposals do not cause the cost of a snapshot.
 	maxLogEntries = 512
 	maxLogBytes   = 4 << 20
 )
 
-// errInvalidRecord and errInvalidSnapshot say that a record, or what a peer sent, is not what a replica writes.
+// Errors for records in storage, and for snapshots from storage or from a peer, that no replica writes.
 var (
-	errInvalidRecord   = errors.New("not a record of a replica")
-	errInvalidSnapshot = errors.New("not a snapshot of the replicated state")
+	errInvalidRecord   = errors.New("invalid record")
+	errInvalidSnapshot = errors.New("invalid snapshot of the replicated state")
 )
 
-// record is what a replica stores. One field is there; the first record of a log has the incarnation.
+// record is one stored record of a replica. Exactly one field is set; in the first record, it is the incarnation.
 type record struct {
 	Incarnation uint64 `cbor:"1,keyasint,omitempty"`
-	HardState   []byte `cbor:"2,keyasint,omitempty"` // protobuf, as Entry and Snapshot
+	HardState   []byte `cbor:"2,keyasint,omitempty"` // protobuf, like Entry and Snapshot
 	Entry       []byte `cbor:"3,keyasint,omitempty"`
 	Snapshot    []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// raftLog is raft's log in memory and the records that make it last.
+// raftLog is raft's log in memory, together with the storage that persists it.
 type raftLog struct {
 	storage   Storage
 	entries   *raft.MemoryStorage
 	confState *pb.ConfState // the voters, by incarnation
-	hardState *pb.HardState // term, vote and commit index as they were written last
-	applied   uint64        // index of the last entry that the state has
+	hardState *pb.HardState // term, vote and commit index as last written
+	applied   uint64        // index of the last entry applied to the state
 
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 }
 
 func newRaftLog(storage Storage) raftLog {
-	return raftLog{storage: storage, entries: raft.NewMemoryStorage(), hardState: &pb.HardState{}, confState: &pb.ConfState{}}
+	return raftLog{
+		storage:   storage,
+		entries:   raft.NewMemoryStorage(),
+		hardState: &pb.HardState{},
+		confState: &pb.ConfState{},
+	}
 }
 
-// load takes up the records that a storage has, and tells whether there was more than an incarnation. The state is
-// that of the snapshot; raft hands out the committed entries after it once more.
+// load restores the replica from stored records and reports whether there was more than an incarnation. It restores the
+// state from the snapshot; raft then returns the committed entries after it again.
 func (r *Replica) load(records [][]byte) (hasState bool, err error) {
 	for n, bytes := range records {
 		var rec record
@@ -78,7 +82,7 @@
 	return hasState, nil
 }
 
-// loadRecord takes up a record after the first.
+// loadRecord loads a record other than the first.
 func (r *Replica) loadRecord(rec *record) (isState bool, err error) {
 	switch {
 	case rec.HardState != nil:
@@ -110,7 +114,7 @@
 	return true, nil
 }
 
-// restore takes a snapshot, stored or sent by the leader, as what the state is.
+// restore replaces the state with that of a snapshot, which comes from storage or from the leader.
 func (r *Replica) restore(snapshot *pb.Snapshot) error {
 	state, err := unmarshalState(snapshot.GetData())
 	if err != nil || !state.isConsistent() {
@@ -131,7 +135,7 @@
 	return l.storage.Append([][]byte{encode(record{Incarnation: incarnation})})
 }
 
-// writeBootstrap writes the snapshot with which a history begins.
+// writeBootstrap writes the snapshot that starts a history.
 func (l *raftLog) writeBootstrap(snapshot *pb.Snapshot, hard *pb.HardState) error {
 	l.hardState = hard
 	return l.storage.Append([][]byte{
@@ -140,7 +144,7 @@
 	})
 }
 
-// write makes what raft has ready last: a snapshot, entries, and the hard state with the vote.
+// write persists what raft has ready: a snapshot, entries, and the hard state, which includes the vote.
 func (l *raftLog) write(ready *raft.Ready) error {
 	var records [][]byte
 	if !raft.IsEmptySnap(ready.Snapshot) {
@@ -159,7 +163,7 @@
 	return l.storage.Append(records)
 }
 
-// append takes up entries and the hard state that were written.
+// append adds entries and the hard state, which write has persisted, to the log in memory.
 func (l *raftLog) append(ready *raft.Ready) error {
 	if err := l.entries.Append(ready.Entries); err != nil {
 		return fmt.Errorf("append to raft log: %w", err)
@@ -176,17 +180,17 @@
 
 func (l *raftLog) setHardState(hard *pb.HardState) {
 	l.hardState = hard
-	_ = l.entries.SetHardState(hard) // In memory: it returns no error.
+	_ = l.entries.SetHardState(hard) // MemoryStorage returns no error here.
 }
 
-// forceCompaction has the next compactLog write a snapshot, however short the log is.
+// forceCompaction makes the next compactLog write a snapshot, however short the log is.
 func (l *raftLog) forceCompaction() { l.entriesSinceSnapshot = maxLogEntries }
 
 func (l *raftLog) needsCompaction() bool {
 	return l.entriesSinceSnapshot >= maxLogEntries || l.bytesSinceSnapshot >= maxLogBytes
 }
 
-// compactLog puts a snapshot of the state in the place of a long log, in memory and in storage.
+// compactLog replaces a long log with a snapshot of the state, in memory and in storage.
 func (r *Replica) compactLog() error {
 	l := &r.log
 	if !l.needsCompaction() || l.applied == 0 {
@@ -195,9 +199,9 @@
 	l.entriesSinceSnapshot, l.bytesSinceSnapshot = 0, 0
 	snapshot, err := l.entries.CreateSnapshot(l.applied, l.confState, r.state.marshal())
 	if err != nil {
-		return nil // There is one of this index already.
+		return nil // A snapshot at this index exists already.
 	}
-	_ = l.entries.Compact(l.applied) // It fails only where the log is that short already.
+	_ = l.entries.Compact(l.applied) // It only fails if the log has been compacted to this index already.
 	records := [][]byte{encode(record{Incarnation: r.incarnation}), encode(record{Snapshot: marshalProto(snapshot)})}
 	last, _ := l.entries.LastIndex()
 	if rest, err := l.entries.Entries(l.applied+1, last+1, maxLogReadBytes); err == nil {
@@ -211,45 +215,44 @@
 	return nil
 }
 
-// maxLogReadBytes, in bytes, is no bound: all entries after a snapshot are read at once.
+// maxLogReadBytes is so large that it does not limit the read: all entries after a snapshot are read at once.
 const maxLogReadBytes = 1 << 30
 
-// marshalProto is raft's own encoding, the same for the same content.
+// marshalProto returns the protobuf encoding of a raft message, which is the same for equal messages.
 func marshalProto(m proto.Message) []byte {
 	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		panic(err) // Only raft's own messages are packed, and these have no required field that could be missing.
+		panic(err) // Raft's messages have no required field that could be missing.
 	}
 	return bytes
 }
 
-// discardLogger drops raft's log lines: what matters shows in the replica's own figures. Raft calls Fatal and Panic
-// where it finds its own state impossible; that stays a panic, and HandleMessage recovers from those that a peer can
-// cause.
+// discardLogger discards raft's log lines: the replica's own metrics show what matters. Raft calls Fatal and Panic when
+// it finds its state inconsistent. Both still panic, and HandleMessage recovers from the panics that a peer can cause.
 type discardLogger struct{}
 
-// Debug drops a line.
+// Debug discards a line.
 func (discardLogger) Debug(...any) {}
 
-// Debugf drops a line.
+// Debugf discards a line.
 func (discardLogger) Debugf(string, ...any) {}
 
-// Error drops a line.
+// Error discards a line.
 func (discardLogger) Error(...any) {}
 
-// Errorf drops a line.
+// Errorf discards a line.
 func (discardLogger) Errorf(string, ...any) {}
 
-// Info drops a line.
+// Info discards a line.
 func (discardLogger) Info(...any) {}
 
-// Infof drops a line.
+// Infof discards a line.
 func (discardLogger) Infof(string, ...any) {}
 
-// Warning drops a line.
+// Warning discards a line.
 func (discardLogger) Warning(...any) {}
 
-// Warningf drops a line.
+// Warningf discards a line.
 func (discardLogger) Warningf(string, ...any) {}
 
 // Fatal panics.
