--- a/consensus/statemachine.go
+++ b/consensus/statemachine.go
@@ -7,44 +7,46 @@
 )
 
 const (
-	// maxShownRevisions is how many revisions are kept for operators to look at, where no more are active.
+	// maxShownRevisions is how many revisions are kept for operators to look at. More are kept only while they are
+	// active.
 	maxShownRevisions = 256
-	// maxActiveRevisions, maxActiveBytes and maxActiveNames bound the revisions from the min revision to the latest,
-	// which a lease response for a new holder has in one message. Bytes are those of the first in full and of each
-	// later one's delta; names are those of all configurations, which is what they take in memory.
+	// maxActiveRevisions, maxActiveBytes and maxActiveNames bound the active revisions, because a lease response to a
+	// new holder carries all of them in one message. The bytes are the encoded size of the first revision and of the
+	// delta of each later one. The names are counted over all configurations, as memory use depends on them.
 	maxActiveRevisions = 1024
 	maxActiveBytes     = 960 << 10
 	maxActiveNames     = 640 << 10
-	// maxFullHistoryStateBytes is up to which size a state is written in the form that builds before deltas read, so that a
-	// fleet can go back.
+	// maxFullHistoryStateBytes is the largest encoded state that has the history as full revisions. Builds without
+	// delta support can read only that form, so a fleet can be downgraded while its state is no larger.
 	maxFullHistoryStateBytes = 512 << 10
-	// minNameBytes is what the shortest name takes, encoded.
+	// minNameBytes is the encoded size of the shortest name.
 	minNameBytes = 3
 )
 
-// errUnknownProposal refuses the acceptance of a proposal that is not among those written in this term.
+// errUnknownProposal is returned when the proposal to accept is not among the unaccepted proposals of this term. Its
+// text is sent to the proposer.
 var errUnknownProposal = errors.New("not among what was written")
 
-// replicatedState is what the committed commands make, the same at each replica: nothing in it may depend on a clock,
-// on chance or on the order of a map.
+// replicatedState is the result of applying the committed commands. It must be the same in each replica, so nothing in
+// it may depend on a clock, on randomness or on map iteration order.
 type replicatedState struct {
-	History     []Revision           `cbor:"1,keyasint"` // up to the latest
-	MinRevision uint64               `cbor:"2,keyasint"` // no lease under an older revision is left
-	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the replicas that vote
+	History     []Revision           `cbor:"1,keyasint"` // ends with the latest revision
+	MinRevision uint64               `cbor:"2,keyasint"` // no lease is under an older revision
+	Voters      map[string]uint64    `cbor:"3,keyasint"` // incarnations of the voters by replica name
 	Unaccepted  []unacceptedProposal `cbor:"4,keyasint,omitempty"`
 	HistoryID   uint64               `cbor:"5,keyasint"`           // the incarnation that bootstrapped the history
-	Chain       *revisionChain       `cbor:"6,keyasint,omitempty"` // in the place of the history, where that is long
+	Chain       *revisionChain       `cbor:"6,keyasint,omitempty"` // replaces History in the encoding if that is long
 }
 
-// unacceptedProposal is a proposal that was written and is neither accepted nor withdrawn.
+// unacceptedProposal is a proposal that is committed to the log and neither accepted nor withdrawn.
 type unacceptedProposal struct {
 	Proposal Proposal `cbor:"1,keyasint"`
 	Term     uint64   `cbor:"2,keyasint"`
 }
 
-// command is an entry of the replicated log. One field is there. A proposal takes two commands: Propose has a
-// majority write it, and Accept, which only the leader that proposed it sends, makes it the next revision. Between
-// the two the leader can still withdraw it, so that "no majority" is a final answer to its proposer.
+// command is an entry of the replicated log. Exactly one field is set. A proposal takes two commands: Propose makes a
+// majority write it, and Accept, which only the leader that proposed it sends, makes it the next revision. In between,
+// the leader can still withdraw the proposal, so that "no majority" is a final answer to its proposer.
 type command struct {
 	Propose     *Proposal `cbor:"1,keyasint,omitempty"`
 	Accept      string    `cbor:"2,keyasint,omitempty"` // the ID of an unaccepted proposal
@@ -52,25 +54,29 @@
 	MinRevision uint64    `cbor:"4,keyasint,omitempty"`
 }
 
-// initialState is what a history begins with: an empty first revision.
+// initialState returns the state that a history starts with: an empty first revision.
 func initialState(bootstrapIncarnation uint64, voters map[string]uint64) replicatedState {
-	return replicatedState{History: []Revision{{Number: 1}}, MinRevision: 1, Voters: voters, HistoryID: bootstrapIncarnation}
+	return replicatedState{
+		History:     []Revision{{Number: 1}},
+		MinRevision: 1,
+		Voters:      voters,
+		HistoryID:   bootstrapIncarnation,
+	}
 }
 
-// isConsistent tells whether a state that was read has a history that reaches from the min revision or before to the
-// latest.
+// isConsistent reports whether the history of a decoded state contains the min revision.
 func (s *replicatedState) isConsistent() bool {
 	return len(s.History) > 0 && s.History[0].Number <= s.MinRevision && s.MinRevision <= s.latest().Number
 }
 
-// marshal is the state as it is stored and sent. A long history goes as a chain, which builds that do not know it
-// refuse, as they see no history.
+// marshal encodes the state for storage and for other replicas. A large history is encoded as a chain. Builds that do
+// not know chains reject such a state because they see no history in it.
 func (s *replicatedState) marshal() []byte {
 	names := 0
 	for n := range s.History {
 		names += s.History[n].Config.nameCount()
 	}
-	if names*minNameBytes <= maxFullHistoryStateBytes { // Else it is over the bound anyway, and encoding it would take long.
+	if names*minNameBytes <= maxFullHistoryStateBytes { // Otherwise, it is too large, and encoding it would be slow.
 		if bytes := encode(s); len(bytes) <= maxFullHistoryStateBytes {
 			return bytes
 		}
@@ -81,7 +87,7 @@
 	return encode(compact)
 }
 
-// unmarshalState reads either form.
+// unmarshalState decodes a state with the history in either form.
 func unmarshalState(bytes []byte) (s replicatedState, err error) {
 	if err = strictDecoding.Unmarshal(bytes, &s); err != nil {
 		return s, err
@@ -98,12 +104,12 @@
 
 func (s *replicatedState) latest() Revision { return s.History[len(s.History)-1] }
 
-// active are the revisions from the min revision on: those that a process under a lease can be acting on.
+// active returns the revisions from the min revision on: those that a process with a lease can act on.
 func (s *replicatedState) active() []Revision {
 	return s.History[slices.IndexFunc(s.History, func(v Revision) bool { return v.Number >= s.MinRevision }):]
 }
 
-// revisionOf is the revision that a proposal became; 0: none that is still known.
+// revisionOf returns the number of the revision that a proposal became, or 0 if it is not in the history.
 func (s *replicatedState) revisionOf(id string) uint64 {
 	for _, v := range s.History {
 		if v.ProposalID == id {
@@ -113,14 +119,15 @@
 	return 0
 }
 
-// beginTerm drops what was proposed and not accepted in earlier terms: the leader that could have accepted it may
-// have told its proposer that it never will be in force.
+// beginTerm drops the unaccepted proposals of earlier terms. Only their leader could have accepted them, and it may
+// have answered the proposer that the proposal will never be accepted.
 func (s *replicatedState) beginTerm(term uint64) {
 	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Term < term })
 }
 
-// accept makes an unaccepted proposal the next revision and returns its number. A proposal that was accepted before
-// has the number of then: sent twice, it counts once. The error is what its proposer is told.
+// accept makes an unaccepted proposal the next revision and returns its number. For a proposal that was accepted
+// before, it returns the number of that revision, so that a proposal that is sent twice takes effect once. The text of
+// the error is sent to the proposer.
 func (s *replicatedState) accept(id string) (uint64, error) {
 	if revision := s.revisionOf(id); revision != 0 {
 		return revision, nil
@@ -148,8 +155,8 @@
 	s.Unaccepted = slices.DeleteFunc(s.Unaccepted, func(c unacceptedProposal) bool { return c.Proposal.ID == id })
 }
 
-// checkRoomFor tells whether one more revision can be active: in number, in bytes of a message, and in names of all
-// configurations.
+// checkRoomFor returns an error if one more active revision would exceed a bound: the number of revisions, the bytes of
+// a message, or the names in all configurations. Its text is sent to the proposer.
 func (s *replicatedState) checkRoomFor(next Revision) error {
 	active := s.active()
 	bytes, names := len(encode(active[0]))+next.deltaBytes, next.Config.nameCount()
@@ -168,8 +175,8 @@
 	return nil
 }
 
-// dropOldRevisions forgets the oldest revisions that are only shown, beyond their number or half the bytes of a
-// message.
+// dropOldRevisions drops the oldest inactive revisions beyond maxShownRevisions, half of maxActiveBytes or
+// maxActiveNames. Active revisions are never dropped.
 func (s *replicatedState) dropOldRevisions() {
 	bytes, names, from := 0, 0, len(s.History)-1
 	for ; from > 0 && len(s.History)-from < maxShownRevisions; from-- {
