--- a/consensus/bootstrap.go
+++ b/consensus/bootstrap.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// maxUnknownPeers bounds the incarnations without a name whose last message is remembered: a forged sender could
-	// invent any number.
+	// maxUnknownPeers bounds the incarnations of unknown name for which the time of the last message is kept: a forged
+	// sender could invent any number of them.
 	maxUnknownPeers = 64
-	// maxAnnouncedVoters bounds the voters in an announcement that is looked at: more than any fleet has.
+	// maxAnnouncedVoters bounds the voters in an announcement; one with more is ignored. No fleet has that many voters.
 	maxAnnouncedVoters = 256
-	// bootstrapWindowHeartbeats and joinWindowHeartbeats are how old an announcement may be to count as said by a
-	// replica that runs now: a bootstrap needs all replicas at once, a join can wait for a few that were lost.
+	// bootstrapWindowHeartbeats and joinWindowHeartbeats are the age, in heartbeat intervals, up to which an
+	// announcement shows that its sender is running. A bootstrap needs all replicas at the same time; a join
+	// tolerates a few lost announcements.
 	bootstrapWindowHeartbeats = 4
 	joinWindowHeartbeats      = 8
 )
 
-// peerTable is what a replica knows of the other replicas. It outlasts terms.
+// peerTable is what a replica knows about the other replicas. It is kept across terms.
 type peerTable struct {
-	names         map[uint64]string // of incarnations
-	lastHeard     map[uint64]int64  // when raft messages of each incarnation came last
+	names         map[uint64]string // replica names by incarnation
+	lastHeard     map[uint64]int64  // when the last raft message of each incarnation arrived
 	announcements map[string]receivedAnnouncement
 }
 
@@ -40,21 +41,21 @@
 	}
 }
 
-// recordHeard notes that an incarnation is alive.
+// recordHeard records that a raft message from an incarnation has arrived.
 func (t *peerTable) recordHeard(now int64, incarnation uint64) {
 	if t.names[incarnation] != "" || len(t.lastHeard) < maxUnknownPeers {
 		t.lastHeard[incarnation] = now
 	}
 }
 
-// addVoters learns the names of the voters' incarnations.
+// addVoters adds the names of the voters' incarnations.
 func (t *peerTable) addVoters(voters map[string]uint64) {
 	for name, incarnation := range voters {
 		t.names[incarnation] = name
 	}
 }
 
-// announceToAll tells all other replicas the incarnation and the voters that this one has.
+// announceToAll announces this replica's incarnation and voters to all other replicas.
 func (r *Replica) announceToAll() {
 	for _, name := range r.replicas {
 		if name != r.Name {
@@ -68,7 +69,7 @@
 	r.sender.Send(to, &Message{From: r.Name, Announcement: announcement})
 }
 
-// handleAnnouncement takes what another replica says of its state.
+// handleAnnouncement processes an announcement from another replica.
 func (r *Replica) handleAnnouncement(now int64, from string, a *Announcement) {
 	if !slices.Contains(r.replicas, from) || from == r.Name || len(a.Voters) > maxAnnouncedVoters {
 		return
@@ -82,15 +83,15 @@
 	}
 	switch {
 	case r.node == nil && len(a.Voters) > 0:
-		r.err = r.startNode(now) // There is a history: the leader sends it, once this incarnation is a voter.
+		r.err = r.startNode(now) // A history exists: the leader sends it once this incarnation is a voter.
 	case r.node != nil && len(a.Voters) == 0 && r.IsBootstrapped():
 		r.announce(from)
 	}
 }
 
-// tryBootstrap begins the history, if this replica is the first that the settings name and all others say that they
-// know of none. A majority would not do: the others could be those that hold the history, and the fleet would act on
-// two.
+// tryBootstrap starts a history if this replica is the first in the settings and all others have announced that they
+// know none. A majority is not enough: the remaining replicas could be the ones that have the history, and the fleet
+// would then have two histories.
 func (r *Replica) tryBootstrap(now int64) {
 	if r.replicas[0] != r.Name {
 		return
@@ -106,7 +107,7 @@
 	r.bootstrap(now, voters)
 }
 
-// bootstrap writes the first snapshot and announces its voters. The others, voters too, get the snapshot by raft.
+// bootstrap writes the first snapshot and announces its voters. The other voters receive the snapshot through raft.
 func (r *Replica) bootstrap(now int64, voters map[string]uint64) {
 	first := initialState(r.incarnation, voters)
 	snapshot := &pb.Snapshot{
@@ -128,10 +129,10 @@
 	r.announceToAll()
 }
 
-// replaceLostIncarnation lets a replica in that came back without its state, or came new: its incarnation takes the
-// place of its old one among the voters. It waits until the old one has been silent, and the last change of the
-// voters has been over, for as long as a lease can last: else a replica that is only slow would lose its vote, and
-// two changes in a row could take a majority's votes away.
+// replaceLostIncarnation adds a replica that lost its state, or is new, to the voters: its incarnation replaces its old
+// one. It waits until this replica has led, the old incarnation has been silent, and no other change of the voters has
+// been proposed, for as long as a lease can last. Otherwise, a replica that is only slow would lose its vote, and two
+// successive changes could remove the votes of a majority.
 func (r *Replica) replaceLostIncarnation(now int64) {
 	for _, name := range r.replicas {
 		a, isAnnounced := r.peers.announcements[name]
@@ -152,11 +153,11 @@
 		if r.node.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: context}) == nil {
 			r.leader.memberChangeAt = now
 		}
-		return // One change of the voters at a time: raft takes no second before the first is applied.
+		return // One change of the voters at a time: raft accepts no second one before the first is applied.
 	}
 }
 
-// applyMemberChange takes up a change of the voters.
+// applyMemberChange applies a committed change of the voters.
 func (r *Replica) applyMemberChange(data []byte) {
 	change := &pb.ConfChangeV2{}
 	if proto.Unmarshal(data, change) != nil {
@@ -169,5 +170,5 @@
 		r.peers.addVoters(r.state.Voters)
 	}
 	r.log.confState = r.node.ApplyConfChange(change)
-	r.log.forceCompaction() // One that joins is sent a snapshot, and takes none that it is not in.
+	r.log.forceCompaction() // A joining replica is sent a snapshot, and rejects one whose voters do not include it.
 }
