--- a/consensus/messages_test.go
+++ b/consensus/messages_test.go
@@ -1,11 +1,9 @@
 package consensus
 
-import (
-	"testing"
-)
+import "testing"
 
-// A forged or damaged message ends the process, or fills its memory: no bytes lead a replica or a lease holder astray
-// or out of its bounds.
+// Guards against forged or damaged messages that crash the process or exhaust its memory: whatever bytes arrive, a
+// replica and a lease holder go on working within their bounds.
 func FuzzUnmarshalMessage(f *testing.F) {
 	f.Add((&Message{From: "a", LeaseRequest: &LeaseRequest{Seq: 1}}).Marshal())
 	f.Add((&Message{From: "a", Raft: []byte{8, 3, 16, 1}}).Marshal())
@@ -28,7 +26,8 @@
 			p.holder.HandleLeaseResponse(p.clock(), m.LeaseResponse)
 			p.holder.EffectiveConfig(p.clock())
 			if len(p.holder.known.active) > maxActiveRevisions+1 {
-				t.Fatal("a holder keeps more than can count")
+				t.Fatalf("lease holder keeps %d active revisions, at most %d are allowed", len(p.holder.known.active),
+					maxActiveRevisions+1)
 			}
 		} else {
 			p.replica.HandleMessage(p.clock(), m)
