--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -16,9 +16,10 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write testdata anew: only for a change of behaviour that is meant and named")
+var update = flag.Bool("update", false,
+	"rewrite the files in testdata; only for an intended and documented change of behaviour")
 
-// checkGolden compares with a file of testdata.
+// checkGolden fails the test if got differs from a file in testdata.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -36,8 +37,8 @@
 	}
 }
 
-// traceHash hashes what a run does: bytes on the wire, stored records, numbers. No identifier of the code may get
-// into it.
+// traceHash hashes what a run does: messages, stored records and numbers. It must not include identifiers of the code,
+// which may be renamed.
 type traceHash struct{ hash.Hash }
 
 func newTraceHash() *traceHash { return &traceHash{sha256.New()} }
@@ -48,22 +49,22 @@
 	}
 }
 
-// withoutBudgetShare encodes a message but for its budget share: with four holders and more, the last digit of that
-// depends on the order in which the ledger of the budgets adds up a map, so it differs from run to run. Shares are in
-// the recorded session, where two others are added.
+// withoutBudgetShare encodes a message without its budget share. With four or more holders, the last digit of the share
+// differs from run to run, as it depends on the order in which the budget ledger iterates over a map to add up shares.
+// The recorded session covers budget shares: there, only two other shares are added.
 func withoutBudgetShare(m *Message) []byte {
 	if m.LeaseResponse == nil || m.LeaseResponse.BudgetShare == 0 {
 		return m.Marshal()
 	}
-	g, rest := *m.LeaseResponse, *m
-	g.BudgetShare, rest.LeaseResponse = 0, &g
-	return rest.Marshal()
+	response, message := *m.LeaseResponse, *m
+	response.BudgetShare, message.LeaseResponse = 0, &response
+	return message.Marshal()
 }
 
 func (tr *traceHash) sum() string { return hex.EncodeToString(tr.Sum(nil)) }
 
-// A rename or a split of a function that moves one draw, one message or one record is seen by no rule of a seeded
-// run, and two processes of different builds, or one that starts again from its log, would then decide differently.
+// Guards against a refactoring that moves a random draw, a message or a record. The invariants of the simulation do not
+// notice it, but processes of different builds, or one that restarts from its log, would then decide differently.
 func TestGoldenTraces(t *testing.T) {
 	var lines []string
 	for _, replicas := range []int{3, 5, 7} {
@@ -72,7 +73,7 @@
 			sim := runSimulation(t, seed, replicas, 25_000, func(sim *simulation) {
 				sim.trace = tr
 				for _, p := range sim.processes[:replicas] {
-					p.disk.trace = tr // The disks of the first processes are there already.
+					p.disk.trace = tr // These disks were created before the trace was set.
 				}
 			})
 			if sim.healAndCheck(replicas); sim.violation != "" {
@@ -86,96 +87,97 @@
 	checkGolden(t, "traces.golden", []byte(strings.Join(lines, "")))
 }
 
-// encodingExamples are messages and records of every kind, each field filled.
-func encodingExamples() (names []string, packed map[string][]byte) {
-	digest, source, from := "d2", "127.0.0.1:7", uint64(9)
-	change := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a",
+// encodingExamples returns encoded messages and records of every kind, with every field set, and their sorted names.
+// The names are in the golden file.
+func encodingExamples() (names []string, encoded map[string][]byte) {
+	digest, source, minListIndex := "d2", "127.0.0.1:7", uint64(9)
+	proposal := Proposal{ID: "p1", Author: "op", Reason: "a reason", BaseRevision: 3, EjectEndpoints: []string{"a",
 		"b"}, UnejectEndpoints: []string{"c"},
 		Limits: map[string]int64{"held": 5, "quota.t": -1}, SettingsDigest: &digest, DiscoverySource: &source,
-		MinListIndex: &from, EvacuateZones: []string{"z"}, RestoreZones: []string{"y"}}
-	one := Revision{Number: 3, Config: ReplicatedConfig{EjectedEndpoints: []string{"c"},
+		MinListIndex: &minListIndex, EvacuateZones: []string{"z"}, RestoreZones: []string{"y"}}
+	first := Revision{Number: 3, Config: ReplicatedConfig{EjectedEndpoints: []string{"c"},
 		Limits: map[string]int64{"quota.t": 1}, EvacuatedZones: []string{"y"}}}
-	two := change.next(one)
+	second := proposal.next(first)
 	later := Proposal{ID: "p2", EjectEndpoints: []string{"c"}, Limits: map[string]int64{}}
-	members := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
-	st := replicatedState{History: []Revision{one, two}, MinRevision: 3, Voters: members,
-		Unaccepted: []unacceptedProposal{{change, 4}}, HistoryID: 7}
-	long := initialState(7, members)
-	for n := range 20 { // So large that it is written as a chain.
+	voters := map[string]uint64{"b0": 1, "b1": 1<<32 | 2}
+	state := replicatedState{History: []Revision{first, second}, MinRevision: 3, Voters: voters,
+		Unaccepted: []unacceptedProposal{{proposal, 4}}, HistoryID: 7}
+	largeState := initialState(7, voters)
+	for n := range 20 { // Large enough that the history is encoded as a chain.
 		c := Proposal{ID: fmt.Sprint("l", n), EjectEndpoints: slices.Repeat([]string{""}, 200)}
 		for i := range c.EjectEndpoints {
 			c.EjectEndpoints[i] = fmt.Sprintf("%03d-%s", n*200+i, strings.Repeat("h", 20))
 		}
-		long.History = append(long.History, c.next(long.latest()))
+		largeState.History = append(largeState.History, c.next(largeState.latest()))
 	}
-	sum := sha256.Sum256(long.marshal())
-	packed = map[string][]byte{
+	largeStateSum := sha256.Sum256(largeState.marshal())
+	encoded = map[string][]byte{
 		"raft": (&Message{From: "b0", Raft: []byte{8, 3, 16, 1}}).Marshal(),
 		"lease request": (&Message{From: "b0", LeaseRequest: &LeaseRequest{Seq: 5, Incarnation: 2, KnownRevision: 4,
 			MinRevision: 3, ShareSeq: 1, RequestRate: 2.5, AcceptsDeltas: true}}).Marshal(),
 		"grant, versions": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3,
-			Revisions: []Revision{one, two}, HistoryID: 7, BudgetShare: 0.25}}).Marshal(),
+			Revisions: []Revision{first, second}, HistoryID: 7, BudgetShare: 0.25}}).Marshal(),
 		"grant, steps": (&Message{From: "b0", LeaseResponse: &LeaseResponse{Seq: 5, Leader: "b0", MinRevision: 3,
-			Deltas: []Proposal{change, later}, BaseRevision: 3, HistoryID: 7}}).Marshal(),
+			Deltas: []Proposal{proposal, later}, BaseRevision: 3, HistoryID: 7}}).Marshal(),
 		"grant, leader": (&Message{From: "b1", LeaseResponse: &LeaseResponse{Leader: "b0"}}).Marshal(),
-		"announcement": (&Message{From: "b0", Announcement: &Announcement{Incarnation: 2, Voters: members,
+		"announcement": (&Message{From: "b0", Announcement: &Announcement{Incarnation: 2, Voters: voters,
 			IsBootstrap: true}}).Marshal(),
-		"proposal": (&Message{From: "b0", Proposal: &change, Ticket: &ProposalTicket{Term: 3,
+		"proposal": (&Message{From: "b0", Proposal: &proposal, Ticket: &ProposalTicket{Term: 3,
 			IssuedAt: 1e12}}).Marshal(),
 		"result": (&Message{From: "b0", ProposalResult: &ProposalResult{ID: "p1", Revision: 4, Reason: "no",
 			IsFinal: true, Ticket: &ProposalTicket{Term: 3, IssuedAt: 1}}}).Marshal(),
 		"record":       encode(record{Incarnation: 2, HardState: []byte{1}, Entry: []byte{2}, Snapshot: []byte{3}}),
-		"entry":        encode(command{Propose: &change, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
-		"state":        st.marshal(),
-		"state, chain": sum[:],
-		"chain":        MarshalRevisions([]Revision{one, two, later.next(two)}),
-		"digest":       []byte(two.Digest()),
-		"strictest":    encode(strictest([]Revision{one, two, later.next(two)})),
+		"entry":        encode(command{Propose: &proposal, Accept: "p1", Withdraw: "p2", MinRevision: 4}),
+		"state":        state.marshal(),
+		"state, chain": largeStateSum[:],
+		"chain":        MarshalRevisions([]Revision{first, second, later.next(second)}),
+		"digest":       []byte(second.Digest()),
+		"strictest":    encode(strictest([]Revision{first, second, later.next(second)})),
 	}
-	for name := range packed {
+	for name := range encoded {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	return names, packed
+	return names, encoded
 }
 
-// While a fleet is upgraded, processes of two builds speak to each other, and a new build reads what an old one
-// stored: the bytes stay.
+// Guards against a change of the encodings: during an upgrade, processes of two builds exchange messages, and the new
+// build reads what the old one stored.
 func TestGoldenBytes(t *testing.T) {
-	names, packed := encodingExamples()
+	names, encoded := encodingExamples()
 	var lines []byte
 	for _, name := range names {
-		lines = fmt.Appendf(lines, "%s: %x\n", name, packed[name])
-		if m, err := UnmarshalMessage(packed[name]); err == nil && !bytes.Equal(m.Marshal(), packed[name]) {
-			t.Errorf("%s: not the same when unpacked and packed", name)
+		lines = fmt.Appendf(lines, "%s: %x\n", name, encoded[name])
+		if m, err := UnmarshalMessage(encoded[name]); err == nil && !bytes.Equal(m.Marshal(), encoded[name]) {
+			t.Errorf("%s: bytes differ after decoding and encoding", name)
 		}
 	}
 	checkGolden(t, "bytes.golden", lines)
 }
 
-// What discovery says of a host that drains decides whether it gets requests: the comparison of lists is the same,
-// call for call.
+// Guards against a change of the comparison of endpoint lists, which decides whether a draining endpoint gets requests.
+// Each call returns the same as in the recorded run.
 func TestGoldenLists(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(3, 3)), newTraceHash()
-	var own ListRollbackGuard
-	var late PersistentCondition
+	var guard ListRollbackGuard
+	var lagging PersistentCondition
 	now := int64(1)
 	for range 20_000 {
 		now += draw.Int64N(20_000 * ms)
-		listed := func() EndpointListState {
-			l := EndpointListState{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12),
+		randomList := func() EndpointListState {
+			list := EndpointListState{Name: fmt.Sprint("b", draw.IntN(4)), Index: draw.Uint64N(12),
 				Digest: draw.Uint64N(3)}
 			for range draw.IntN(4) {
-				l.Drained = append(l.Drained, DrainedEndpoint{fmt.Sprint("h", draw.IntN(9)), draw.Uint64N(12)})
+				list.Drained = append(list.Drained, DrainedEndpoint{fmt.Sprint("h", draw.IntN(9)), draw.Uint64N(12)})
 			}
-			return l
+			return list
 		}
-		others := []EndpointListState{listed(), listed(), listed()}
-		before, went := own.Observe(now, listed())
-		tr.add(len(before), went)
+		others := []EndpointListState{randomList(), randomList(), randomList()}
+		before, isNew := guard.Observe(now, randomList())
+		tr.add(len(before), isNew)
 		c := CompareLists(draw.Uint64N(12), draw.Uint64N(3), append(others, before...))
-		tr.add(c.DrainedEndpoints, c.PeerAhead, c.LatestIndex, c.ConflictingPeer, late.Observe(now, c.PeerAhead != "",
-			30*time.Second))
+		tr.add(c.DrainedEndpoints, c.PeerAhead, c.LatestIndex, c.ConflictingPeer,
+			lagging.Observe(now, c.PeerAhead != "", 30*time.Second))
 	}
 	checkGolden(t, "lists.golden", []byte(tr.sum()+"\n"))
 }
