--- a/consensus/golden_longrun_test.go
+++ b/consensus/golden_longrun_test.go
@@ -7,37 +7,36 @@
 	"time"
 )
 
-// A replica whose log grows without end takes minutes to start, and one that puts a snapshot in its place at another
-// entry than its peers is sent snapshots in place of entries. Enough is proposed that the log is compacted for its
-// length; records, messages and what all act on are hashed.
+// Guards against a change of log compaction. A replica whose log grows without bound takes minutes to start, and one
+// that compacts its log at a different entry than its peers is sent snapshots instead of entries. The run proposes
+// enough that the length of the log triggers compaction, and hashes records, messages and effective configurations.
 func TestGoldenLongRun(t *testing.T) {
 	sim := newSimulation(t, 7, 3, 2, true)
 	sim.trace = newTraceHash()
 	for _, p := range sim.processes[:3] {
 		p.disk.trace = sim.trace
 	}
-	for span := sim.now + int64(5*time.Second); sim.now < span; {
+	for end := sim.now + int64(5*time.Second); sim.now < end; {
 		sim.advance()
 	}
-	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
+	leader := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
 	for n := range 300 {
-		sim.propose(4, leads, Proposal{Author: "op", EjectEndpoints: []string{fmt.Sprint("h", n%50)},
+		sim.propose(4, leader, Proposal{Author: "op", EjectEndpoints: []string{fmt.Sprint("h", n%50)},
 			Limits: map[string]int64{"held": int64(n)}})
-		for span := sim.now + int64(50*time.Millisecond); sim.now < span; {
+		for end := sim.now + int64(50*time.Millisecond); sim.now < end; {
 			sim.advance()
 		}
 	}
 	line := fmt.Sprintf("revisions=%d sent=%d records=%d sha256=%s\n", len(sim.digests), sim.sent,
-		len(sim.processes[0].disk.records),
-		sim.trace.sum())
+		len(sim.processes[0].disk.records), sim.trace.sum())
 	if sim.violation != "" || len(sim.accepted) != 300 {
-		t.Errorf("%d accepted; %s", len(sim.accepted), sim.violation)
+		t.Errorf("%d proposals accepted, want 300; violated invariant: %q", len(sim.accepted), sim.violation)
 	}
 	checkGolden(t, "longrun.golden", []byte(line))
 }
 
-// The network repeats a proposal that was refused for good; the leader says the same until the ticket that it can come
-// with is void, and only then forgets.
+// Guards against a different answer when the network repeats a proposal that was finally refused. The leader repeats
+// the refusal until the proposal's ticket can no longer be valid, and forgets it only then.
 func TestRefusalIsRepeatedForTenSeconds(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
 	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
