--- a/consensus/recorded_test.go
+++ b/consensus/recorded_test.go
@@ -13,7 +13,7 @@
 	"hollylever/store"
 )
 
-// recordedMessage is one message of a recorded session: when it arrived where.
+// recordedMessage is one message of a recorded session. At is the time of its arrival.
 type recordedMessage struct {
 	At    int64  `cbor:"1,keyasint"`
 	From  int    `cbor:"2,keyasint"`
@@ -21,7 +21,8 @@
 	Bytes []byte `cbor:"4,keyasint"`
 }
 
-// sessionMember is one process of a session; its draws are its own.
+// sessionMember is one process of a session, which records the messages that it sends. Each member has its own random
+// source, so that its draws do not depend on the other members.
 type sessionMember struct {
 	n       int
 	replica *Replica
@@ -35,9 +36,9 @@
 	m.sent = append(m.sent, recordedMessage{m.now + ms, m.n, int(to[1] - '0'), msg.Marshal()})
 }
 
-// runSession runs the live ones of three replicas for some seconds; what the others say is recorded. It gives all
-// that was said.
-func runSession(t *testing.T, live []int, recorded []recordedMessage) (all []recordedMessage,
+// runSession runs the live members of a fleet of three replicas for 2.5 seconds. The messages of the other members come
+// from a recording. It returns all messages that the live members sent, and these members.
+func runSession(t *testing.T, live []int, recorded []recordedMessage) (sent []recordedMessage,
 	members map[int]*sessionMember) {
 	members = map[int]*sessionMember{}
 	names := []string{"b0", "b1", "b2"}
@@ -51,9 +52,8 @@
 		}
 		m.replica, members[n] = r, m
 	}
-	queue := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool {
-		return slices.Contains(live,
-			f.From)
+	queue := slices.DeleteFunc(slices.Clone(recorded), func(message recordedMessage) bool {
+		return slices.Contains(live, message.From)
 	})
 	for now := int64(0); now < 2500*ms; now += ms {
 		for at := 0; at < len(queue); at++ {
@@ -78,18 +78,19 @@
 					EjectEndpoints: []string{"h"}}, Ticket: &ProposalTicket{m.replica.term, now}})
 			}
 			m.holder.Tick(now)
-			all, queue, m.sent = append(all, m.sent...), append(queue, m.sent...), nil
+			sent, queue, m.sent = append(sent, m.sent...), append(queue, m.sent...), nil
 		}
-		slices.SortStableFunc(queue, func(a, b recordedMessage) int { return (a.From - b.From) })
+		slices.SortStableFunc(queue, func(a, b recordedMessage) int { return a.From - b.From })
 	}
-	return all, members
+	return sent, members
 }
 
-// Members of the recorded build say what they said; one of this build joins them, leads or follows as then, and comes
-// to the same lease: a fleet that is upgraded one process at a time goes on agreeing.
+// Guards against a fleet that stops agreeing while it is upgraded one process at a time. One member of this build runs
+// among the recorded messages of an earlier build. It must send what it sent in the recording, lead or follow as it did
+// then, and obtain the same lease.
 func TestReplicatesWithRecordedBuild(t *testing.T) {
-	said, _ := runSession(t, []int{0, 1, 2}, nil)
-	checkGolden(t, "session.cbor", encode(said))
+	session, _ := runSession(t, []int{0, 1, 2}, nil)
+	checkGolden(t, "session.cbor", encode(session))
 	file, err := os.ReadFile("testdata/session.cbor")
 	if err != nil {
 		t.Fatal(err)
@@ -100,27 +101,27 @@
 	}
 	leaders := 0
 	for n := range 3 {
-		again, members := runSession(t, []int{n}, recorded)
-		own := slices.DeleteFunc(slices.Clone(recorded), func(f recordedMessage) bool { return f.From != n })
-		if !bytes.Equal(encode(again), encode(own)) {
-			t.Errorf("b%d among recorded members says something else than then", n)
+		sent, members := runSession(t, []int{n}, recorded)
+		want := slices.DeleteFunc(slices.Clone(recorded), func(m recordedMessage) bool { return m.From != n })
+		if !bytes.Equal(encode(sent), encode(want)) {
+			t.Errorf("b%d sends other messages than in the recording", n)
 		}
-		a := members[n].holder.EffectiveConfig(2500 * ms)
-		if !a.IsLeased || a.LatestRevision != 2 || !slices.Equal(a.EjectedEndpoints, []string{"h"}) ||
-			a.BudgetShare <= 0 {
-			t.Errorf("b%d comes to no lease on revision 2 with the recorded members", n)
+		config := members[n].holder.EffectiveConfig(2500 * ms)
+		if !config.IsLeased || config.LatestRevision != 2 || !slices.Equal(config.EjectedEndpoints, []string{"h"}) ||
+			config.BudgetShare <= 0 {
+			t.Errorf("b%d: got %+v, want a lease on revision 2 that ejects h, with a budget share", n, config)
 		}
 		if members[n].replica.IsLeader() {
 			leaders++
 		}
 	}
 	if leaders != 1 {
-		t.Errorf("%d lead", leaders)
+		t.Errorf("%d members led the recorded session, want 1", leaders)
 	}
 }
 
-// A replica that cannot read the log that its earlier build wrote has lost its vote; one that reads it otherwise
-// begins a second history.
+// Guards against a build that cannot read a replica log of an earlier build, and so loses the replica's vote, or that
+// reads it differently, and so starts a second history.
 func TestOpensRecordedReplicaLog(t *testing.T) {
 	const file = "testdata/replica.log"
 	if *update {
@@ -145,23 +146,24 @@
 		t.Fatal(err)
 	}
 	revisions, minRevision := r.History()
-	shown := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n",
+	summary := fmt.Sprintf("records=%d life=%d founded=%t floor=%d applied=%d hard=%x voters=%x candidates=%x history=%x\n",
 		len(records), r.incarnation, r.IsBootstrapped(), minRevision,
-		r.log.applied, marshalProto(r.log.hardState), encode(r.state.Voters), encode(r.state.Unaccepted), encode(revisions))
+		r.log.applied, marshalProto(r.log.hardState), encode(r.state.Voters), encode(r.state.Unaccepted),
+		encode(revisions))
 	hasSnapshot := slices.ContainsFunc(records, func(bytes []byte) bool {
-		var r record
-		return strictDecoding.Unmarshal(bytes, &r) == nil && r.Snapshot != nil
+		var rec record
+		return strictDecoding.Unmarshal(bytes, &rec) == nil && rec.Snapshot != nil
 	})
 	if !hasSnapshot || len(records) < 4 {
-		t.Error("the recorded log has no snapshot with records after it")
+		t.Errorf("recorded log of %d records has no snapshot or too few records after it", len(records))
 	}
 	r.Tick(ms)
 	revisions, minRevision = r.History()
-	shown += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", minRevision, r.log.applied, encode(revisions))
-	checkGolden(t, "replica.golden", []byte(shown))
+	summary += fmt.Sprintf("committed: floor=%d applied=%d history=%x\n", minRevision, r.log.applied, encode(revisions))
+	checkGolden(t, "replica.golden", []byte(summary))
 }
 
-// writeLog writes the log of a replica that put a snapshot in the place of its oldest records and went on.
+// writeLog writes the log of a replica that replaced its oldest records with a snapshot and then appended more.
 func writeLog(t *testing.T, path string) {
 	sim := newSimulation(t, 11, 3, 0, true)
 	run := func(span time.Duration) {
@@ -169,23 +171,25 @@
 			sim.advance()
 		}
 	}
-	change := func(c Proposal) {
-		sim.propose(0, slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() }), c)
+	leaderIndex := func() int {
+		return slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
+	}
+	propose := func(proposal Proposal) {
+		sim.propose(0, leaderIndex(), proposal)
 		run(4 * time.Second)
 	}
 	run(10 * time.Second)
 	digest := "d1"
-	change(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"},
+	propose(Proposal{Author: "op", Reason: "w", EjectEndpoints: []string{"h1", "h2"},
 		Limits: map[string]int64{"held": 7}})
-	change(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
-	leads := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
-	lost := 1 + leads%2 // b0 stays; a new incarnation takes the place of one that lost its state.
+	propose(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
+	lost := 1 + leaderIndex()%2 // Another replica than b0 loses its state; a new incarnation replaces it.
 	sim.processes[lost].disk = nil
 	sim.startProcess(lost, true, 3)
 	run(15 * time.Second)
-	change(Proposal{Author: "op", UnejectEndpoints: []string{"h1"}, EjectEndpoints: []string{"h3"}})
-	aside := filepath.Join(t.TempDir(), "replica.log")
-	log, _, err := store.Open(aside)
+	propose(Proposal{Author: "op", UnejectEndpoints: []string{"h1"}, EjectEndpoints: []string{"h3"}})
+	tempPath := filepath.Join(t.TempDir(), "replica.log")
+	log, _, err := store.Open(tempPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +201,7 @@
 	if err := log.Append(records[2:]); err != nil {
 		t.Fatal(err)
 	}
-	content, err := os.ReadFile(aside)
+	content, err := os.ReadFile(tempPath)
 	if err != nil {
 		t.Fatal(err)
 	}
