--- a/consensus/messages.go
+++ b/consensus/messages.go
@@ -9,7 +9,7 @@
 const maxMessageBytes = 2 << 20
 
 // errInvalidMessage is returned for bytes that no process of a fleet sends.
-var errInvalidMessage = errors.New("invalid fleet message")
+var errInvalidMessage = errors.New("malformed message")
 
 // Sender sends a message to the process with the given name, which may be this process itself. It does not block, and
 // the message may be lost.
