--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,32 +1,34 @@
-// Package policy is the decision module: which endpoint a request goes to, whether it may be sent at all, whether it is
-// retried, and when it is rejected. One Balancer decides for one balancer and shares nothing with others.
+// Package policy makes the routing decisions: which endpoint a request is sent to, whether it may be sent at all,
+// whether it is retried, and when it is rejected. A Balancer decides for one balancer process and shares no state with
+// others.
 //
-// The module is pure. It is handed the clock, its random seed, the settings and every event, and acts through an
-// Executor. Equal events give equal actions, down to the order of random draws, so that a day can be replayed.
+// The package performs no I/O and reads no clock. Its caller passes in the time, the random seed, the settings and
+// every event; it acts through an Executor. The same sequence of events produces the same actions and the same random
+// draws, so that recorded traffic can be replayed.
 //
-// Each rule has a file that opens with the rule in plain words:
+// Each group of rules has its own file, which starts with a description of the rules:
 //
-//	dispatch.go      the ordinary path of a request, top to bottom
-//	candidates.go    which endpoints a key belongs to: rendezvous hashing, expansion
-//	selection.go     which candidate gets the attempt: load, latency, zone
-//	eligibility.go   what may never be sent: drains, effects, deadlines
-//	slowstart.go     what an endpoint that has just started may be sent
-//	outlier.go       which endpoints are passed over as their attempts fail
-//	admission.go     when a request is rejected at once: overload, tenants' quotas
-//	retry.go         what pays for a retry, how long it waits, when a request is hedged
-//	keyqueue.go      requests of one key that go one at a time
-//	cacheaside.go    misses and writes that go to the origin
-//	observations.go  what the end of an attempt teaches
+//	dispatch.go      the path of a request from arrival to its final answer
+//	candidates.go    candidate endpoints of a key: rendezvous hashing, expansion
+//	selection.go     choice among the candidates: load, latency, zone
+//	eligibility.go   hard limits on sending: drains, effects, deadlines
+//	slowstart.go     slow start of endpoints that have just started
+//	outlier.go       detection of endpoints whose attempts fail
+//	admission.go     early rejection: overload, tenant quotas
+//	retry.go         retry tokens, backoff and hedging
+//	keyqueue.go      queues of requests that have the same key
+//	cacheaside.go    cache misses and writes that go to the origin
+//	observations.go  statistics from finished attempts and load reports
 //	endpoints.go     the endpoint list
-//	snapshot.go      learned state out and in, over a restart
-//	settings.go      the settings, typed, read once
-//	executor.go      what the module acts through, and the terms of its events
-//	evidence.go      the clock by which observations fade, and the random source
-//	reason.go        why a request was rejected or failed
+//	snapshot.go      saving and restoring learned state across a restart
+//	settings.go      typed settings
+//	executor.go      the Executor interface and the types of events
+//	evidence.go      the evidence clock, by which statistics decay, and the random source
+//	reason.go        reasons for rejecting or failing a request
 //
-// Times and durations are whole nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and
-// zones are small indices; those of classes, tenants, machine types and zones are their places in the settings. A
-// Balancer does not lock: it has one caller at a time.
+// Times and durations are integer nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and
+// zones are identified by small indices; for classes, tenants, machine types and zones these are their positions in the
+// settings.
 package policy
 
 import (
@@ -40,17 +42,17 @@
 	second      = int64(1e9)
 )
 
-// The tags of timers. timerRequest has the index of the request added.
+// Timer tags. The tag of a request's timer is timerRequest plus the index of the request.
 const (
-	timerList = iota
+	timerListRetry = iota
 	timerRequest
 )
 
-// noEndpoint stands for the index of an endpoint where there is none.
+// noEndpoint is the endpoint index that means "none".
 const noEndpoint = -1
 
-// Balancer is what one balancer knows, by the rule that owns it. Each part is written by the methods of its own file. A
-// Balancer is not safe for concurrent use.
+// Balancer holds the state of one balancer, grouped by the rule that uses it. Each field is written by the methods in
+// the file named next to it. A Balancer is not safe for concurrent use.
 type Balancer struct {
 	executor Executor
 	settings settings
@@ -59,47 +61,47 @@
 
 	// The endpoint list (endpoints.go).
 	endpoints    []endpointState
-	machineTypes []machineType // by the place in the settings, plus 1; 0: not stated
-	updateKind   UpdateKind    // of the update that is being told
-	listFailures int           // in a row
-	ready        []int         // caches that may be sent to by the list
-	totalWeight  float64       // of these
-	warmWeight   float64       // of those among them that were not warming up at the last update
-	origin       int           // cache-aside: the endpoint that is the origin
+	machineTypes []machineType // indexed by position in the settings plus 1; 0: type not stated
+	updateKind   UpdateKind    // kind of the update in progress
+	listFailures int           // consecutive failures to get the list, at most maxListBackoffDoublings
+	ready        []int         // caches that the list allows to be sent to
+	totalWeight  float64       // of the ready caches
+	warmWeight   float64       // of the ready caches that were not warming up at the last update
+	origin       int           // cache-aside: index of the origin; noEndpoint if there is none
 
 	// Requests and their queues (dispatch.go, keyqueue.go).
 	requests     []requestState
-	openRequests []int // without a final answer
+	openRequests []int // requests without a final answer
 	keyQueues    map[keyQueueID]*keyQueue
 
-	// What is known of this balancer's place among all.
-	fleetSize        float64 // balancers that share what all may do together
-	processShare     float64 // of this balancer's attempts that this process sends
-	widespreadMisses bool    // all balancers agree that reads miss
+	// This balancer's part in the fleet.
+	fleetSize        float64 // number of balancers that share the fleet-wide limits
+	processShare     float64 // fraction of this balancer's attempts that this process sends
+	widespreadMisses bool    // the fleet agrees that many reads miss
 
-	// What was observed, by the rule that decides by it.
-	candidates      []candidate              // of the request that is being dispatched; reused
+	// Statistics and limits, with the file of the rule that uses them.
+	candidates      []candidate              // scratch space for the request being dispatched
 	load            loadMeter                // at ready caches (selection.go)
-	fleetwide       machineType              // latency of all caches (selection.go)
-	outcomes        outcomeCounts            // of all caches (outlier.go)
-	connectFailures sum                      // attempts without a connection
+	fleetwide       machineType              // latency over all caches (selection.go)
+	outcomes        outcomeCounts            // over all caches (outlier.go)
+	connectFailures sum                      // attempts that got no connection
 	outages         *outage.Detector         // zones that stopped answering (outlier.go)
 	warmThroughput  warmThroughput           // slowstart.go
 	admission       admissionLimiter         // admission.go
-	quotas          *quota.Limiter           // of tenants (admission.go)
-	quality         attemptQuality           // timely and late attempts (observations.go)
+	quotas          *quota.Limiter           // per tenant (admission.go)
+	quality         attemptQuality           // timely attempts, and late or failed ones (observations.go)
 	reports         loadReports              // of ready caches (observations.go)
-	retries         retryBudget              // of the whole balancer (retry.go)
+	retries         retryBudget              // for the whole balancer (retry.go)
 	overdue         sum                      // attempts that took far longer than others (retry.go)
 	misses          missRate                 // of reads (cacheaside.go)
 	originReads     originLimiter            // cacheaside.go
-	recentKeys      [maxRecentKeys]keyRecord // by key (observations.go)
+	recentKeys      [maxRecentKeys]keyRecord // indexed by key modulo maxRecentKeys (observations.go)
 }
 
-// New begins a balancer with nothing known. values are the operators' settings as a plain map of dotted names to
-// float64, string or bool; one that is missing counts as 0, "" or false. seed is the instance's own, so that balancers
-// that see the same do not act in step. New calls executor.WatchEndpoints where changes of the list are sent only to
-// balancers that watch.
+// New returns a Balancer without any endpoints or statistics. values maps the dotted names of settings to float64,
+// string or bool values; a missing setting counts as 0, "" or false. seed must differ between balancers, so that those
+// that see the same events do not make the same random choices. New calls executor.WatchEndpoints if discovery sends
+// changes of the list only to balancers that watch it.
 func New(now int64, seed uint64, values map[string]any, executor Executor) *Balancer {
 	s := readSettings(values)
 	b := &Balancer{
@@ -123,25 +125,25 @@
 	return b
 }
 
-// advanceClock moves the clocks. Each event that counts evidence calls it first.
+// advanceClock moves the clocks to now. Every event handler that updates decaying statistics calls it first.
 func (b *Balancer) advanceClock(now int64) {
 	b.admission.recover(now - b.clock.now)
 	b.clock.advance(now, &b.admission.arrivals)
 }
 
-// RequestInfo is what is known of a request when it arrives. Durations are nanoseconds.
+// RequestInfo describes a request on arrival. Durations are nanoseconds.
 type RequestInfo struct {
-	Remaining     int64 // until the client waits no longer
-	Class         int   // its request class
-	Tenant        int   // -1: none stated
+	Remaining     int64 // time until the client stops waiting
+	Class         int
+	Tenant        int // -1: not stated
 	Key           uint64
-	HasKey        bool // requests of one key go to the same candidates; without a key any will do
+	HasKey        bool // requests with the same key share their candidates; without a key they are chosen at random
 	IsWrite       bool
-	PredictedWork int64 // on a standard core; 0: not stated
+	PredictedWork int64 // as time on a standard core; 0: not stated
 }
 
-// HandleRequest takes a request that has arrived. index is its own until it has its final answer and its last attempt
-// has ended; then another request may have it.
+// HandleRequest handles the arrival of a request. index identifies the request until it has its final answer and all
+// its attempts have ended; after that the index may be reused.
 func (b *Balancer) HandleRequest(now int64, index int, info RequestInfo) {
 	b.advanceClock(now)
 	b.requests = append(b.requests, make([]requestState, max(0, index+1-len(b.requests)))...)
@@ -157,8 +159,8 @@
 	b.admit(now, index, info)
 }
 
-// HandleResponseStarted says that the answer of a streamed request has begun. From then on the request has no deadline
-// and is not hedged, and it counts as load at no endpoint: how long it takes is up to its client.
+// HandleResponseStarted handles the start of a streamed response. From then on the request has no deadline, is not
+// hedged and does not count as load at its endpoint, because the client determines how long the stream takes.
 func (b *Balancer) HandleResponseStarted(index, attempt int) {
 	request := &b.requests[index]
 	request.beginStreaming()
@@ -166,18 +168,18 @@
 	b.addInFlight(request, request.attempts[attempt].endpoint, -1)
 }
 
-// AttemptResult is how an attempt ended. Latency is in nanoseconds.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
-	Attempt     int // its number: the order of the request's Sends, from 0
+	Attempt     int // number of the attempt: its position among the request's Sends, from 0
 	Endpoint    int
-	CacheResult int // where endpoints tell it: 1 hit, 2 miss, 3 waited for another request's fetch
+	CacheResult int // as the endpoint reports it: 0 not reported, 1 hit, 2 miss, 3 waited for another request's fetch
 	Outcome     Outcome
-	Latency     int64 // since it was sent
-	IsAnswered  bool  // the request has its final answer, by this attempt or before
+	Latency     int64 // nanoseconds since the attempt was sent
+	IsAnswered  bool  // the request has its final answer, from this attempt or an earlier event
 }
 
-// HandleAttemptEnded takes how an attempt ended, once for each Send. It also comes for attempts of a request that
-// already has its final answer.
+// HandleAttemptEnded handles the end of an attempt. It must be called exactly once for each Send, also for attempts of
+// a request that already has its final answer.
 func (b *Balancer) HandleAttemptEnded(now int64, index int, result AttemptResult) {
 	b.advanceClock(now)
 	request := &b.requests[index]
@@ -197,7 +199,7 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// HandleClientCancelled says that the client has gone: the request needs no answer.
+// HandleClientCancelled handles a client that has cancelled its request or disconnected: no answer is needed.
 func (b *Balancer) HandleClientCancelled(now int64, index int) {
 	if b.requests[index].isOpen {
 		b.closeRequest(now, index, noEndpoint)
@@ -205,8 +207,8 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// ExpireRequest gives a request its final answer now, whatever it waits for, as the process ends. One whose answer has
-// begun goes on.
+// ExpireRequest gives a request its final answer immediately, regardless of what it waits for, because the process is
+// shutting down. A request whose response has started streaming is left to finish.
 func (b *Balancer) ExpireRequest(now int64, index int) {
 	b.advanceClock(now)
 	if request := &b.requests[index]; request.isOpen && !request.isStreaming() {
@@ -214,49 +216,50 @@
 	}
 }
 
-// HandleTimer says that a timer that SetTimer asked for has come due. Timers are not cancelled: one that nothing waits
-// for any more is ignored.
+// HandleTimer handles the expiry of a timer set with Executor.SetTimer. Timers are never cancelled, so one that is no
+// longer needed is ignored.
 func (b *Balancer) HandleTimer(now int64, tag int) {
 	b.advanceClock(now)
 	switch index := tag - timerRequest; {
-	case tag == timerList:
+	case tag == timerListRetry:
 		b.executor.WatchEndpoints()
 	case index < len(b.requests):
 		b.handleRequestTimer(now, index)
 	}
 }
 
-// HandleLoadReport takes an endpoint's load report: its figures in the order of the settings, NaN for one that it
-// lacks.
-func (b *Balancer) HandleLoadReport(index int, figures []float64) {
+// HandleLoadReport handles an endpoint's load report. values are in the order of the setting report.fields, with NaN for
+// each value that the report lacks.
+func (b *Balancer) HandleLoadReport(index int, values []float64) {
 	endpoint := &b.endpoints[index]
 	if b.isListed(endpoint) && index != b.origin {
-		b.reports.replace(&endpoint.report, figures, b.settings.reportFields)
+		b.reports.replace(&endpoint.report, values, b.settings.reportFields)
 	}
 }
 
-// UpdatePeerVerdict sets by how much other balancers' reports lower an endpoint's chance to be selected, from 0 to 1.
-// Under 0, this balancer holds the probe lease of the endpoint and is to try it.
+// UpdatePeerVerdict sets the probability, from 0 to 1, with which an endpoint is skipped because of what other
+// balancers report about it. A negative verdict means that this balancer holds the probe lease of the endpoint and must
+// try it.
 func (b *Balancer) UpdatePeerVerdict(index int, verdict float64) {
 	b.endpoints[index].outlier.peerVerdict = verdict
 }
 
-// SetQuota sets a tenant's quota, in requests a second for all balancers together.
+// SetQuota sets a tenant's quota for the whole fleet, in requests per second.
 func (b *Balancer) SetQuota(tenant int, requestsPerSecond float64) {
 	b.quotas.SetQuota(tenant, requestsPerSecond)
 }
 
-// SetFleetShare sets this balancer's share of what all balancers may do together, from 0 to 1. It replaces the even
-// share by the number of balancers that the settings state.
+// SetFleetShare sets this balancer's share of the fleet-wide limits, from 0 to 1. It replaces the even share that
+// follows from the number of balancers in the settings.
 func (b *Balancer) SetFleetShare(share float64) { b.fleetSize = 1 / min(1, max(share, minFleetShare)) }
 
-// minFleetShare keeps the fleet's size finite. A millionth is less than the even share in any fleet there may be.
+// minFleetShare keeps fleetSize finite. It is far below the even share in a fleet of any realistic size.
 const minFleetShare = 1e-6
 
-// SetProcessShare sets this process's share of the balancer's attempts, from 0 to 1, while two processes of it run over
-// an upgrade. It is its share of the slow-start budget, too.
+// SetProcessShare sets the fraction, from 0 to 1, of the balancer's attempts that this process sends while two
+// processes of one balancer run side by side during an upgrade. The fraction also applies to the slow-start budget.
 func (b *Balancer) SetProcessShare(share float64) { b.processShare = share }
 
-// SetWidespreadMisses sets whether all balancers agree that many reads miss. While they do, a key's candidates are
-// tried in one order by all balancers, so that the key is fetched once.
+// SetWidespreadMisses sets whether the fleet agrees that many reads miss. While it does, all balancers try a key's
+// candidates in the same order, so that each key is fetched from the origin only once.
 func (b *Balancer) SetWidespreadMisses(areWidespread bool) { b.widespreadMisses = areWidespread }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -1,36 +1,36 @@
 package policy
 
-// The endpoint list: what discovery tells of each endpoint, and which endpoints may be sent to by it. An update is told
-// entry by entry between BeginEndpointUpdate and CommitEndpointUpdate; an endpoint keeps its index for as long as it is
-// known.
+// The endpoint list: what discovery reports about each endpoint, and which endpoints it allows to be sent to. The
+// entries of an update are passed one at a time between BeginEndpointUpdate and CommitEndpointUpdate. An endpoint keeps
+// its index until RemoveEndpoint frees it.
 //
-// A call for the list that fails is repeated after a wait that doubles and is spread by chance (exponential backoff
-// with jitter). This guards discovery against all balancers that call again at once, which shows as failures that go on
-// after their cause has gone. Meanwhile endpoints are judged by their answers.
+// A failed call for the list is retried with exponential backoff and jitter. Without these, all balancers would call
+// again at the same time and could keep discovery overloaded after the original failure is over. In the meantime,
+// endpoints are judged by their answers.
 
 const (
-	// listBackoff is the wait after failed calls for the list, in nanoseconds: it doubles with each, maxListDoublings
-	// times at most. That comes to 3 s with jitter, half of the time after which a change counts as told, so that one
-	// more call may fail.
-	listBackoff      = second / 4
-	maxListDoublings = 3
-
-	// pushedDrainPart: a pushed list is called for within one in so many parts of the grace of a drain, as what is
-	// pushed counts as told whether it is heard or not.
-	pushedDrainPart = 8
+	// listBackoff is the base wait, in nanoseconds, before a failed call for the list is retried. It doubles with each
+	// consecutive failure, at most maxListBackoffDoublings times. The longest wait, with jitter, is 3 s. That is
+	// half of the 6 s after which a change counts as known to all balancers, so that one more call may fail.
+	listBackoff             = second / 4
+	maxListBackoffDoublings = 3
+
+	// drainGraceDivisor limits the wait before a broken watch of a pushed list is restarted to drainGrace divided by
+	// it: a pushed change counts as known whether the balancer received it or not.
+	drainGraceDivisor = 8
 )
 
-// machineType is what endpoints of one type, or all, have answered. An endpoint is taken for one of its type until its
-// own answers tell otherwise.
+// machineType holds statistics over the endpoints of one machine type, or over all endpoints. They stand in for an
+// endpoint's own statistics while it has answered too few attempts.
 type machineType struct {
 	latency latencyRecord
-	weight  float64 // the largest that a list has stated for one of them
+	weight  float64 // the largest weight that a list has stated for an endpoint of this type
 }
 
-// endpointState is what is known of one endpoint, by the rule that owns it.
+// endpointState is the state of one endpoint, grouped by the rule that uses it.
 type endpointState struct {
-	// What ranking reads of each ready endpoint for each request stands first, in one cache line.
-	hash      uint64 // of its address; 0: its place is free
+	// The fields that ranking reads for every ready endpoint on every request come first, to share a cache line.
+	hash      uint64 // of the address; 0: the index is free
 	weight    float64
 	evacuated evacuation
 
@@ -38,8 +38,8 @@
 	machineType  int
 	zone         int
 	replicaGroup int
-	isListed     bool // it has an entry in the update that is being told
-	hasDrained   bool // and has not been ready since
+	inUpdate     bool // it has an entry in the update in progress
+	hasDrained   bool // it has been draining, and not been ready since
 
 	load      loadMeter
 	attempts  sum
@@ -51,57 +51,58 @@
 	report    loadReport
 }
 
-// isKnown tells whether the place is an endpoint's.
+// isKnown reports whether the index is in use.
 func (e *endpointState) isKnown() bool { return e.hash != 0 }
 
-// EndpointInfo is one entry of the list.
+// EndpointInfo is one entry of the endpoint list.
 type EndpointInfo struct {
 	Address      string
 	Health       Health
-	StartedAt    int64 // 0: long ago
+	StartedAt    int64 // start time; 0: long ago
 	MachineType  int   // -1: not stated
 	Zone         int   // -1: not stated
 	ReplicaGroup int
 	Weight       float64 // 0: not stated
 }
 
-// BeginEndpointUpdate begins an update. After one that failed no entries follow.
+// BeginEndpointUpdate begins an update of the endpoint list. An update of kind UpdateFailed has no entries.
 func (b *Balancer) BeginEndpointUpdate(kind UpdateKind) {
 	b.updateKind = kind
 	for index := range b.endpoints {
-		b.endpoints[index].isListed = false
+		b.endpoints[index].inUpdate = false
 	}
 	switch kind {
 	case UpdateFailed:
-		b.scheduleListCall()
+		b.scheduleListRetry()
 	case SavedList:
-		// It tells nothing of discovery.
+		// A saved list does not show whether discovery can be reached.
 	default:
 		b.listFailures = 0
 	}
 }
 
-// scheduleListCall sets the timer for the next call for the list after one that failed.
-func (b *Balancer) scheduleListCall() {
-	b.listFailures = min(b.listFailures+1, maxListDoublings)
+// scheduleListRetry sets the timer for the next call for the list after a failed one.
+func (b *Balancer) scheduleListRetry() {
+	b.listFailures = min(b.listFailures+1, maxListBackoffDoublings)
 	wait := float64(listBackoff) * float64(int(1)<<b.listFailures)
-	longest := float64(b.settings.pollInterval)
+	maxWait := float64(b.settings.pollInterval)
 	if b.settings.isListPushed {
-		longest = float64(b.settings.drainGrace) / pushedDrainPart
+		maxWait = float64(b.settings.drainGrace) / drainGraceDivisor
 	}
-	if longest > 0 {
-		wait = min(wait, longest)
+	if maxWait > 0 {
+		wait = min(wait, maxWait)
 	}
-	b.executor.SetTimer(timerList, int64(b.random.jitter()*wait))
+	b.executor.SetTimer(timerListRetry, int64(b.random.jitter()*wait))
 }
 
-// UpdateEndpoint takes one entry of an update. index is that of a known endpoint, a free one, or the next.
+// UpdateEndpoint applies one entry of an update. index is that of a known endpoint, a free index, or the next unused
+// one.
 func (b *Balancer) UpdateEndpoint(now int64, index int, info EndpointInfo) {
 	if index == len(b.endpoints) {
 		b.endpoints = append(b.endpoints, endpointState{})
 	}
 	endpoint := &b.endpoints[index]
-	if !endpoint.isKnown() { // Its index is new, or was another's.
+	if !endpoint.isKnown() { // The index is new, or belonged to an endpoint that has been removed.
 		*endpoint = endpointState{hash: hashAddress(info.Address), retries: retryBudget{tokens: 1}}
 		endpoint.slowStart.updatedAt = now
 		endpoint.report.servedRate = notReported
@@ -113,49 +114,48 @@
 	case Draining:
 		endpoint.hasDrained = true
 	case Removed:
-		// It has drained if it had before.
+		// hasDrained keeps its value.
 	default:
 		endpoint.hasDrained = false
 	}
-	endpoint.health, endpoint.isListed = info.Health, true
+	endpoint.health, endpoint.inUpdate = info.Health, true
 	endpoint.machineType, endpoint.zone, endpoint.replicaGroup = info.MachineType+1, info.Zone, info.ReplicaGroup
-	// Types of endpoints that are not ready count, too: an attempt may end at an endpoint of a type that was never
-	// ready.
+	// Machine types of endpoints that are not ready need a record, too: an attempt may end at an endpoint whose type no
+	// ready endpoint has had.
 	for len(b.machineTypes) <= endpoint.machineType {
 		b.machineTypes = append(b.machineTypes, machineType{})
 	}
 	endpoint.weight = b.stableWeight(endpoint.machineType, info.Weight)
 }
 
-// stableWeight returns the weight that an endpoint is ranked by. Stated weights that move with load would take keys
-// from one endpoint to another with each list; where the settings say that they do, the largest that any endpoint of
-// the machine type has had counts. Where none is stated all endpoints count the same.
+// stableWeight returns the weight by which an endpoint is ranked. If stated weights follow load, as the settings can
+// say, ranking by them would move keys between endpoints with each update; the largest weight seen for the machine type
+// is used instead. An endpoint without a stated weight has weight 1.
 func (b *Balancer) stableWeight(machineType int, stated float64) float64 {
-	switch known := &b.machineTypes[machineType]; {
+	switch typeRecord := &b.machineTypes[machineType]; {
 	case stated <= 0:
 		return 1
 	case b.settings.weightsFollowLoad:
-		known.weight = max(known.weight, stated)
-		return known.weight
+		typeRecord.weight = max(typeRecord.weight, stated)
+		return typeRecord.weight
 	}
 	return stated
 }
 
-// RemoveEndpoint frees the index of an endpoint that the list has removed. No request may have an attempt there any
-// more.
+// RemoveEndpoint frees the index of an endpoint that the list has removed. No attempt may be in flight there.
 func (b *Balancer) RemoveEndpoint(index int) { b.endpoints[index] = endpointState{health: Removed} }
 
-// CommitEndpointUpdate ends an update: from now on the list is as told.
+// CommitEndpointUpdate ends an update and makes the new list effective.
 func (b *Balancer) CommitEndpointUpdate(now int64) {
 	b.advanceClock(now)
 	b.load.settle(b.clock.evidence)
 	b.ready, b.origin = b.ready[:0], noEndpoint
 	b.load.inFlight, b.totalWeight, b.warmWeight = 0, 0, 0
 	b.reports.reset()
-	isWhole := b.updateKind == FullList || b.updateKind == SavedList
+	isFullList := b.updateKind == FullList || b.updateKind == SavedList
 	for index := range b.endpoints {
 		endpoint := &b.endpoints[index]
-		if isWhole && !endpoint.isListed {
+		if isFullList && !endpoint.inUpdate {
 			endpoint.health = Removed
 		}
 		if !b.isListed(endpoint) {
@@ -170,7 +170,7 @@
 	b.candidates = append(b.candidates, make([]candidate, max(0, len(b.ready)-len(b.candidates)))...)
 }
 
-// addReady counts an endpoint among those that may be sent to.
+// addReady adds an endpoint to the ready caches and to the totals over them.
 func (b *Balancer) addReady(now int64, index int) {
 	endpoint := &b.endpoints[index]
 	b.ready = append(b.ready, index)
@@ -183,8 +183,9 @@
 	b.reports.add(endpoint.report)
 }
 
-// isListed tells whether the list lets an endpoint be sent to. Where only draining binds, the list does not prove what
-// is up: an endpoint that is removed without having drained may still be sent to, and its answers decide.
+// isListed reports whether the list allows an endpoint to be sent to. With the setting onlyDrainingBinds, absence from
+// the list does not prove that an endpoint is down: one that was removed without having drained may still be sent to,
+// and is judged by its answers.
 func (b *Balancer) isListed(endpoint *endpointState) bool {
 	if endpoint.health == Ready {
 		return true
@@ -192,13 +193,13 @@
 	return b.settings.onlyDrainingBinds && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
 }
 
-// The parameters of FNV-1a with 64 bits (Fowler, Noll and Vo).
+// Parameters of the 64-bit FNV-1a hash (Fowler, Noll and Vo).
 const (
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// hashAddress is FNV-1a of an address.
+// hashAddress returns the FNV-1a hash of an address.
 func hashAddress(address string) uint64 {
 	hash := uint64(fnvOffset)
 	for i := range len(address) {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint drains, and is then listed with a machine type that no ready endpoint has, or with none. An attempt that
-// ends there must find a place for what it tells: it once ran past the end of a slice.
+// An attempt may end at a draining endpoint whose machine type no ready endpoint has, or that has none. Recording its
+// outcome once indexed past the end of the slice of machine types.
 func TestAttemptMayEndAtUnknownMachineType(t *testing.T) {
 	h := newHarness(t, 1, 3, nil)
 	i := h.request(Safe, 77, second)
@@ -17,8 +17,8 @@
 	}
 }
 
-// An endpoint that failed is removed, and a new one gets its index. Nothing that was observed of the old one counts for
-// the new one.
+// A failing endpoint is removed, and a new endpoint gets its index. The statistics of the old endpoint must not count
+// for the new one.
 func TestReusedIndexStartsClean(t *testing.T) {
 	h := newHarness(t, 1, 2, nil)
 	for range 50 {
@@ -33,14 +33,14 @@
 	h.balancer.CommitEndpointUpdate(h.now)
 	endpoint := h.balancer.endpoints[1]
 	if endpoint.hash == hash || len(h.balancer.ready) != 2 {
-		t.Fatalf("the new endpoint is not in the list: %+v", endpoint)
+		t.Fatalf("the new endpoint is not listed: %+v", endpoint)
 	}
 	if endpoint.outlier.outcomes.failures.Value != 0 || endpoint.attempts.Value != 0 || endpoint.retries.tokens != 1 {
-		t.Fatalf("observations of the old endpoint count: %+v", endpoint)
+		t.Fatalf("the new endpoint has statistics of the old one: %+v", endpoint)
 	}
 }
 
-// Calls for the list fail in a row. Each is followed by a further one within 8 s, and by one only: discovery is not
+// Each of several consecutive failed calls for the list is retried exactly once within 8 s, so that discovery is not
 // flooded.
 func TestFailedListCallIsRepeatedOnce(t *testing.T) {
 	h := newHarness(t, 1, 3, nil)
@@ -54,8 +54,8 @@
 	}
 }
 
-// Discovery has been away for long. However often calls have failed, the next one comes within 3 s of the last: a
-// change counts as told 6 s after discovery could be reached, and one more call may fail.
+// After a long outage of discovery, the list is still called for within 3 s of the last failed call. A change counts as
+// known 6 s after discovery is reachable again, and one more call may fail until then.
 func TestListBackoffIsBounded(t *testing.T) {
 	for seed := range uint64(20) {
 		h := newHarness(t, seed, 3, map[string]any{"invariants.askEvery": 10000.0})
@@ -70,8 +70,8 @@
 	}
 }
 
-// The list is pushed, and its watch breaks again and again. What the agent has counts as told whether it is heard or
-// not, so however often a watch has failed, the next one begins well within the grace of a drain.
+// The watch of a pushed list breaks repeatedly. A pushed change counts as known whether the balancer received it or
+// not, so the next watch must start well within the grace period of a drain, regardless of how many have failed.
 func TestPushedListBackoffStaysWithinDrainGrace(t *testing.T) {
 	const grace = 2500
 	h := newHarness(t, 1, 3, map[string]any{"registryMode": "automatic", "invariants.askEvery": 10000.0, "invariants.drainGrace": float64(grace)})
@@ -85,13 +85,13 @@
 	}
 }
 
-// The list does not prove what is up, and drops an endpoint that still answers. Where only draining binds, one that is
-// gone from the list may be sent to. One that drained may not, until it is listed as ready again.
+// Discovery may drop an endpoint that still answers. With onlyDrainingBinds, an endpoint that is missing from the list
+// may be sent to, unless it drained before; then it may not until it is listed as ready again.
 func TestRemovedEndpointServesWhereOnlyDrainingBinds(t *testing.T) {
-	for _, binds := range []bool{true, false} {
-		h := newHarness(t, 1, 2, map[string]any{"invariants.onlyDrainingBinds": binds})
-		show := func(health Health) { h.updateList(FullList, 1, func(int) (Health, int64) { return health, 0 }) }
-		uses := func() bool { // Endpoint 1 is left out of the list, and does not answer.
+	for _, onlyDrainingBinds := range []bool{true, false} {
+		h := newHarness(t, 1, 2, map[string]any{"invariants.onlyDrainingBinds": onlyDrainingBinds})
+		listAs := func(health Health) { h.updateList(FullList, 1, func(int) (Health, int64) { return health, 0 }) }
+		isUsed := func() bool { // Endpoint 1 is not listed, and no connection to it succeeds.
 			for range 300 {
 				i := h.request(Safe, h.balancer.random.uint64(), second)
 				for number := range h.requests[i].attempts {
@@ -104,15 +104,15 @@
 			return used
 		}
 		h.health[1] = Removed
-		if show(Removed); uses() != binds {
-			t.Errorf("only draining binds %v: an endpoint listed as removed", binds)
+		if listAs(Removed); isUsed() != onlyDrainingBinds {
+			t.Errorf("onlyDrainingBinds %v: an endpoint listed as removed is used: %v", onlyDrainingBinds, !onlyDrainingBinds)
 		}
-		show(Draining)
-		if show(Removed); uses() { // The harness would say so, too.
-			t.Errorf("only draining binds %v: an endpoint that drained and is removed is used", binds)
+		listAs(Draining)
+		if listAs(Removed); isUsed() { // The harness checks this, too.
+			t.Errorf("onlyDrainingBinds %v: an endpoint that drained and was removed is used", onlyDrainingBinds)
 		}
-		if show(Ready); !uses() {
-			t.Errorf("only draining binds %v: an endpoint that is ready again is not used", binds)
+		if listAs(Ready); !isUsed() {
+			t.Errorf("onlyDrainingBinds %v: an endpoint that is ready again is not used", onlyDrainingBinds)
 		}
 	}
 }
