--- a/policy/observations.go
+++ b/policy/observations.go
@@ -2,63 +2,64 @@
 
 import "math"
 
-// What the end of an attempt teaches, and what load reports tell. Each count belongs to the rule that decides by it;
-// this file says which outcomes go where. Three observations are no ends of attempts and stand with their rules: an
-// attempt that is overdue (hedge in retry.go), a restart that the list does not show (detectRestart in slowstart.go),
-// and an origin with no capacity left (dispatch in dispatch.go). All of it is this balancer's own, and the sums fade by
-// the clock of evidence.
+// Statistics from finished attempts and from load reports. Each counter belongs to the rule that uses it; this file
+// decides which outcomes update which counters. Three observations that do not come from the end of an attempt are
+// recorded next to their rules: an overdue attempt (hedge in retry.go), a restart that the list does not show
+// (detectRestart in slowstart.go), and an origin with no capacity left (dispatch in dispatch.go). The statistics cover
+// this balancer only, and the sums decay by the evidence clock.
 
 const (
-	// lateRatio is the part of the objective after which an answer counts as late, so that queues show before answers
-	// lose their value.
+	// lateRatio is the fraction of the objective after which an answer counts as late, so that queueing is noticed
+	// before answers lose their value.
 	lateRatio = 0.75
 
-	// timelyShare: an answer within one in so many parts of the objective shows that more could be answered in time.
+	// timelyShare divides the objective: an answer within objective/timelyShare shows that more requests could be
+	// answered in time.
 	timelyShare = 2
 
-	// maxRecentKeys is for how many keys at most it is remembered where they were read last. A key's place is its
-	// remainder, so it is a prime.
+	// maxRecentKeys is the size of the table of recently answered keys. It is prime because the slot of a key is the
+	// key modulo the size.
 	maxRecentKeys = 8191
 
-	// notReported is the rate of an endpoint that has sent no load report.
+	// notReported is the servedRate of an endpoint that has sent no load report.
 	notReported = -1
 )
 
-// The figures of a load report that the module reads, as the operators name them.
+// The fields of a load report that the balancer uses, as named in the settings.
 const (
-	reportServedRate = "served_ps" // requests a second, of all balancers
+	reportServedRate = "served_ps" // requests per second, from all balancers
 	reportCPUShare   = "cpu_share" // 0 to 1
-	reportPending    = "pending"   // requests queued
+	reportPending    = "pending"   // queued requests
 )
 
-// attemptQuality counts attempts that ended in time, and those that came late or failed.
+// attemptQuality counts timely attempts, and those that were late or failed.
 type attemptQuality struct{ timely, late sum }
 
-// keyRecord is what is remembered of a key.
+// keyRecord is an entry of the table of recent keys.
 type keyRecord struct {
 	key       uint64
-	endpoint  int     // that answered it last; noEndpoint
+	endpoint  int     // that answered the key last; noEndpoint if there is none
 	failedAt  int     // the endpoint at which it failed last
-	suspicion float64 // odds, as a natural logarithm, that it fails wherever it goes (keyqueue.go)
+	suspicion float64 // log odds that requests for the key fail at any endpoint (keyqueue.go)
 }
 
-// loadReport is what an endpoint reported last.
+// loadReport is the last load report of an endpoint.
 type loadReport struct {
-	servedRate float64 // requests a second, of all balancers; notReported
+	servedRate float64 // requests per second, from all balancers; notReported if there was no report
 	strain     float64 // how busy the endpoint is, 0 to 1
 }
 
-// loadReports sums the last reports of ready caches.
+// loadReports is the sum over the last load reports of ready caches.
 type loadReports struct {
 	servedRate float64
 	strain     float64
-	reporting  float64 // caches that have sent one
+	reporting  float64 // number of caches that have sent a report
 }
 
-// reset begins the sum anew, for an update of the endpoint list.
+// reset clears the sum at the start of an update of the endpoint list.
 func (l *loadReports) reset() { *l = loadReports{} }
 
-// add counts an endpoint's last report, if it has sent one.
+// add adds an endpoint's last report to the sum, if it has sent one.
 func (l *loadReports) add(report loadReport) {
 	if report.servedRate >= 0 {
 		l.servedRate += report.servedRate
@@ -67,68 +68,69 @@
 	}
 }
 
-// replace puts the figures of a new report in the place of an endpoint's last one. The last one's figure holds where
-// the new one's is NaN, as the report lacks it. fields names the figures; those that the module does not read are
-// passed over.
-func (l *loadReports) replace(report *loadReport, figures []float64, fields []string) {
+// replace updates an endpoint's last report and the sum with the values of a new report. A NaN value is missing from
+// the new report and leaves the previous value in place. fields names the values; unknown fields are ignored.
+func (l *loadReports) replace(report *loadReport, values []float64, fields []string) {
 	if report.servedRate < 0 {
 		report.servedRate = 0
 		l.reporting++
 	}
 	l.servedRate, l.strain = l.servedRate-report.servedRate, l.strain-report.strain
-	for place, figure := range figures {
-		switch field := fields[place]; {
-		case math.IsNaN(figure):
+	for i, value := range values {
+		switch field := fields[i]; {
+		case math.IsNaN(value):
 		case field == reportServedRate:
-			report.servedRate = figure
+			report.servedRate = value
 		case field == reportCPUShare:
-			report.strain = min(1, figure)
+			report.strain = min(1, value)
 		case field == reportPending:
-			report.strain = figure / (figure + 1)
+			report.strain = value / (value + 1)
 		}
 	}
 	l.servedRate, l.strain = l.servedRate+report.servedRate, l.strain+report.strain
 }
 
-// recordOutcome takes what the end of an attempt tells of its endpoint, of the fleet and of the origin.
+// recordOutcome updates the statistics of the endpoint, its machine type, its zone, all caches and the origin with the
+// end of an attempt.
 func (b *Balancer) recordOutcome(now int64, request *requestState, result AttemptResult) {
 	outcome := result.Outcome
 	if outcome == Cancelled && !request.isOpen {
-		return // It was cancelled as another attempt answered, or the client had gone: that tells nothing.
+		return // Cancelled because another attempt answered or the client left, which says nothing about the endpoint.
 	}
 	if request.isKeyThrottled() {
-		return // What holds its key up is no endpoint's fault.
+		return // The endpoint is not the cause of slow or failing requests for a throttled key.
 	}
 	class := &b.settings.classes[request.class]
 	isSuccess := outcome == OK || outcome == CacheMiss
 	isLate := outcome == OK && float64(result.Latency) > lateRatio*float64(class.objective)
-	isPoor := !isSuccess || isLate
+	isLateOrFailed := !isSuccess || isLate
 	b.recordKeyFailure(now, request, result)
 	b.recordOutage(now, result)
 	b.recordEndpointOutcome(result, isSuccess)
-	b.recordQuality(outcome, isPoor)
+	b.recordQuality(outcome, isLateOrFailed)
 	if result.Endpoint == b.origin {
 		b.recordOriginOutcome(request, result, class.objective)
 		return
 	}
 	b.recordCacheOutcome(result, isSuccess)
 	if isSuccess || outcome == Errored {
-		b.recordCacheAnswer(request, result, isPoor)
+		b.recordCacheAnswer(request, result, isLateOrFailed)
 	}
 }
 
-// isSilent tells whether an endpoint gave no sign of life. That tells of the endpoint or its zone, not of load.
+// isSilent reports whether nothing was received from the endpoint. This points to a fault of the endpoint or its zone,
+// not to load.
 func (o Outcome) isSilent() bool { return o == ConnectFailed || o == TimedOut }
 
-// recordOutage takes whether an endpoint's zone answers. An answer of the origin tells nothing of the caches in its
-// zone.
+// recordOutage records whether the endpoint's zone responds. An answer of the origin does not show that the caches in
+// its zone are up.
 func (b *Balancer) recordOutage(now int64, result AttemptResult) {
 	zone := b.endpoints[result.Endpoint].zone
 	switch result.Outcome {
 	case ConnectFailed, TimedOut:
 		b.outages.RecordFailure(zone, result.Endpoint, now)
 	case Cancelled, NotSent, Reset:
-		// Neither an answer nor silence.
+		// Neither an answer nor a lack of one.
 	default:
 		if result.Endpoint != b.origin {
 			b.outages.RecordResponse(zone, now)
@@ -136,8 +138,9 @@
 	}
 }
 
-// recordEndpointOutcome counts for and against an endpoint. Quick errors count against it, too: an endpoint that fails
-// fast never looks busy. Rejections do not: they tell of load.
+// recordEndpointOutcome counts successes and failures of an endpoint for outlier detection, and adds retry tokens for a
+// success. Fast errors count as failures, because an endpoint that fails fast never looks busy. Rejections do not
+// count, because they indicate load.
 func (b *Balancer) recordEndpointOutcome(result AttemptResult, isSuccess bool) {
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
@@ -151,20 +154,21 @@
 	}
 }
 
-// recordQuality counts timely and poor attempts, by which quotas are enforced. Silence is not counted: a dead endpoint
-// is no reason to reject a tenant's requests.
-func (b *Balancer) recordQuality(outcome Outcome, isPoor bool) {
+// recordQuality counts timely attempts, and late or failed ones, which determine how strictly quotas are enforced.
+// Attempts that received nothing are not counted: a dead endpoint is no reason to reject a tenant's requests.
+func (b *Balancer) recordQuality(outcome Outcome, isLateOrFailed bool) {
 	switch {
-	case isPoor && !outcome.isSilent():
+	case isLateOrFailed && !outcome.isSilent():
 		b.count(&b.quality.late)
-	case !isPoor:
+	case !isLateOrFailed:
 		b.count(&b.quality.timely)
 	}
 	evidence := b.clock.evidence
 	b.quotas.RecordOutcomes(b.quality.timely.ValueAt(evidence), b.quality.late.ValueAt(evidence))
 }
 
-// recordOriginOutcome moves the limit of reads at the origin. Writes have nowhere else to go: they move nothing.
+// recordOriginOutcome adjusts the limit of reads in flight at the origin. Writes do not change it, since they can only
+// go to the origin.
 func (b *Balancer) recordOriginOutcome(request *requestState, result AttemptResult, objective int64) {
 	if request.isWrite {
 		return
@@ -177,7 +181,7 @@
 	b.count(&b.misses.missed)
 }
 
-// recordCacheOutcome counts what all caches do, and rejections by endpoint and machine type, too.
+// recordCacheOutcome counts outcomes over all caches. Rejections are also counted by endpoint and machine type.
 func (b *Balancer) recordCacheOutcome(result AttemptResult, isSuccess bool) {
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
@@ -193,9 +197,9 @@
 	}
 }
 
-// recordCacheAnswer takes an answer of a cache, be it a value, a miss or an error: how long it took, and whether reads
-// miss.
-func (b *Balancer) recordCacheAnswer(request *requestState, result AttemptResult, isPoor bool) {
+// recordCacheAnswer records the latency of an answer from a cache (a value, a miss or an error) and, for reads, whether
+// it missed.
+func (b *Balancer) recordCacheAnswer(request *requestState, result AttemptResult, isLateOrFailed bool) {
 	evidence, outcome := b.clock.evidence, result.Outcome
 	if outcome == OK {
 		b.admission.recordAnswer(evidence, result.Latency)
@@ -217,15 +221,15 @@
 		return
 	}
 	b.count(&b.misses.missed)
-	if isPoor {
+	if isLateOrFailed {
 		b.count(&b.misses.failed)
 	}
 }
 
-// cacheHit is the AttemptResult.CacheResult of a value that was in the cache. 0, not told, is taken for one.
+// cacheHit is the AttemptResult.CacheResult of a cache hit. 0 (not reported) is treated as a hit.
 const cacheHit = 1
 
-// rememberKey notes which endpoint answered a key last.
+// rememberKey records which endpoint answered a key last.
 func (b *Balancer) rememberKey(key uint64, endpoint int) {
 	record := &b.recentKeys[key%maxRecentKeys]
 	if record.key != key {
--- a/policy/observations_test.go
+++ b/policy/observations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Load reports lack figures, and endpoints leave the list. The sum over endpoints holds the last figure of each that
-// has reported, once, and a figure that a report lacks stays as it was.
+// The sum must contain the last report of each listed endpoint exactly once, although reports may lack values and
+// endpoints leave the list. A value that is missing from a report keeps its previous value.
 func TestLoadReportsSumTheLastOfEach(t *testing.T) {
 	fields := []string{reportServedRate, "other", reportCPUShare, reportPending}
 	missing := math.NaN()
@@ -23,25 +23,25 @@
 		{&second, []float64{60, missing, missing, 3}, loadReports{servedRate: 160, strain: 1, reporting: 2}},
 	} {
 		if reports.replace(c.report, c.figures, fields); reports != c.want {
-			t.Errorf("report %d: %+v, not %+v", n, reports, c.want)
+			t.Errorf("report %d: %+v, want %+v", n, reports, c.want)
 		}
 	}
 	reports.reset()
 	reports.add(second)
 	reports.add(loadReport{servedRate: notReported})
 	if want := (loadReports{servedRate: 60, strain: 0.75, reporting: 1}); reports != want {
-		t.Errorf("after a list without the first: %+v, not %+v", reports, want)
+		t.Errorf("after the first endpoint left the list: %+v, want %+v", reports, want)
 	}
 }
 
-// Each outcome counts in one place. Those that prove that an attempt never ran do so alone, since a retry rests on it.
+// Only outcomes that prove that an attempt never ran may map to neverRan, because retries rely on it.
 func TestOutcomeProvesExecution(t *testing.T) {
 	for outcome, want := range map[Outcome]executionState{
 		OK: completed, Errored: mayHaveRun, Rejected: neverRan, TimedOut: mayHaveRun, ConnectFailed: neverRan,
 		Reset: mayHaveRun, Cancelled: mayHaveRun, NotSent: neverRan, CacheMiss: neverRan,
 	} {
 		if got := outcome.executionState(); got != want {
-			t.Errorf("%v: state %d, not %d", outcome, got, want)
+			t.Errorf("%v: state %d, want %d", outcome, got, want)
 		}
 	}
 }
