--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -6,39 +6,43 @@
 	"hollylever/decay"
 )
 
-// How long what was observed counts. Sums and averages fade exponentially, by a clock of evidence that runs slower the
-// fewer requests arrive. A balancer that sees little traffic so rests on as many answers as it can have, and one that
-// sees much is quick. Without it, a balancer of a large fleet would have forgotten one answer of an endpoint before the
-// next.
-
-// timeConstant is the time in which evidence fades to 1/e at full pace, in nanoseconds: long enough for a balancer that
-// sees some tens of requests a second to rest on enough of them, short enough to notice a fault within seconds.
+// The evidence clock and the random source.
+//
+// Sums and averages decay exponentially by the evidence clock, a logical clock that runs slower when fewer requests
+// arrive. With little traffic, statistics thus cover a longer period and enough answers; with much traffic they react
+// quickly. On a clock of constant speed, a balancer in a large fleet would forget one answer of an endpoint before it
+// gets the next.
+
+// timeConstant is the time, in nanoseconds, in which statistics decay to 1/e while the evidence clock runs at full
+// speed. It is long enough for a balancer with some tens of requests per second to collect enough of them, and short
+// enough to notice a fault within seconds.
 const timeConstant = decay.TimeConstant
 
 const (
-	// fullPaceRequests is the number of requests within the time constant from which on evidence fades at full pace.
-	// With fewer it fades slower in proportion.
+	// fullPaceRequests is the decaying sum of arrivals at which the evidence clock reaches full speed. With fewer
+	// requests it runs proportionally slower.
 	fullPaceRequests = 60.0
 
-	// minPace is the least pace at which evidence fades: what was seen half a minute ago tells little of now.
+	// minPace is the lowest speed of the evidence clock. It bounds the age of statistics, as observations from half a
+	// minute ago say little about the present.
 	minPace = 0.1
 )
 
-// A sum, and an average of a level, that fade by the clock of evidence.
+// A sum, and a time-weighted average of a level, that decay by the evidence clock.
 type (
 	sum     = decay.Sum
 	average = decay.Average
 )
 
-// evidenceClock is the clock by which what was observed fades. Times are nanoseconds.
+// evidenceClock keeps the time of the caller's clock and of the evidence clock. Times are nanoseconds.
 type evidenceClock struct {
 	startedAt int64
-	now       int64
-	evidence  int64   // the time that counts for evidence
-	pace      float64 // of evidence to now, from minPace to 1
+	now       int64   // time of the caller's clock
+	evidence  int64   // time of the evidence clock
+	pace      float64 // speed of the evidence clock relative to the caller's clock, from minPace to 1
 }
 
-// advance moves both clocks to now, and sets the pace by how many requests have arrived of late.
+// advance moves both clocks to now and updates the pace from the number of recent arrivals.
 func (c *evidenceClock) advance(now int64, arrivals *sum) {
 	c.evidence += int64(float64(now-c.now) * c.pace)
 	c.now, c.pace = now, min(1, max(minPace, arrivals.ValueAt(c.evidence)/fullPaceRequests))
@@ -51,22 +55,21 @@
 	}
 }
 
-// randomSource is a multiply-with-carry generator (Marsaglia). Its seed is the instance's own, so that balancers that
-// see the same do not act in step.
+// randomSource is a multiply-with-carry generator (Marsaglia). Each balancer has its own seed, so that balancers that
+// see the same events do not make the same random choices.
 type randomSource struct{ x, carry uint64 }
 
 const (
-	// randomMultiplier is the generator's multiplier.
 	randomMultiplier = 0xffebb71d94fcdaf9
 
-	// randomWarmUpDraws are thrown away, so that near seeds do not begin alike.
+	// randomWarmUpDraws is the number of initial draws to discard, so that similar seeds do not start with similar
+	// values.
 	randomWarmUpDraws = 8
 
-	// minJitter is the least factor by which jitter changes a wait.
+	// minJitter is the smallest factor that jitter returns.
 	minJitter = 0.5
 )
 
-// newRandomSource seeds a generator.
 func newRandomSource(seed uint64) randomSource {
 	r := randomSource{seed ^ hashMultiplier, 1}
 	for range randomWarmUpDraws {
@@ -75,23 +78,23 @@
 	return r
 }
 
-// uint64 draws 64 bits.
+// uint64 returns 64 random bits.
 func (r *randomSource) uint64() uint64 {
 	x := r.x
 	hi, lo := bits.Mul64(x, randomMultiplier)
-	lo, over := bits.Add64(lo, r.carry, 0)
-	r.x, r.carry = lo, hi+over
+	lo, carryOut := bits.Add64(lo, r.carry, 0)
+	r.x, r.carry = lo, hi+carryOut
 	return x
 }
 
-// float64 draws from 0 up to 1.
+// float64 returns a random number in [0, 1).
 func (r *randomSource) float64() float64 { return float64(r.uint64()>>11) / (1 << 53) }
 
-// jitter draws a factor from minJitter up to 1 more, 1 in the mean. It spreads what would else happen at all balancers,
-// or to all clients, at once.
+// jitter returns a random factor in [minJitter, minJitter+1), 1 on average. It spreads out events that would otherwise
+// happen at all balancers, or to all clients, at the same time.
 func (r *randomSource) jitter() float64 { return minJitter + r.float64() }
 
-// intN draws from 0 up to n-1.
+// intN returns a random integer from 0 to n-1.
 func (r *randomSource) intN(n int) int {
 	hi, _ := bits.Mul64(r.uint64(), uint64(n))
 	return int(hi)
