--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,74 +2,74 @@
 
 import "strconv"
 
-// settings are the operators' settings that the module decides by, read once. Durations are nanoseconds.
+// settings holds the operators' settings that the package uses, as read by New. Durations are nanoseconds.
 type settings struct {
 	classes []requestClass
-	quotas  []float64 // requests a second by tenant, for all balancers together; 0: none
-	zone    int       // this balancer's own, by its place in zones; -1: not stated
+	quotas  []float64 // requests per second of each tenant, for the whole fleet; 0: no quota
+	zone    int       // this balancer's zone, as an index in the list of zones; -1: not stated
 
-	fleetSize     float64 // balancers, at least 1
-	maxAttempts   int     // of a request, at least 1
+	fleetSize     float64 // number of balancers, at least 1
+	maxAttempts   int     // per request, at least 1
 	mayHedge      bool    // two attempts of a request may be in flight at the same time
 	mayCancel     bool    // attempts may be cancelled
-	maxRetryAfter int64   // the longest wait that a rejected client honours; 0: none may be stated
-	dialTimeout   int64   // a connection that is not up after it has failed
-	hasFewBuffers bool    // an answer that a client reads slowly keeps one of a few buffers until its attempt ends
+	maxRetryAfter int64   // the longest Retry-After that clients honour; 0: Retry-After must not be sent
+	dialTimeout   int64   // a connection that is not established within it has failed
+	hasFewBuffers bool    // a response to a slow client holds one of a limited number of buffers until its attempt ends
 
-	startCapacity    float64 // part of its usual capacity that an endpoint has at its start
-	warmUp           int64   // time in which its capacity climbs to the whole
-	overloadMultiple float64 // a warming endpoint that is sent more than so many times its capacity falls over,
-	overloadAfter    int64   // when that lasts for so long
+	startCapacity    float64 // fraction of its full capacity that an endpoint has when it starts
+	warmUp           int64   // time until it has its full capacity
+	overloadMultiple float64 // an endpoint that is warming up fails if it is sent more than this multiple of its capacity
+	overloadAfter    int64   // for this long
 
-	deadlineDrift  int64 // a client may wait by so much longer than stated, as clocks differ
-	bootStampError int64 // by which a stated start may be off
-	orderSettle    int64 // how long a key in order rests after an attempt that may still run
+	deadlineDrift  int64 // by how much longer than stated a client may wait, because clocks differ
+	bootStampError int64 // the largest error of a stated start time
+	orderSettle    int64 // pause of a key whose requests are sent in order, after an attempt that may still be running
 
-	cacheAside        bool // misses come back to the balancer, which asks the origin
-	originMachineType int  // of the endpoint that is the origin; -1: none
-	weightsFollowLoad bool // stated weights fall as load rises
+	cacheAside        bool // the balancer, not the cache, fetches missing keys from the origin
+	originMachineType int  // machine type of the origin; -1: there is no origin
+	weightsFollowLoad bool // stated weights decrease as load increases
 
 	onlyDrainingBinds bool  // an endpoint that is removed without having drained may be sent to
-	mustSubscribe     bool  // changes of the list are sent only to balancers that watch it
-	isListPushed      bool  // changes come unasked
-	pollInterval      int64 // time after which a list that was not called for counts as known
-	drainGrace        int64 // time for which attempts may begin after a drain is known
+	mustSubscribe     bool  // discovery sends changes of the list only to balancers that watch it
+	isListPushed      bool  // discovery sends changes without being asked
+	pollInterval      int64 // time after which a list counts as known even if the balancer has not called for it
+	drainGrace        int64 // time for which attempts may still start after a drain is known
 
-	reportFields  []string // of a load report, in its order
-	reportsStrain bool     // one of them tells how busy an endpoint is
+	reportFields  []string // names of the values of a load report, in order
+	reportsStrain bool     // one of them shows how busy an endpoint is
 }
 
-// The groups of endpoints that drop a repeat of an idempotent request, as the operators name them.
+// The scopes within which endpoints drop duplicates of an idempotent request, as named in the settings.
 const (
 	dedupAll          = "all"
 	dedupZone         = "zone"
 	dedupReplicaGroup = "cell"
 )
 
-// requestClass is what the operators state of one class of requests. Durations are nanoseconds.
+// requestClass holds the settings of one class of requests. Durations are nanoseconds.
 type requestClass struct {
 	effect           Effect
-	inOrder          bool    // requests of one key go one at a time, in the order in which they came
-	dedupGroup       string  // Idempotent: dedupAll, dedupZone or dedupReplicaGroup: which endpoints drop a repeat
-	dedupWindow      int64   // and for how long from the first attempt that may have run
-	objective        int64   // an answer by then has its whole value
-	objectiveStretch float64 // it grows by so many times the predicted work
-	lateValue        float64 // part of the value of an answer after that; 0: none
+	inOrder          bool    // requests with the same key are sent one at a time, in the order of arrival
+	dedupGroup       string  // for Idempotent, which endpoints drop duplicates: dedupAll, dedupZone or dedupReplicaGroup
+	dedupWindow      int64   // how long they do so, from the first attempt that may have run
+	objective        int64   // latency objective: an answer within it has its full value
+	objectiveStretch float64 // the objective is extended by the predicted work times this factor
+	lateValue        float64 // fraction of its value that an answer keeps after the objective; 0: none
 }
 
-// settingValues are the settings as a plain map of dotted names to values. One that is missing is 0, "" or false.
+// settingValues maps dotted names to values. A missing value reads as 0, "" or false.
 type settingValues map[string]any
 
 func (v settingValues) number(name string) float64 { x, _ := v[name].(float64); return x }
 func (v settingValues) text(name string) string    { s, _ := v[name].(string); return s }
-func (v settingValues) yes(name string) bool       { y, _ := v[name].(bool); return y }
+func (v settingValues) boolean(name string) bool   { y, _ := v[name].(bool); return y }
 
-// duration is a number of milliseconds, as nanoseconds.
+// duration returns a setting in milliseconds as nanoseconds.
 func (v settingValues) duration(name string) int64 {
 	return int64(v.number(name) * float64(millisecond))
 }
 
-// list returns the names of a list's entries: "NAME.0", "NAME.1" and so on.
+// list returns the names of the entries of a list: "NAME.0", "NAME.1" and so on. The value of NAME is their number.
 func (v settingValues) list(name string) []string {
 	names := make([]string, int(v.number(name)))
 	for i := range names {
@@ -78,15 +78,16 @@
 	return names
 }
 
-// readSettings translates the operators' settings into typed ones. Nothing behind it uses the operators' names.
+// readSettings converts the operators' settings to typed ones. The names used in settings files do not occur in the
+// rest of the package.
 func readSettings(values map[string]any) settings {
 	v := settingValues(values)
 	s := settings{
 		zone:              -1,
 		fleetSize:         max(1, v.number("balancers")),
 		maxAttempts:       max(1, int(v.number("allowed.mostTrips"))),
-		mayHedge:          v.yes("allowed.secondCopies"),
-		mayCancel:         v.yes("allowed.cancelling"),
+		mayHedge:          v.boolean("allowed.secondCopies"),
+		mayCancel:         v.boolean("allowed.cancelling"),
 		dialTimeout:       v.duration("allowed.dialTimeout"),
 		hasFewBuffers:     v.number("allowed.outBuffers") > 0,
 		startCapacity:     v.number("invariants.startCapacity"),
@@ -99,18 +100,18 @@
 		cacheAside:        v.text("extra.mode") == "aside",
 		originMachineType: int(v.number("extra.originKind")),
 		weightsFollowLoad: v.text("weights") == "live",
-		onlyDrainingBinds: v.yes("invariants.onlyDrainingBinds"),
+		onlyDrainingBinds: v.boolean("invariants.onlyDrainingBinds"),
 		mustSubscribe:     v.text("registryMode") == "subscribe",
 		isListPushed:      v.text("registryMode") == "automatic",
 		pollInterval:      v.duration("invariants.askEvery"),
 		drainGrace:        v.duration("invariants.drainGrace"),
 	}
-	if v.yes("allowed.retryAfter") {
+	if v.boolean("allowed.retryAfter") {
 		s.maxRetryAfter = v.duration("allowed.maxRetryAfter")
 	}
-	for place, name := range v.list("zones") {
+	for i, name := range v.list("zones") {
 		if v.text(name) == v.text("zone") {
-			s.zone = place
+			s.zone = i
 		}
 	}
 	for _, name := range v.list("report.fields") {
@@ -127,10 +128,10 @@
 	return s
 }
 
-// requestClass reads one entry of the list of request classes.
+// requestClass reads the entry with the given name from the list of request classes.
 func (v settingValues) requestClass(name string) requestClass {
 	class := requestClass{
-		inOrder:          v.yes(name + ".keepOrder"),
+		inOrder:          v.boolean(name + ".keepOrder"),
 		dedupGroup:       v.text(name + ".group"),
 		dedupWindow:      v.duration(name + ".dedupWindow"),
 		objective:        v.duration(name + ".expectedTime"),
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// An operator's file may lack any setting: each has a value that a fleet can run by.
+// A settings file may lack any setting, so each must have a usable default.
 func TestMissingSettingsHaveDefaults(t *testing.T) {
 	want := settings{zone: -1, fleetSize: 1, maxAttempts: 1}
 	if got := readSettings(nil); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// A name that is read wrongly leaves a rule without its setting, and nothing fails. Each setting is read by the name
-// that the operators use, in its unit.
+// A misspelled name would silently leave a rule without its setting. Each setting must be read under its name in the
+// settings file and converted to its unit.
 func TestEachSettingIsRead(t *testing.T) {
 	got := readSettings(map[string]any{
 		"zones": 2.0, "zones.0": "a", "zones.1": "b", "zone": "b",
@@ -63,20 +63,20 @@
 		reportFields: []string{"served_ps", "pending"}, reportsStrain: true,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// A longest wait is stated and waits are not allowed: no client is told to wait. A pushed list needs no watch.
+// Without permission to send Retry-After, a stated maximum has no effect. A pushed list needs no watch.
 func TestSettingsThatDependOnOthers(t *testing.T) {
 	if s := readSettings(map[string]any{"allowed.maxRetryAfter": 2000.0}); s.maxRetryAfter != 0 {
-		t.Errorf("a client may be told to wait %d ns where that is not allowed", s.maxRetryAfter)
+		t.Errorf("Retry-After of up to %d ns may be sent although it is not allowed", s.maxRetryAfter)
 	}
 	s := readSettings(map[string]any{"registryMode": "automatic", "report.fields": 1.0, "report.fields.0": "served_ps"})
 	if s.mustSubscribe || !s.isListPushed || s.reportsStrain {
-		t.Errorf("a pushed list and a report without strain: %+v", s)
+		t.Errorf("settings of a pushed list and a load report without strain: %+v", s)
 	}
 	if s = readSettings(map[string]any{"report.fields": 1.0, "report.fields.0": "cpu_share"}); !s.reportsStrain {
-		t.Error("cpu_share does not tell of strain")
+		t.Error("a load report with cpu_share does not count as reporting strain")
 	}
 }
