--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -6,35 +6,34 @@
 	"math"
 )
 
-// Learned state out and in, so that a process that follows another one over an upgrade or a restart does not begin with
-// nothing known. Nothing is decided here. Requests and attempts are not part of it, and so nothing in it can prove that
-// an attempt may be repeated. State is stored as CBOR arrays: the order of its fields is the format, and may not
-// change.
+// Saving and restoring learned state, so that a process keeps the statistics of its predecessor across an upgrade or a
+// restart. No decisions are made here. The state excludes requests and attempts, so it never serves as proof that an
+// attempt may be repeated. It is stored as CBOR arrays: the order of the fields is the format and must not change.
 
 const (
-	// maxEndpoints bounds the endpoints of a state, as a file may be damaged. As a place it stands for none.
+	// maxEndpoints is the largest number of endpoints in a valid state. The limit matters because a file may be
+	// damaged. SaveState also uses it as the index that means "none".
 	maxEndpoints = 1 << 16
 
-	// maxMachineTypes bounds the machine types of a state.
+	// maxMachineTypes is the largest number of machine types in a valid state.
 	maxMachineTypes = 1 << 12
 )
 
-// Sum is one that decays: its value, and how long before State.Evidence, by the clock of evidence, it was brought up to
-// date.
+// Sum is a stored decaying sum. Age is the time from its last update to State.Evidence, by the evidence clock.
 type Sum struct {
 	_     struct{} `cbor:",toarray"`
 	Value float32
 	Age   int64
 }
 
-// MachineTypeState is what was learned of the endpoints of one machine type, or of all.
+// MachineTypeState holds the stored statistics over the endpoints of one machine type, or over all endpoints.
 type MachineTypeState struct {
 	_                             struct{} `cbor:",toarray"`
 	Answers, AnswerTime, Rejected Sum
 	Weight                        float64
 }
 
-// EndpointState is what was learned of an endpoint. The hash of its address identifies it.
+// EndpointState holds the stored statistics of one endpoint, which is identified by the hash of its address.
 type EndpointState struct {
 	_                                                 struct{} `cbor:",toarray"`
 	Hash                                              uint64
@@ -45,8 +44,8 @@
 	ServedRate, Strain                                float32
 }
 
-// State is what a balancer has learned. Times are those of its clock, which read Now; ages are those of its clock of
-// evidence, which read Evidence.
+// State is the learned state of a balancer. Times are by the clock of the process that saved it, which read Now. Ages
+// are by its evidence clock, which read Evidence.
 type State struct {
 	_                                                               struct{} `cbor:",toarray"`
 	Now, StartedAt, Evidence                                        int64
@@ -61,11 +60,11 @@
 	MachineTypes                                                    []MachineTypeState
 	Tenants                                                         []Sum
 	Endpoints                                                       []EndpointState
-	Keys                                                            []uint64 // answered lately
-	Places                                                          []uint32 // and by which of Endpoints
+	Keys                                                            []uint64 // recently answered keys
+	Places                                                          []uint32 // for each of Keys, the index in Endpoints of the endpoint that answered it
 }
 
-// sums returns the sums that belong to no endpoint or machine type, in the order of State.sums.
+// sums returns the sums that are not per endpoint or machine type, in the order of State.sums.
 func (b *Balancer) sums() [15]*sum {
 	return [15]*sum{
 		&b.outcomes.successes, &b.outcomes.failures, &b.warmThroughput.answers,
@@ -75,7 +74,7 @@
 	}
 }
 
-// sums returns the sums that belong to no endpoint or machine type.
+// sums returns the stored sums that are not per endpoint or machine type, in the order of Balancer.sums.
 func (s *State) sums() [15]*Sum {
 	return [15]*Sum{
 		&s.Successes, &s.Failures, &s.WarmAnswers,
@@ -123,25 +122,25 @@
 	}
 }
 
-// decodeEndpoint restores what was learned of an endpoint. at turns a time of the earlier process into one of this
-// one's clock. Slow-start tokens are not restored: the process that saved them up may spend them.
-func (b *Balancer) decodeEndpoint(now int64, e *endpointState, from *EndpointState, at func(int64) int64) {
-	e.slowStart.startedAt = from.StartedAt // The list may be older.
-	e.load.average = average(b.decodeSum(from.InFlight))
-	e.attempts = b.decodeSum(from.Attempts)
-	e.outlier.outcomes.successes = b.decodeSum(from.Successes)
-	e.outlier.outcomes.failures = b.decodeSum(from.Failures)
-	e.rejected = b.decodeSum(from.Rejected)
-	e.retries.tokens = float64(from.RetryTokens)
-	e.report = loadReport{servedRate: float64(from.ServedRate), strain: float64(from.Strain)}
+// decodeEndpoint restores the statistics of an endpoint. toLocalTime converts a time of the previous process to this
+// process's clock. Slow-start tokens are not restored, because the previous process may still spend them.
+func (b *Balancer) decodeEndpoint(now int64, e *endpointState, stored *EndpointState, toLocalTime func(int64) int64) {
+	e.slowStart.startedAt = stored.StartedAt // The list may be older than the state.
+	e.load.average = average(b.decodeSum(stored.InFlight))
+	e.attempts = b.decodeSum(stored.Attempts)
+	e.outlier.outcomes.successes = b.decodeSum(stored.Successes)
+	e.outlier.outcomes.failures = b.decodeSum(stored.Failures)
+	e.rejected = b.decodeSum(stored.Rejected)
+	e.retries.tokens = float64(stored.RetryTokens)
+	e.report = loadReport{servedRate: float64(stored.ServedRate), strain: float64(stored.Strain)}
 	e.outlier.silentSince = 0
-	if from.ConnectFailedAt > 0 {
-		e.outlier.silentSince = at(from.ConnectFailedAt)
+	if stored.ConnectFailedAt > 0 {
+		e.outlier.silentSince = toLocalTime(stored.ConnectFailedAt)
 	}
 	e.slowStart.tokens, e.slowStart.updatedAt = 0, now
 }
 
-// SaveState puts what the module has learned into state, whose slices are reused.
+// SaveState stores the learned state in state, whose slices are reused.
 func (b *Balancer) SaveState(now int64, state *State) {
 	b.advanceClock(now)
 	endpoints, keys, places := state.Endpoints[:0], state.Keys[:0], state.Places[:0]
@@ -160,8 +159,8 @@
 		PeakAt:         b.warmThroughput.peakAt,
 		Fleetwide:      b.encodeMachineType(&b.fleetwide),
 	}
-	for n, own := range b.sums() {
-		*state.sums()[n] = b.encodeSum(*own)
+	for n, s := range b.sums() {
+		*state.sums()[n] = b.encodeSum(*s)
 	}
 	for n := range b.machineTypes {
 		machineTypes = append(machineTypes, b.encodeMachineType(&b.machineTypes[n]))
@@ -169,28 +168,28 @@
 	for _, requests := range b.quotas.RequestCounts() {
 		tenants = append(tenants, b.encodeSum(requests))
 	}
-	placed := make([]uint32, 0, len(b.endpoints))
+	storedIndex := make([]uint32, 0, len(b.endpoints))
 	for index := range b.endpoints {
 		endpoint := &b.endpoints[index]
 		if !endpoint.isKnown() || endpoint.health == Removed {
-			placed = append(placed, maxEndpoints)
+			storedIndex = append(storedIndex, maxEndpoints)
 			continue
 		}
-		placed = append(placed, uint32(len(endpoints)))
+		storedIndex = append(storedIndex, uint32(len(endpoints)))
 		endpoints = append(endpoints, b.encodeEndpoint(endpoint))
 	}
 	for _, record := range b.recentKeys {
-		if record.key != 0 && record.endpoint >= 0 && record.endpoint < len(placed) && placed[record.endpoint] != maxEndpoints {
-			keys, places = append(keys, record.key), append(places, placed[record.endpoint])
+		if record.key != 0 && record.endpoint >= 0 && record.endpoint < len(storedIndex) && storedIndex[record.endpoint] != maxEndpoints {
+			keys, places = append(keys, record.key), append(places, storedIndex[record.endpoint])
 		}
 	}
 	state.Endpoints, state.Keys, state.Places, state.MachineTypes, state.Tenants = endpoints, keys, places, machineTypes, tenants
 }
 
 // errMalformedState is returned for a state that SaveState cannot have written.
-var errMalformedState = errors.New("not what a module writes")
+var errMalformedState = errors.New("malformed balancer state")
 
-// areFinite tells whether all values are finite and none is under 0.
+// areFinite reports whether all values are finite and not negative.
 func areFinite(values ...float64) bool {
 	for _, x := range values {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
@@ -212,13 +211,13 @@
 			return false
 		}
 	}
-	// A rate of notReported is allowed.
+	// A ServedRate of notReported (-1) is valid.
 	return e.ConnectFailedAt <= now && areFinite(float64(e.RetryTokens), float64(e.Strain), float64(e.ServedRate)+1) &&
 		e.RetryTokens <= maxRetryTokens
 }
 
 // Check returns an error unless SaveState can have written the state. RestoreState relies on it: a damaged file must
-// not lead the module out of bounds, nor to decisions by figures that cannot be.
+// not cause an index out of range or decisions based on impossible values.
 func (s *State) Check() error {
 	switch {
 	case !s.hasValidScalars() || !s.hasValidParts():
@@ -226,15 +225,15 @@
 	case len(s.Endpoints) > maxEndpoints, len(s.MachineTypes) > maxMachineTypes, len(s.Keys) > maxRecentKeys, len(s.Keys) != len(s.Places):
 		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.Places))
 	}
-	for _, place := range s.Places {
-		if int(place) >= len(s.Endpoints) {
+	for _, index := range s.Places {
+		if int(index) >= len(s.Endpoints) {
 			return errMalformedState
 		}
 	}
 	return nil
 }
 
-// hasValidScalars checks the figures that are no sums.
+// hasValidScalars reports whether the single numbers and times are within their ranges.
 func (s *State) hasValidScalars() bool {
 	areInRange := s.Pace > 0 && s.Pace <= 1 && s.BaseLatency > 0 && s.Admitted <= 1 && s.RetryTokens <= maxRetryTokens
 	areTimes := s.Evidence >= 0 && s.StartedAt > 0 && s.StartedAt <= s.Now && s.PeakAt <= s.Now
@@ -242,7 +241,7 @@
 		areFinite(s.Pace, s.RetryTokens, s.BaseLatency, s.Admitted, s.OriginLimit, s.PeakThroughput)
 }
 
-// hasValidParts checks the sums and what is known of tenants, machine types and endpoints.
+// hasValidParts reports whether the sums and the states of tenants, machine types and endpoints are valid.
 func (s *State) hasValidParts() bool {
 	isValid := s.InFlight.isValid() && s.Fleetwide.isValid()
 	for _, sum := range s.sums() {
@@ -260,17 +259,18 @@
 	return isValid
 }
 
-// RestoreState restores what was learned, age nanoseconds ago, into a module that has just been told its list and has
-// decided nothing. state has been checked. It returns how many endpoints of the list were known.
+// RestoreState restores a state that was saved age nanoseconds ago. The Balancer must have its endpoint list and must
+// not have handled any request, and state must have passed Check. It returns the number of endpoints that were
+// restored.
 func (b *Balancer) RestoreState(now int64, state *State, age int64) (known int) {
-	shift := now - age - state.Now // Not 0 where the system's clock was set between the two processes.
-	at := func(then int64) int64 { return min(now, then+shift) }
-	b.clock = evidenceClock{startedAt: at(state.StartedAt), now: now, evidence: state.Evidence, pace: state.Pace}
+	clockOffset := now - age - state.Now // not 0 if the system clock was set since the state was saved
+	toLocalTime := func(then int64) int64 { return min(now, then+clockOffset) }
+	b.clock = evidenceClock{startedAt: toLocalTime(state.StartedAt), now: now, evidence: state.Evidence, pace: state.Pace}
 	b.load.average = average(b.decodeSum(state.InFlight))
 	b.retries.tokens, b.admission.baseLatency, b.originReads.limit = state.RetryTokens, state.BaseLatency, state.OriginLimit
-	b.warmThroughput.peak, b.warmThroughput.peakAt = state.PeakThroughput, at(state.PeakAt)
-	for n, own := range b.sums() {
-		*own = b.decodeSum(*state.sums()[n])
+	b.warmThroughput.peak, b.warmThroughput.peakAt = state.PeakThroughput, toLocalTime(state.PeakAt)
+	for n, s := range b.sums() {
+		*s = b.decodeSum(*state.sums()[n])
 	}
 	b.fleetwide = b.decodeMachineType(state.Fleetwide)
 	for n := range min(len(b.machineTypes), len(state.MachineTypes)) {
@@ -281,37 +281,37 @@
 		requests[tenant] = b.decodeSum(state.Tenants[tenant])
 	}
 	b.quotas.Restore(state.Admitted, requests)
-	places, known := b.restoreEndpoints(now, state, at)
+	indexes, known := b.restoreEndpoints(now, state, toLocalTime)
 	for n, key := range state.Keys {
-		if place := places[state.Places[n]]; place != noEndpoint {
-			b.recentKeys[key%maxRecentKeys] = keyRecord{key: key, endpoint: place}
+		if index := indexes[state.Places[n]]; index != noEndpoint {
+			b.recentKeys[key%maxRecentKeys] = keyRecord{key: key, endpoint: index}
 		}
 	}
-	b.clock.evidence += int64(float64(age) * state.Pace) // All that was learned fades over the gap as it would have.
+	b.clock.evidence += int64(float64(age) * state.Pace) // Statistics decay over the gap as if the process had kept running.
 	b.BeginEndpointUpdate(IncrementalList)
 	b.CommitEndpointUpdate(now)
 	return known
 }
 
-// restoreEndpoints restores what was learned of the endpoints that are in the list, and returns the index here of each
-// endpoint of the state: noEndpoint for one that has left the list, or that has restarted since, as nothing that was
-// learned of it holds.
-func (b *Balancer) restoreEndpoints(now int64, state *State, at func(int64) int64) (places []int, known int) {
+// restoreEndpoints restores the statistics of the endpoints that are still in the list. It returns the current index of
+// each endpoint of the state: noEndpoint for one that has left the list, or that has restarted since, because its
+// statistics no longer apply.
+func (b *Balancer) restoreEndpoints(now int64, state *State, toLocalTime func(int64) int64) (indexes []int, known int) {
 	byHash := make(map[uint64]int, len(b.endpoints))
 	for index := range b.endpoints {
 		byHash[b.endpoints[index].hash] = index
 	}
-	places = make([]int, len(state.Endpoints))
+	indexes = make([]int, len(state.Endpoints))
 	for n := range state.Endpoints {
-		from := &state.Endpoints[n]
-		index, isListed := byHash[from.Hash]
-		if !isListed || from.Hash == 0 || from.StartedAt < b.endpoints[index].slowStart.startedAt {
-			places[n] = noEndpoint
+		stored := &state.Endpoints[n]
+		index, isListed := byHash[stored.Hash]
+		if !isListed || stored.Hash == 0 || stored.StartedAt < b.endpoints[index].slowStart.startedAt {
+			indexes[n] = noEndpoint
 			continue
 		}
-		places[n] = index
+		indexes[n] = index
 		known++
-		b.decodeEndpoint(now, &b.endpoints[index], from, at)
+		b.decodeEndpoint(now, &b.endpoints[index], stored, toLocalTime)
 	}
-	return places, known
+	return indexes, known
 }
