--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,78 +6,80 @@
 	"hollylever/quota"
 )
 
-// When a request is rejected at once. Two rules, in this order; a third, that its turn in its key's queue would come
-// too late, stands in keyqueue.go.
+// Admission control: which requests are rejected on arrival. Two rules apply, in this order; keyqueue.go holds a third,
+// which rejects a request whose expected wait in its key queue is too long.
 //
-// A tenant's quota (package quota). While too many attempts end late or with an error, a growing part of what a tenant
-// asks beyond its quota is rejected, so that tenants within their quotas are served.
+// Tenant quotas (package quota). While too many attempts end late or with an error, a growing part of each tenant's
+// requests beyond its quota is rejected, so that tenants within their quotas are served.
 //
-// Overload, by Little's law: what is in flight is the rate of answers times the time that each takes. Inputs are the
-// attempts in flight at caches, the rate at which these answer, and the base latency, which is how long an attempt
-// takes while nothing is queued. A new request would wait for what is in flight over the rate. It is rejected where
-// that is longer than the base latency and queueingShare of what its objective leaves beyond it:
+// Overload, by Little's law: the number of attempts in flight is the rate of answers times the time that each takes.
+// The inputs are the attempts in flight at caches, the rate at which caches answer, and the base latency, which is how
+// long an attempt takes while nothing is queued. The expected wait of a new request is the number in flight divided by
+// the rate. The request is rejected if that exceeds the base latency plus the request's queueing share of the rest of
+// its objective:
 //
-//	inFlight > capacity + sqrt(capacity), capacity = accepted x tolerance x (free + accepted x rate x queueing)
+//	inFlight > capacity + sqrt(capacity), capacity = accepted x tolerance x (baseline + accepted x rate x queueing)
 //
-// accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go), free is
-// what may be in flight whatever the rate, and the root is slack for chance.
+// accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go),
+// baseline is the concurrency that is allowed at any rate, queueing is the longest wait that is allowed, and the square
+// root allows for random variation.
 //
-// This guards against queues that make all answers late: once full they stay full of work that nobody waits for any
-// more. It shows as late answers at all endpoints alike. The guard holds since a rate that falls shrinks the capacity
-// at once, while a rejected request takes no endpoint's capacity, and its client may come back.
+// This guards against queues that make all answers late: a queue that is full stays full of requests whose clients no
+// longer wait. The symptom is late answers at all endpoints alike. The guard is stable: a falling rate lowers the
+// capacity at once, while a rejected request uses no endpoint capacity and its client may retry.
 
 const (
-	// queueingShare is the part of a request's objective, beyond the base latency, that may be spent queueing.
-	queueingShare = 0.15
+	// defaultQueueingShare is the part of a request's objective, beyond the base latency, that may be spent queueing.
+	defaultQueueingShare = 0.15
 
-	// startupAttempts is how many attempts all balancers together may add at each endpoint while they know no rate of
-	// answers.
-	startupAttempts = 4.0
+	// startupAttemptsPerEndpoint is how many attempts the whole fleet may add at each endpoint while the balancers do
+	// not know the rate of answers yet.
+	startupAttemptsPerEndpoint = 4.0
 
-	// idleStrain is the mean of what endpoints report as strain, 0 to 1, up to which nothing is overloaded: attempts
-	// that hang at dead endpoints look like load and take nobody's capacity.
-	idleStrain = 0.3
+	// maxIdleStrain is the mean strain, 0 to 1, up to which no request is rejected for overload. Attempts that hang at
+	// dead endpoints look like load but use no capacity of the others.
+	maxIdleStrain = 0.3
 
-	// minUnknownKeyShare is the least part of queueingShare that is left to keys not read lately. They would most
-	// likely miss, so they are rejected first; but if all of them were, no key would ever become known.
+	// minUnknownKeyShare is the smallest part of defaultQueueingShare that applies to keys not read lately. These most
+	// likely miss, so they are rejected first; but if all of them were rejected, no key would ever become known.
 	minUnknownKeyShare = 0.5
 
-	// baseLatencyGrowth is the most by which an answer multiplies the base latency. A few slow answers hardly move it,
-	// and it is found again when latency has risen for good.
+	// baseLatencyGrowth is the largest factor by which one answer raises the base latency: small enough that a few slow
+	// answers hardly change it, large enough that it adapts after latency has risen permanently.
 	baseLatencyGrowth = 1.0005
 
-	// rateSettling is the least time over which the rate of answers is taken right after the start, in nanoseconds.
-	rateSettling = second / 4
+	// minRateWindow is the shortest time, in nanoseconds, over which the rate of answers is computed after the start.
+	minRateWindow = second / 4
 )
 
-// admissionLimiter is what the rule of overload rests on. Sums fade by the clock of evidence.
+// admissionLimiter is the state of the overload rule. The sums decay by the evidence clock (evidence.go).
 type admissionLimiter struct {
 	arrivals       sum     // requests
-	shed           sum     // of these, rejected for overload
-	cacheMisses    sum     // answers that were misses: they come at once and add no capacity
+	shed           sum     // requests rejected for overload
+	cacheMisses    sum     // answers that were misses: they return at once and add no capacity
 	answers        sum     // attempts that caches answered with a value
-	answerTime     sum     // nanoseconds that these took
-	baseLatency    float64 // nanoseconds that an attempt takes while nothing is queued: the least mean of late
-	tolerance      float64 // part of the capacity that endpoints bear, lowered by restarts
-	loweredAt      int64   // when the tolerance was lowered last
-	lastDispatchAt int64   // when an attempt was sent last
+	answerTime     sum     // total latency of these answers, in nanoseconds
+	baseLatency    float64 // latency of an attempt while nothing is queued, in nanoseconds: the lowest recent mean
+	tolerance      float64 // factor on the capacity, 0 to 1, lowered by restarts
+	loweredAt      int64   // when the tolerance was last lowered
+	lastDispatchAt int64   // when an attempt was last sent
 }
 
-// recordAnswer takes how long an attempt took that a cache answered with a value, in nanoseconds.
+// recordAnswer records the latency, in nanoseconds, of an attempt that a cache answered with a value.
 func (a *admissionLimiter) recordAnswer(evidence, latency int64) {
 	a.answers.Add(evidence, 1)
 	a.answerTime.Add(evidence, float64(latency))
 	a.baseLatency = min(a.answerTime.ValueAt(evidence)/a.answers.ValueAt(evidence), a.baseLatency*baseLatencyGrowth)
 }
 
-// countArrival counts a request that came.
+// countArrival counts a request that has arrived.
 func (b *Balancer) countArrival() { b.count(&b.admission.arrivals) }
 
-// admit decides whether a new request is taken on, and has it dispatched or queued. A read that is rejected for
-// overload of the caches may ask the origin instead (cacheaside.go).
+// admit rejects a new request, or has it dispatched or queued. A read that is rejected because the caches are
+// overloaded may go to the origin instead (cacheaside.go).
 func (b *Balancer) admit(now int64, index int, info RequestInfo) {
 	request := &b.requests[index]
-	goesToOrigin := b.settings.cacheAside && request.isWrite // The rule of overload is about caches.
+	goesToOrigin := b.settings.cacheAside && request.isWrite // The overload rule covers caches only.
 	switch {
 	case b.quotas.ShouldReject(info.Tenant, b.traffic(), b.random.float64):
 		b.finish(now, index, OverQuota)
@@ -92,51 +94,52 @@
 	}
 }
 
-// areEndpointsBusy tells whether caches report that they are busy. Where none reports it, they may be.
+// areEndpointsBusy reports whether the caches are busy by their load reports, or may be, as none reports its strain.
 func (b *Balancer) areEndpointsBusy() bool {
 	if !b.settings.reportsStrain || b.reports.reporting == 0 {
 		return true
 	}
-	return b.reports.strain > idleStrain*b.reports.reporting
+	return b.reports.strain > maxIdleStrain*b.reports.reporting
 }
 
-// isOverloaded tells whether a new attempt would wait too long for what is in flight. Where nothing was sent for as
-// long as the objective, one is sent whatever is in flight, as its end tells how things are.
+// isOverloaded reports whether the expected wait of a new attempt is too long. If no attempt was sent for as long as
+// the objective, one is admitted whatever is in flight: its outcome shows whether the overload persists.
 func (b *Balancer) isOverloaded(now int64, request *requestState) bool {
 	class, evidence, a := &b.settings.classes[request.class], b.clock.evidence, &b.admission
-	unresponsiveInFlight, unresponsive := b.unresponsive()
-	free := b.freeAttempts(now, unresponsive)
+	unresponsiveInFlight, unresponsive := b.countUnresponsive()
+	baseline := b.baselineConcurrency(now, unresponsive)
 	rate := b.answerRate()
 	share := b.queueingShare(request)
 	rejected := b.fleetwide.latency.rejected.ValueAt(evidence)
 	rejectedRatio := rejected / (b.fleetwide.latency.answers.Value + rejected + 1)
 	queueing := a.baseLatency + share*max(0, float64(class.objective)-a.baseLatency)
-	capacity := (1 - rejectedRatio) * a.tolerance * (free + (1-rejectedRatio)*rate*queueing)
-	slack := math.Sqrt(capacity) // Counts vary by their root.
+	capacity := (1 - rejectedRatio) * a.tolerance * (baseline + (1-rejectedRatio)*rate*queueing)
+	slack := math.Sqrt(capacity) // The standard deviation of a count is about its square root.
 	return float64(b.load.inFlight-unresponsiveInFlight) > capacity+slack && now < a.lastDispatchAt+class.objective
 }
 
-// freeAttempts is how many attempts may be in flight whatever the rate of answers: one, and this balancer's share of
-// one at each endpoint, or of startupAttempts more right after the start, while it knows no rate.
-func (b *Balancer) freeAttempts(now int64, unresponsive int) float64 {
+// baselineConcurrency returns how many attempts may be in flight at any rate of answers: one, plus this balancer's
+// share of one at each responsive endpoint. After the start, while the rate is not known, the share is of up to
+// startupAttemptsPerEndpoint more.
+func (b *Balancer) baselineConcurrency(now int64, unresponsive int) float64 {
 	startup := math.Exp(-float64(now-b.clock.startedAt) / float64(timeConstant))
-	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttempts*startup)/b.fleetSize
+	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttemptsPerEndpoint*startup)/b.fleetSize
 }
 
-// answerRate is how many attempts caches answer this balancer in a nanosecond, misses left out. While less than a time
-// constant has been observed, the rate is taken over what has been.
+// answerRate returns how many attempts caches answer this balancer per nanosecond, misses excluded. Until a whole time
+// constant has been observed, the rate is computed over the time that has.
 func (b *Balancer) answerRate() float64 {
 	evidence := b.clock.evidence
 	// The part of the time constant that has been observed since the start.
-	observed := 1 - math.Exp(-float64(evidence+rateSettling)/float64(timeConstant))
+	observed := 1 - math.Exp(-float64(evidence+minRateWindow)/float64(timeConstant))
 	answers := b.fleetwide.latency.answers.ValueAt(evidence) - b.admission.cacheMisses.ValueAt(evidence)
 	return answers / observed / float64(timeConstant) * b.clock.pace
 }
 
-// queueingShare is the part of its objective, beyond the base latency, that a request may spend queueing. A read of a
-// key not read lately gets less as more is being shed.
+// queueingShare returns the part of its objective, beyond the base latency, that a request may spend queueing. It is
+// smaller for a read of a key not read lately, the more requests are being shed.
 func (b *Balancer) queueingShare(request *requestState) float64 {
-	share := queueingShare
+	share := defaultQueueingShare
 	if !request.isWrite && b.recentKeys[request.key%maxRecentKeys].key != request.key {
 		shed := b.admission.shed.ValueAt(b.clock.evidence) / (b.admission.arrivals.ValueAt(b.clock.evidence) + 1)
 		share *= max(minUnknownKeyShare, 1-shed)
@@ -144,11 +147,12 @@
 	return share
 }
 
-// unresponsive counts the endpoints of zones that seem lost, and others that do not answer while most do, and the
-// attempts in flight there. These take no capacity from others, and would else look like overload. Where most endpoints
-// do not answer, that may itself be overload: only those of lost zones count then.
-func (b *Balancer) unresponsive() (attempts, endpoints int) {
-	unreachedAttempts, unreached := 0, 0
+// countUnresponsive counts the endpoints in zones that are suspected to be lost, endpoints elsewhere that are silent,
+// and the attempts in flight at both. These attempts use no capacity of other endpoints and would be mistaken for
+// overload. If most of the endpoints outside lost zones are silent, overload itself may be the cause, and only those in
+// lost zones are counted.
+func (b *Balancer) countUnresponsive() (attempts, endpoints int) {
+	silentAttempts, silent := 0, 0
 	for _, index := range b.ready {
 		endpoint := &b.endpoints[index]
 		switch {
@@ -156,19 +160,20 @@
 			attempts += endpoint.load.inFlight
 			endpoints++
 		case endpoint.outlier.silentSince > 0:
-			unreachedAttempts += endpoint.load.inFlight
-			unreached++
+			silentAttempts += endpoint.load.inFlight
+			silent++
 		}
 	}
-	if unreached <= (len(b.ready)-endpoints)/2 {
-		attempts += unreachedAttempts
-		endpoints += unreached
+	if silent <= (len(b.ready)-endpoints)/2 {
+		attempts += silentAttempts
+		endpoints += silent
 	}
 	return attempts, endpoints
 }
 
-// traffic is what is known of this balancer's share of all traffic, by which it enforces its share of quotas. Load
-// reports state what endpoints serve for all balancers; without them package quota estimates the share.
+// traffic returns what is known of this balancer's share of the fleet's traffic, by which it enforces its share of each
+// quota. The share comes from load reports, which state what endpoints serve for all balancers; without them package
+// quota estimates it.
 func (b *Balancer) traffic() quota.Traffic {
 	traffic := quota.Traffic{
 		Now:           b.clock.evidence,
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Nothing answers and requests keep coming. Queues would fill with work that nobody waits for any more: most are
-// rejected at once.
+// If nothing answers while requests keep coming, queues fill with requests whose clients no longer wait. Most of the
+// requests must be rejected on arrival instead.
 func TestOverloadRejectsAtOnce(t *testing.T) {
 	h := newHarness(t, 1, 8, nil)
 	for range 400 {
@@ -14,12 +14,12 @@
 		h.advance(ms)
 	}
 	if h.rejected < 300 {
-		t.Fatalf("only %d of 400 rejected while nothing answers", h.rejected)
+		t.Fatalf("%d of 400 requests rejected while no endpoint answers, want at least 300", h.rejected)
 	}
 }
 
-// Attempts hang at dead endpoints, and what is in flight looks like overload, while load reports say that endpoints are
-// idle. Then nothing is rejected for overload; it is where reports say that they are busy.
+// Attempts that hang at dead endpoints look like overload. While load reports show idle endpoints, no request may be
+// rejected for overload; while they show busy ones, requests are.
 func TestNoOverloadWhileEndpointsReportIdle(t *testing.T) {
 	for _, c := range []struct {
 		report   float64
@@ -33,13 +33,13 @@
 			h.advance(ms)
 		}
 		if h.rejected > 300 != c.rejected {
-			t.Errorf("%d of 400 rejected while endpoints report %g", h.rejected, c.report)
+			t.Errorf("%d of 400 requests rejected while endpoints report a strain of %g", h.rejected, c.report)
 		}
 	}
 }
 
-// Endpoints are full and reject half of what they get. Rejections come fast, and taken for answers they would add
-// capacity for more of the same: they shrink what may be in flight.
+// Full endpoints reject half of their attempts. Rejections return quickly; if they were counted as answers, they would
+// raise the capacity and draw in more attempts. They must lower it.
 func TestRejectionsShrinkCapacity(t *testing.T) {
 	h := newHarness(t, 1, 0, nil)
 	answerWeightedTraffic(h)
@@ -54,12 +54,12 @@
 	latency, evidence := &h.balancer.fleetwide.latency, h.balancer.clock.evidence
 	latency.rejected.Add(evidence, latency.answers.ValueAt(evidence))
 	if after := capacity(); after > before*2/3 {
-		t.Errorf("capacity for %d attempts while half is rejected, for %d before", after, before)
+		t.Errorf("capacity is %d attempts with half of them rejected, and %d with none; want at most 2/3 of that", after, before)
 	}
 }
 
-// Cache-aside, incident i762552: caches slow down while they answer misses as fast as ever. Misses counted as answers
-// added capacity for ever more attempts, which piled up unanswered. They add none.
+// Cache-aside, incident i762552: the caches slowed down but still answered misses quickly. Misses were counted as
+// answers and raised the capacity, so that more and more attempts piled up unanswered. Misses must add no capacity.
 func TestCacheMissesAddNoCapacity(t *testing.T) {
 	h := newHarness(t, 1, 0, map[string]any{"extra.mode": "aside", "extra.originKind": 1.0, "balancers": 20.0})
 	h.updateOriginList(8)
@@ -68,7 +68,7 @@
 		h.advance(2 * ms)
 		for attempt := 0; attempt < len(h.requests[i].attempts); attempt++ {
 			isOrigin := h.requests[i].attempts[attempt].endpoint == 8
-			isHit := n < 600 && n%4 == 0 // Later, caches answer misses alone.
+			isHit := n < 600 && n%4 == 0 // After that, caches answer only misses.
 			switch {
 			case isOrigin || isHit:
 				h.endAttempt(i, attempt, OK)
@@ -78,16 +78,16 @@
 		}
 	}
 	if h.balancer.load.inFlight > 40 {
-		t.Fatalf("%d attempts in flight that nothing answers", h.balancer.load.inFlight)
+		t.Fatalf("%d attempts in flight at caches that no longer answer, want at most 40", h.balancer.load.inFlight)
 	}
 }
 
-// A balancer in a fleet of a hundred sees half of all traffic, and an even share of a quota would be a hundredth. Load
-// reports tell what its traffic is a part of: tenants within their quotas are served. Where they tell that it is a
-// small part, or tell nothing, its small share of each quota binds.
-func TestLoadReportsTellTrafficShare(t *testing.T) {
+// A balancer in a fleet of 100 receives half of all traffic, where an even share of a quota would be a hundredth. If
+// load reports show that its traffic is a large part of the total, requests of tenants within their quotas are not
+// rejected. If they show that it is a small part, or if there are none, the small share of each quota is enforced.
+func TestLoadReportsDetermineTrafficShare(t *testing.T) {
 	for _, c := range []struct {
-		rate     float64 // that each of ten endpoints reports
+		rate     float64 // requests per second that each of ten endpoints reports
 		rejected bool
 	}{{20, false}, {400, true}, {math.NaN(), true}} {
 		h := newHarness(t, 1, 10, map[string]any{"tenants": 2.0, "tenants.0.quotaRps": 300.0, "tenants.1.quotaRps": 300.0,
@@ -102,63 +102,63 @@
 				h.balancer.HandleLoadReport(h.requests[i].attempts[attempt].endpoint, []float64{c.rate})
 				h.endAttempt(i, attempt, OK)
 			}
-			h.balancer.quotas.Restore(0, nil) // As while attempts fail.
+			h.balancer.quotas.Restore(0, nil) // Quotas are enforced as they are while attempts fail.
 		}
 		if h.rejected > 150 != c.rejected {
-			t.Errorf("%d of 1500 rejected where endpoints report %g a second", h.rejected, c.rate)
+			t.Errorf("%d of 1500 requests rejected where each endpoint reports %g requests per second", h.rejected, c.rate)
 		}
 	}
 }
 
-// One attempt of all is slow, or latency has risen for good. The base latency follows a lower mean at once; a higher
-// one it follows slowly, as it may be that attempts are queued.
+// A lower mean latency may replace the base latency at once. A higher one may come from queueing as well as from a
+// permanent change, so that the base latency rises only slowly and one slow answer hardly changes it.
 func TestBaseLatencyFallsAtOnceAndRisesSlowly(t *testing.T) {
 	a := admissionLimiter{baseLatency: float64(second)}
 	a.recordAnswer(0, 10*ms)
 	if a.baseLatency != float64(10*ms) {
-		t.Errorf("a base latency of %g ns after one answer of 10 ms", a.baseLatency)
+		t.Errorf("base latency is %g ns after one answer of 10 ms", a.baseLatency)
 	}
 	a.recordAnswer(0, 90*ms)
 	if want := float64(10*ms) * baseLatencyGrowth; a.baseLatency != want {
-		t.Errorf("a base latency of %g ns after a slow answer, not %g", a.baseLatency, want)
+		t.Errorf("base latency is %g ns after a slow answer, want %g", a.baseLatency, want)
 	}
 	for range 10_000 {
 		a.recordAnswer(0, 90*ms)
 	}
 	if a.baseLatency < float64(89*ms) || a.baseLatency > float64(90*ms) {
-		t.Errorf("a base latency of %g ns once answers take 90 ms for good", a.baseLatency)
+		t.Errorf("base latency is %g ns after 10,000 answers of 90 ms, want 89 to 90 ms", a.baseLatency)
 	}
 }
 
-// Endpoints restart one after the other, as load may have brought them down. Restarts that come together count once,
-// the tolerance keeps a floor, and it recovers with time.
+// Load may have caused the restarts of endpoints, so that each lowers the tolerance for overload. Restarts close
+// together count as one, the tolerance never falls below its minimum, and it recovers over time.
 func TestOverloadToleranceFallsAndRecovers(t *testing.T) {
 	a := admissionLimiter{tolerance: 1}
 	now := second
 	a.lowerTolerance(now)
 	a.lowerTolerance(now + restartSpacing)
 	if a.tolerance != restartTolerance {
-		t.Errorf("a tolerance of %g after two restarts at once, not %g", a.tolerance, restartTolerance)
+		t.Errorf("tolerance is %g after two restarts close together, want %g", a.tolerance, restartTolerance)
 	}
 	for range 20 {
 		now += restartSpacing + 1
 		a.lowerTolerance(now)
 	}
 	if a.tolerance != minOverloadTolerance {
-		t.Errorf("a tolerance of %g after many restarts, not %g", a.tolerance, minOverloadTolerance)
+		t.Errorf("tolerance is %g after many restarts, want %g", a.tolerance, minOverloadTolerance)
 	}
 	a.recover(toleranceRecovery / 2)
 	if want := minOverloadTolerance + 0.5; a.tolerance != want {
-		t.Errorf("a tolerance of %g after half of the recovery, not %g", a.tolerance, want)
+		t.Errorf("tolerance is %g after half of the recovery time, want %g", a.tolerance, want)
 	}
 	if a.recover(toleranceRecovery); a.tolerance != 1 {
-		t.Errorf("a tolerance of %g after the recovery", a.tolerance)
+		t.Errorf("tolerance is %g after the recovery time, want 1", a.tolerance)
 	}
 }
 
-// A few endpoints hang, and what is in flight there would look like overload. It counts for nothing while most
-// endpoints answer; where most hang, nothing tells that it is not load, and it counts.
-func TestUnresponsiveEndpointsAreAMinority(t *testing.T) {
+// Attempts that hang at a few endpoints would look like overload. They are left out of the count while most endpoints
+// answer. If most endpoints hang, overload may be the cause, and all attempts are counted.
+func TestUnresponsiveEndpointsAreCountedAsMinorityOnly(t *testing.T) {
 	for _, c := range []struct{ hanging, attempts, endpoints int }{{0, 0, 0}, {2, 10, 2}, {3, 0, 0}, {5, 0, 0}} {
 		b, _ := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
 		for index := range b.endpoints {
@@ -167,8 +167,8 @@
 				b.endpoints[index].outlier.silentSince = unixStart
 			}
 		}
-		if attempts, endpoints := b.unresponsive(); attempts != c.attempts || endpoints != c.endpoints {
-			t.Errorf("%d of 5 hang: %d attempts at %d endpoints, not %d at %d", c.hanging, attempts, endpoints, c.attempts, c.endpoints)
+		if attempts, endpoints := b.countUnresponsive(); attempts != c.attempts || endpoints != c.endpoints {
+			t.Errorf("%d of 5 endpoints hang: %d attempts at %d endpoints are unresponsive, want %d at %d", c.hanging, attempts, endpoints, c.attempts, c.endpoints)
 		}
 	}
 }
