--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -5,56 +5,57 @@
 	"slices"
 )
 
-// The ordinary path of a request, from the scan server dispatcher of "Eventually Consistent scans / ScanServer feature
-// (Apache Accumulo PR #2665)": a hash maps its key to the same few candidates out of many, and the attempt goes to one
-// of them at random. A rejection tells that these are full: the request chooses from a quickly growing set (3, 21, 147,
-// all). Once the set is everything, many rejections tell that the whole fleet is busy: the request waits, exponentially
-// longer, and ends while an answer still has value. docs/design.md lists what differs and why.
+// How a request is dispatched, after the scan server dispatcher of "Eventually Consistent scans / ScanServer feature
+// (Apache Accumulo PR #2665)". A hash maps the request's key to the same few candidates out of many endpoints, and the
+// attempt goes to a random one of them. A rejection shows that these are full, and the request chooses from a set that
+// grows quickly (3, 21, 147, all). Rejections while the set holds all endpoints show that the whole fleet of endpoints
+// is busy: the request then waits with exponential backoff, and gets its final answer while an answer still has value.
+// docs/design.md lists the differences and their reasons.
 
-// answerMargin is how long before its deadline a request that waits gets its final answer, in nanoseconds, so that the
-// answer still reaches the client.
+// answerMargin is how long before its deadline, in nanoseconds, a waiting request gets its final answer, so that the
+// answer reaches the client in time.
 const answerMargin = 25 * millisecond
 
-// attempt is one request sent to one endpoint.
+// attempt is one try of a request at one endpoint.
 type attempt struct {
 	endpoint int
 	sentAt   int64
 	state    executionState
 }
 
-// requestState is a request from its arrival to the end of its last attempt.
+// requestState is the state of a request from its arrival to the end of its last attempt.
 type requestState struct {
 	class   int
 	key     uint64
 	isWrite bool
-	isOpen  bool // it has no final answer
+	isOpen  bool // it has no final answer yet
 
-	usefulUntil int64 // an answer after it has no value
-	deadline    int64 // attempts end by then
-	answerBy    int64 // while nothing is in flight, its final answer is due by then
+	usefulUntil int64 // later answers have no value
+	deadline    int64 // attempts end by this time
+	answerBy    int64 // its final answer is due by this time unless an attempt is in flight
 
 	attempts  []attempt
-	inFlight  int // attempts
-	ended     int // attempts
-	openIndex int // its place in Balancer.openRequests
+	inFlight  int // number of attempts in flight
+	ended     int // number of attempts that have ended
+	openIndex int // its index in Balancer.openRequests
 
-	candidateCount int   // among how many candidates it chooses
-	backoff        int64 // its last wait, nanoseconds; 0: none yet
-	timerAt        int64 // when its timer counts; 0: none
+	candidateCount int   // number of candidates to choose from
+	backoff        int64 // its last wait, in nanoseconds; 0: none yet
+	timerAt        int64 // when its current timer is due; earlier timers are ignored; 0: none
 
-	queue      *keyQueue // of its key; nil: none
-	isDequeued bool      // it no longer waits in its queue
+	queue      *keyQueue // its key queue; nil: none
+	isDequeued bool      // it has left the waiting part of its queue
 
 	// Cache-aside (cacheaside.go).
-	missedAt       int  // the first cache that lacked its key; noEndpoint
-	bypassesCaches bool // it asks the origin, as the caches are overloaded
-	isFetching     bool // it asks the origin for its key
-	awaitsFetch    bool // another request does, and it waits for that
+	missedAt       int  // the first cache that did not hold its key; noEndpoint: none
+	bypassesCaches bool // it goes to the origin, as the caches are overloaded
+	isFetching     bool // it fetches its key from the origin
+	awaitsFetch    bool // it waits for another request's fetch of its key
 }
 
-// newRequest begins a request. Where the clocks of clients may be off, by deadlineDrift, the client may wait so much
-// longer than stated: attempts may take until then. A request that waits gets its final answer by the stated time, or
-// after deadlineDrift if that is later.
+// newRequest returns the state of a request that has just arrived. If client clocks may be off, by up to deadlineDrift,
+// the client may wait that much longer than it stated, and attempts may take until then. A waiting request gets its
+// final answer by the stated time, or deadlineDrift after its arrival if that is later.
 func newRequest(now int64, info RequestInfo, key uint64, class *requestClass, deadlineDrift int64, attempts []attempt) requestState {
 	r := requestState{
 		class:          info.Class,
@@ -75,20 +76,21 @@
 	return r
 }
 
-// start removes the deadline of a request whose answer has begun.
+// beginStreaming removes the deadline and the timer of a request whose answer has begun.
 func (r *requestState) beginStreaming() {
 	r.usefulUntil, r.deadline, r.timerAt = math.MaxInt64, math.MaxInt64, 0
 }
 
-// hasStarted tells whether its answer has begun.
+// isStreaming reports whether the request's answer has begun.
 func (r *requestState) isStreaming() bool { return r.usefulUntil == math.MaxInt64 }
 
-// hasTried tells whether an attempt went to an endpoint.
+// hasTried reports whether an attempt went to the endpoint.
 func (r *requestState) hasTried(endpoint int) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.endpoint == endpoint })
 }
 
-// dispatch sends a request to an endpoint, has it wait, or gives it its final answer. Nothing of it is in flight.
+// dispatch sends a request to an endpoint, has it wait, or gives it its final answer. None of its attempts may be in
+// flight.
 func (b *Balancer) dispatch(now int64, index int) {
 	request := &b.requests[index]
 	if request.bypassesCaches && !request.isFetching {
@@ -113,8 +115,8 @@
 	}
 }
 
-// chooseTarget returns the endpoint that a request goes to next, or noEndpoint. The set of candidates grows until one
-// of them may be sent to.
+// chooseTarget returns the endpoint for a request's next attempt, or noEndpoint. It widens the candidate set until an
+// attempt may be sent to one of the candidates.
 func (b *Balancer) chooseTarget(now int64, request *requestState) (target int, isOriginFull bool) {
 	if b.goesToOrigin(request) {
 		return b.origin, b.isOriginFull(request)
@@ -127,7 +129,7 @@
 	return target, false
 }
 
-// isAnyEligible tells whether the rules allow an attempt somewhere.
+// isAnyEligible reports whether the rules allow an attempt at any endpoint.
 func (b *Balancer) isAnyEligible(now int64, request *requestState) bool {
 	return slices.ContainsFunc(b.ready, func(endpoint int) bool { return b.isEligible(now, request, endpoint) })
 }
@@ -146,7 +148,7 @@
 	b.addInFlight(request, target, 1)
 	until := request.deadline
 	if request.isKeyThrottled() || b.settings.hasFewBuffers {
-		// The concurrency or the buffer that it would hold after that is worth more than a late answer.
+		// The concurrency or the buffer that the attempt would hold after that is worth more than a late answer.
 		until = request.usefulUntil
 	}
 	b.executor.Send(index, target, until)
@@ -161,7 +163,7 @@
 	}
 }
 
-// addInFlight counts an attempt that began (change is 1) or ended (-1).
+// addInFlight adds change, which is 1 when an attempt begins and -1 when it ends, to the numbers of attempts in flight.
 func (b *Balancer) addInFlight(request *requestState, target, change int) {
 	endpoint := &b.endpoints[target]
 	endpoint.load.settle(b.clock.evidence)
@@ -173,7 +175,7 @@
 	}
 }
 
-// continueRequest decides what follows the end of an attempt.
+// continueRequest decides how a request goes on after the end of an attempt.
 func (b *Balancer) continueRequest(now int64, index int, result AttemptResult) {
 	request := &b.requests[index]
 	outcome := result.Outcome
@@ -181,15 +183,15 @@
 		return
 	}
 	if result.IsAnswered {
-		storedAt := noEndpoint
+		storedIn := noEndpoint
 		if outcome == OK {
-			storedAt = request.missedAt
+			storedIn = request.missedAt
 		}
-		b.closeRequest(now, index, storedAt)
+		b.closeRequest(now, index, storedIn)
 		return
 	}
 	if request.inFlight > 0 || request.isStreaming() {
-		return // Another attempt may still answer, or does.
+		return // Another attempt may still answer, or is already streaming its answer.
 	}
 	switch {
 	case b.isFinalFailure(now, request, result):
@@ -197,7 +199,7 @@
 	case outcome == CacheMiss:
 		b.coalesceOriginFetch(now, index)
 	case result.Endpoint == b.origin:
-		b.backOff(now, index, EndpointsBusy) // It rejected, or took no connection, as one that is busy does.
+		b.backOff(now, index, EndpointsBusy) // A rejection or a failed connection means that the origin is busy.
 	case outcome == Rejected && request.candidateCount >= len(b.ready):
 		b.backOff(now, index, EndpointsBusy)
 	case outcome == Rejected:
@@ -208,27 +210,27 @@
 	}
 }
 
-// isFinalFailure tells whether a retry could not succeed after what an attempt ended with.
+// isFinalFailure reports whether a retry cannot succeed after the result of an attempt.
 func (b *Balancer) isFinalFailure(now int64, request *requestState, result AttemptResult) bool {
 	outcome := result.Outcome
 	switch {
 	case now >= request.deadline:
 		return true
 	case outcome == TimedOut:
-		return true // An attempt runs up to the deadline: the client waits no longer.
+		return true // An attempt may take until the deadline, so the client no longer waits.
 	case outcome == NotSent && b.settings.deadlineDrift > 0:
-		return true // Withdrawn because the client has gone, before the time that it stated.
+		return true // The attempt was withdrawn because the client left before the time it had stated.
 	case result.Endpoint == b.origin && outcome != Rejected && outcome != ConnectFailed:
-		return true // The origin has answered, and there is only one.
+		return true // There is no other origin, and only a busy one is tried again.
 	case outcome != Errored:
 		return false
 	}
-	// While a key or the origin is failing, the next endpoint would answer the same.
+	// While the key or the origin is failing, other endpoints would return the same error.
 	return request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.evidence, 0)
 }
 
-// finish gives a request that no endpoint answered its final answer: it is rejected if it may be sent again without
-// harm, else it fails.
+// finish gives a request its final answer when no endpoint has answered it. The request is rejected if it may safely be
+// sent again; otherwise it fails.
 func (b *Balancer) finish(now int64, index int, reason Reason) {
 	request := &b.requests[index]
 	canReject, retryAfter := b.canReject(request), b.retryAfter(request)
@@ -241,9 +243,9 @@
 	b.leaveKeyQueue(now, index)
 }
 
-// closeRequest ends a request that has its final answer: it cancels what is in flight, and has the requests that wait
-// for its fetch go on. storedAt is the cache that holds its key now, if it has fetched that; else noEndpoint.
-func (b *Balancer) closeRequest(now int64, index, storedAt int) {
+// closeRequest closes a request that has its final answer: it cancels the attempts in flight and releases the requests
+// that wait for its fetch. storedIn is the cache that now holds the fetched key, or noEndpoint.
+func (b *Balancer) closeRequest(now int64, index, storedIn int) {
 	request := &b.requests[index]
 	request.isOpen = false
 	last := b.openRequests[len(b.openRequests)-1]
@@ -255,12 +257,12 @@
 		}
 	}
 	if request.isFetching {
-		b.releaseFetchWaiters(now, request.key, storedAt)
+		b.releaseFetchWaiters(now, request.key, storedIn)
 	}
 }
 
-// handleRequestTimer acts on a request whose timer has come due: its turn in a queue, the end of a backoff, a fetch
-// that did not come, or an attempt that is overdue.
+// handleRequestTimer handles a due timer of a request: its turn in a queue, the end of a backoff, the end of its wait
+// for another request's fetch, or an overdue attempt.
 func (b *Balancer) handleRequestTimer(now int64, index int) {
 	request := &b.requests[index]
 	if !request.isOpen {
@@ -271,7 +273,7 @@
 		return
 	}
 	if request.timerAt == 0 || request.timerAt > now {
-		return // This one was set before the last that counts.
+		return // A later timer has replaced this one, or none is needed any more.
 	}
 	request.timerAt = 0
 	switch {
