--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,61 +1,62 @@
 package policy
 
-// What pays for a retry, how long a request waits for one, and when a request is hedged.
+// The retry budget, backoff and hedging.
 //
-// Retry budget, a token bucket: each success earns retryTokensPerSuccess, for its endpoint and for the balancer; each
-// attempt after a request's first takes a whole token from both. This guards against retry storms: when much fails,
-// retries would multiply the load of endpoints that are failing, which shows as load that stays after its cause has
-// gone. The guard holds since retries come to a fifth of the successes at most, and the balancer's own budget bounds
-// what they are over all endpoints.
+// Retry budget, a token bucket: each success adds retryTokensPerSuccess, both for its endpoint and for the balancer;
+// each attempt of a request after its first takes a whole token from both. This guards against retry storms: when many
+// attempts fail, retries multiply the load of the failing endpoints. The symptom is load that persists after its cause
+// is gone. The guard holds because retries amount to at most a fifth of the successes, and the balancer's own budget
+// limits their sum over all endpoints.
 //
-// Backoff: where no endpoint is left that may be sent to or has tokens, the request waits, twice as long each time, and
-// gets its final answer once it would wait beyond the time at which an answer has value.
+// Backoff: if no endpoint may be sent to or has tokens left, the request waits, twice as long each time. It gets its
+// final answer at once if the next wait would end after the time at which an answer still has value.
 //
-// Hedging (Dean and Barroso, The Tail at Scale, 2013): an attempt that takes half of the objective, and jammedRatio
-// times the mean latency, is overdue. The request gets a second attempt at another candidate, paid from the budget,
-// where the settings allow it; the first answer counts. This guards against single connections or endpoints that fall
-// silent, which shows as requests that time out while their endpoint answers others. Where many attempts are overdue
-// the fleet or the origin is slow, and a second attempt would be one more fetch: then none is made.
+// Hedging (Dean and Barroso, The Tail at Scale, 2013): an attempt is overdue once it has taken half of the objective
+// and jammedRatio times the mean latency. Where the settings allow it, the request gets a second attempt at another
+// candidate, paid from the budget, and the first answer counts. This guards against single connections or endpoints
+// that fall silent. The symptom is requests that time out although their endpoint answers others. If many attempts are
+// overdue, the endpoints as a whole or the origin are slow, and a second attempt would only cause another fetch; so
+// none is made.
 
 const (
-	// retryTokensPerSuccess bounds retries to a fifth of the successes.
+	// retryTokensPerSuccess limits retries to a fifth of the successes.
 	retryTokensPerSuccess = 0.2
 
-	// maxRetryTokens bounds what is saved up for a burst of failures.
+	// maxRetryTokens limits the tokens that are saved for a burst of failures.
 	maxRetryTokens = 10.0
 
-	// initialBackoff is the first wait, in nanoseconds; it doubles.
+	// initialBackoff is the first wait, in nanoseconds. It doubles with each further one.
 	initialBackoff = 33 * millisecond
 
-	// retryAfterShare is the part of the objective after which a rejected client is told to come back, before jitter:
-	// early enough for an answer to have value still.
+	// retryAfterShare is the part of the objective, before jitter, after which a rejected client is told to retry: early
+	// enough for the answer to still have value.
 	retryAfterShare = 1.0 / 6
 
-	// overdueShare: an attempt is overdue after one in so many parts of the objective, if it is also over jammedRatio
-	// times the mean latency.
-	overdueShare = 2
+	// overdueObjectiveDivisor: an attempt is overdue after the objective divided by this number, if that is later than
+	// jammedRatio times the mean latency.
+	overdueObjectiveDivisor = 2
 
-	// maxOverdueRatio is the part of the requests that may have an overdue attempt while requests are still hedged.
+	// maxOverdueRatio is the part of the requests up to which attempts may be overdue while requests are still hedged.
 	maxOverdueRatio = 0.08
 
 	// maxHedgingShedRatio is the part of the requests that may be rejected for overload while others are still hedged.
 	maxHedgingShedRatio = maxOverdueRatio / 4
 )
 
-// retryBudget is a bucket of tokens that successes fill and retries empty.
+// retryBudget is a token bucket that successes fill and retries drain.
 type retryBudget struct{ tokens float64 }
 
-// earn counts a success.
+// earn adds tokens for a success.
 func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+retryTokensPerSuccess) }
 
-// spend counts a retry.
+// spend takes the token for a retry.
 func (r *retryBudget) spend() { r.tokens-- }
 
-// canPay tells whether there is a whole token for a retry.
+// canPay reports whether there is a whole token for a retry.
 func (r *retryBudget) canPay() bool { return r.tokens >= 1 }
 
-// backOff has a request wait before its next attempt, or gives it its final answer, for a reason, if it would wait too
-// long or may have no further attempt.
+// backOff has a request wait before its next attempt. If the wait would be too long, or the request may have no further
+// attempt, it gets its final answer with the given reason instead.
 func (b *Balancer) backOff(now int64, index int, reason Reason) {
 	request := &b.requests[index]
 	request.backoff = max(initialBackoff, 2*request.backoff)
@@ -67,8 +68,8 @@
 	b.executor.SetTimer(timerRequest+index, request.backoff)
 }
 
-// retryAfter is after how many nanoseconds a rejected client should come back; 0: nothing may be stated. Jitter keeps
-// clients that were rejected in one moment from coming back in one.
+// retryAfter returns the time in nanoseconds after which a rejected client should retry; 0: none may be stated. Jitter
+// keeps clients that were rejected at the same time from retrying at the same time.
 func (b *Balancer) retryAfter(request *requestState) int64 {
 	if b.settings.maxRetryAfter <= 0 {
 		return 0
@@ -78,14 +79,14 @@
 	return min(b.settings.maxRetryAfter, int64(share*float64(objective)))
 }
 
-// overdueAt is when an attempt that begins now is overdue.
+// overdueAt returns the time at which an attempt that begins now becomes overdue.
 func (b *Balancer) overdueAt(now int64, request *requestState) int64 {
 	objective := b.settings.classes[request.class].objective
-	return now + max(objective/overdueShare, int64(jammedRatio*b.meanLatency()))
+	return now + max(objective/overdueObjectiveDivisor, int64(jammedRatio*b.meanLatency()))
 }
 
-// hedge takes that a request's last attempt is overdue. The attempt's endpoint counts as silent from now on, and the
-// request gets a second attempt if that is allowed and helps.
+// hedge handles a request whose last attempt is overdue. The attempt's endpoint counts as silent from now on. The
+// request gets a second attempt if that is allowed and likely to help.
 func (b *Balancer) hedge(now int64, index int) {
 	request, arrivals := &b.requests[index], b.admission.arrivals.ValueAt(b.clock.evidence)
 	silent := request.attempts[len(request.attempts)-1].endpoint
@@ -96,8 +97,8 @@
 	if !isZoneLost {
 		b.count(&b.overdue)
 	}
-	// In a zone that seems lost the cause is known: its requests are hedged however many are overdue.
-	if !b.areOverdueFew(arrivals) && !isZoneLost {
+	// In a zone that is suspected to be lost the cause is known: requests are hedged however many are overdue.
+	if !b.isOverdueRatioLow(arrivals) && !isZoneLost {
 		return
 	}
 	if !b.mayHedge(request) {
@@ -107,19 +108,19 @@
 	if target == noEndpoint || now >= request.usefulUntil || !b.canDispatch(now, request, target) {
 		return
 	}
-	overdue.outlier.outcomes.failures.Add(b.clock.evidence, 1) // Only here: else its own end counts it.
+	overdue.outlier.outcomes.failures.Add(b.clock.evidence, 1) // Only if hedged: otherwise its own end counts it.
 	b.send(now, index, target)
 }
 
-// areOverdueFew tells whether so few of the requests that arrived of late are overdue, or were rejected for overload,
-// that it is single endpoints or connections that are slow, and not the fleet or the origin.
-func (b *Balancer) areOverdueFew(arrivals float64) bool {
+// isOverdueRatioLow reports whether only a small part of the requests that arrived lately are overdue, or were rejected
+// for overload. Then single endpoints or connections are slow, and not all endpoints or the origin.
+func (b *Balancer) isOverdueRatioLow(arrivals float64) bool {
 	return b.overdue.Value < maxOverdueRatio*arrivals &&
 		b.admission.shed.ValueAt(b.clock.evidence) < maxHedgingShedRatio*arrivals
 }
 
-// mayHedge tells whether a request may have two attempts in flight. For a throttled key the second would wait for what
-// the first waits for.
+// mayHedge reports whether a request may have two attempts in flight. For a throttled key both would wait for the same
+// thing.
 func (b *Balancer) mayHedge(request *requestState) bool {
 	isIdempotent := b.settings.classes[request.class].effect != NonIdempotent
 	return b.settings.mayHedge && isIdempotent && !request.isKeyThrottled()
