--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -5,101 +5,103 @@
 	"slices"
 )
 
-// Requests of one key that go one at a time, or a few. There are two reasons for a queue, and a key may have one for
-// each:
+// Key queues limit how many requests of one key are dispatched at a time. A key may have two queues, one for each of
+// these reasons:
 //
-// Order: the class asks for it (keepOrder). Requests with one key go in the order in which they came. The next one goes
-// when all before it have their final answer and each of their attempts its outcome, and, after an attempt that may
-// still run, when the key has rested for orderSettle. This guards writes of one key against running in another order
-// than they were sent.
+// Order: the class of requests asks for it (keepOrder). Requests of one key are dispatched one at a time, in the order
+// in which they arrived. The next one is dispatched when all earlier ones have their final answers and the outcomes of
+// all their attempts are known. After an attempt that may still run, the queue also pauses for orderSettle. This guards
+// against writes of one key that run in another order than they were sent.
 //
-// A throttled key: its attempts fail at one endpoint after the other, by the odds of a sequential probability ratio
-// test (Wald, 1945) against the part of all attempts that are poor. What holds such a key up is behind all endpoints,
-// as a lock or an expensive computation is, and each attempt that waits there keeps capacity from other keys. Its
-// concurrency grows with timely answers and shrinks with failures, and how its attempts end is not held against
-// endpoints (observations.go). This guards all other keys; else the endpoints would look like outliers one after the
-// other. A connection that fails and an attempt that is overdue mark their endpoint for a moment whatever the key is.
+// Throttling: the attempts for a key fail at one endpoint after another. This is detected by a sequential probability
+// ratio test (Wald, 1945) against the poor ratio, which is the part of all attempts that fail or are answered late. The
+// cause is then behind all endpoints, such as a lock or an expensive computation, and each attempt that waits for it
+// takes capacity from other keys. The key's concurrency grows with timely answers and shrinks with failures and late
+// ones, and the outcomes of its attempts do not count against endpoints (observations.go). This guards all other keys,
+// and keeps the endpoints from looking like outliers one after another. Failed connections and overdue attempts still
+// count against their endpoint for a short time, whatever the key.
 //
-// No queue holds a request whose turn would come too late to have value: it is rejected at once.
+// A request whose turn would come too late for its answer to have value is not queued but rejected at once.
 
 const (
-	// maxQueueLength bounds one queue, however quick it is.
+	// maxQueueLength is the largest number of waiting requests in one queue, however fast the queue moves.
 	maxQueueLength = 256
 
-	// throttleOdds are the odds, as a natural logarithm, at which a key is throttled: a hundred to one.
-	throttleOdds = 4.6
+	// throttleLogOdds are the odds at which a key is throttled, as a natural logarithm: a hundred to one.
+	throttleLogOdds = 4.6
 
-	// throttledFailureRatio is the part of the attempts that fail where something behind all endpoints holds a key up.
+	// throttledFailureRatio is the part of a key's attempts that are expected to fail if the cause is behind all
+	// endpoints.
 	throttledFailureRatio = 0.9
 
-	// maxFailureOdds bounds what one failure tells, so that it takes failures at two endpoints at least.
-	maxFailureOdds = throttleOdds / 2
+	// maxFailureLogOdds limits the weight of one failure, so that failures at two or more endpoints are needed.
+	maxFailureLogOdds = throttleLogOdds / 2
 
-	// poorPrior keeps the ratio of poor attempts off 0 and 1 while few are known.
-	poorPrior = 0.1
+	// poorRatioPrior keeps the poor ratio off 0 and 1 while few attempts have been counted.
+	poorRatioPrior = 0.1
 
-	// concurrencyDecrease is the part of a throttled key's concurrency that a late answer or a failure leaves. A timely
-	// answer adds one for each round of answers.
+	// concurrencyDecrease is the factor by which a late answer or a failure lowers a throttled key's concurrency. A
+	// whole round of timely answers raises it by one.
 	concurrencyDecrease = 0.7
 
-	// minConcurrency is the least concurrency of a throttled key. Under one, the key rests between turns.
-	minConcurrency = 1.0 / 16
+	// minKeyConcurrency is the smallest concurrency of a throttled key. Below one, the queue pauses between requests.
+	minKeyConcurrency = 1.0 / 16
 
-	// dissolveConcurrency is the concurrency from which on a key whose queue is empty is throttled no more.
-	dissolveConcurrency = 4.0
+	// unthrottleConcurrency is the concurrency from which on a key is no longer throttled once no request waits.
+	unthrottleConcurrency = 4.0
 
-	// idleWindows is after how many time constants without a request a key is throttled no more.
-	idleWindows = 10
+	// idleTimeConstants is the number of time constants without a request after which a key is no longer throttled.
+	idleTimeConstants = 10
 
-	// turnSmoothing: a new turn counts for one in so many parts of the mean length of a turn.
-	turnSmoothing = 4
+	// serviceTimeSmoothing: a new service time changes the mean by its difference from it, divided by this number.
+	serviceTimeSmoothing = 4
 
-	// Idle queues are removed when there are more than freeQueues, and queuesPerRequest for each open request.
-	freeQueues       = 64
-	queuesPerRequest = 2
+	// Idle queues are removed while there are more than baseQueueLimit, plus queueLimitPerRequest per open request.
+	baseQueueLimit       = 64
+	queueLimitPerRequest = 2
 )
 
-// keyQueueID names a queue: a key may have one for order, and one while it is throttled.
+// keyQueueID identifies a queue. A key may have one for order and one for throttling.
 type keyQueueID struct {
 	key     uint64
 	inOrder bool
 }
 
-// keyQueue is the queue of one key. A request that waits in it has had no attempt.
+// keyQueue is a queue of requests of one key. A request that waits in it has had no attempt.
 type keyQueue struct {
-	inOrder     bool
-	waiting     []int   // requests, in the order in which they came
-	active      int     // requests that were dequeued and are not over, or have an attempt without an outcome
-	concurrency float64 // how many may be active
-	restsUntil  int64   // none is dequeued before
-	meanTurn    float64 // how long one is active, nanoseconds
-	isDequeuing bool    // a request that ends as it is dequeued does not dequeue the next by itself
+	inOrder         bool
+	waiting         []int   // indices of the waiting requests, in order of arrival
+	active          int     // dequeued requests without a final answer or with an attempt whose outcome is not known
+	concurrency     float64 // limit on active
+	pausedUntil     int64   // no request is dequeued before this time
+	meanServiceTime float64 // mean time that a request is active, in nanoseconds
+	isDequeuing     bool    // dequeue is running: a request that ends meanwhile does not call it again
 }
 
-// isIdle tells whether nothing waits or is active in a queue, and its key has rested by a time.
+// isIdle reports whether no request waits or is active, and the queue is no longer paused at the given time.
 func (q *keyQueue) isIdle(at int64) bool {
-	return q.active == 0 && len(q.waiting) == 0 && at >= q.restsUntil
+	return q.active == 0 && len(q.waiting) == 0 && at >= q.pausedUntil
 }
 
-// isForgotten tells whether a throttled key has had no request for so long that it is one like others again.
-func (q *keyQueue) isForgotten(now int64) bool {
-	return !q.inOrder && q.isIdle(now-idleWindows*timeConstant)
+// hasThrottleExpired reports whether a throttled key has had no request for so long that it is no longer throttled.
+func (q *keyQueue) hasThrottleExpired(now int64) bool {
+	return !q.inOrder && q.isIdle(now-idleTimeConstants*timeConstant)
 }
 
-// expectedTurn is when a request that comes now would be dequeued.
-func (q *keyQueue) expectedTurn(now int64) int64 {
+// expectedDequeueTime returns the time at which a request that arrives now is expected to be dequeued.
+func (q *keyQueue) expectedDequeueTime(now int64) int64 {
 	ahead := float64(len(q.waiting) + q.active)
-	return max(now, q.restsUntil) + int64(ahead*q.meanTurn/q.concurrency)
+	return max(now, q.pausedUntil) + int64(ahead*q.meanServiceTime/q.concurrency)
 }
 
-// isKeyThrottled tells whether a request goes through the queue of a throttled key.
+// isKeyThrottled reports whether the request goes through the queue of a throttled key.
 func (r *requestState) isKeyThrottled() bool { return r.queue != nil && !r.queue.inOrder }
 
-// lastTurn is until when a request can be dequeued with time left for an answer.
-func (r *requestState) lastTurn() int64 { return min(r.usefulUntil, r.answerBy) - answerMargin }
+// dequeueDeadline returns the time until which a request can be dequeued with enough time left for an answer.
+func (r *requestState) dequeueDeadline() int64 { return min(r.usefulUntil, r.answerBy) - answerMargin }
 
-// enqueue dispatches a request, or puts it into the queue of its key. It returns false, and does neither, if the queue
-// is full or the request's turn would come too late.
+// enqueue dispatches a request or adds it to the queue of its key. If the queue is full or the request would be
+// dequeued too late, it does neither and returns false.
 func (b *Balancer) enqueue(now int64, index int, hasKey bool) bool {
 	request := &b.requests[index]
 	id := keyQueueID{request.key, hasKey && b.settings.classes[request.class].inOrder}
@@ -107,37 +109,37 @@
 	if queue == nil && id.inOrder {
 		queue = b.newKeyQueue(now, id)
 	}
-	if queue == nil || queue.isForgotten(now) {
+	if queue == nil || queue.hasThrottleExpired(now) {
 		b.dispatch(now, index)
 		return true
 	}
-	last := request.lastTurn()
-	if len(queue.waiting) >= maxQueueLength || queue.expectedTurn(now) >= last {
+	latest := request.dequeueDeadline()
+	if len(queue.waiting) >= maxQueueLength || queue.expectedDequeueTime(now) >= latest {
 		return false
 	}
 	request.queue, queue.waiting = queue, append(queue.waiting, index)
-	b.executor.SetTimer(timerRequest+index, max(0, last-now))
+	b.executor.SetTimer(timerRequest+index, max(0, latest-now))
 	b.dequeue(now, queue)
 	return true
 }
 
-// newKeyQueue begins a queue. It first removes idle ones where there are many.
+// newKeyQueue creates a queue. If there are many, it removes idle ones first.
 func (b *Balancer) newKeyQueue(now int64, id keyQueueID) *keyQueue {
 	for other, queue := range b.keyQueues {
-		if len(b.keyQueues) > freeQueues+queuesPerRequest*len(b.openRequests) && queue.isIdle(now) {
+		if len(b.keyQueues) > baseQueueLimit+queueLimitPerRequest*len(b.openRequests) && queue.isIdle(now) {
 			delete(b.keyQueues, other)
 		}
 	}
-	b.keyQueues[id] = &keyQueue{concurrency: 1, inOrder: id.inOrder, restsUntil: now}
+	b.keyQueues[id] = &keyQueue{concurrency: 1, inOrder: id.inOrder, pausedUntil: now}
 	return b.keyQueues[id]
 }
 
-// dequeue dispatches the requests whose turn has come. One that ends at once leaves its turn to the next.
+// dequeue dispatches waiting requests up to the concurrency. A request that ends at once makes room for the next.
 func (b *Balancer) dequeue(now int64, queue *keyQueue) {
 	for !queue.isDequeuing && len(queue.waiting) > 0 && float64(queue.active) < queue.concurrency {
 		index := queue.waiting[0]
-		if now < queue.restsUntil {
-			b.executor.SetTimer(timerRequest+index, queue.restsUntil-now)
+		if now < queue.pausedUntil {
+			b.executor.SetTimer(timerRequest+index, queue.pausedUntil-now)
 			return
 		}
 		queue.waiting = slices.Delete(queue.waiting, 0, 1)
@@ -148,26 +150,26 @@
 	}
 }
 
-// handleQueueTimer acts on the timer of a request that waits in a queue: its turn may have come, or its time may be
-// over.
+// handleQueueTimer handles a timer of a request that waits in a queue: it may be due to be dequeued, or its dequeue
+// deadline may have passed.
 func (b *Balancer) handleQueueTimer(now int64, index int) {
 	request := &b.requests[index]
 	b.dequeue(now, request.queue)
-	if request.isOpen && !request.isDequeued && now >= request.lastTurn() {
+	if request.isOpen && !request.isDequeued && now >= request.dequeueDeadline() {
 		b.finish(now, index, QueueFull)
 	}
 }
 
-// recordKeyFailure gathers the odds that something behind all endpoints holds a request's key up: that
-// throttledFailureRatio of its attempts fail, against the part of all attempts that are poor. A key whose odds reach
-// throttleOdds is throttled. A failure at the endpoint of the last one tells nothing new.
+// recordKeyFailure updates the odds that the cause of a key's failures is behind all endpoints: that
+// throttledFailureRatio of its attempts fail, against the poor ratio of all attempts. A key whose odds reach
+// throttleLogOdds is throttled. A further failure at the same endpoint adds no evidence.
 func (b *Balancer) recordKeyFailure(now int64, request *requestState, result AttemptResult) {
 	record, late := &b.recentKeys[request.key%maxRecentKeys], b.quality.late.ValueAt(b.clock.evidence)
-	poor := (late + poorPrior) / (late + b.quality.timely.ValueAt(b.clock.evidence) + 1)
+	poorRatio := (late + poorRatioPrior) / (late + b.quality.timely.ValueAt(b.clock.evidence) + 1)
 	isKnown := record.key == request.key
 	if result.Outcome == OK {
 		if isKnown {
-			record.suspicion = max(0, record.suspicion+math.Log((1-throttledFailureRatio)/(1-poor)))
+			record.suspicion = max(0, record.suspicion+math.Log((1-throttledFailureRatio)/(1-poorRatio)))
 		}
 		return
 	}
@@ -175,29 +177,35 @@
 		return
 	}
 	if !isKnown {
-		*record = keyRecord{key: request.key, endpoint: noEndpoint, failedAt: result.Endpoint, suspicion: failureOdds(poor)}
+		*record = keyRecord{
+			key:       request.key,
+			endpoint:  noEndpoint,
+			failedAt:  result.Endpoint,
+			suspicion: failureLogOdds(poorRatio),
+		}
 		return
 	}
 	if record.failedAt == result.Endpoint {
 		return
 	}
 	record.failedAt = result.Endpoint
-	record.suspicion += failureOdds(poor)
+	record.suspicion += failureLogOdds(poorRatio)
 	id := keyQueueID{key: request.key}
-	if record.suspicion >= throttleOdds && b.keyQueues[id] == nil {
+	if record.suspicion >= throttleLogOdds && b.keyQueues[id] == nil {
 		record.suspicion = 0
 		b.newKeyQueue(now, id)
 	}
 }
 
-// failureOdds is what one failure of a key adds to the odds, as a natural logarithm, where poor is the part of all
-// attempts that are.
-func failureOdds(poor float64) float64 {
-	return min(maxFailureOdds, math.Log(throttledFailureRatio/poor))
+// failureLogOdds returns what one failure of a key adds to its odds, as a natural logarithm. poorRatio is the part of
+// all attempts that fail or are answered late.
+func failureLogOdds(poorRatio float64) float64 {
+	return min(maxFailureLogOdds, math.Log(throttledFailureRatio/poorRatio))
 }
 
-// adjustKeyConcurrency takes the end of an attempt whose request is in a queue. A key in order rests after an attempt
-// that may still run; a throttled one gets more turns with each timely answer, and fewer with each other.
+// adjustKeyConcurrency handles the end of an attempt whose request is in a queue. A queue for order pauses after an
+// attempt that may still run. The concurrency of a throttled key rises after a timely answer, and falls after a late
+// one, an error or a timeout.
 func (b *Balancer) adjustKeyConcurrency(now int64, request *requestState, result AttemptResult) {
 	queue, outcome := request.queue, result.Outcome
 	if queue == nil {
@@ -205,7 +213,7 @@
 	}
 	if queue.inOrder {
 		if outcome == TimedOut || outcome == Reset || outcome == Cancelled {
-			queue.restsUntil = max(queue.restsUntil, now+b.settings.orderSettle)
+			queue.pausedUntil = max(queue.pausedUntil, now+b.settings.orderSettle)
 		}
 		return
 	}
@@ -213,12 +221,12 @@
 	case outcome == OK && result.Latency < b.settings.classes[request.class].objective/timelyShare:
 		queue.concurrency += 1 / max(1, queue.concurrency)
 	case outcome == OK || outcome == Errored || outcome == TimedOut:
-		queue.concurrency = max(minConcurrency, queue.concurrency*concurrencyDecrease)
+		queue.concurrency = max(minKeyConcurrency, queue.concurrency*concurrencyDecrease)
 	}
 }
 
-// leaveKeyQueue takes a request that has its final answer out of its queue, once each of its attempts has ended, and
-// has the next one go.
+// leaveKeyQueue removes a request from its queue once it has its final answer and all its attempts have ended, and
+// dequeues the next one.
 func (b *Balancer) leaveKeyQueue(now int64, index int) {
 	request := &b.requests[index]
 	queue := request.queue
@@ -228,17 +236,17 @@
 	request.queue = nil
 	if request.isDequeued {
 		queue.active--
-	} else if place := slices.Index(queue.waiting, index); place >= 0 {
-		queue.waiting = slices.Delete(queue.waiting, place, place+1)
+	} else if position := slices.Index(queue.waiting, index); position >= 0 {
+		queue.waiting = slices.Delete(queue.waiting, position, position+1)
 	}
 	if len(request.attempts) > 0 {
-		queue.meanTurn += (float64(now-request.attempts[0].sentAt) - queue.meanTurn) / turnSmoothing
+		queue.meanServiceTime += (float64(now-request.attempts[0].sentAt) - queue.meanServiceTime) / serviceTimeSmoothing
 	}
-	queue.restsUntil = max(queue.restsUntil, now)
+	queue.pausedUntil = max(queue.pausedUntil, now)
 	switch {
 	case queue.concurrency < 1:
-		queue.restsUntil = now + int64(queue.meanTurn*(1/queue.concurrency-1))
-	case queue.concurrency >= dissolveConcurrency && len(queue.waiting) == 0 && !queue.inOrder:
+		queue.pausedUntil = now + int64(queue.meanServiceTime*(1/queue.concurrency-1))
+	case queue.concurrency >= unthrottleConcurrency && len(queue.waiting) == 0 && !queue.inOrder:
 		delete(b.keyQueues, keyQueueID{key: request.key})
 	}
 	b.dequeue(now, queue)
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// keyOrderSettings has class 0 go in order, with a rest of 50 ms after an attempt that may still run.
+// keyOrderSettings make class 0 keep order, with a pause of 50 ms after an attempt that may still run.
 var keyOrderSettings = map[string]any{"workloads.0.keepOrder": true, "invariants.orderSettle": 50.0}
 
-// Writes of one key must happen in the order in which they came, and an attempt that timed out, was cancelled or broke
-// may still run at its endpoint. However the first of a key ends, the second waits for its outcome, and for as long as
-// the key rests, no longer.
+// Writes of one key must run in order of arrival, and an attempt that timed out, was cancelled or reset may still run at
+// its endpoint. However the first request of a key ends, the second must wait until the outcome of its attempt is known
+// and the pause of the queue is over, but no longer.
 func TestKeyOrderWaitsForOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(h *harness, i int)
@@ -30,56 +30,56 @@
 		first := h.request(Safe, 7, 400*ms)
 		second, third := h.request(Safe, 7, 5*second), h.request(Safe, 7, 5*second)
 		if len(h.requests[second].attempts) > 0 {
-			t.Fatalf("%s: the second did not wait", name)
+			t.Fatalf("%s: the second request did not wait for the first", name)
 		}
 		c.end(h, first)
 		if c.rest > 0 {
 			h.advance(c.rest - 2*ms)
 			if len(h.requests[second].attempts) > 0 {
-				t.Fatalf("%s: the key did not rest", name)
+				t.Fatalf("%s: the second request was sent during the pause of the queue", name)
 			}
 			h.advance(3 * ms)
 		}
 		if len(h.requests[second].attempts) != 1 || len(h.requests[third].attempts) > 0 {
-			t.Fatalf("%s: %d attempts of the second, %d of the third", name, len(h.requests[second].attempts), len(h.requests[third].attempts))
+			t.Fatalf("%s: %d attempts for the second request, %d for the third; want 1 and 0", name, len(h.requests[second].attempts), len(h.requests[third].attempts))
 		}
 	}
 }
 
-// cancelRequest has a request's client go.
+// cancelRequest reports that the client of a request has left.
 func cancelRequest(h *harness, i int) {
 	h.requests[i].isOpen = false
 	h.balancer.HandleClientCancelled(h.now, i)
 }
 
-// A thousand requests of one key come at once. Its queue is bounded, what exceeds it is rejected at once, and no other
-// key waits for it.
+// A thousand requests of one key arrive at the same time. Its queue must be bounded, requests beyond the bound rejected
+// at once, and other keys unaffected.
 func TestQueueLengthIsBounded(t *testing.T) {
 	h := newHarness(t, 1, 6, keyOrderSettings)
 	for range 1000 {
 		h.request(Safe, 7, 5*second)
 	}
 	if h.rejected != 1000-1-maxQueueLength {
-		t.Errorf("%d of 1000 rejected, the queue holds %d", h.rejected, maxQueueLength)
+		t.Errorf("%d of 1000 requests rejected, want %d: one is in flight and %d may wait", h.rejected, 1000-1-maxQueueLength, maxQueueLength)
 	}
 	if other := h.request(Safe, 8, 5*second); len(h.requests[other].attempts) != 1 {
-		t.Error("another key waits for this one's queue")
+		t.Error("a request of another key was not sent at once")
 	}
-	for i := range h.requests { // Each in turn; the harness looks at the order.
+	for i := range h.requests { // Answers each request in turn. The harness checks the order.
 		if h.requests[i].isOpen {
 			h.endAttempt(i, 0, OK)
 		}
 	}
 	if len(h.balancer.keyQueues[keyQueueID{7, true}].waiting) > 0 {
-		t.Error("some were never dequeued")
+		t.Error("some requests were never dequeued")
 	}
 }
 
-// A key's turns take long, and a request's own would come after its deadline. It is rejected at once, while its client
-// can still try elsewhere.
-func TestQueueRejectsTurnTooLate(t *testing.T) {
+// Each request of a key takes long, so that a new one would be dequeued after its deadline. It must be rejected at once,
+// while its client can still try another balancer.
+func TestQueueRejectsRequestDequeuedTooLate(t *testing.T) {
 	h := newHarness(t, 1, 6, keyOrderSettings)
-	for range 3 { // A turn is known to take 300 ms.
+	for range 3 { // Raises the mean service time: each request takes 300 ms.
 		i := h.request(Safe, 7, 5*second)
 		h.advance(300 * ms)
 		h.endAttempt(i, 0, OK)
@@ -88,14 +88,14 @@
 		h.request(Safe, 7, 5*second)
 	}
 	if h.request(Safe, 7, 500*ms); h.rejected != 1 || h.failed != 0 {
-		t.Error("it waits for a turn that comes after its deadline")
+		t.Errorf("%d requests rejected and %d failed, want the last one rejected at once", h.rejected, h.failed)
 	}
 }
 
-// A lock behind all endpoints holds up one key: its attempts fail wherever they go, and each that waits there takes
-// capacity from other keys and makes an endpoint look bad. The key goes one at a time, other keys do not, no endpoint
-// is blamed, and with timely answers it gets its concurrency back.
-func TestThrottledKeyHoldsUpNoOther(t *testing.T) {
+// A lock behind all endpoints delays one key: its attempts fail at every endpoint, take capacity from other keys, and
+// would make endpoints look like outliers. The key must be throttled to one request at a time, other keys must not be,
+// the failures must not count against endpoints, and timely answers must restore the key's concurrency.
+func TestThrottledKeyDoesNotDelayOtherKeys(t *testing.T) {
 	h := newHarness(t, 1, 6, map[string]any{"allowed.mostTrips": 1.0})
 	endAll := func(key uint64, outcome Outcome) {
 		for i := range h.requests {
@@ -123,13 +123,13 @@
 		}
 	}
 	if n := concurrency(7); n > 1 {
-		t.Errorf("%d attempts at once for a key that is throttled", n)
+		t.Errorf("%d attempts in flight for a throttled key, want at most 1", n)
 	}
 	if n := concurrency(8); n < 8 {
-		t.Errorf("%d attempts at once for another key", n)
+		t.Errorf("%d attempts in flight for another key, want at least 8", n)
 	}
 	if failures := h.balancer.outcomes.failures.ValueAt(h.balancer.clock.evidence); failures > 4 {
-		t.Errorf("endpoints are blamed %.1f times for what holds up a key", failures)
+		t.Errorf("%.1f failures of a throttled key count against endpoints, want at most 4", failures)
 	}
 	endAll(8, OK)
 	for range 60 {
@@ -138,45 +138,45 @@
 		h.request(Safe, 7, second)
 	}
 	if endAll(7, OK); concurrency(7) < 4 {
-		t.Error("a key that recovered is throttled")
+		t.Error("a key is still throttled after 60 timely answers")
 	}
 }
 
-// Each turn of a key takes long. A request that comes now is told a turn after those of all that are ahead of it, as
-// many at a time as the key's concurrency, and not before the key has rested.
-func TestExpectedTurnCountsThoseAhead(t *testing.T) {
+// A new request is expected to be dequeued after all that are ahead of it, as many at a time as the key's concurrency,
+// and not before the pause of the queue is over.
+func TestExpectedDequeueTimeCountsRequestsAhead(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		queue keyQueue
 		want  int64
 	}{
-		{"nobody ahead", keyQueue{concurrency: 1, meanTurn: float64(30 * ms)}, second},
-		{"the key rests", keyQueue{concurrency: 1, restsUntil: second + 5*ms}, second + 5*ms},
-		{"three ahead", keyQueue{waiting: []int{1, 2}, active: 1, concurrency: 1, meanTurn: float64(30 * ms)}, second + 90*ms},
-		{"two at a time", keyQueue{waiting: []int{1, 2}, active: 2, concurrency: 2, meanTurn: float64(30 * ms)}, second + 60*ms},
-		{"a key that rests between turns", keyQueue{waiting: []int{1}, concurrency: 0.5, meanTurn: float64(30 * ms)}, second + 60*ms},
+		{"none ahead", keyQueue{concurrency: 1, meanServiceTime: float64(30 * ms)}, second},
+		{"the queue is paused", keyQueue{concurrency: 1, pausedUntil: second + 5*ms}, second + 5*ms},
+		{"three ahead", keyQueue{waiting: []int{1, 2}, active: 1, concurrency: 1, meanServiceTime: float64(30 * ms)}, second + 90*ms},
+		{"two at a time", keyQueue{waiting: []int{1, 2}, active: 2, concurrency: 2, meanServiceTime: float64(30 * ms)}, second + 60*ms},
+		{"a concurrency below one", keyQueue{waiting: []int{1}, concurrency: 0.5, meanServiceTime: float64(30 * ms)}, second + 60*ms},
 	} {
-		if got := c.queue.expectedTurn(second); got != c.want {
-			t.Errorf("%s: a turn after %d ms, not %d ms", c.name, (got-second)/ms, (c.want-second)/ms)
+		if got := c.queue.expectedDequeueTime(second); got != c.want {
+			t.Errorf("%s: expected to be dequeued after %d ms, want %d ms", c.name, (got-second)/ms, (c.want-second)/ms)
 		}
 	}
 }
 
-// Queues of keys that come once would pile up. One is idle, and may go, once nobody waits, nothing is active and the
-// key has rested.
-func TestQueueIsIdleOnceItsKeyHasRested(t *testing.T) {
+// Without removal, the queues of keys that are requested only once would accumulate. A queue may be removed only while
+// no request waits or is active and the queue is not paused.
+func TestQueueIsIdleOnlyOnceUnused(t *testing.T) {
 	for _, c := range []struct {
 		queue keyQueue
 		want  bool
 	}{
 		{keyQueue{}, true},
-		{keyQueue{restsUntil: second}, true},
-		{keyQueue{restsUntil: second + 1}, false},
+		{keyQueue{pausedUntil: second}, true},
+		{keyQueue{pausedUntil: second + 1}, false},
 		{keyQueue{active: 1}, false},
 		{keyQueue{waiting: []int{3}}, false},
 	} {
 		if got := c.queue.isIdle(second); got != c.want {
-			t.Errorf("%+v: idle %t", c.queue, got)
+			t.Errorf("%+v: isIdle returns %t, want %t", c.queue, got, c.want)
 		}
 	}
 }
