--- a/policy/cacheaside.go
+++ b/policy/cacheaside.go
@@ -1,63 +1,63 @@
 package policy
 
-// Cache-aside: a read that misses comes back to the balancer, which asks the origin and has the value stored where it
-// missed; writes go to the origin. The origin handles far fewer requests than the caches. So each key is fetched once
-// at a time (requests for it are coalesced), and the reads in flight at the origin are limited: the limit grows by one
-// for each round of timely answers and shrinks by a fifth with each late one or failure (additive increase,
-// multiplicative decrease; Chiu and Jain, 1989).
+// Cache-aside: a read that misses returns to the balancer, which fetches the key from the origin and has the value
+// stored in the cache that missed. Writes go to the origin. The origin can serve far fewer requests than the caches, so
+// that concurrent fetches of one key are coalesced and the number of reads in flight at the origin is limited. The limit
+// grows by one for each round of timely answers and shrinks by a fifth with each late answer or failure (additive
+// increase, multiplicative decrease; Chiu and Jain, 1989).
 //
-// This guards the origin against a flush or a restart of caches, when every read is a fetch: it would slow down, its
-// answers would come late, and all would be fetched again. It shows as errors or late answers on reads at all caches
-// alike. The guard holds since the limit follows what the origin answers in time, whatever that is.
+// This guards the origin when caches are flushed or restarted and every read is a fetch: the origin would slow down,
+// its answers would come late, and all keys would be fetched again. The symptom is errors or late answers for reads at
+// all caches alike. The guard holds because the limit follows what the origin answers in time, however much that is.
 
 const (
-	// initialOriginLimit is how many reads all balancers together may have in flight at the origin at first, beyond
-	// initialOriginReads for each of them.
-	initialOriginLimit = 40.0
-	initialOriginReads = 2
+	// How many reads may be in flight at the origin at first: each balancer may have initialBalancerOriginLimit, and the
+	// whole fleet another initialFleetOriginLimit together.
+	initialFleetOriginLimit    = 40.0
+	initialBalancerOriginLimit = 2
 
-	// originDecrease is the part of the limit that a late answer or a failure leaves.
-	originDecrease = 0.8
+	// originLimitDecrease is the factor by which a late answer or a failure lowers the limit.
+	originLimitDecrease = 0.8
 
-	// minOriginLimit is the least limit. Under one, it is the chance that a read is sent: a balancer of many still
-	// finds out whether the origin is back.
+	// minOriginLimit is the smallest limit. A limit below one is the probability that a read is sent, so that a large
+	// fleet still finds out whether the origin has recovered.
 	minOriginLimit = 0.1
 
-	// missThreshold is the part of the reads that may miss, or fail, before keys keep to one order of candidates: each
-	// further candidate is a further fetch.
-	missThreshold = 0.15
+	// maxMissRatio is the part of the reads that may miss, or fail, before the candidates of each key are tried in one
+	// fixed order: each further candidate would cause a further fetch.
+	maxMissRatio = 0.15
 )
 
-// originLimiter is how many reads this balancer may have in flight at the origin, and which keys it is fetching.
+// originLimiter limits this balancer's reads in flight at the origin and holds the keys that it is fetching.
 type originLimiter struct {
 	limit   float64
-	fetches map[uint64]int // from a key to the index of the request that asks the origin for it
+	fetches map[uint64]int // from a key to the index of the request that fetches it from the origin
 }
 
 func newOriginLimiter(fleetSize float64) originLimiter {
-	return originLimiter{limit: initialOriginReads + initialOriginLimit/fleetSize, fetches: map[uint64]int{}}
+	return originLimiter{limit: initialBalancerOriginLimit + initialFleetOriginLimit/fleetSize, fetches: map[uint64]int{}}
 }
 
 func (o *originLimiter) increase() { o.limit += 1 / max(1, o.limit) }
-func (o *originLimiter) decrease() { o.limit = max(minOriginLimit, o.limit*originDecrease) }
+func (o *originLimiter) decrease() { o.limit = max(minOriginLimit, o.limit*originLimitDecrease) }
 
-// missRate is how many reads were answered, how many of these missed or failed, and how many of those came late or
-// failed. The sums fade by the clock of evidence.
+// missRate holds decaying sums of the reads that were answered, of those that missed or failed, and of the latter that
+// were also late or failed.
 type missRate struct{ reads, missed, failed sum }
 
-// areFrequent tells whether so many reads miss that a key has to keep to one order of its candidates.
+// areFrequent reports whether so many reads miss that the candidates of each key are to be tried in one fixed order.
 func (m *missRate) areFrequent(evidence int64) bool {
-	return m.missed.ValueAt(evidence) > missThreshold*(m.reads.ValueAt(evidence)+1)
+	return m.missed.ValueAt(evidence) > maxMissRatio*(m.reads.ValueAt(evidence)+1)
 }
 
-// isOriginFailing tells whether so many reads fail that an error at one endpoint would be one at the next, too. slack
-// is added to the count of reads, so that one failure among few tells nothing.
+// isOriginFailing reports whether so many reads fail that after an error at one endpoint the next would fail, too.
+// slack is added to the number of reads, so that one failure among few reads is not enough.
 func (m *missRate) isOriginFailing(evidence int64, slack float64) bool {
-	return m.failed.ValueAt(evidence) > missThreshold*(m.reads.ValueAt(evidence)+slack)
+	return m.failed.ValueAt(evidence) > maxMissRatio*(m.reads.ValueAt(evidence)+slack)
 }
 
-// goesToOrigin tells whether a request's next attempt is for the origin: that of a write, of a read that missed, of one
-// that bypasses overloaded caches, and the last attempt of a read that lost others at caches.
+// goesToOrigin reports whether a request's next attempt goes to the origin: that of a write, of a read that missed, of a
+// read that bypasses overloaded caches, and the last attempt of a read whose earlier attempts at caches failed.
 func (b *Balancer) goesToOrigin(request *requestState) bool {
 	if !b.settings.cacheAside {
 		return false
@@ -65,8 +65,8 @@
 	return request.isWrite || request.missedAt != noEndpoint || request.bypassesCaches || b.isLastRetry(request)
 }
 
-// isLastRetry tells whether a request can have one more attempt at most: by the settings, or as no tokens pay for
-// another. At a cache it could end as a miss, with no attempt left for the fetch, or would wait for tokens.
+// isLastRetry reports whether a request can have at most one more attempt, by the settings or because no tokens are
+// left for another. At a cache this attempt could miss and leave none for the fetch, or have to wait for tokens.
 func (b *Balancer) isLastRetry(request *requestState) bool {
 	if len(request.attempts) == 0 {
 		return false
@@ -74,8 +74,8 @@
 	return len(request.attempts) == b.settings.maxAttempts-1 || !b.retries.canPay()
 }
 
-// isOriginFull tells whether the limit keeps a read from the origin. The fraction of the limit is the chance of one
-// more read. Writes are not limited: they have nowhere else to go.
+// isOriginFull reports whether the limit keeps a read from the origin. The fractional part of the limit is the
+// probability of one more read. Writes are not limited, as they can go nowhere else.
 func (b *Balancer) isOriginFull(request *requestState) bool {
 	if b.origin == noEndpoint || request.isWrite {
 		return false
@@ -83,8 +83,8 @@
 	return float64(b.endpoints[b.origin].load.inFlight)+b.random.float64() > b.originReads.limit
 }
 
-// canBypassCaches tells whether a read that would be rejected, as caches are overloaded, may ask the origin, which is
-// not.
+// canBypassCaches reports whether a read that would be rejected because the caches are overloaded may go to the origin
+// instead, as the origin is below its limit.
 func (b *Balancer) canBypassCaches(request *requestState) bool {
 	if !b.settings.cacheAside || request.isWrite || b.origin == noEndpoint {
 		return false
@@ -92,8 +92,8 @@
 	return float64(b.endpoints[b.origin].load.inFlight+1) < b.originReads.limit
 }
 
-// coalesceOriginFetch asks the origin for a read's key, or has the read wait for the request that does already. One
-// that waits is woken in time for its final answer, should the fetch hang.
+// coalesceOriginFetch fetches a read's key from the origin, or has the read wait for a request that already fetches it.
+// A waiting read has a timer, so that it gets its final answer in time if the fetch hangs.
 func (b *Balancer) coalesceOriginFetch(now int64, index int) {
 	request := &b.requests[index]
 	if leader, isFetched := b.originReads.fetches[request.key]; isFetched && leader != index {
@@ -106,11 +106,11 @@
 	b.dispatch(now, index)
 }
 
-// releaseFetchWaiters has the requests that waited for a fetch go on: to the cache that holds the key now, or, if none
+// releaseFetchWaiters has the requests that wait for a fetch go on: to the cache that now holds the key, or, if none
 // does, one of them to the origin while the others wait for it.
-func (b *Balancer) releaseFetchWaiters(now int64, key uint64, storedAt int) {
+func (b *Balancer) releaseFetchWaiters(now int64, key uint64, storedIn int) {
 	delete(b.originReads.fetches, key)
-	// A waiter that goes on may end others, so the list may get shorter between two steps.
+	// A request that goes on may close others and so shorten the list during the loop.
 	for n := len(b.openRequests) - 1; n >= 0; n = min(n, len(b.openRequests)) - 1 {
 		index := b.openRequests[n]
 		waiter := &b.requests[index]
@@ -118,9 +118,9 @@
 			continue
 		}
 		waiter.awaitsFetch = false
-		if storedAt != noEndpoint && b.canDispatch(now, waiter, storedAt) {
+		if storedIn != noEndpoint && b.canDispatch(now, waiter, storedIn) {
 			waiter.missedAt = noEndpoint
-			b.send(now, index, storedAt)
+			b.send(now, index, storedIn)
 		} else {
 			b.coalesceOriginFetch(now, index)
 		}
