--- a/policy/executor.go
+++ b/policy/executor.go
@@ -1,50 +1,52 @@
 package policy
 
-// Executor carries out what the module decides. Its methods do not call the Balancer back. Requests and endpoints are
-// known by their index, attempts by their number: the place in the order of a request's Sends, from 0. Times are
-// nanoseconds.
+// Executor carries out the decisions of a Balancer. Its methods must not call the Balancer back. Requests and endpoints
+// are identified by their indices, and the attempts of a request by their position in the order of Sends, from 0. Times
+// are in nanoseconds.
 type Executor interface {
-	// Send starts an attempt, which ends by the time until. HandleAttemptEnded is called for each Send.
+	// Send starts an attempt that ends by the time until. HandleAttemptEnded must be called once for each Send.
 	Send(request, endpoint int, until int64)
-	// Reject gives the final answer that the request may be sent again without harm, after retryAfter if that is not 0.
+	// Reject gives the request its final answer: it may safely be sent again, after retryAfter unless that is 0.
 	Reject(request int, reason Reason, retryAfter int64)
-	// Fail gives the final answer that the request failed; it may have had its effect.
+	// Fail gives the request its final answer: it failed, but may have taken effect.
 	Fail(request int, reason Reason)
-	// Cancel ends an attempt whose answer nobody needs. HandleAttemptEnded is still called for it.
+	// Cancel ends an attempt whose answer is no longer needed. HandleAttemptEnded must still be called for it.
 	Cancel(request, attempt int)
-	// SetTimer has HandleTimer called with the tag after so long. Timers are not cancelled.
+	// SetTimer has HandleTimer called with the tag after the given time. Timers are never cancelled.
 	SetTimer(tag int, after int64)
-	// WatchEndpoints has changes of the endpoint list told from now on.
+	// WatchEndpoints has the Balancer informed of changes of the endpoint list from now on.
 	WatchEndpoints()
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes of an attempt. Rejected, ConnectFailed, NotSent and CacheMiss prove that it never ran.
+// The outcomes of an attempt. Rejected, ConnectFailed, NotSent and CacheMiss prove that it did not run.
 const (
 	OK            Outcome = iota
 	Errored               // the endpoint answered with an error
-	Rejected              // the endpoint answered that it is full
-	TimedOut              // no answer came until its deadline
-	ConnectFailed         // no connection came about
+	Rejected              // the endpoint rejected it because it is full
+	TimedOut              // no answer arrived before the attempt's deadline
+	ConnectFailed         // no connection could be established
 	Reset                 // the connection broke after the request was sent
-	Cancelled             // the balancer ended it
-	NotSent               // withdrawn, or no connection was free here
-	CacheMiss             // cache-aside: the cache lacks the key
-	outcomes
+	Cancelled             // the balancer cancelled it
+	NotSent               // it was withdrawn, or this balancer had no free connection
+	CacheMiss             // cache-aside: the cache does not hold the key
+	numOutcomes
 )
 
-// outcomeNames are for people who read logs or failed tests.
-var outcomeNames = [outcomes]string{"ok", "errored", "rejected", "timed out", "connect failed", "reset", "cancelled", "not sent", "cache miss"}
+// outcomeNames are the names in logs and test failures.
+var outcomeNames = [numOutcomes]string{
+	"ok", "errored", "rejected", "timed out", "connect failed", "reset", "cancelled", "not sent", "cache miss",
+}
 
-// String names an outcome.
+// String returns the name of an outcome in logs and test failures.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// executionState is what is known of whether an attempt ran at its endpoint.
+// executionState is whether an attempt is in flight, and what its outcome proves about whether it ran.
 type executionState int8
 
-// The states of execution.
+// The execution states.
 const (
 	inFlight executionState = iota
 	mayHaveRun
@@ -52,7 +54,7 @@
 	completed
 )
 
-// executionState is what an outcome proves of whether its attempt ran.
+// executionState returns what an outcome proves about whether its attempt ran.
 func (o Outcome) executionState() executionState {
 	switch o {
 	case OK:
@@ -64,33 +66,33 @@
 	}
 }
 
-// UpdateKind tells what an update of the endpoint list holds.
+// UpdateKind is what an update of the endpoint list contains.
 type UpdateKind int
 
-// The kinds of an update.
+// The kinds of updates.
 const (
-	IncrementalList UpdateKind = iota // changed entries only
-	FullList                          // all entries: one that is missing has been removed
-	SavedList                         // all entries as this balancer last knew them, perhaps stale
-	UpdateFailed                      // no list: a call failed or a watch broke
+	IncrementalList UpdateKind = iota // only the entries that changed
+	FullList                          // all entries: an endpoint without one has been removed
+	SavedList                         // all entries as this balancer last saved them, possibly stale
+	UpdateFailed                      // no entries: a call for the list failed or a watch broke
 )
 
-// Health is an endpoint's state by the list.
+// Health is the state of an endpoint in the endpoint list.
 type Health int
 
-// The states that a list knows.
+// The states of an endpoint.
 const (
 	Ready    Health = iota
-	Draining        // it finishes its work; nothing new is sent
+	Draining        // it finishes its requests and is sent no new ones
 	Removed
 )
 
-// Effect says whether a request may run again.
+// Effect is whether a request may run more than once.
 type Effect int
 
 // The effects of a request class.
 const (
-	Safe          Effect = iota // any number of runs does no harm
-	Idempotent                  // repeats are dropped, by a group of endpoints and for a time
-	NonIdempotent               // it may run once
+	Safe          Effect = iota // it may run any number of times
+	Idempotent                  // repeats are dropped, within a group of endpoints and a time window
+	NonIdempotent               // it may run only once
 )
