--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzRules plays random traffic, outcomes, lists and load reports under random settings. It guards the rules that no
-// decision may break against a case that nobody thought of: the harness checks them at every call.
+// FuzzRules simulates random traffic, outcomes, endpoint lists and load reports under random settings. It guards the
+// rules that no decision may break against cases that no other test covers: the harness checks them at every call.
 func FuzzRules(f *testing.F) {
 	for seed := range uint64(24) {
 		f.Add(seed)
@@ -45,8 +45,8 @@
 					h.balancer.HandleClientCancelled(h.now, i)
 				}
 			case 10:
-				figures := []float64{math.NaN(), 0, 1, 1e9, random.float64()}
-				h.balancer.HandleLoadReport(random.intN(n), []float64{figures[random.intN(5)], figures[random.intN(5)], figures[random.intN(5)]})
+				values := []float64{math.NaN(), 0, 1, 1e9, random.float64()}
+				h.balancer.HandleLoadReport(random.intN(n), []float64{values[random.intN(5)], values[random.intN(5)], values[random.intN(5)]})
 			default:
 				for i := max(0, len(h.requests)-20); i < len(h.requests); i++ {
 					for attempt := range h.requests[i].attempts {
@@ -63,8 +63,8 @@
 	})
 }
 
-// FuzzSlowStartBudget sends all it can past an endpoint that has just started. Were the budget of the slow start too
-// large in any second, it would fall over: no second may bring it over what the settings allow.
+// FuzzSlowStartBudget sends steady traffic while one endpoint has just started. If the slow-start budget were too large
+// in any second, the endpoint would be overloaded and fail. In no second may it be sent more than the settings allow.
 func FuzzSlowStartBudget(f *testing.F) {
 	f.Add(uint64(1), 8)
 	f.Add(uint64(2), 20)
@@ -73,7 +73,7 @@
 		n = 2 + max(n, -n)%40
 		h := newHarness(t, seed, n, nil)
 		started := int64(1 << 62)
-		lastSecond := func() (sent int) {
+		sentInLastSecond := func() (sent int) {
 			for i := range h.requests {
 				for _, attempt := range h.requests[i].attempts {
 					if attempt.endpoint == 0 && attempt.sentAt > h.now-second && attempt.sentAt >= started {
@@ -90,10 +90,10 @@
 				for attempt := range h.requests[i].attempts {
 					h.endAttempt(i, attempt, OK)
 				}
-				// The fleet answers 250 a second; so much at most is a warm endpoint's part of what this one sends.
+				// The balancer sends 250 attempts a second, so that a warm endpoint's share is at most 250/(n-1).
 				capacity := 250.0 / float64(n-1) * (0.2 + 0.8*float64(h.now-started)/float64(8*second))
-				if got := lastSecond(); check && float64(got) > 3*capacity+2 {
-					t.Fatalf("%d sent to a warming endpoint that can do %.1f", got, capacity)
+				if got := sentInLastSecond(); check && float64(got) > 3*capacity+2 {
+					t.Fatalf("%d attempts sent in one second to a warming endpoint with a capacity of %.1f, want at most 3 times that plus 2", got, capacity)
 				}
 			}
 		}
@@ -109,24 +109,24 @@
 	})
 }
 
-// FuzzFleet plays forty balancers before twenty caches, one of which restarts, and an origin that stops answering. The
-// balancers are restarted in turn, each with nothing known. Each sends little, and their sum is what counts: together
-// they stay within the budget of the cache that warms up, and do not crowd the origin.
+// FuzzFleet simulates forty balancers in front of twenty caches, one of which restarts, and an origin that stops
+// answering. The balancers restart in turn and lose all they have learned. Each sends only a few requests, but their sum
+// counts: all together must stay within the budget of the warming cache and must not overload the origin.
 func FuzzFleet(f *testing.F) {
 	for seed := range uint64(3) {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed uint64) {
-		const fleet, caches, perStep = 40, 20, 4 // 200 requests a second
+		const fleet, caches, requestsPerStep = 40, 20, 4 // 200 requests a second
 		random := randomSource{seed + 1, 7}
 		started := int64(1 << 62)
-		begin := func(i int, now int64) *harness {
+		newMember := func(i int, now int64) *harness {
 			h := newHarness(t, seed*fleet+uint64(i), 0, map[string]any{"balancers": float64(fleet),
 				"extra.mode": "aside", "extra.originKind": 1.0, "workloads.0.expectedTime": 500.0})
 			h.now, h.balancer = now, New(now, random.uint64(), h.settings, h)
 			return h
 		}
-		list := func(h *harness) {
+		sendList := func(h *harness) {
 			h.balancer.BeginEndpointUpdate(FullList)
 			for index := range caches + 1 {
 				h.health[index] = Ready
@@ -140,38 +140,38 @@
 		}
 		var members [fleet]*harness
 		for i := range members {
-			members[i] = begin(i, second)
-			list(members[i])
+			members[i] = newMember(i, second)
+			sendList(members[i])
 		}
-		var sentToWarming []int64 // when the warming cache was sent something
-		reads, slow := 0, false
-		for step := range 900 { // of 20 ms
+		var sentToWarming []int64 // times of the attempts at the warming cache
+		readsAtHungOrigin, originHangs := 0, false
+		for step := range 900 { // 20 ms each
 			now := second + int64(step)*20*ms
 			if step == 300 {
 				started = now
 			}
-			slow = step >= 600
+			originHangs = step >= 600
 			for i := range members {
 				if step == 300 {
-					list(members[i])
-				} else if step > 320 && step%40 == i { // restarted in turn
-					members[i] = begin(i, now)
-					list(members[i])
+					sendList(members[i])
+				} else if step > 320 && step%40 == i { // The balancers restart in turn.
+					members[i] = newMember(i, now)
+					sendList(members[i])
 				}
 			}
-			for range perStep {
+			for range requestsPerStep {
 				h := members[random.intN(fleet)]
 				h.request(Safe, random.uint64(), second)
 			}
-			atOrigin := 0
+			inFlightAtOrigin := 0
 			for _, h := range members {
 				for i := max(0, len(h.requests)-30); i < len(h.requests); i++ {
 					for attempt := 0; attempt < len(h.requests[i].attempts); attempt++ {
 						sent := h.requests[i].attempts[attempt]
 						switch {
 						case !sent.inFlight:
-						case sent.endpoint == caches && slow: // it answers nothing any more
-							atOrigin++
+						case sent.endpoint == caches && originHangs: // No answer comes.
+							inFlightAtOrigin++
 						case sent.endpoint == caches:
 							h.endAttempt(i, attempt, OK)
 						default:
@@ -184,22 +184,22 @@
 				}
 				h.advance(20 * ms)
 			}
-			if slow && step > 750 {
-				reads += atOrigin
+			if originHangs && step > 750 {
+				readsAtHungOrigin += inFlightAtOrigin
 			}
 			capacity := 200.0 / caches * (0.2 + 0.8*float64(now-started)/float64(8*second))
-			inSecond := 0
+			sentInLastSecond := 0
 			for _, at := range sentToWarming {
 				if at > now-second {
-					inSecond++
+					sentInLastSecond++
 				}
 			}
-			if now > started && float64(inSecond) > 3*capacity+3 {
-				t.Fatalf("%d sent to a warming endpoint that can do %.1f", inSecond, capacity)
+			if now > started && float64(sentInLastSecond) > 3*capacity+3 {
+				t.Fatalf("%d attempts sent in one second to a warming cache with a capacity of %.1f, want at most 3 times that plus 3", sentInLastSecond, capacity)
 			}
 		}
-		if mean := float64(reads) / 150; mean > 74 {
-			t.Fatalf("%.0f reads are in flight at an origin that answers nothing", mean)
+		if mean := float64(readsAtHungOrigin) / 150; mean > 74 {
+			t.Fatalf("%.0f reads in flight in the mean at an origin that no longer answers, want at most 74", mean)
 		}
 	})
 }
