--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -8,8 +8,8 @@
 // How a request is dispatched, after the scan server dispatcher of "Eventually Consistent scans / ScanServer feature
 // (Apache Accumulo PR #2665)". A hash maps the request's key to the same few candidates out of many endpoints, and the
 // attempt goes to a random one of them. A rejection shows that these are full, and the request chooses from a set that
-// grows quickly (3, 21, 147, all). Rejections while the set holds all endpoints show that the whole fleet of endpoints
-// is busy: the request then waits with exponential backoff, and gets its final answer while an answer still has value.
+// grows quickly (3, 21, 147, all). Many rejections while the set holds all endpoints show that all of them are busy: the
+// request then waits with exponential backoff, and gets its final answer while an answer would still have value.
 // docs/design.md lists the differences and their reasons.
 
 // answerMargin is how long before its deadline, in nanoseconds, a waiting request gets its final answer, so that the
