--- a/consensus/knownrevisions.go
+++ b/consensus/knownrevisions.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Why a holder does not take the revisions of a response.
+// Reasons for which a lease holder rejects the revisions of a response.
 var (
-	// errConflictingHistory: the response is of another history, or has another revision under a known number. A
-	// fleet that lost its history began another, and a process that took up both would act on what nobody decided.
-	errConflictingHistory = errors.New("revisions of another history")
-	// errRevisionsMissing: something lies between what is known and what was told; a response that has it follows a
-	// later request.
-	errRevisionsMissing = errors.New("revisions are missing between")
+	// errConflictingHistory means that the response belongs to another history, or has a different revision under a
+	// known number. A fleet that lost its history starts a new one, and a process that merged the two would act on a
+	// configuration that no majority decided on.
+	errConflictingHistory = errors.New("response conflicts with the known history")
+	// errRevisionsMissing means that there is a gap between the known revisions and those of the response. The
+	// response to a later request fills it.
+	errRevisionsMissing = errors.New("response leaves a gap after the known revisions")
 )
 
-// knownRevisions is what a holder knows of the history, and what it acts on for that.
+// knownRevisions is the part of the history that a lease holder knows, and the configuration that results from it.
 type knownRevisions struct {
-	active    []Revision       // from the min revision on, in a row
-	config    ReplicatedConfig // the strictest of them
-	minimum   uint64           // the min revision that the leader told; 0: none yet
-	historyID uint64           // of the first response with revisions; 0: none yet
+	active      []Revision       // consecutive, from the min revision on
+	config      ReplicatedConfig // the strictest configuration of the active revisions
+	minRevision uint64           // as the leader last reported it; 0: not reported yet
+	historyID   uint64           // of the first response with revisions; 0: none yet
 }
 
-// latest is the number of the latest revision; 0: none is known.
+// latest returns the number of the latest known revision, or 0 if none is known.
 func (k *knownRevisions) latest() uint64 {
 	if len(k.active) == 0 {
 		return 0
@@ -31,55 +32,56 @@
 	return k.active[len(k.active)-1].Number
 }
 
-// take takes up the revisions and the min revision of a response. Without an error, all that the response speaks of
-// is known now; with one, nothing has changed.
-func (k *knownRevisions) take(response *LeaseResponse) error {
+// applyResponse adds the revisions of a response and adopts its min revision. After success every revision that the
+// response refers to is known; on error nothing has changed.
+func (k *knownRevisions) applyResponse(response *LeaseResponse) error {
 	if response.HistoryID != 0 && k.historyID != 0 && response.HistoryID != k.historyID {
 		return errConflictingHistory
 	}
-	told, err := k.revisionsOf(response)
+	received, err := k.expandDeltas(response)
 	if err != nil {
 		return err
 	}
-	next, isExtension, err := k.merge(told, response.MinRevision)
+	next, isExtension, err := k.merge(received, response.MinRevision)
 	if err != nil {
 		return err
 	}
 	if len(next) == 0 && response.MinRevision == 0 {
-		return nil // It only says who leads.
+		return nil // The response only names the leader.
 	}
 	if len(next) == 0 || next[len(next)-1].Number < response.MinRevision {
 		return errRevisionsMissing
 	}
-	if len(told) > 0 {
+	if len(received) > 0 {
 		k.historyID = response.HistoryID
 	}
-	k.replace(next, response.MinRevision, isExtension)
+	k.setActive(next, response.MinRevision, isExtension)
 	return nil
 }
 
-// revisionsOf gives the revisions that a response brings. Deltas follow its last whole revision or, where it has
-// none, a known one.
-func (k *knownRevisions) revisionsOf(response *LeaseResponse) ([]Revision, error) {
+// expandDeltas returns the revisions of a response in full. Its deltas apply to its last full revision or, if it has
+// none, to the known revision BaseRevision.
+func (k *knownRevisions) expandDeltas(response *LeaseResponse) ([]Revision, error) {
 	if len(response.Deltas) == 0 {
 		return response.Revisions, nil
 	}
-	if whole := response.Revisions; len(whole) > 0 {
-		rest, err := applyDeltas(whole[len(whole)-1], response.Deltas)
-		return append(slices.Clip(whole), rest...), err
+	if full := response.Revisions; len(full) > 0 {
+		rest, err := applyDeltas(full[len(full)-1], response.Deltas)
+		return append(slices.Clip(full), rest...), err
 	}
-	at := slices.IndexFunc(k.active, func(v Revision) bool { return v.Number == response.BaseRevision })
-	if at < 0 {
+	base := slices.IndexFunc(k.active, func(v Revision) bool { return v.Number == response.BaseRevision })
+	if base < 0 {
 		return nil, errRevisionsMissing
 	}
-	return applyDeltas(k.active[at], response.Deltas)
+	return applyDeltas(k.active[base], response.Deltas)
 }
 
-// merge puts told revisions behind the known ones. isExtension tells that all known ones are still there. Where the
-// told ones begin with the min revision and leave a gap, all that was known is older than that and gives way.
-func (k *knownRevisions) merge(told []Revision, minRevision uint64) (next []Revision, isExtension bool, err error) {
+// merge appends received revisions to the known ones. isExtension reports whether all known revisions are kept. If the
+// received revisions start with the min revision and leave a gap after the known ones, all known revisions are older
+// than the min revision and are dropped.
+func (k *knownRevisions) merge(received []Revision, minRevision uint64) (next []Revision, isExtension bool, err error) {
 	next, isExtension = slices.Clone(k.active), true
-	for _, v := range told {
+	for _, v := range received {
 		n := len(next)
 		switch {
 		case n == 0 || v.Number == next[n-1].Number+1:
@@ -88,29 +90,29 @@
 			if v.Number >= next[0].Number && v.Digest() != next[v.Number-next[0].Number].Digest() {
 				return nil, false, errConflictingHistory
 			}
-		case told[0].Number != minRevision:
+		case received[0].Number != minRevision:
 			return nil, false, errRevisionsMissing
 		default:
 			next, isExtension = append(next[:0], v), false
 		}
 	}
 	if len(next) > maxActiveRevisions+1 {
-		return nil, false, errRevisionsMissing // No leader has so many active: this bounds what a forged one can fill.
+		return nil, false, errRevisionsMissing // No leader has this many active; bounds memory against forged responses.
 	}
 	return next, isExtension, nil
 }
 
-// replace acts on other revisions, less those that are older than the min revision. An extension is added to the
-// configuration in place of putting all together again, which for a thousand revisions in a row would take a million
-// steps.
-func (k *knownRevisions) replace(next []Revision, minRevision uint64, isExtension bool) {
+// setActive replaces the active revisions with next, without those older than the min revision, and recomputes the
+// configuration. If next only extends the known revisions, the configuration is tightened by the new ones instead of
+// computed from all: with a thousand revisions added one by one, that would take about a million steps.
+func (k *knownRevisions) setActive(next []Revision, minRevision uint64, isExtension bool) {
 	known := len(k.active)
 	k.active = next
-	for minRevision > k.minimum && len(k.active) > 1 && k.active[0].Number < minRevision {
+	for minRevision > k.minRevision && len(k.active) > 1 && k.active[0].Number < minRevision {
 		k.active, isExtension = k.active[1:], false
 	}
 	if k.active[0].Number >= minRevision {
-		k.minimum = max(k.minimum, minRevision)
+		k.minRevision = max(k.minRevision, minRevision)
 	}
 	switch {
 	case !isExtension || known == 0:
--- a/consensus/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -79,7 +79,7 @@
 func (h *LeaseHolder) EffectiveConfig(now int64) EffectiveConfig {
 	isLeased := now < h.expiresAt
 	return EffectiveConfig{
-		MinRevision:      h.known.minimum,
+		MinRevision:      h.known.minRevision,
 		LatestRevision:   h.known.latest(),
 		IsLeased:         isLeased,
 		BudgetShare:      h.budgetShare(isLeased),
@@ -132,7 +132,7 @@
 		Seq:           h.requests.record(now),
 		Incarnation:   h.incarnation,
 		KnownRevision: h.known.latest(),
-		MinRevision:   h.known.minimum,
+		MinRevision:   h.known.minRevision,
 		ShareSeq:      h.share.GrantSeq,
 		RequestRate:   h.RequestRate,
 		AcceptsDeltas: true,
@@ -168,7 +168,7 @@
 
 // HandleLeaseResponse takes a lease, or revisions without one. A lease counts only where all revisions that it speaks of are known.
 func (h *LeaseHolder) HandleLeaseResponse(now int64, response *LeaseResponse) {
-	isComplete := h.learn(response)
+	isComplete := h.mergeResponse(response)
 	if response.Leader != "" && response.Leader != h.leader {
 		h.leader = response.Leader
 		if response.Seq == 0 {
@@ -189,9 +189,9 @@
 	h.requests.nextAt = max(h.requests.nextAt, sentAt+h.requestInterval())
 }
 
-// learn takes up the revisions of a response, and tells whether all that it speaks of is known now.
-func (h *LeaseHolder) learn(response *LeaseResponse) bool {
-	err := h.known.take(response)
+// mergeResponse takes up the revisions of a response, and tells whether all that it speaks of is known now.
+func (h *LeaseHolder) mergeResponse(response *LeaseResponse) bool {
+	err := h.known.applyResponse(response)
 	if errors.Is(err, errConflictingHistory) {
 		h.ConflictingResponses++
 	}
@@ -204,5 +204,5 @@
 	if len(h.known.active) > 0 || len(revisions) == 0 || len(revisions) > maxActiveRevisions+1 {
 		return
 	}
-	h.known.active, h.known.minimum, h.known.config = slices.Clone(revisions), minRevision, strictest(revisions)
+	h.known.active, h.known.minRevision, h.known.config = slices.Clone(revisions), minRevision, strictest(revisions)
 }
--- a/consensus/revisions_test.go
+++ b/consensus/revisions_test.go
@@ -56,7 +56,7 @@
 				t.Errorf("%d bytes for the last %d revisions", len(packed), uint64(maxActiveRevisions)-known)
 			}
 		}
-		if !h.learn(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions ||
+		if !h.mergeResponse(m.LeaseResponse) || len(h.known.active) != maxActiveRevisions ||
 			len(h.known.config.EjectedEndpoints) != maxActiveRevisions-1 ||
 			h.known.active[maxActiveRevisions-1].Digest() != s.latest().Digest() {
 			t.Errorf("knowing %d: %d revisions, %d ejected", known, len(h.known.active),
@@ -64,7 +64,7 @@
 		}
 	}
 	unknowing := NewLeaseHolder(0, "p", 1, testTiming, []string{"b0"}, discardSender{}, func(int) int { return 0 })
-	if unknowing.learn(r.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
+	if unknowing.mergeResponse(r.leaseResponse(1, 1000, true)) || len(unknowing.known.active) > 0 {
 		t.Error("deltas are taken without what they begin with")
 	}
 	left, err := UnmarshalRevisions(MarshalRevisions(h.known.active))
