--- a/consensus/leaseholder.go
+++ b/consensus/leaseholder.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// requestsPerLease is how often an answered holder asks within a lease: two requests in a row may be lost before
-	// the lease expires.
+	// requestsPerLease is the number of requests that a holder sends per lease duration while it gets responses: two
+	// consecutive requests may be lost before the lease expires.
 	requestsPerLease = 3
-	// retriesPerLease is how often a holder without an answer asks at most; a random wait of up to as much again is
-	// added each time. That is soon enough to find another leader before the lease expires, and spreads the requests
-	// of all holders when a leader dies.
+	// retriesPerLease is the maximum number of requests that a holder sends per lease duration while it gets no
+	// response. Up to the same interval again is added at random each time. That is frequent enough to find another
+	// leader before the lease expires, and spreads the requests of all holders when a leader fails.
 	retriesPerLease = 16
-	// rememberedRequests is how many of the last requests can still be answered: with more on their way, a response
-	// comes so late that its lease has expired or nearly so.
+	// rememberedRequests is the number of most recent requests whose responses are accepted. A response to an older
+	// request arrives so late that its lease has expired or nearly so.
 	rememberedRequests = 8
 )
 
-// LeaseHolder keeps what one process acts on: it asks the leader of the replicas for leases. It does not lock: one
-// goroutine calls all methods. All times are nanoseconds of the process's own clock, which goes on while the process
-// or its machine stands still.
+// LeaseHolder maintains the effective configuration of one process by requesting leases from the leader of the
+// replicas. It is not safe for concurrent use. All times are nanoseconds of the process's own clock, which must
+// advance while the process or its machine is suspended.
 type LeaseHolder struct {
 	Name string
-	// RequestRate is how many requests a second come to this process. The driver sets it before Tick; the next lease
-	// request has it.
+	// RequestRate is the number of client requests per second that this process receives. The caller sets it before
+	// Tick, and the next lease request carries it.
 	RequestRate float64
-	// ConflictingResponses counts responses of another history, or of other revisions under the same numbers. They
-	// are not taken.
+	// ConflictingResponses counts rejected responses: those of a conflicting history, or with a different revision
+	// under a known number.
 	ConflictingResponses int
 
 	incarnation uint64
 	timing      LeaseTiming
 	replicas    []string
 	sender      Sender
-	random      func(n int) int // draws below n
+	random      func(n int) int // returns a random number in [0, n)
 
 	known     knownRevisions
 	requests  requestLog
-	leader    string // who was heard to lead last; "" before anyone was
-	expiresAt int64  // the end of the lease; 0: there was none
+	leader    string // the last known leader; "" if none is known yet
+	expiresAt int64  // when the lease expires; 0: no lease yet
 	share     budgets.HeldShare
 }
 
-// requestLog is the lease requests that may still be answered.
+// requestLog tracks the lease requests whose responses are still accepted.
 type requestLog struct {
 	seq        uint64 // of the last request
 	sent       [rememberedRequests]sentRequest
-	unanswered int   // requests since the last lease
+	unanswered int   // number of requests since the last lease
 	nextAt     int64 // when the next request is due
 }
 
@@ -59,8 +59,8 @@
 	at  int64
 }
 
-// NewLeaseHolder begins a holder that knows nothing. The incarnation tells it from an earlier process of its name;
-// random draws below n.
+// NewLeaseHolder returns a holder without a lease that knows no revisions. The incarnation distinguishes it from
+// earlier processes of the same name; random returns a random number in [0, n).
 func NewLeaseHolder(now int64, name string, incarnation uint64, timing LeaseTiming, replicas []string, sender Sender,
 	random func(n int) int) *LeaseHolder {
 	return &LeaseHolder{
@@ -74,8 +74,8 @@
 	}
 }
 
-// EffectiveConfig is what to act on now. It looks at the lease, so it is called before each decision: a process that
-// stood still finds its lease expired before it acts.
+// EffectiveConfig returns the configuration to act on now. It checks whether the lease has expired, so callers must
+// call it before each decision: a process that was suspended then notices the expired lease before it acts.
 func (h *LeaseHolder) EffectiveConfig(now int64) EffectiveConfig {
 	isLeased := now < h.expiresAt
 	return EffectiveConfig{
@@ -87,8 +87,8 @@
 	}
 }
 
-// budgetShare is the share that came with the lease; without a lease, the one that every process may take alone; 0
-// where budgets are not divided.
+// budgetShare returns the share granted with the lease or, without a lease, the share that every process may use on
+// its own. It is 0 if budgets are not divided.
 func (h *LeaseHolder) budgetShare(isLeased bool) float64 {
 	switch {
 	case h.timing.MaxMembers <= 0:
@@ -100,22 +100,22 @@
 	}
 }
 
-// LeaseExpiry is when the lease ends, also where that is past; 0 where there was none.
+// LeaseExpiry returns when the latest lease expires, which may be in the past, or 0 if there was none.
 func (h *LeaseHolder) LeaseExpiry() int64 { return h.expiresAt }
 
-// Leader is the replica that was heard to lead last; empty before any was.
+// Leader returns the last known leader, or "" if none is known yet.
 func (h *LeaseHolder) Leader() string { return h.leader }
 
-// Revisions are those that are active, from the min revision on. The caller does not change them.
+// Revisions returns the active revisions, from the min revision on. The caller must not modify them.
 func (h *LeaseHolder) Revisions() []Revision { return h.known.active }
 
-// TimeUntilTick is how long Tick has nothing to do.
+// TimeUntilTick returns the time until Tick next has something to do.
 func (h *LeaseHolder) TimeUntilTick(now int64) time.Duration {
 	return time.Duration(max(0, h.requests.nextAt-now))
 }
 
-// Tick sends a lease request if one is due: to the leader, or, after two without an answer, to any replica, as the
-// leader may be gone.
+// Tick sends a lease request if one is due. It goes to the last known leader or, after two requests without a
+// response, to a random replica, as the leader may have failed.
 func (h *LeaseHolder) Tick(now int64) {
 	if now < h.requests.nextAt {
 		return
@@ -141,18 +141,18 @@
 	h.sender.Send(to, &Message{From: h.Name, LeaseRequest: request})
 }
 
-// requestInterval is the time between requests that are answered.
+// requestInterval returns the time between requests while responses arrive.
 func (h *LeaseHolder) requestInterval() int64 {
 	return int64(h.timing.LeaseDuration) / requestsPerLease
 }
 
-// retryInterval is the time until the next request while none is answered, drawn anew each time.
+// retryInterval returns the time until the next request while responses are missing. It is random for each request.
 func (h *LeaseHolder) retryInterval() int64 {
 	shortest := int64(h.timing.LeaseDuration) / retriesPerLease
 	return shortest + int64(h.random(int(shortest)+1))
 }
 
-// record notes a request that is sent now, and gives its number.
+// record adds a request that is sent now and returns its sequence number.
 func (l *requestLog) record(now int64) (seq uint64) {
 	l.seq++
 	l.sent[l.seq%rememberedRequests] = sentRequest{l.seq, now}
@@ -160,19 +160,20 @@
 	return l.seq
 }
 
-// sentAt is when a request was sent; ok is false where it is not remembered.
+// sentAt returns when a request was sent; ok is false if the request is no longer tracked.
 func (l *requestLog) sentAt(seq uint64) (at int64, ok bool) {
 	request := l.sent[seq%rememberedRequests]
 	return request.at, seq != 0 && request.seq == seq
 }
 
-// HandleLeaseResponse takes a lease, or revisions without one. A lease counts only where all revisions that it speaks of are known.
+// HandleLeaseResponse processes a lease response, with or without a lease. The lease takes effect only if all
+// revisions that the response refers to are known.
 func (h *LeaseHolder) HandleLeaseResponse(now int64, response *LeaseResponse) {
 	isComplete := h.mergeResponse(response)
 	if response.Leader != "" && response.Leader != h.leader {
 		h.leader = response.Leader
 		if response.Seq == 0 {
-			h.requests.nextAt = min(h.requests.nextAt, now) // Another leads: it is asked at once.
+			h.requests.nextAt = min(h.requests.nextAt, now) // The leader changed: send it a request immediately.
 		}
 	}
 	sentAt, isRemembered := h.requests.sentAt(response.Seq)
@@ -180,8 +181,8 @@
 		return
 	}
 	h.share.Accept(response.Seq, response.BudgetShare)
-	// The lease runs from the request, not from the response: the leader was confirmed at some time between the two,
-	// and a response that was long on its way must not prolong it.
+	// The lease duration counts from the request, not from the response: the leader was confirmed at some time between
+	// the two, and a delayed response must not extend the lease.
 	if expiry := sentAt + int64(h.timing.LeaseDuration); expiry > h.expiresAt && now < expiry {
 		h.expiresAt = expiry
 	}
@@ -189,7 +190,7 @@
 	h.requests.nextAt = max(h.requests.nextAt, sentAt+h.requestInterval())
 }
 
-// mergeResponse takes up the revisions of a response, and tells whether all that it speaks of is known now.
+// mergeResponse adds the revisions of a response and reports whether all that it refers to are known now.
 func (h *LeaseHolder) mergeResponse(response *LeaseResponse) bool {
 	err := h.known.applyResponse(response)
 	if errors.Is(err, errConflictingHistory) {
@@ -198,8 +199,8 @@
 	return err == nil
 }
 
-// Restore gives a holder that knows nothing yet what an earlier process knew: it acts on that, without a lease, until
-// it has one. Where the holder knows revisions, or these are too many, it does nothing.
+// Restore initializes the holder with the revisions that an earlier process knew. The holder acts on them without a
+// lease until it is granted one. Restore does nothing if the holder already knows revisions, or if there are too many.
 func (h *LeaseHolder) Restore(minRevision uint64, revisions []Revision) {
 	if len(h.known.active) > 0 || len(revisions) == 0 || len(revisions) > maxActiveRevisions+1 {
 		return
--- a/consensus/leaseholder_test.go
+++ b/consensus/leaseholder_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A fleet that lost its history began another, and a process that was cut off meanwhile comes back: it takes nothing
-// of the other history, and no lease, as it would act on what nobody decided.
+// Guards against a process that merges two histories and acts on a configuration that no majority decided on. This can
+// happen when a fleet lost its history and started a new one while the process was partitioned: after it reconnects, it
+// must accept neither revisions nor a lease of the new history.
 func TestLeaseHolderRejectsAnotherHistory(t *testing.T) {
 	h := NewLeaseHolder(0, "p", 1, LeaseTiming{LeaseDuration: time.Second}, []string{"k"}, discardSender{},
 		func(int) int { return 0 })
@@ -17,15 +18,15 @@
 	}
 	one := Revision{Number: 1}
 	if grant(1, 7, one); h.expiresAt == 0 || h.ConflictingResponses != 0 {
-		t.Fatal("no lease")
+		t.Fatalf("first response: lease expiry %d, %d conflicting responses", h.expiresAt, h.ConflictingResponses)
 	}
-	was := h.expiresAt
-	if grant(2, 8, one, Revision{Number: 2, ProposalID: "x"}); h.expiresAt != was || h.ConflictingResponses != 1 ||
-		len(h.known.active) != 1 {
-		t.Errorf("another history is taken: %d revisions, %d conflicting responses", len(h.known.active),
+	firstExpiry := h.expiresAt
+	if grant(2, 8, one, Revision{Number: 2, ProposalID: "x"}); h.expiresAt != firstExpiry ||
+		h.ConflictingResponses != 1 || len(h.known.active) != 1 {
+		t.Errorf("response of another history accepted: %d revisions, %d conflicting responses", len(h.known.active),
 			h.ConflictingResponses)
 	}
-	if grant(3, 7, one, Revision{Number: 2, ProposalID: "y"}); h.expiresAt <= was || len(h.known.active) != 2 {
-		t.Error("its own is not taken any more")
+	if grant(3, 7, one, Revision{Number: 2, ProposalID: "y"}); h.expiresAt <= firstExpiry || len(h.known.active) != 2 {
+		t.Error("response of the holder's own history rejected after a conflicting one")
 	}
 }
