--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -97,8 +97,8 @@
 		}, "two histories|answered no|is loose already"},
 		"a majority's confirmation before a lease": {func(sim *simulation) {
 			sim.beforeEach = func(r *Replica) {
-				if r.IsLeader() && r.leader.leases.confirming != 0 {
-					r.grantConfirmedLeases(r.leader.leases.confirmingAt, r.leader.leases.requestCount, 0)
+				if r.IsLeader() && r.leader.leases.confirmingUpTo != 0 {
+					r.grantConfirmedLeases(r.leader.leases.confirmingSince, r.leader.leases.requestCount, 0)
 				}
 			}
 		}, "over T|is loose already|of the whole"},
--- a/consensus/leases.go
+++ b/consensus/leases.go
@@ -12,47 +12,48 @@
 )
 
 const (
-	// maxWaitingRequests and maxLeaseHolders bound the leader's memory. Over an upgrade there are two processes of
-	// each member.
+	// maxWaitingRequests and maxLeaseHolders bound the leader's memory. During an upgrade each member has two
+	// processes.
 	maxWaitingRequests = 2 * fleetconfig.MaxMembers
 	maxLeaseHolders    = 2 * fleetconfig.MaxMembers
-	// expiredLeaseRetention is how long a lease that is over is kept: its holder, when it asks again, is not sent
-	// again what it has.
+	// expiredLeaseRetention is how long an expired lease is kept: a holder that requests a lease again is not sent
+	// again the revisions that it has.
 	expiredLeaseRetention = int64(time.Minute)
 )
 
-// holderID is one incarnation of a process: one that came back under the same name, or the second over an upgrade, is
-// another.
+// holderID identifies one incarnation of a process. A process that restarted under the same name, or the second
+// process of a member during an upgrade, has a different ID.
 type holderID = budgets.Holder
 
-// leaseTable is the leader's side of leases: who asked, who was granted one, and the round in which a majority
-// confirms that this replica still leads (raft's read index).
+// leaseTable is the granter's state: the waiting lease requests, the granted leases, and the current read index round
+// of raft, in which a majority confirms that this replica is still the leader.
 type leaseTable struct {
-	waiting      []waitingRequest
-	requestCount uint64 // requests ever: it numbers them over all terms
-	confirming   uint64 // requests up to this number are being confirmed; 0: no round is under way
-	confirmingAt int64
-	granted      map[holderID]*grantedLease
-	ledger       *budgets.Ledger // nil where budgets are not divided
+	waiting         []waitingRequest
+	requestCount    uint64 // requests over all terms; gives each request its number
+	confirmingUpTo  uint64 // the number of the last request in the current round; 0: no round is in progress
+	confirmingSince int64  // when the current round started
+	granted         map[holderID]*grantedLease
+	ledger          *budgets.Ledger // nil if budgets are not divided
 }
 
-// waitingRequest is a lease request that no majority has confirmed yet.
+// waitingRequest is a lease request that waits for a majority to confirm the leader.
 type waitingRequest struct {
-	from    string
-	request LeaseRequest
-	at      int64
-	number  uint64
+	from       string
+	request    LeaseRequest
+	receivedAt int64
+	number     uint64
 }
 
-// grantedLease is what a holder is known to know, and when its last lease is over by any clock.
+// grantedLease is the leader's record of a lease holder: the revisions it has, and when its last lease has expired on
+// any clock.
 type grantedLease struct {
 	knownRevision uint64
-	sentRevision  uint64 // the last that it was sent, which may have been lost
+	sentRevision  uint64 // the last revision sent to the holder; the message may have been lost
 	acceptsDeltas bool
-	expiresAt     int64 // on this clock, with the stated error of both clocks' rates
+	expiresAt     int64 // on this replica's clock, including ClockRateError of both clocks
 }
 
-// ActiveLeases is how many processes are under a lease of this replica.
+// ActiveLeases returns the number of processes that hold an unexpired lease of this replica.
 func (r *Replica) ActiveLeases(now int64) (n int) {
 	for _, lease := range r.leader.leases.granted {
 		if lease.expiresAt > now {
@@ -62,9 +63,9 @@
 	return n
 }
 
-// handleLeaseRequest takes a request for a lease. A follower answers who leads; the leader has a majority confirm
-// that it leads before it grants. Without that, a leader that was cut off could go on granting leases while another
-// moves on.
+// handleLeaseRequest processes a lease request. A follower responds with the name of the leader. The leader grants a
+// lease only after a majority has confirmed that it still leads; otherwise, a partitioned leader could keep granting
+// leases while a new leader commits further revisions.
 func (r *Replica) handleLeaseRequest(now int64, from string, request LeaseRequest) {
 	if !r.IsLeader() {
 		if leader := r.knownLeader(); leader != "" {
@@ -80,18 +81,19 @@
 	r.confirmLeadership(now)
 }
 
-// confirmLeadership asks a majority whether this replica still leads, once for all requests so far. A round without
-// an answer is repeated after a heartbeat.
+// confirmLeadership starts a round in which a majority confirms that this replica still leads. One round covers all
+// requests received so far. A round that has not completed is repeated after a heartbeat interval.
 func (r *Replica) confirmLeadership(now int64) {
 	leases := &r.leader.leases
-	if len(leases.waiting) == 0 || leases.confirming != 0 && now-leases.confirmingAt < r.heartbeatInterval() {
+	if len(leases.waiting) == 0 || leases.confirmingUpTo != 0 && now-leases.confirmingSince < r.heartbeatInterval() {
 		return
 	}
-	leases.confirming, leases.confirmingAt = leases.requestCount, now
+	leases.confirmingUpTo, leases.confirmingSince = leases.requestCount, now
 	r.node.ReadIndex(strconv.AppendUint(nil, leases.requestCount, 10))
 }
 
-// requestNumber is the number that confirmLeadership gave to raft.
+// requestNumber decodes the request number that confirmLeadership passed to raft as the context of the round. It
+// returns 0 for any other context.
 func requestNumber(context []byte) uint64 {
 	number, err := strconv.ParseUint(string(context), 10, 64)
 	if err != nil {
@@ -100,15 +102,15 @@
 	return number
 }
 
-// grantConfirmedLeases grants all requests up to a number: after they came, a majority confirmed this leader, with
-// all that was committed up to this log index. Where that is not applied yet, the requests wait for the next round.
+// grantConfirmedLeases grants the requests numbered up to upTo: after they arrived, a majority confirmed this leader at
+// commit index index. If the log is not applied up to that index yet, the requests wait for the next round.
 func (r *Replica) grantConfirmedLeases(now int64, upTo, index uint64) {
 	if !r.IsLeader() || r.log.applied < index {
 		return
 	}
 	leases := &r.leader.leases
-	if upTo >= leases.confirming {
-		leases.confirming = 0
+	if upTo >= leases.confirmingUpTo {
+		leases.confirmingUpTo = 0
 	}
 	unconfirmed := leases.waiting[:0]
 	for _, w := range leases.waiting {
@@ -121,8 +123,7 @@
 	leases.waiting = unconfirmed
 }
 
-// grantLease answers a confirmed request with a lease, the revisions that its holder lacks, and its share of the
-// budgets.
+// grantLease responds to a confirmed request with a lease, the revisions that the holder lacks, and its budget share.
 func (r *Replica) grantLease(now int64, w waitingRequest) {
 	leases := &r.leader.leases
 	id := holderID{Name: w.from, Incarnation: w.request.Incarnation}
@@ -149,13 +150,13 @@
 	r.sender.Send(w.from, &Message{From: r.Name, LeaseResponse: response})
 }
 
-// leaseResponse has the active revisions after a known one; as deltas, where the holder takes these. With seq 0 it is
-// news and no lease.
+// leaseResponse builds a response with the active revisions after a known one, as deltas if the holder accepts them.
+// With seq 0 the response announces revisions and grants no lease.
 func (r *Replica) leaseResponse(seq, known uint64, acceptsDeltas bool) *LeaseResponse {
 	response := &LeaseResponse{Seq: seq, Leader: r.Name, MinRevision: r.state.MinRevision, HistoryID: r.state.HistoryID}
 	active := r.state.active()
 	if known < r.state.MinRevision {
-		known = 0 // What it knows is no base for a delta any more.
+		known = 0 // The known revision is no longer active, so no delta can be based on it.
 	}
 	firstMissing := 0
 	for firstMissing < len(active) && active[firstMissing].Number <= known {
@@ -174,18 +175,19 @@
 	return response
 }
 
-// dropOverdueRequests forgets requests whose leases, which count from the request, would be over by now.
+// dropOverdueRequests drops waiting requests that are older than a lease lasts: as a lease counts from its request, it
+// would already have expired.
 func (r *Replica) dropOverdueRequests(now int64) {
 	leases := &r.leader.leases
 	leases.waiting = slices.DeleteFunc(leases.waiting, func(w waitingRequest) bool {
-		return now-w.at > int64(r.timing.LeaseDuration)
+		return now-w.receivedAt > int64(r.timing.LeaseDuration)
 	})
 }
 
-// advanceMinRevision proposes the latest revision as the lowest that a lease can be under, once no process is under a
-// lease that was granted without it: neither one of this leader's nor, for as long as these can last, one of an
-// earlier leader's. From then on what the latest revision loosens is in force. Without the wait, a process that has
-// not heard of a tightening yet would meet one that acts on the loosening after it.
+// advanceMinRevision proposes the latest revision as the min revision once no unexpired lease was granted without it,
+// either by this leader or, for as long as such leases can last, by an earlier one. From then on, what the latest
+// revision loosens is in force. Without the wait, one process could act on a loosening while another has not yet
+// received the tightening before it.
 func (r *Replica) advanceMinRevision(now int64) {
 	latest := r.state.latest().Number
 	if r.state.MinRevision >= latest || r.leader.proposedMinRevision >= latest {
@@ -199,8 +201,8 @@
 	}
 }
 
-// allHoldersKnow tells whether no lease is left under a revision before this one. It forgets leases that were over
-// long ago.
+// allHoldersKnow reports whether every holder of an unexpired lease knows the given revision. It also deletes leases
+// that expired more than expiredLeaseRetention ago.
 func (r *Replica) allHoldersKnow(now int64, revision uint64) bool {
 	all := true
 	for id, lease := range r.leader.leases.granted {
@@ -212,8 +214,8 @@
 	return all
 }
 
-// notifyHolders sends the latest revisions to all that were granted a lease: what is strict is in force as soon as it
-// is heard. What is lost on the way comes with the next lease.
+// notifyHolders sends the latest revisions to all lease holders, so that tightenings take effect as soon as they
+// arrive. Revisions in a lost notification are sent again with the next lease.
 func (r *Replica) notifyHolders() {
 	ids := slices.SortedFunc(maps.Keys(r.leader.leases.granted), func(a, b holderID) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Incarnation, b.Incarnation))
