--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -9,49 +9,50 @@
 	"strings"
 )
 
-// maxProposalBytes bounds one proposal, so that some fit into one message of raft with what is pending.
+// maxProposalBytes bounds the encoded size of one proposal, so that several fit into one raft message together with
+// what is pending.
 const maxProposalBytes = 320 << 10
 
-// Why a proposal cannot become the next revision. Proposers read the texts.
+// Reasons for which a proposal cannot become the next revision. The texts are sent to proposers.
 var (
-	// ErrBaseRevision is returned where another revision came in between.
+	// ErrBaseRevision means that the latest revision is not the one that the proposal is based on.
 	ErrBaseRevision = errors.New("made for another version")
-	// ErrNoChange is returned where the latest revision has all of it already.
-	ErrNoChange = errors.New("changes nothing")
-	errNoID     = errors.New("id: missing")
-	errNoName   = errors.New("an empty name")
+	// ErrNoChange means that the latest revision already has everything that the proposal asks for.
+	ErrNoChange  = errors.New("changes nothing")
+	errMissingID = errors.New("id: missing")
+	errEmptyName = errors.New("an empty name")
 )
 
-// Proposal is what is to differ from the revision before. It is also the delta between two revisions.
+// Proposal describes the changes that make the next revision. It is also the delta between two revisions.
 type Proposal struct {
-	// ID is chosen by the proposer: a proposal that is sent twice is in force once.
+	// ID is chosen by the proposer. It makes proposals idempotent: one that is sent twice takes effect once.
 	ID string `cbor:"1,keyasint"`
-	// Author and Reason are for whoever reads the history.
+	// Author and Reason are informational and appear in the history.
 	Author string `cbor:"2,keyasint,omitempty"`
 	Reason string `cbor:"3,keyasint,omitempty"`
-	// BaseRevision is the revision that it was made for; 0: any.
+	// BaseRevision is the only revision that the proposal applies to; 0: any.
 	BaseRevision uint64 `cbor:"4,keyasint,omitempty"`
-	// EjectEndpoints are hosts to eject, UnejectEndpoints ejected ones to use again.
+	// EjectEndpoints are hosts to eject, UnejectEndpoints ejected hosts to return to use.
 	EjectEndpoints   []string `cbor:"5,keyasint,omitempty"`
 	UnejectEndpoints []string `cbor:"6,keyasint,omitempty"`
-	// Limits are limits to state; one under 0 is taken back.
+	// Limits are limits to set, by name; a negative value removes the limit.
 	Limits map[string]int64 `cbor:"7,keyasint,omitempty"`
-	// SettingsDigest, DiscoverySource and MinListIndex are new values of the fields of the same names; nil: as
-	// before.
+	// SettingsDigest, DiscoverySource and MinListIndex are new values of the fields of the same names in
+	// ReplicatedConfig; nil: unchanged.
 	SettingsDigest  *string `cbor:"8,keyasint,omitempty"`
 	DiscoverySource *string `cbor:"9,keyasint,omitempty"`
 	MinListIndex    *uint64 `cbor:"10,keyasint,omitempty"`
-	// EvacuateZones are zones to leave, RestoreZones evacuated ones to use again.
+	// EvacuateZones are zones to evacuate, RestoreZones evacuated zones to restore.
 	EvacuateZones []string `cbor:"11,keyasint,omitempty"`
 	RestoreZones  []string `cbor:"12,keyasint,omitempty"`
 }
 
-// Validate checks what can be checked without the configuration that the proposal meets: texts, names, sizes. The
-// error begins with the field, by the name that operators write. Proposers call it, and replicas for each proposal
-// that comes over the network.
+// Validate checks what does not depend on the configuration that the proposal is applied to: texts, names and sizes.
+// The error starts with the name of the field as operators write it. Proposers call Validate before sending, and
+// replicas for each proposal received over the network.
 func (p *Proposal) Validate() error {
 	if p.ID == "" {
-		return errNoID
+		return errMissingID
 	}
 	if err := p.validateTexts(); err != nil {
 		return err
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// validateTexts looks at all names and texts, in the order in which operators write the fields.
+// validateTexts checks all names and texts and returns the error for the first invalid field.
 func (p *Proposal) validateTexts() error {
 	for _, field := range []struct {
 		name       string
@@ -95,20 +96,21 @@
 				return fmt.Errorf("%s: %.40q is over %d bytes or not plain text", field.name, text, maxNameBytes)
 			}
 			if text == "" && field.maxEntries > 1 {
-				return fmt.Errorf("%s: %w", field.name, errNoName)
+				return fmt.Errorf("%s: %w", field.name, errEmptyName)
 			}
 		}
 	}
 	return nil
 }
 
-// isPlainText tells whether a text can be shown on one line. U+FFFD stands for bytes that are not UTF-8.
+// isPlainText reports whether a text is short enough and can be shown on one line. U+FFFD is rejected as it is what
+// invalid UTF-8 decodes to.
 func isPlainText(text string) bool {
-	isOdd := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
-	return len(text) <= maxNameBytes && !strings.ContainsFunc(text, isOdd)
+	isUnprintable := func(r rune) bool { return r < ' ' || r == 0x7f || r == 0xfffd }
+	return len(text) <= maxNameBytes && !strings.ContainsFunc(text, isUnprintable)
 }
 
-// validateDisjoint refuses a name that a proposal both adds and removes.
+// validateDisjoint returns an error if a proposal both adds and removes the same name.
 func validateDisjoint(field string, added, removed []string) error {
 	sorted := slices.Sorted(slices.Values(removed))
 	for _, name := range added {
@@ -126,8 +128,8 @@
 	return []string{*s}
 }
 
-// apply makes the next revision. It depends on nothing but its arguments, as each replica does it for itself; an
-// error has the revision unchanged beside it.
+// apply returns the revision that results from the proposal, or the given revision and an error. Each replica applies
+// proposals on its own, so the result must depend on nothing but the arguments.
 func (p *Proposal) apply(before Revision) (Revision, error) {
 	if p.BaseRevision != 0 && p.BaseRevision != before.Number {
 		return before, fmt.Errorf("%w: %d, not %d", ErrBaseRevision, before.Number, p.BaseRevision)
