--- a/consensus/proposals.go
+++ b/consensus/proposals.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// proposalTimeout is how long an operator waits for a majority before the answer is no.
+	// proposalTimeout is how long a proposal may wait for a majority before it is answered without one.
 	proposalTimeout = 5 * time.Second
-	// refusalRetention is how long a final no is repeated to whoever sends the proposal again: until its ticket is no
-	// longer valid, with as much again in reserve.
+	// refusalRetention is how long a final refusal is repeated when the proposal arrives again: until its ticket has
+	// expired, with a reserve of the same length.
 	refusalRetention = 2 * proposalTimeout
-	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority: they are a part of the
+	// maxPendingProposals and maxPendingBytes bound the proposals that wait for a majority, which are part of the
 	// replicated state.
 	maxPendingProposals = 64
 	maxPendingBytes     = 2 * maxProposalBytes
-	// maxRefusals bounds the final refusals that are remembered.
+	// maxRefusals bounds the number of final refusals that are kept.
 	maxRefusals = maxWaitingRequests
 )
 
-// Reasons of proposal results. They go over the wire and to operators.
+// Reasons given in proposal results. They are part of the wire format and are shown to operators.
 const (
 	reasonLeaderChanged = "another leads now: look at the history"
 	reasonNoLeader      = "nobody leads: no majority of the keepers is heard"
@@ -28,7 +28,7 @@
 	reasonTooMany       = "too many proposals wait"
 )
 
-// proposalTable is the leader's proposals: those that wait for a majority, and those that were refused for good.
+// proposalTable is the leader's record of proposals: those waiting for a majority, and those with a final refusal.
 type proposalTable struct {
 	pending []pendingProposal
 	refused []refusal
@@ -38,14 +38,14 @@
 	proposal   Proposal
 	from       string
 	deadline   int64
-	isAccepted bool // its acceptance is written: from here on only the history tells whether it is in force
-	bytes      int  // of the proposal
+	isAccepted bool // its Accept command was proposed: from then on only the history tells whether it is in force
+	bytes      int  // encoded size of the proposal
 }
 
-// refusal is a final no, and when the proposal came.
+// refusal is a final refusal of a proposal.
 type refusal struct {
 	ProposalResult
-	at int64
+	at int64 // when the proposal arrived
 }
 
 func (t *proposalTable) indexOf(id string) int {
@@ -56,7 +56,7 @@
 	return slices.IndexFunc(t.refused, func(f refusal) bool { return f.ID == id })
 }
 
-// hasRoomFor tells whether one more proposal may wait.
+// hasRoomFor reports whether one more proposal, of the given encoded size, may wait.
 func (t *proposalTable) hasRoomFor(bytes int) bool {
 	for n := range t.pending {
 		bytes += t.pending[n].bytes
@@ -70,15 +70,15 @@
 	})
 }
 
-// isValid tells whether a ticket is of this term and as young as a proposer waits for its answer. Without tickets, a
-// proposal that the network repeats late would be written after its proposer was told a final no, and be in force
-// against that.
+// isValid reports whether a ticket was issued in this term and is no older than proposalTimeout. Without tickets, a
+// duplicate that the network delivers late could be written after its proposer received a final refusal, and take
+// effect nevertheless.
 func (t *ProposalTicket) isValid(now int64, term uint64) bool {
 	return t != nil && t.Term == term && t.IssuedAt <= now && now-t.IssuedAt <= int64(proposalTimeout)
 }
 
-// handleProposal takes a proposal. It is answered at once where it cannot be written, or has an answer already; else
-// when a majority has written it, or proposalTimeout has passed.
+// handleProposal processes a proposal. It is answered immediately if it cannot be written or already has a result;
+// otherwise when its acceptance is committed or proposalTimeout has passed.
 func (r *Replica) handleProposal(now int64, from string, proposal Proposal, ticket *ProposalTicket) {
 	p := pendingProposal{
 		proposal: proposal,
@@ -93,7 +93,7 @@
 		return
 	}
 	if table.indexOf(proposal.ID) >= 0 && r.state.revisionOf(proposal.ID) == 0 {
-		return // It is answered once.
+		return // Already pending; its proposer gets one result.
 	}
 	if result := r.immediateResult(now, p, ticket); result != nil {
 		r.answerProposal(p, result)
@@ -104,15 +104,15 @@
 	}
 }
 
-// immediateResult is the result of a proposal that needs no majority: it was decided before, lacks a ticket, or
-// cannot be taken. It is nil for one that is to be written.
+// immediateResult returns the result of a proposal that is not to be written, because it is already decided, lacks a
+// valid ticket, or is refused. It returns nil for a proposal to be written.
 func (r *Replica) immediateResult(now int64, p pendingProposal, ticket *ProposalTicket) *ProposalResult {
 	id, table := p.proposal.ID, &r.leader.proposals
 	if revision := r.state.revisionOf(id); revision != 0 {
 		return &ProposalResult{ID: id, Revision: revision, IsFinal: true}
 	}
-	if at := table.refusalIndex(id); at >= 0 {
-		return &table.refused[at].ProposalResult
+	if i := table.refusalIndex(id); i >= 0 {
+		return &table.refused[i].ProposalResult
 	}
 	if !ticket.isValid(now, r.term) {
 		return &ProposalResult{ID: id, Ticket: &ProposalTicket{r.term, now}}
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// redirectProposal tells a proposer who leads, and it asks there; or that nobody does.
+// redirectProposal tells a proposer which replica leads, so that it sends the proposal there. If no other leader is
+// known, it refuses the proposal.
 func (r *Replica) redirectProposal(p pendingProposal) {
 	leader := r.knownLeader()
 	if leader == "" || leader == r.Name {
@@ -136,8 +137,8 @@
 	r.sender.Send(p.from, &Message{From: r.Name, LeaseResponse: &LeaseResponse{Leader: leader}})
 }
 
-// answerProposal sends a result. A leader remembers a final no, so that whatever the network repeats gets the same
-// answer.
+// answerProposal sends a result to the proposer. A leader records final refusals, so that duplicates of the proposal
+// get the same result.
 func (r *Replica) answerProposal(p pendingProposal, result *ProposalResult) {
 	table := &r.leader.proposals
 	isRefusal := result.IsFinal && result.Revision == 0
@@ -147,9 +148,9 @@
 	r.sender.Send(p.from, &Message{From: r.Name, ProposalResult: result})
 }
 
-// expireProposals answers the proposals whose time is over. One whose acceptance is not written is withdrawn, and the
-// no is final: an entry of the log says so, and no later leader can accept it. One whose acceptance is written may be
-// in force.
+// expireProposals answers the proposals whose deadline has passed. A proposal whose acceptance was not proposed is
+// withdrawn by a log entry and its refusal is final, as no later leader can accept it. A proposal whose acceptance was
+// proposed may be in force or may still take effect, so its result is not final.
 func (r *Replica) expireProposals(now int64) {
 	table := &r.leader.proposals
 	waiting := table.pending[:0]
@@ -168,27 +169,28 @@
 	table.pending = waiting
 }
 
-// applyProposal takes up a proposal that a majority has written. The leader that wrote it accepts it, if its proposer
-// still waits.
+// applyProposal applies a committed Propose command. The leader that wrote it proposes its acceptance, unless the
+// deadline has passed.
 func (r *Replica) applyProposal(now int64, proposal *Proposal, term uint64, isOwn bool) {
 	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*proposal, term})
 	table := &r.leader.proposals
-	if at := table.indexOf(proposal.ID); isOwn && at >= 0 && now < table.pending[at].deadline {
-		table.pending[at].isAccepted = r.proposeCommand(command{Accept: proposal.ID})
+	if i := table.indexOf(proposal.ID); isOwn && i >= 0 && now < table.pending[i].deadline {
+		table.pending[i].isAccepted = r.proposeCommand(command{Accept: proposal.ID})
 	}
 }
 
-// applyAcceptance makes a proposal the next revision, and answers its proposer.
+// applyAcceptance applies a committed Accept command: it makes the proposal the next revision and answers its
+// proposer.
 func (r *Replica) applyAcceptance(id string, isOwn bool) {
 	revision, err := r.state.accept(id)
 	table := &r.leader.proposals
-	if at := table.indexOf(id); at >= 0 {
+	if i := table.indexOf(id); i >= 0 {
 		result := &ProposalResult{ID: id, Revision: revision, IsFinal: true}
 		if err != nil {
 			result.Reason = err.Error()
 		}
-		r.answerProposal(table.pending[at], result)
-		table.pending = slices.Delete(table.pending, at, at+1)
+		r.answerProposal(table.pending[i], result)
+		table.pending = slices.Delete(table.pending, i, i+1)
 	}
 	if isOwn && err == nil {
 		r.notifyHolders()
--- a/consensus/proposals_test.go
+++ b/consensus/proposals_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// An operator whose proposal is refused has to find the field to mend: the error begins with its name.
+// Guards against errors from which an operator cannot tell which field of a proposal to correct: each error starts with
+// the name of the field.
 func TestProposalValidateNamesTheField(t *testing.T) {
 	long := strings.Repeat("n", maxNameBytes+1)
 	for want, c := range map[string]Proposal{
@@ -21,13 +22,13 @@
 		"limits: ":  {ID: "i", Limits: map[string]int64{"\x00": 1}},
 	} {
 		if err := c.Validate(); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s%v", want, err)
+			t.Errorf("Validate() = %v, want an error that starts with %q", err, want)
 		}
 	}
 }
 
-// The network repeats a proposal late, after its proposer was told a final no, and it comes into force against that.
-// Without a ticket of the leader's term, at most as old as an answer is waited for, nothing is written.
+// Guards against a proposal taking effect after its proposer received a final refusal, because the network delivered a
+// duplicate late. The leader writes only proposals whose ticket is of its term and no older than proposalTimeout.
 func TestProposalNeedsValidTicket(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
 	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
@@ -47,15 +48,15 @@
 		"old":           {r.term, p.clock() - int64(proposalTimeout) - 1},
 		"of the future": {r.term, p.clock() + int64(time.Second)}} {
 		if written(why, ticket) {
-			t.Errorf("written with a ticket: %s", why)
+			t.Errorf("proposal written although its ticket is invalid: %s", why)
 		}
 	}
 	if !written("good", fresh) {
-		t.Error("not written with a good ticket")
+		t.Error("proposal with a valid ticket not written")
 	}
 	r.answerProposal(pendingProposal{proposal: Proposal{ID: "no"}, from: p.name,
 		deadline: p.clock() + int64(proposalTimeout)}, &ProposalResult{ID: "no", Reason: "no", IsFinal: true})
 	if written("no", fresh) {
-		t.Error("written after a sure no")
+		t.Error("proposal written after a final refusal")
 	}
 }
