--- a/consensus/revisions.go
+++ b/consensus/revisions.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// errRevisions says that bytes or deltas do not make revisions in a row.
-var errRevisions = errors.New("not revisions in a row")
+// errInvalidRevisions means that bytes or deltas do not encode consecutive revisions.
+var errInvalidRevisions = errors.New("invalid sequence of revisions")
 
-// revisionChain is revisions in a row, encoded small: the first in full, and of each later one what it changed.
+// revisionChain is the compact encoding of consecutive revisions: the first in full, each later one as a delta.
 type revisionChain struct {
 	First  Revision   `cbor:"1,keyasint"`
 	Deltas []Proposal `cbor:"2,keyasint,omitempty"`
@@ -23,7 +23,7 @@
 	return revisionChain{First: revisions[0], Deltas: deltasOf(revisions[0], revisions[1:])}
 }
 
-// revisions gives the revisions of a chain; none for one without a first.
+// revisions decodes the revisions of a chain. A chain without a first revision has none.
 func (c *revisionChain) revisions() ([]Revision, error) {
 	if c.First.Number == 0 {
 		return nil, nil
@@ -32,25 +32,25 @@
 	return append([]Revision{c.First}, rest...), err
 }
 
-// MarshalRevisions encodes revisions in a row, for a process that hands them over to its successor.
+// MarshalRevisions encodes consecutive revisions, for a process that hands them over to its successor.
 func MarshalRevisions(revisions []Revision) []byte { return encode(newRevisionChain(revisions)) }
 
-// UnmarshalRevisions reads what MarshalRevisions wrote. The error is not nil for all else; the revisions before the
-// fault come with it.
+// UnmarshalRevisions decodes the output of MarshalRevisions. It returns an error for any other input; the revisions
+// before the fault come with it.
 func UnmarshalRevisions(bytes []byte) ([]Revision, error) {
 	var c revisionChain
 	if err := strictDecoding.Unmarshal(bytes, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", errRevisions, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidRevisions, err)
 	}
 	return c.revisions()
 }
 
-// deltasOf gives what each revision changed, the first against the one before.
+// deltasOf returns the delta of each revision; before is the revision that precedes the first.
 func deltasOf(before Revision, revisions []Revision) []Proposal {
 	deltas := make([]Proposal, 0, len(revisions))
 	for _, revision := range revisions {
 		delta := revision.delta
-		if delta == nil { // It came in full.
+		if delta == nil { // The revision was received in full.
 			delta = deltaBetween(before, revision)
 		}
 		deltas = append(deltas, *delta)
@@ -59,11 +59,12 @@
 	return deltas
 }
 
-// applyDeltas gives the revisions that deltas make, one after the other, from the one before them. It bounds them in
-// number and in names: without that, a message of few bytes could make configurations of gigabytes.
+// applyDeltas applies deltas to a revision one after the other and returns the resulting revisions. It bounds the
+// number of deltas and of names: without that, a small message could expand to gigabytes of configurations.
 func applyDeltas(before Revision, deltas []Proposal) ([]Revision, error) {
 	if len(deltas) > maxShownRevisions+maxActiveRevisions {
-		return nil, fmt.Errorf("%w: %d of them", errRevisions, len(deltas))
+		return nil, fmt.Errorf("%w: %d deltas, at most %d allowed", errInvalidRevisions, len(deltas),
+			maxShownRevisions+maxActiveRevisions)
 	}
 	revisions := make([]Revision, 0, len(deltas))
 	names := 0
@@ -72,7 +73,7 @@
 		revision.delta = &deltas[n]
 		names += revision.Config.nameCount()
 		if names > 2*maxActiveNames {
-			return nil, fmt.Errorf("%w: too many names", errRevisions)
+			return nil, fmt.Errorf("%w: over %d names", errInvalidRevisions, 2*maxActiveNames)
 		}
 		revisions = append(revisions, revision)
 		before = revision
@@ -80,49 +81,49 @@
 	return revisions, nil
 }
 
-// deltaBetween is the least proposal that makes a revision of the one before.
+// deltaBetween returns the smallest delta that turns one revision into the next.
 func deltaBetween(before, after Revision) *Proposal {
-	was, is := &before.Config, &after.Config
+	oldConfig, newConfig := &before.Config, &after.Config
 	return &Proposal{
 		ID:               after.ProposalID,
 		Author:           after.Author,
 		Reason:           after.Reason,
-		EjectEndpoints:   difference(is.EjectedEndpoints, was.EjectedEndpoints),
-		UnejectEndpoints: difference(was.EjectedEndpoints, is.EjectedEndpoints),
-		Limits:           changedLimits(was.Limits, is.Limits),
-		SettingsDigest:   changed(was.SettingsDigest, is.SettingsDigest),
-		DiscoverySource:  changed(was.DiscoverySource, is.DiscoverySource),
-		MinListIndex:     changed(was.MinListIndex, is.MinListIndex),
-		EvacuateZones:    difference(is.EvacuatedZones, was.EvacuatedZones),
-		RestoreZones:     difference(was.EvacuatedZones, is.EvacuatedZones),
+		EjectEndpoints:   difference(newConfig.EjectedEndpoints, oldConfig.EjectedEndpoints),
+		UnejectEndpoints: difference(oldConfig.EjectedEndpoints, newConfig.EjectedEndpoints),
+		Limits:           changedLimits(oldConfig.Limits, newConfig.Limits),
+		SettingsDigest:   changed(oldConfig.SettingsDigest, newConfig.SettingsDigest),
+		DiscoverySource:  changed(oldConfig.DiscoverySource, newConfig.DiscoverySource),
+		MinListIndex:     changed(oldConfig.MinListIndex, newConfig.MinListIndex),
+		EvacuateZones:    difference(newConfig.EvacuatedZones, oldConfig.EvacuatedZones),
+		RestoreZones:     difference(oldConfig.EvacuatedZones, newConfig.EvacuatedZones),
 	}
 }
 
-// changed gives a value where it differs from the one before.
-func changed[T comparable](was, is T) *T {
-	if was == is {
+// changed returns the new value if it differs from the old one, and nil otherwise.
+func changed[T comparable](before, after T) *T {
+	if before == after {
 		return nil
 	}
-	return &is
+	return &after
 }
 
-// changedLimits gives the limits that differ; under 0 where one was taken back.
-func changedLimits(was, is map[string]int64) map[string]int64 {
+// changedLimits returns the limits that differ, with -1 for those that were removed.
+func changedLimits(before, after map[string]int64) map[string]int64 {
 	limits := map[string]int64{}
-	for name, limit := range is {
-		if before, stated := was[name]; !stated || before != limit {
+	for name, limit := range after {
+		if old, isStated := before[name]; !isStated || old != limit {
 			limits[name] = limit
 		}
 	}
-	for name := range was {
-		if _, stated := is[name]; !stated {
+	for name := range before {
+		if _, isStated := after[name]; !isStated {
 			limits[name] = -1
 		}
 	}
 	return limits
 }
 
-// measureDelta notes what a revision changed against the one before, and how many bytes that takes.
+// measureDelta sets the delta of a revision from the previous one, if it is not known, and its encoded size.
 func (r *Revision) measureDelta(before Revision) {
 	if r.delta == nil {
 		r.delta = deltaBetween(before, *r)
@@ -130,8 +131,8 @@
 	r.deltaBytes = len(encode(r.delta))
 }
 
-// next is the revision that a proposal makes of the one before, whatever its size. It shares with that what it does
-// not change.
+// next returns the revision that results from applying a proposal, without checking its size. The result shares
+// unchanged slices and maps with the previous revision.
 func (p *Proposal) next(before Revision) Revision {
 	config := before.Config
 	config.EjectedEndpoints = withChanges(config.EjectedEndpoints, p.EjectEndpoints, p.UnejectEndpoints)
@@ -149,7 +150,8 @@
 	return Revision{Number: before.Number + 1, ProposalID: p.ID, Author: p.Author, Reason: p.Reason, Config: config}
 }
 
-// withLimits is limits with some stated anew or, where under 0, taken back. The limits themselves are not changed.
+// withLimits returns a copy of limits with changes applied; a negative change removes the limit. It returns limits
+// itself if it is not nil and there are no changes, and never modifies it.
 func withLimits(limits, changes map[string]int64) map[string]int64 {
 	if len(changes) == 0 && limits != nil {
 		return limits
@@ -166,7 +168,7 @@
 	return result
 }
 
-// difference gives the names of one sorted set that another does not have.
+// difference returns the names of a sorted set that another sorted set does not contain.
 func difference(set, other []string) (rest []string) {
 	for _, name := range set {
 		if _, has := slices.BinarySearch(other, name); !has {
@@ -176,7 +178,7 @@
 	return rest
 }
 
-// withChanges is a sorted set with some names more and some fewer. The set itself is not changed.
+// withChanges returns a sorted set with some names added and some removed. The set itself is not modified.
 func withChanges(set, added, removed []string) []string {
 	if len(added) == 0 && len(removed) == 0 {
 		return set
@@ -184,14 +186,14 @@
 	result := slices.Concat(set, added)
 	slices.Sort(result)
 	result = slices.Compact(result)
-	gone := slices.Sorted(slices.Values(removed))
+	sortedRemoved := slices.Sorted(slices.Values(removed))
 	return slices.DeleteFunc(result, func(name string) bool {
-		_, isGone := slices.BinarySearch(gone, name)
-		return isGone
+		_, isRemoved := slices.BinarySearch(sortedRemoved, name)
+		return isRemoved
 	})
 }
 
-// union is two sorted sets in one. It is the first itself where the second adds nothing.
+// union returns the union of two sorted sets. It returns the first set itself if the second adds nothing.
 func union(set, other []string) []string {
 	if added := difference(other, set); len(added) > 0 {
 		return withChanges(set, added, nil)
