--- a/consensus/golden_answers_test.go
+++ b/consensus/golden_answers_test.go
@@ -47,8 +47,8 @@
 	propose("the same again", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("changes nothing", Proposal{ID: "empty", UnejectEndpoints: []string{"h"}})
 	latest := &r.state.History[len(r.state.History)-1].Config
-	latest.EjectedEndpoints = slices.Concat(thousandNames("a"), thousandNames("b")) // In order.
-	propose("too large", Proposal{ID: "large", EjectEndpoints: append(thousandNames("c"), "x")})
+	latest.EjectedEndpoints = slices.Concat(longestNames("a"), longestNames("b")) // In order.
+	propose("too large", Proposal{ID: "large", EjectEndpoints: append(longestNames("c"), "x")})
 	latest.EjectedEndpoints = nil
 	propose("already a version", Proposal{ID: r.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
 	for n := range maxPendingProposals {
@@ -128,7 +128,7 @@
 	for n := range many {
 		many[n] = fmt.Sprint(n)
 	}
-	big := Proposal{ID: "i", EjectEndpoints: append(thousandNames("o"), thousandNames("p")...)}
+	big := Proposal{ID: "i", EjectEndpoints: append(longestNames("o"), longestNames("p")...)}
 	for _, c := range []Proposal{{}, {ID: long}, {ID: "i", Author: "\x7f"}, {ID: "i", Reason: "a\nb"},
 		{ID: "i", EjectEndpoints: many}, {ID: "i", EjectEndpoints: []string{""}},
 		{ID: "i", EjectEndpoints: both, UnejectEndpoints: both}, {ID: "i", EvacuateZones: both, RestoreZones: both},
