--- a/consensus/simulation_test.go
+++ b/consensus/simulation_test.go
@@ -14,11 +14,12 @@
 
 const ms = int64(time.Millisecond)
 
-// testTiming has a bound on the processes that holds for all simulations but those of TestMessageCostBySize.
+// testTiming sets MaxMembers so that no simulation has more processes, except in TestMessageCostBySize.
 var testTiming = LeaseTiming{LeaseDuration: 1800 * time.Millisecond, ClockRateError: 0.01, MaxPause: 0, MaxMembers: 12}
 
-// simulation is a fleet under one true clock: processes with clocks of their own rate, a network that loses, delays,
-// repeats and cuts, and the invariants checked after every step. All chance comes from one seed.
+// simulation simulates a fleet under one true clock: processes whose clocks run at different rates, and a network that
+// loses, delays, duplicates and partitions. Invariants are checked after every step. All randomness comes from one
+// seed.
 type simulation struct {
 	t                    testing.TB
 	random               *rand.Rand
@@ -31,48 +32,48 @@
 	cutLinks             map[[2]int]bool
 	lossRate             float64
 	repeatRate           float64
-	maxDelay             int64 // the longest delay
+	maxDelay             int64
 	step                 int
 	lastTick             int64
 	proposalCount        int
 	proposals            map[string]Proposal
-	accepted             map[string]uint64 // proposals that were answered with a revision
-	refused              map[string]bool   // those that were refused for good
-	digests              map[uint64]string // of revisions, as the first process had them
+	accepted             map[string]uint64 // revision of each accepted proposal
+	refused              map[string]bool   // proposals with a final refusal
+	digests              map[uint64]string // of each revision, as first seen on any process
 	firstUses            []firstUse        // by revision
 	longestContradiction int64             // nanoseconds, so far
-	largestShareSum      float64           // of the budget shares that all acted on
-	violation            string            // the first invariant broken; empty: none
-	beforeEach           func(r *Replica)  // takes a guard out before each call of a replica
-	dropsVotes           bool              // replicas do not write their votes
-	ignoresLeaseExpiry   bool              // leases are not looked at again after the first
+	largestShareSum      float64           // largest sum of the budget shares in use at one time
+	violation            string            // the first violated invariant; empty: none
+	beforeEach           func(r *Replica)  // runs before each call of a replica, to disable a guard
+	dropsVotes           bool              // replicas do not persist their votes
+	ignoresLeaseExpiry   bool              // once granted, a lease is never treated as expired
 	trace                *traceHash        // nil: not hashed
 }
 
-// firstUse is when a revision was acted on first: as the latest, and as the min revision.
-type firstUse struct{ asLatest, asMinimum int64 }
+// firstUse is when a revision first took effect on any process: as the latest, and as the min revision.
+type firstUse struct{ asLatest, asMinRevision int64 }
 
-// process is one member of a simulated fleet: a lease holder, and on the first ones a replica.
+// process is one member of a simulated fleet. Every process has a lease holder, the first ones also a replica.
 type process struct {
 	sim                    *simulation
 	index                  int
 	name                   string
 	clockRate              float64
-	clockBase, clockBaseAt int64 // its clock
+	clockBase, clockBaseAt int64 // the process's clock showed clockBase at true time clockBaseAt
 	replica                *Replica
 	holder                 *LeaseHolder
 	disk                   *memoryStorage
-	hasDisk                bool // the replica's state outlasts a crash
+	hasDisk                bool // the replica's state survives a crash
 	isDown                 bool
 	isPaused               bool
 	pausedInbox            []sentMessage
-	lastChecked            [3]uint64 // incarnation, min and latest revision when the invariants were checked last
+	lastChecked            [3]uint64 // incarnation, min and latest revision at the last check of the invariants
 	incarnation            uint64
-	waiting                map[string]bool
-	ticketed               map[string]bool
+	waiting                map[string]bool // proposals without a result, by ID
+	ticketed               map[string]bool // proposals that were sent with a ticket, by ID
 }
 
-// sentMessage is a message on its way; n orders those that arrive together.
+// sentMessage is a message in flight; n orders messages that arrive at the same time.
 type sentMessage struct {
 	at       int64
 	n        uint64
@@ -80,29 +81,29 @@
 	bytes    []byte
 }
 
-// messageQueue is a heap by time of arrival.
+// messageQueue is a heap ordered by time of arrival.
 type messageQueue []sentMessage
 
-func (f messageQueue) Len() int { return len(f) }
+func (q messageQueue) Len() int { return len(q) }
 
-func (f messageQueue) Less(i, j int) bool {
-	return f[i].at < f[j].at || f[i].at == f[j].at && f[i].n < f[j].n
+func (q messageQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
 }
 
-func (f messageQueue) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
+func (q messageQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-func (f *messageQueue) Push(x any) { *f = append(*f, x.(sentMessage)) }
+func (q *messageQueue) Push(x any) { *q = append(*q, x.(sentMessage)) }
 
-func (f *messageQueue) Pop() any {
-	last := (*f)[len(*f)-1]
-	*f = (*f)[:len(*f)-1]
+func (q *messageQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// memoryStorage is a Storage that outlasts a crash of its process.
+// memoryStorage is an in-memory Storage that survives a simulated crash of its process.
 type memoryStorage struct {
 	records    [][]byte
-	dropsVotes bool // votes are not written
+	dropsVotes bool // hard states, and with them votes, are not written
 	trace      *traceHash
 }
 
@@ -124,14 +125,14 @@
 	return d.Append(records)
 }
 
-// discardSender loses all messages.
+// discardSender discards all messages.
 type discardSender struct{}
 
 func (discardSender) Send(string, *Message) {}
 
-// newSimulation begins a fleet whose first processes have replicas. Without disks a replica that crashes comes back
-// with no state.
-func newSimulation(t testing.TB, seed uint64, replicas, others int, disks bool) *simulation {
+// newSimulation starts a fleet whose first processes have replicas. Without disks, a replica that crashes restarts
+// without state.
+func newSimulation(t testing.TB, seed uint64, replicas, others int, hasDisks bool) *simulation {
 	sim := &simulation{t: t, random: rand.New(rand.NewPCG(seed, 7)), now: 1e12, lastTick: 1e12,
 		cutLinks: map[[2]int]bool{}, maxDelay: 3 * ms, accepted: map[string]uint64{},
 		refused: map[string]bool{}, bytesBySender: map[int]uint64{}, proposals: map[string]Proposal{},
@@ -139,7 +140,7 @@
 	for n := range replicas + others {
 		p := &process{sim: sim, index: n, name: fmt.Sprintf("b%d", n),
 			clockRate: 1 + testTiming.ClockRateError*(2*sim.random.Float64()-1), clockBase: sim.random.Int64N(1e15),
-			hasDisk: disks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
+			hasDisk: hasDisks, waiting: map[string]bool{}, ticketed: map[string]bool{}}
 		sim.processes = append(sim.processes, p)
 	}
 	for n := range sim.processes {
@@ -148,7 +149,7 @@
 	return sim
 }
 
-// startProcess begins a process anew, with what its disk has.
+// startProcess starts or restarts a process, with the state on its disk.
 func (sim *simulation) startProcess(n int, hasReplica bool, replicas int) {
 	p := sim.processes[n]
 	p.clockBaseAt, p.clockBase = sim.now, p.clockBase+sim.random.Int64N(1e9)
@@ -174,11 +175,12 @@
 	p.isDown, p.isPaused, p.pausedInbox = false, false, nil
 }
 
-// runSimulation plays a number of steps with random faults and proposals, or until an invariant is broken.
+// runSimulation runs steps with random faults and proposals until the given number is reached or an invariant is
+// violated. Each function of without disables a guard first.
 func runSimulation(t testing.TB, seed uint64, replicas, n int, without ...func(sim *simulation)) *simulation {
 	sim := newSimulation(t, seed, replicas, 4, seed%3 != 2)
-	for _, take := range without {
-		take(sim)
+	for _, disableGuard := range without {
+		disableGuard(sim)
 	}
 	for sim.step < n && sim.violation == "" {
 		if sim.random.IntN(250) == 0 {
@@ -193,15 +195,15 @@
 	return sim
 }
 
-// stepCount is how many steps a run has: few in CI, as many as HOLLYLEVER_STEPS says by hand.
-func stepCount(few int) int {
+// stepCount returns the number of steps of a run: HOLLYLEVER_STEPS if set, for longer manual runs, or the default.
+func stepCount(defaultSteps int) int {
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
 		return n
 	}
-	return few
+	return defaultSteps
 }
 
-// advance plays one step: a message that arrives, or time that passes.
+// advance runs one step: it delivers the next message or advances the time and calls Tick on all processes.
 func (sim *simulation) advance() {
 	sim.step++
 	if len(sim.queue) == 0 || sim.queue[0].at > sim.lastTick+10*ms {
@@ -211,18 +213,18 @@
 			p.tick()
 		}
 	} else {
-		f := heap.Pop(&sim.queue).(sentMessage)
-		sim.now = max(sim.now, f.at)
-		if q := sim.processes[f.to]; q.isPaused && len(q.pausedInbox) < 64 {
-			q.pausedInbox = append(q.pausedInbox, f)
-		} else if !q.isPaused && !q.isDown && !sim.cutLinks[[2]int{f.from, f.to}] {
-			q.receive(f.bytes)
+		message := heap.Pop(&sim.queue).(sentMessage)
+		sim.now = max(sim.now, message.at)
+		if receiver := sim.processes[message.to]; receiver.isPaused && len(receiver.pausedInbox) < 64 {
+			receiver.pausedInbox = append(receiver.pausedInbox, message)
+		} else if !receiver.isPaused && !receiver.isDown && !sim.cutLinks[[2]int{message.from, message.to}] {
+			receiver.receive(message.bytes)
 		}
 	}
 	sim.checkInvariants()
 }
 
-// deliverAfter has a message arrive after some nanoseconds.
+// deliverAfter queues a message for delivery after a number of nanoseconds.
 func (sim *simulation) deliverAfter(after int64, from, to int, bytes []byte) {
 	sim.sent++
 	sim.bytes += uint64(len(bytes))
@@ -230,26 +232,27 @@
 	heap.Push(&sim.queue, sentMessage{sim.now + after, sim.sent, from, to, bytes})
 }
 
-// clock is what this process's own clock shows.
+// clock returns the time on the process's own clock.
 func (p *process) clock() int64 {
 	return p.clockBase + int64(float64(p.sim.now-p.clockBaseAt)*p.clockRate)
 }
 
-// Send puts a message on its way, in its encoded form. One to the process itself always arrives.
+// Send queues a message in encoded form for delivery. The network neither loses nor delays messages to the process
+// itself.
 func (p *process) Send(to string, m *Message) {
 	sim := p.sim
 	sim.trace.add(3, sim.now, p.index, to, withoutBudgetShare(m))
-	dest := slices.IndexFunc(sim.processes, func(q *process) bool { return q.name == to })
-	if dest < 0 {
+	receiver := slices.IndexFunc(sim.processes, func(q *process) bool { return q.name == to })
+	if receiver < 0 {
 		return
 	}
-	if dest == p.index {
-		sim.deliverAfter(0, p.index, dest, m.Marshal())
+	if receiver == p.index {
+		sim.deliverAfter(0, p.index, receiver, m.Marshal())
 		return
 	}
 	for range 2 {
-		if !sim.cutLinks[[2]int{p.index, dest}] && sim.random.Float64() >= sim.lossRate {
-			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, dest, m.Marshal())
+		if !sim.cutLinks[[2]int{p.index, receiver}] && sim.random.Float64() >= sim.lossRate {
+			sim.deliverAfter(ms/10+sim.random.Int64N(sim.maxDelay), p.index, receiver, m.Marshal())
 		}
 		if sim.random.Float64() >= sim.repeatRate {
 			break
@@ -272,7 +275,8 @@
 	p.holder.Tick(now)
 }
 
-// requestRate is the traffic of a process: it changes, and process 1 claims too much.
+// requestRate returns the request rate that a process reports: it changes over time, and process 1 reports 100 times
+// its traffic.
 func (p *process) requestRate() float64 {
 	rate := float64(1 + (p.sim.step/5000+p.index*7)%9*50)
 	if p.index == 1 {
@@ -299,45 +303,47 @@
 	}
 }
 
-// handleResult takes the answer to a proposal; one that asks for a ticket sends the proposal again.
-func (p *process) handleResult(from string, o *ProposalResult) {
+// handleResult processes the result of a proposal. If it contains a ticket, the proposal is sent again with it.
+func (p *process) handleResult(from string, result *ProposalResult) {
 	sim := p.sim
 	switch {
-	case o.Ticket != nil:
-		if c, waits := sim.proposals[o.ID]; waits && p.waiting[o.ID] {
-			p.ticketed[o.ID] = true
-			p.Send(from, &Message{From: p.name, Proposal: &c, Ticket: o.Ticket})
+	case result.Ticket != nil:
+		if proposal, waits := sim.proposals[result.ID]; waits && p.waiting[result.ID] {
+			p.ticketed[result.ID] = true
+			p.Send(from, &Message{From: p.name, Proposal: &proposal, Ticket: result.Ticket})
 		}
 		return
-	case o.Revision != 0:
-		sim.accepted[o.ID] = o.Revision
-	case o.IsFinal && (!p.ticketed[o.ID] || !strings.HasPrefix(o.Reason, "nobody leads")):
-		sim.refused[o.ID] = true // Nobody leads: sure as long as nobody was sent it with a ticket.
+	case result.Revision != 0:
+		sim.accepted[result.ID] = result.Revision
+	case result.IsFinal && (!p.ticketed[result.ID] || !strings.HasPrefix(result.Reason, "nobody leads")):
+		// "nobody leads" is final only if the proposal was not sent to any leader with a ticket.
+		sim.refused[result.ID] = true
 	}
-	delete(p.waiting, o.ID)
+	delete(p.waiting, result.ID)
 }
 
-// resume lets a paused process go on with what has waited for it, as if no time had passed.
+// resume continues a paused process and delivers the messages that arrived during the pause without further delay.
 func (p *process) resume() {
 	p.isPaused = false
-	for _, f := range p.pausedInbox {
-		p.sim.deliverAfter(0, f.from, f.to, f.bytes)
+	for _, message := range p.pausedInbox {
+		p.sim.deliverAfter(0, message.from, message.to, message.bytes)
 	}
 	p.pausedInbox = nil
 }
 
-// propose sends a proposal from one process to the replica of another, and gives its ID.
-func (sim *simulation) propose(from, to int, c Proposal) string {
+// propose sends a proposal from one process to the replica of another and returns its ID. It sends nothing if the
+// proposing process is down or paused.
+func (sim *simulation) propose(from, to int, proposal Proposal) string {
 	sim.proposalCount++
-	c.ID = fmt.Sprintf("p%d", sim.proposalCount)
+	proposal.ID = fmt.Sprintf("p%d", sim.proposalCount)
 	if p := sim.processes[from]; !p.isDown && !p.isPaused {
-		p.waiting[c.ID], sim.proposals[c.ID] = true, c
-		p.Send(sim.processes[to].name, &Message{From: p.name, Proposal: &c})
+		p.waiting[proposal.ID], sim.proposals[proposal.ID] = true, proposal
+		p.Send(sim.processes[to].name, &Message{From: p.name, Proposal: &proposal})
 	}
-	return c.ID
+	return proposal.ID
 }
 
-// proposeAtRandom sends a random proposal from somewhere to some replica.
+// proposeAtRandom sends a random proposal from a random process to a random replica.
 func (sim *simulation) proposeAtRandom(replicas int) {
 	host := []string{fmt.Sprint("h", sim.random.IntN(6))}
 	c := Proposal{Author: "op", Limits: map[string]int64{"held": sim.random.Int64N(100) - 1}}
@@ -349,13 +355,12 @@
 	sim.propose(sim.random.IntN(len(sim.processes)), sim.random.IntN(replicas), c)
 }
 
-// injectFault changes by chance what the network and the processes do: cuts, loss, repeats, delays, crashes, pauses,
-// and their ends.
+// injectFault starts or ends a random fault: partitions, loss, duplication, delay, crashes or pauses.
 func (sim *simulation) injectFault(replicas int) {
 	n, m := sim.random.IntN(len(sim.processes)), sim.random.IntN(len(sim.processes))
 	p := sim.processes[n]
 	switch sim.random.IntN(14) {
-	case 0: // A cut in two, both ways.
+	case 0: // Partition the fleet into two sides.
 		side := make([]bool, len(sim.processes))
 		for i := range side {
 			side[i] = sim.random.IntN(2) == 0
@@ -365,7 +370,7 @@
 				sim.cutLinks[[2]int{i, j}] = side[i] != side[j]
 			}
 		}
-	case 1: // One way.
+	case 1: // Cut one link in one direction.
 		sim.cutLinks[[2]int{n, m}] = true
 	case 2, 3, 4:
 		clear(sim.cutLinks)
@@ -390,8 +395,8 @@
 	}
 }
 
-// keepMajorityAlive undoes a crash that would take the history along: replicas without disks lose it when a majority
-// dies at once, as is stated.
+// keepMajorityAlive reverts crashes that would lose the history: replicas without disks lose it when a majority is down
+// at the same time, which is a documented limit and not a fault.
 func (sim *simulation) keepMajorityAlive(replicas int) {
 	if sim.processes[0].hasDisk {
 		return
@@ -405,13 +410,13 @@
 				}
 			}
 			if alive <= replicas/2+1 {
-				p.isDown = false // It was not to die yet.
+				p.isDown = false
 			}
 		}
 	}
 }
 
-// healAndCheck ends all faults; then all processes come to rest on one revision, under leases.
+// healAndCheck ends all faults and then checks that every process gets a lease and the latest revision.
 func (sim *simulation) healAndCheck(replicas int) {
 	clear(sim.cutLinks)
 	sim.lossRate, sim.repeatRate, sim.maxDelay = 0, 0, 3*ms
@@ -439,16 +444,20 @@
 		if a := p.holder.EffectiveConfig(p.clock()); !a.IsLeased || a.LatestRevision < number || number == 0 ||
 			a.MinRevision != a.LatestRevision || !slices.Contains(a.EjectedEndpoints, "last") {
 			if sim.violation == "" {
-				sim.violation = fmt.Sprintf("after calm %s acts on %d to %d, leased %v; the last proposal is %d",
+				sim.violation = fmt.Sprintf("after all faults ended, %s has revisions %d to %d, leased %v; "+
+					"the last proposal is revision %d",
 					p.name, a.MinRevision, a.LatestRevision, a.IsLeased, number)
 			}
 		}
 	}
 }
 
-// checkInvariants looks at what all act on: one history, nothing in force that was refused for good, nothing loose
-// while a lease under an older revision is left, no contradiction for longer than stated, and no budget over the
-// whole.
+// checkInvariants checks the effective configurations of all processes:
+//   - all processes have the same history;
+//   - no proposal with a final refusal is in force;
+//   - no revision is the min revision anywhere while a process under a lease does not know it;
+//   - processes under leases contradict each other for at most MaxDisagreement;
+//   - budget shares add up to at most 1.
 func (sim *simulation) checkInvariants() {
 	fail := func(format string, with ...any) {
 		if sim.violation == "" {
@@ -470,19 +479,19 @@
 		if !p.isPaused && len(sim.processes) <= testTiming.MaxMembers {
 			shares += a.BudgetShare
 		}
-		looked := p.lastChecked
+		lastChecked := p.lastChecked
 		p.lastChecked = [3]uint64{p.incarnation, a.MinRevision, a.LatestRevision}
 		for _, v := range p.holder.known.active {
-			if looked == p.lastChecked {
+			if lastChecked == p.lastChecked {
 				break
 			}
-			if was, known := sim.digests[v.Number]; !known {
+			if firstDigest, known := sim.digests[v.Number]; !known {
 				sim.digests[v.Number] = v.Digest()
-			} else if was != v.Digest() {
-				fail("two histories: revision %d is %s and %s", v.Number, was, v.Digest())
+			} else if firstDigest != v.Digest() {
+				fail("two histories: revision %d has digests %s and %s", v.Number, firstDigest, v.Digest())
 			}
 			if v.ProposalID != "" && sim.refused[v.ProposalID] {
-				fail("proposal %s was answered no for good, and is revision %d", v.ProposalID, v.Number)
+				fail("refused proposal in force: %s had a final refusal and became revision %d", v.ProposalID, v.Number)
 			}
 		}
 		for uint64(len(sim.firstUses)) <= a.LatestRevision {
@@ -491,15 +500,16 @@
 		for v := int(a.LatestRevision); v > 0 && sim.firstUses[v].asLatest == 0; v-- {
 			sim.firstUses[v].asLatest = sim.now
 		}
-		for v := int(a.MinRevision); v > 0 && sim.firstUses[v].asMinimum == 0; v-- {
-			sim.firstUses[v].asMinimum = sim.now
+		for v := int(a.MinRevision); v > 0 && sim.firstUses[v].asMinRevision == 0; v-- {
+			sim.firstUses[v].asMinRevision = sim.now
 		}
 		if !a.IsLeased && !(sim.ignoresLeaseExpiry && p.holder.expiresAt != 0) || p.isPaused {
-			continue // Alone it says so; and while it is stopped it decides nothing.
+			continue // Without a lease no agreement is claimed, and a paused process makes no decisions.
 		}
 		if next := int(a.LatestRevision) + 1; next < len(sim.firstUses) {
-			if sim.firstUses[next].asMinimum != 0 {
-				fail("%s is under a lease knowing %d, and %d is loose already", p.name, a.LatestRevision, next)
+			if sim.firstUses[next].asMinRevision != 0 {
+				fail("loosening too early: %s has a lease and revision %d, but the min revision is already %d", p.name,
+					a.LatestRevision, next)
 			}
 			if sim.firstUses[next].asLatest != 0 {
 				sim.longestContradiction = max(sim.longestContradiction, sim.now-sim.firstUses[next].asLatest)
@@ -507,10 +517,10 @@
 		}
 	}
 	if sim.largestShareSum = max(sim.largestShareSum, shares); shares > 1+1e-9 {
-		fail("the budget shares that all act on are %v of the whole", shares)
+		fail("budget shares add up to %v, over 1", shares)
 	}
 	if sim.longestContradiction > int64(testTiming.MaxDisagreement()) {
-		fail("processes contradicted each other for %v, over T = %v", time.Duration(sim.longestContradiction),
+		fail("contradiction too long: %v, over MaxDisagreement of %v", time.Duration(sim.longestContradiction),
 			testTiming.MaxDisagreement())
 	}
 }
