--- a/consensus/golden_answers_test.go
+++ b/consensus/golden_answers_test.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// outbox keeps what was sent, as lines that can be read.
+// outbox records the messages that are sent, other than raft's, as readable lines.
 type outbox struct{ lines []string }
 
 func (o *outbox) Send(to string, m *Message) {
@@ -21,12 +21,12 @@
 	}
 }
 
-func (o *outbox) note(format string, with ...any) {
-	o.lines = append(o.lines, "# "+fmt.Sprintf(format, with...))
+func (o *outbox) note(format string, args ...any) {
+	o.lines = append(o.lines, "# "+fmt.Sprintf(format, args...))
 }
 
-// An operator who reads another answer than the one that a proposal had, or none, does the wrong thing next. Each
-// answer is played, with its exact text.
+// Guards against an operator who receives a wrong or no answer to a proposal, and acts on it. Produces each answer and
+// compares its exact text.
 func TestGoldenAnswers(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
 	for n := 0; n < 20_000 && !slices.ContainsFunc(sim.processes,
@@ -47,7 +47,7 @@
 	propose("the same again", Proposal{ID: "base", BaseRevision: 9, EjectEndpoints: []string{"h"}})
 	propose("changes nothing", Proposal{ID: "empty", UnejectEndpoints: []string{"h"}})
 	latest := &r.state.History[len(r.state.History)-1].Config
-	latest.EjectedEndpoints = slices.Concat(longestNames("a"), longestNames("b")) // In order.
+	latest.EjectedEndpoints = slices.Concat(longestNames("a"), longestNames("b")) // Sorted.
 	propose("too large", Proposal{ID: "large", EjectEndpoints: append(longestNames("c"), "x")})
 	latest.EjectedEndpoints = nil
 	propose("already a version", Proposal{ID: r.state.latest().ProposalID, EjectEndpoints: []string{"h"}})
@@ -82,24 +82,24 @@
 	r.Tick(now + ms)
 	r.HandleMessage(now, &Message{From: "op", Proposal: &Proposal{ID: "broken", EjectEndpoints: []string{"h"}}})
 	out.note("broken %t", r.Err() != nil)
-	for name, full := range map[string]Storage{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
+	for name, storage := range map[string]Storage{"at once": failingStorage{}, "bad records": &memoryStorage{}} {
 		_, err := NewReplica(0, "b0", 1, testTiming, []string{"b0"}, map[string][][]byte{"bad records": {{1}}}[name],
-			full, out, func(int) int { return 0 })
+			storage, out, func(int) int { return 0 })
 		if err == nil {
-			t.Errorf("%s: a replica begins", name)
+			t.Errorf("%s: NewReplica returned no error", name)
 		}
 	}
 	checkGolden(t, "answers.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
 }
 
-// failing is a disk that is full.
+// failingStorage is a Storage whose disk is full.
 type failingStorage struct{}
 
 func (failingStorage) Append([][]byte) error  { return errors.New("full") }
 func (failingStorage) Replace([][]byte) error { return errors.New("full") }
 
-// A replica that says what it could not write may vote twice after it starts again: with a full disk it says nothing
-// more.
+// Guards against a replica that votes twice in one term: if it sends a vote that it could not write, it may vote again
+// after a restart. With a full disk, a replica must not send anything.
 func TestStopsWhenStorageFails(t *testing.T) {
 	sim := newSimulation(t, 1, 3, 0, true)
 	for n := 0; n < 20_000 && !sim.processes[0].replica.IsBootstrapped(); n++ {
@@ -111,7 +111,7 @@
 		Term: new(r.term + 9), Index: new(uint64(99)), LogTerm: new(r.term + 8)}
 	r.HandleMessage(sim.processes[0].clock(), &Message{From: other.Name, Raft: marshalProto(vote)})
 	if r.Err() == nil || sent > 0 {
-		t.Errorf("with a full disk: broken %v, %d messages sent", r.Err(), sent)
+		t.Errorf("with a full disk: error %v, %d messages sent; want an error and none sent", r.Err(), sent)
 	}
 }
 
@@ -119,8 +119,8 @@
 
 func (c countingSender) Send(string, *Message) { *c.sent++ }
 
-// What a change may be is said to its proposer, and a message out of bounds is dropped: the texts and the bounds
-// stay.
+// Guards against unintended changes of the bounds of proposals and messages, and of the texts with which a proposer is
+// told about them.
 func TestGoldenBounds(t *testing.T) {
 	out := &outbox{}
 	long, both := strings.Repeat("n", maxNameBytes+1), []string{"h"}
@@ -155,8 +155,9 @@
 	checkGolden(t, "bounds.golden", []byte(strings.Join(out.lines, "\n")+"\n"))
 }
 
-// A process that takes up a revision too much, or misses one, acts on what the others do not: what a lease holder
-// makes of responses out of order, with gaps, of another history, is the same, response for response.
+// Guards against a lease holder that accepts a revision too many or misses one, and then acts on a configuration that
+// the others do not have. The result of random responses, some reordered, with gaps or of another history, must stay
+// the same for every response.
 func TestGoldenGrants(t *testing.T) {
 	draw, tr := rand.New(rand.NewPCG(5, 5)), newTraceHash()
 	histories := [2][]Revision{}
