--- a/consensus/knownrevisions.go
+++ b/consensus/knownrevisions.go
@@ -20,7 +20,7 @@
 type knownRevisions struct {
 	active      []Revision       // consecutive, from the min revision on
 	config      ReplicatedConfig // the strictest configuration of the active revisions
-	minRevision uint64           // as the leader last reported it; 0: not reported yet
+	minRevision uint64           // the highest reported by a leader; 0: none yet
 	historyID   uint64           // of the first response with revisions; 0: none yet
 }
 
