--- a/evacuation/controller.go
+++ b/evacuation/controller.go
@@ -1,15 +1,17 @@
-// Package evacuation decides when a fleet stops using a zone whose endpoints fail and when it returns, and how far each
-// process has come on the way. A Controller runs in the process that leads: it proposes, and a majority of the voters
-// accepts. A Ramp runs in every process, one a zone: it says which share of the keys does not go there now.
+// Package evacuation decides when a fleet stops using a zone whose endpoints fail and when it uses the zone again, and
+// moves each process's traffic accordingly. A Controller runs in the leader and proposes changes, which a majority of
+// the voters must accept. Every process runs one Ramp per zone, which gives the share of keys currently kept away from
+// that zone.
 //
-// The package is pure: the clock and what was observed are handed in, and nothing here waits or does I/O. Neither type
-// locks: the driver in fleet makes one call at a time. All times and spans are nanoseconds.
+// The package is pure: the caller passes in the clock and the observations, and nothing here blocks or does I/O.
+// Neither type is safe for concurrent use: the driver in package fleet makes one call at a time. All times and
+// durations are in nanoseconds.
 //
-// What it guarantees:
-//   - No zone is evacuated on the evidence of one balancer, of one zone, or about one endpoint.
-//   - The last zone is never evacuated, nor one without which too little capacity remains.
-//   - A zone changes at most once in each hold, which doubles with each return that does not last.
-//   - A return is taken in steps, each key once, the same keys first in all processes.
+// Guarantees:
+//   - No zone is evacuated on evidence from a single balancer or a single zone, or about a single endpoint.
+//   - The last zone is never evacuated, nor is one without which too little capacity would remain.
+//   - A zone changes at most once per hold time, which doubles with each return that is followed by a relapse.
+//   - Keys return to a zone in steps. Each key moves once, and all processes move the same keys first.
 package evacuation
 
 import (
@@ -20,69 +22,75 @@
 const millisecond = int64(time.Millisecond)
 
 const (
-	// failingShare is the share of a zone's endpoints that must fail for the zone to be failing.
+	// failingShare is the share of a zone's endpoints that must fail for the zone to count as failing.
 	failingShare = 0.6
-	// healthyShare is the share that may still fail when the zone is healthy again. Between the two nothing changes.
+	// healthyShare is the share of endpoints that may still fail in a zone that counts as healthy again. Between the
+	// two thresholds nothing changes (hysteresis).
 	healthyShare = 0.2
-	// minFailing is how many endpoints must fail, where there are more than one: one that fails is no failing zone.
+	// minFailing is how many endpoints must fail in a zone that has more than one: a single failing endpoint does not
+	// make a failing zone.
 	minFailing = 2
-	// evacuationHold is for how long a zone must fail without a break, so that a hiccup moves no traffic.
+	// evacuationHold is how long a zone must fail without interruption before it is evacuated, so that a short failure
+	// moves no traffic.
 	evacuationHold = 300 * millisecond
-	// returnHold is for how long it must be healthy without a break. It doubles with each relapse.
+	// returnHold is how long an evacuated zone must be healthy without interruption before it is used again. It doubles
+	// with each relapse.
 	returnHold = 3000 * millisecond
-	// maxHoldDoublings bounds that: 192 s, so that a zone that is repaired is back within some minutes.
+	// maxHoldDoublings limits returnHold to 192 s, so that a repaired zone is back in use within a few minutes.
 	maxHoldDoublings = 6
-	// relapseWindow is how soon after a return a new failure counts as a relapse.
+	// relapseWindow is how long after a return a new failure counts as a relapse.
 	relapseWindow = 300_000 * millisecond
-	// proposalInterval is the least time between two proposals for one zone: the first may still be under way.
+	// proposalInterval is the minimum time between two proposals for one zone: the first may still be awaiting
+	// agreement.
 	proposalInterval = 1000 * millisecond
 )
 
-// MinRemainingShare is the share of all endpoints that must remain in use when a zone is evacuated. Less would be
-// overloaded, and the fleet would lose both.
+// MinRemainingShare is the share of all endpoints that must remain in use when a zone is evacuated. A smaller
+// remainder would be overloaded and fail as well.
 const MinRemainingShare = 1.0 / 3
 
-// AutomaticPrefix precedes the name of a zone that the fleet evacuated by itself, beside the bare name of one that
-// operators evacuated. Both may stand in the replicated configuration, and each is taken back alone: the fleet must
-// not return to a zone that an operator took out.
+// AutomaticPrefix marks the name of a zone that the fleet evacuated automatically; a zone that an operator evacuated is
+// listed under its bare name. The replicated configuration may contain both entries for one zone, and each is removed
+// independently: the fleet must not return to a zone that an operator evacuated.
 const AutomaticPrefix = "fails:"
 
-// Reasons of proposals. They are kept in the replicated history, which operators and older versions read.
+// Reasons for proposals. They are stored in the replicated history, which operators and older versions read, so their
+// text must not change.
 const (
 	reasonFailing   = "its hosts fail for several"
 	reasonRecovered = "its hosts settle again"
 )
 
-// ZoneHealth is a zone's health on the fleet's evidence.
+// ZoneHealth is a zone's health as observed by the fleet.
 type ZoneHealth struct {
 	Zone      string
-	Endpoints int // endpoints that the zone has
-	Failing   int // of these, endpoints that several balancers report as failing
+	Endpoints int // number of endpoints in the zone
+	Failing   int // number of these that several balancers report as failing
 }
 
-// Proposal is a change that the Controller would have the fleet agree on.
+// Proposal is a change that the Controller asks the fleet to agree on.
 type Proposal struct {
-	ZoneHealth        // what it is based on
-	Evacuate   bool   // evacuate the zone; else return to it
-	Reason     string // for operators
+	ZoneHealth        // the observation that the proposal is based on
+	Evacuate   bool   // true: evacuate the zone; false: return to it
+	Reason     string // shown to operators
 }
 
-// Controller is the rule by which the leader evacuates zones. The zero value is ready for use and knows of no
-// relapses, as after a change of the leader.
+// Controller decides for the leader when zones are evacuated and returned to. The zero value is ready for use and has
+// no record of relapses, which is also the state after a change of leader.
 type Controller struct{ zones map[string]*zoneState }
 
-// zoneState is what the Controller remembers of one zone.
+// zoneState is the Controller's record of one zone.
 type zoneState struct {
-	since           int64 // when the condition for the next change came to hold, without a break since; 0: it does not
+	conditionSince  int64 // since when the condition for the next change has held without interruption; 0: it does not hold
 	proposedAt      int64 // 0: never
 	returnedAt      int64 // when the last return was proposed; 0: never
-	relapses        int   // failures in a row that came within relapseWindow of the return before them
-	blockedReported bool  // it fails and cannot be evacuated, and the caller was told
+	relapses        int   // consecutive evacuations proposed within relapseWindow of the return before
+	blockedReported bool  // the zone fails and cannot be evacuated, and Tick has returned it as blocked
 }
 
-// Tick returns the changes to propose now. evacuated is the list in force: bare names by operators, names after
-// AutomaticPrefix by the fleet. blocked are zones that fail and cannot be evacuated because too little would remain;
-// each is returned once while that lasts.
+// Tick returns the changes to propose now. evacuated is the evacuation list in force: bare names were added by
+// operators, names with AutomaticPrefix by the fleet. blocked lists failing zones that cannot be evacuated because too
+// little capacity would remain; each zone is returned once per such period.
 func (c *Controller) Tick(now int64, zones []ZoneHealth, evacuated []string) (proposals []Proposal, blocked []ZoneHealth) {
 	remaining := remainingCapacity(zones, evacuated)
 	for _, health := range zones {
@@ -104,7 +112,7 @@
 			continue
 		}
 		proposals = append(proposals, state.proposeEvacuation(now, health))
-		if isServing { // The zones after this one are judged by what remains then.
+		if isServing { // Later zones are checked against the capacity that remains without this one.
 			remaining.remove(health)
 		}
 	}
@@ -121,61 +129,61 @@
 	return c.zones[zone]
 }
 
-func (v ZoneHealth) isFailing() bool {
-	return v.Endpoints > 0 && float64(v.Failing) >= failingShare*float64(v.Endpoints) && v.Failing >= min(minFailing, v.Endpoints)
+func (h ZoneHealth) isFailing() bool {
+	return h.Endpoints > 0 && float64(h.Failing) >= failingShare*float64(h.Endpoints) && h.Failing >= min(minFailing, h.Endpoints)
 }
 
-func (v ZoneHealth) isHealthy() bool { return float64(v.Failing) <= healthyShare*float64(v.Endpoints) }
+func (h ZoneHealth) isHealthy() bool { return float64(h.Failing) <= healthyShare*float64(h.Endpoints) }
 
-// isChangeDue reports whether the condition for the zone's next change (that it is healthy, if it is evacuated; else
-// that it fails) has held for long enough without a break.
-func (z *zoneState) isChangeDue(now int64, health ZoneHealth, isEvacuated bool) bool {
+// isChangeDue reports whether the condition for the zone's next change (an evacuated zone is healthy, any other zone is
+// failing) has held long enough without interruption.
+func (s *zoneState) isChangeDue(now int64, health ZoneHealth, isEvacuated bool) bool {
 	if isEvacuated && !health.isHealthy() || !isEvacuated && !health.isFailing() {
-		z.since, z.blockedReported = 0, false
+		s.conditionSince, s.blockedReported = 0, false
 		return false
 	}
-	if z.since == 0 {
-		z.since = now
+	if s.conditionSince == 0 {
+		s.conditionSince = now
 	}
-	return now-z.since >= z.hold(now, isEvacuated) && now-z.proposedAt >= proposalInterval
+	return now-s.conditionSince >= s.hold(now, isEvacuated) && now-s.proposedAt >= proposalInterval
 }
 
-// hold is for how long the condition must hold. It guards against flapping: a zone that fails, recovers under no load
-// and fails again under load would be evacuated and returned to for ever, a cold cache each time. After a return the
-// same hold has to pass until the next evacuation.
-func (z *zoneState) hold(now int64, isEvacuated bool) int64 {
-	afterRelapses := returnHold << min(z.relapses, maxHoldDoublings)
+// hold returns how long the condition for the next change must hold. It guards against flapping: a zone that fails,
+// recovers without load and fails again under load would otherwise be evacuated and returned to endlessly, with a cold
+// cache each time. After a recent return, the doubled hold must also pass before the next evacuation.
+func (s *zoneState) hold(now int64, isEvacuated bool) int64 {
+	afterRelapses := returnHold << min(s.relapses, maxHoldDoublings)
 	switch {
 	case isEvacuated:
 		return afterRelapses
-	case z.isReturnRecent(now):
-		return max(evacuationHold, afterRelapses-(now-z.returnedAt))
+	case s.isReturnRecent(now):
+		return max(evacuationHold, afterRelapses-(now-s.returnedAt))
 	}
 	return evacuationHold
 }
 
-func (z *zoneState) isReturnRecent(now int64) bool {
-	return z.returnedAt != 0 && now-z.returnedAt < relapseWindow
+func (s *zoneState) isReturnRecent(now int64) bool {
+	return s.returnedAt != 0 && now-s.returnedAt < relapseWindow
 }
 
-func (z *zoneState) proposeReturn(now int64, health ZoneHealth) Proposal {
-	z.proposedAt, z.returnedAt, z.since = now, now, 0
+func (s *zoneState) proposeReturn(now int64, health ZoneHealth) Proposal {
+	s.proposedAt, s.returnedAt, s.conditionSince = now, now, 0
 	return Proposal{ZoneHealth: health, Evacuate: false, Reason: reasonRecovered}
 }
 
-func (z *zoneState) proposeEvacuation(now int64, health ZoneHealth) Proposal {
-	if z.isReturnRecent(now) {
-		z.relapses++
+func (s *zoneState) proposeEvacuation(now int64, health ZoneHealth) Proposal {
+	if s.isReturnRecent(now) {
+		s.relapses++
 	} else {
-		z.relapses = 0
+		s.relapses = 0
 	}
-	z.proposedAt, z.since = now, 0
+	s.proposedAt, s.conditionSince = now, 0
 	return Proposal{ZoneHealth: health, Evacuate: true, Reason: reasonFailing}
 }
 
-// capacity is what the zones in use have.
+// capacity is the capacity of the zones in use.
 type capacity struct {
-	totalEndpoints int // also of evacuated zones
+	totalEndpoints int // including those of evacuated zones
 	endpoints      int
 	zones          int
 }
@@ -191,7 +199,7 @@
 	return remaining
 }
 
-// canSpare reports whether enough remains without a zone that is in use.
+// canSpare reports whether enough capacity remains without the given zone, which must be in use.
 func (c *capacity) canSpare(zone ZoneHealth) bool {
 	return c.zones > 1 && float64(c.endpoints-zone.Endpoints) >= MinRemainingShare*float64(c.totalEndpoints)
 }
