--- a/evacuation/controller_test.go
+++ b/evacuation/controller_test.go
@@ -11,15 +11,15 @@
 
 const tickInterval = 50 * millisecond
 
-// zonesOfEight returns zones z0, z1, ... of eight endpoints each, of which so many fail.
+// zonesOfEight returns zones z0, z1, ... with eight endpoints each and the given numbers of failing endpoints.
 func zonesOfEight(failing ...int) (zones []ZoneHealth) {
-	for n, f := range failing {
-		zones = append(zones, ZoneHealth{fmt.Sprint("z", n), 8, f})
+	for n, failingCount := range failing {
+		zones = append(zones, ZoneHealth{fmt.Sprint("z", n), 8, failingCount})
 	}
 	return zones
 }
 
-// controllerRun carries out each proposal at once and counts.
+// controllerRun simulates a fleet that applies each proposal immediately, and counts the changes.
 type controllerRun struct {
 	controller Controller
 	now        int64
@@ -50,8 +50,8 @@
 	}
 }
 
-// A zone that fails kept a third of the requests waiting until each balancer had left its endpoints one by one. It is
-// evacuated as one; but not for one endpoint, and never the last zone, whatever fails.
+// Guards against a failing zone delaying a third of the requests until each balancer has ejected its endpoints one by
+// one. The zone is evacuated as a whole; but not because of one endpoint, and the last zone never.
 func TestFailingZoneIsEvacuatedAndReturnedTo(t *testing.T) {
 	for _, c := range []struct {
 		name                          string
@@ -60,11 +60,11 @@
 	}{
 		{"all healthy", []int{0, 0, 0}, 0, 0, 0},
 		{"one endpoint", []int{1, 0, 0}, 0, 0, 0},
-		{"too few", []int{4, 0, 0}, 0, 0, 0},
+		{"half of a zone", []int{4, 0, 0}, 0, 0, 0},
 		{"a zone", []int{6, 0, 0}, 1, 0, 0},
-		{"a zone, and too few of another", []int{8, 4, 0}, 1, 0, 0},
+		{"a zone, and half of another", []int{8, 4, 0}, 1, 0, 0},
 		{"two zones of three", []int{8, 8, 0}, 2, 0, 0},
-		{"all zones: the last stays", []int{8, 8, 8}, 2, 0, 1},
+		{"all zones: the last is kept", []int{8, 8, 8}, 2, 0, 1},
 		{"the only zone", []int{8}, 0, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// A hiccup of a quarter of a second moves no traffic.
+// Failures of a quarter of a second, shorter than evacuationHold, move no traffic.
 func TestShortFailureIsIgnored(t *testing.T) {
 	r := newControllerRun()
 	r.run(10_000*millisecond, func(now int64) []ZoneHealth { return zonesOfEight(8*int(now/(250*millisecond)%2), 0, 0) })
@@ -90,9 +90,9 @@
 	}
 }
 
-// Operators took out two of three zones, and the fleet left the third by itself. What operators evacuated counts as
-// gone: the last zone stays.
-func TestLastZoneBesideOperatorsStays(t *testing.T) {
+// Guards against the fleet evacuating the last zone after operators evacuated the two others: zones evacuated by
+// operators do not count as remaining capacity.
+func TestLastZoneStaysWhenOperatorsEvacuatedTheOthers(t *testing.T) {
 	r := newControllerRun("z1", "z2")
 	r.run(5000*millisecond, func(int64) []ZoneHealth { return zonesOfEight(8, 0, 0) })
 	if r.evacuations != 0 || r.blocked != 1 {
@@ -100,17 +100,17 @@
 	}
 }
 
-// A zone that fails and recovers every four seconds was evacuated and returned to each time, with a cold cache. Holds
-// double, so the changes become rare.
-func TestFlappingZoneChangesEverMoreRarely(t *testing.T) {
+// Guards against evacuating and returning to a zone that fails and recovers every four seconds each time, with a cold
+// cache. The hold doubles with each relapse, so that changes become rare.
+func TestHoldsOfFlappingZoneDouble(t *testing.T) {
 	r := newControllerRun()
-	began := r.now
+	startedAt := r.now
 	r.run(300_000*millisecond, func(now int64) []ZoneHealth {
-		return zonesOfEight(8*int((now-began)/(4000*millisecond)%2), 0, 0)
+		return zonesOfEight(8*int((now-startedAt)/(4000*millisecond)%2), 0, 0)
 	})
 	for n := 2; n < len(r.changedAt); n++ {
-		if apart := r.changedAt[n] - r.changedAt[n-1]; apart < evacuationHold {
-			t.Errorf("two changes within %d ms", apart/millisecond)
+		if interval := r.changedAt[n] - r.changedAt[n-1]; interval < evacuationHold {
+			t.Errorf("two changes within %d ms", interval/millisecond)
 		}
 	}
 	if len(r.changedAt) > 8 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// A zone that failed once a week would in the end stay evacuated for minutes each time, if relapses were never
-// forgotten. A return that lasted five minutes is no longer held against it, one that lasted a little less is.
+// If relapses were never forgotten, a zone that fails once a week would eventually stay evacuated for minutes each
+// time. A zone that fails again later than five minutes after its return starts with the shortest hold.
 func TestRelapsesAreForgottenAfterFiveMinutes(t *testing.T) {
 	for _, c := range []struct{ healthyFor, wantHold int64 }{
 		{299_000 * millisecond, 2 * returnHold},
@@ -142,8 +142,8 @@
 	}
 }
 
-// Seeded noise about one endpoint, about half of a zone, or for moments moves no traffic. HOLLYLEVER_PLANS is how many
-// seeds are run.
+// Random failures of one endpoint, of up to half of a zone, or of a whole zone for a short time move no traffic.
+// HOLLYLEVER_PLANS sets the number of seeds.
 func TestNoiseCausesNoEvacuation(t *testing.T) {
 	seeds := 200
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_PLANS")); err == nil {
@@ -156,14 +156,14 @@
 		for step := range 400 {
 			failing := make([]int, 3)
 			switch seed % 3 {
-			case 0: // One endpoint, for as long as it likes.
+			case 0: // One endpoint, for any time.
 				failing[zone] = 1
-			case 1: // Up to a half of a zone's.
+			case 1: // Up to half of a zone's endpoints.
 				if step%20 == 0 {
 					failingOfHalf = random.IntN(5)
 				}
 				failing[zone] = failingOfHalf
-			default: // All of a zone's, for less than it takes.
+			default: // All of a zone's endpoints, for less than evacuationHold.
 				if step%10 < 4 {
 					failing[zone] = 8
 				}
@@ -176,8 +176,8 @@
 	}
 }
 
-// A zone that was repaired after a bad night stayed evacuated for hours when holds doubled without a bound. The longest
-// is 192 s.
+// Without a limit on the doubling of the hold, a zone that was repaired after many relapses would stay evacuated for
+// hours. The longest hold is 192 s.
 func TestHoldIsBounded(t *testing.T) {
 	state := &zoneState{relapses: 40}
 	if hold := state.hold(1e12, true); hold != 192_000*millisecond {
