--- a/evacuation/golden_test.go
+++ b/evacuation/golden_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files in testdata from what the code does now")
+var update = flag.Bool("update", false, "overwrite the golden files in testdata with the current output")
 
-// compareGolden holds lines against a file in testdata.
+// compareGolden compares lines with a golden file in testdata.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path, got := "testdata/"+name, strings.Join(lines, "\n")+"\n"
@@ -34,9 +34,10 @@
 	}
 }
 
-// A leader of another build that leaves a zone sooner, later or oftener than its neighbours undoes what they agreed
-// on. Seeded zones fail, flap and come back for an hour, operators leave them meanwhile and proposals get lost; each
-// proposal and each zone that has to stay is part of the trace.
+// Leaders of different builds must make the same proposals: one that evacuates a zone sooner, later or more often than
+// the others undoes what they agreed on. Over an hour of simulated time, random zones fail, flap and recover, operators
+// evacuate zones and proposals get lost. The trace includes each proposal and each zone that is blocked from
+// evacuation.
 func TestGoldenProposals(t *testing.T) {
 	var lines []string
 	for seed := range uint64(8) {
@@ -61,7 +62,7 @@
 					evacuated = slices.DeleteFunc(evacuated, func(name string) bool { return name == zones[n].Zone })
 				case 5:
 					if random.IntN(20) == 0 {
-						controller = &Controller{} // Another leads.
+						controller = &Controller{} // The leader changes.
 					}
 				default:
 					for n := range zones {
@@ -88,7 +89,7 @@
 			for _, v := range blocked {
 				fmt.Fprintf(sum, "%d stays %s %d %d\n", now, v.Zone, v.Endpoints, v.Failing)
 			}
-			if now += 100 * millisecond; step%1200 == 1199 { // A calm of eight minutes.
+			if now += 100 * millisecond; step%1200 == 1199 { // Eight minutes without changes.
 				now += 480_000 * millisecond
 			}
 		}
@@ -97,9 +98,9 @@
 	compareGolden(t, "proposals.golden", lines)
 }
 
-// Processes that stand at different places of the way send the same key to different endpoints. Seeded ways out and
-// back, by operators and by the fleet, with slow steps, own zones, clocks that jump and processes that go on from
-// another's place.
+// Processes whose ramps have different shares send the same key to different endpoints, so all builds must compute the
+// same shares. Covers random evacuations and recoveries, by operators and by the fleet, with slow ramps, the process's
+// own zone, clock jumps and handover between processes.
 func TestGoldenRamps(t *testing.T) {
 	lines := []string{fmt.Sprint(AutomaticPrefix, " ", MinRemainingShare, " ", rampSteps)}
 	for seed := range uint64(8) {
@@ -110,7 +111,7 @@
 			RecoveryNanos:   random.Int64N(60_000 * millisecond),
 		}
 		var evacuated []string
-		worksHere, slow := false, false
+		ownZoneHealthy, slow := false, false
 		for range 20_000 {
 			switch random.IntN(160) {
 			case 0:
@@ -120,7 +121,7 @@
 			case 3, 4, 5:
 				evacuated = []string{"y", AutomaticPrefix + "y"}
 			case 6:
-				worksHere = !worksHere
+				ownZoneHealthy = !ownZoneHealthy
 			case 7:
 				slow = !slow
 			case 8:
@@ -135,9 +136,9 @@
 				now -= random.Int64N(500 * millisecond)
 			}
 			now += random.Int64N(200 * millisecond)
-			share := ramp.Advance(now, "z", evacuated, worksHere, slow, durations)
-			exact, at := ramp.Position()
-			fmt.Fprintln(sum, share, exact, at, ramp.roundedShare())
+			share := ramp.Advance(now, "z", evacuated, ownZoneHealthy, slow, durations)
+			unrounded, at := ramp.Position()
+			fmt.Fprintln(sum, share, unrounded, at, ramp.roundedShare())
 		}
 		lines = append(lines, fmt.Sprint("seed ", seed, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
