--- a/evacuation/ramp.go
+++ b/evacuation/ramp.go
@@ -3,59 +3,61 @@
 import "slices"
 
 const (
-	// rampSteps is how many steps the way out of a zone and back has. Each moves 3% of the keys, whose values have to
-	// be fetched anew: few enough for an endpoint whose cache is cold.
+	// rampSteps is the number of steps in which the keys leave a zone or return to it. Each step moves 3% of the keys,
+	// whose values must be fetched again: few enough for an endpoint with a cold cache.
 	rampSteps = 32
-	// slowdown is how many times longer the way takes while reads miss for the whole fleet, so that the origin keeps
-	// up.
-	slowdown = 4
-	// stepTolerance is what a share may be above a whole step by rounding without counting as the next one.
+	// slowdownFactor is how many times longer a ramp takes while reads miss across the whole fleet, so that the origin
+	// can keep up.
+	slowdownFactor = 4
+	// stepTolerance is the part of a step by which a share may exceed a whole number of steps, because of rounding
+	// errors, without being rounded up.
 	stepTolerance = 1e-6
 )
 
-// Ramp is one process's way out of a zone and back: the share of the keys that does not go there. The zero value stands
-// at the end of the way back.
+// Ramp is the state of one process's move out of a zone or back into it: the share of the keys that is kept away from
+// the zone. The zero value keeps no keys away, as after a completed recovery.
 type Ramp struct {
-	share      float64 // from 0, none is kept away, to 1
-	advancedAt int64   // 0: not yet since the process started
+	share      float64 // of the keys kept away, from 0 (none) to 1 (all)
+	advancedAt int64   // time of the last Advance; 0: none since the process started
 }
 
-// RampDurations are how long whole ways take, in nanoseconds.
+// RampDurations are how long complete ramps take, in nanoseconds.
 type RampDurations struct {
-	// EvacuationNanos is the way out of a zone that an operator evacuated. One that fails is left at once: whatever
-	// still went there would get no answer.
+	// EvacuationNanos is how long the keys take to leave a zone that an operator evacuated. A failing zone is left at
+	// once: requests still sent there would get no response.
 	EvacuationNanos int64
-	// RecoveryNanos is the way back: one and a half times the warm-up of an endpoint.
+	// RecoveryNanos is how long the recovery ramp takes: one and a half times an endpoint's warm-up time.
 	RecoveryNanos int64
 }
 
-// Start places a process that starts where the others are: at 0 it would send all keys to endpoints that are cold. A
-// share that makes no sense counts as 1.
+// Start sets the share of a process that has just started to that of the other processes. Starting at 0 during a
+// recovery would send all keys to endpoints with cold caches. A share outside 0 to 1 counts as 1.
 func (r *Ramp) Start(share float64) {
-	if !(share >= 0 && share <= 1) { // Also false for NaN.
+	if !(share >= 0 && share <= 1) { // The condition in parentheses is also false for NaN.
 		share = 1
 	}
 	*r = Ramp{share: share}
 }
 
-// Position returns the share and when it was reached, for the process that takes over from this one.
+// Position returns the share and the time at which it was reached, for handover to the process that replaces this one.
 func (r *Ramp) Position() (share float64, at int64) { return r.share, r.advancedAt }
 
-// Resume goes on from where the process before this one was at a time that may lie after now, as clocks differ.
+// Resume continues from the share that the predecessor process had at the given time, which may be later than now
+// because the clocks of the two processes differ.
 func (r *Ramp) Resume(share float64, at, now int64) {
 	r.Start(share)
 	r.advancedAt = max(1, min(at, now))
 }
 
-// Advance moves on to now and returns the share of the keys that does not go to the zone, in whole steps. evacuated
-// is the list in force. worksHere says that this is the process's own zone and does not fail for it: a zone that only
-// its own balancers reach stays in use there, except against an operator. slow says that reads miss for the whole
-// fleet.
-func (r *Ramp) Advance(now int64, zone string, evacuated []string, worksHere, slow bool, durations RampDurations) float64 {
-	byFleet := slices.Contains(evacuated, AutomaticPrefix+zone) && !worksHere
+// Advance advances the ramp to now and returns the share of the keys to keep away from the zone, in whole steps.
+// evacuated is the evacuation list in force. ownZoneHealthy means that the zone is this process's own and does not fail
+// for it: a zone that only its own balancers can reach stays in use by them, unless an operator evacuated it. slow
+// means that reads miss across the whole fleet.
+func (r *Ramp) Advance(now int64, zone string, evacuated []string, ownZoneHealthy, slow bool, durations RampDurations) float64 {
+	byFleet := slices.Contains(evacuated, AutomaticPrefix+zone) && !ownZoneHealthy
 	byOperator := slices.Contains(evacuated, zone)
 	elapsed := float64(max(0, now-r.advancedAt))
-	if r.advancedAt == 0 { // It has just started: a zone that was evacuated before gets none of its keys.
+	if r.advancedAt == 0 { // First call since the start: a zone that an operator had already evacuated gets no keys.
 		elapsed = 0
 		if byOperator {
 			r.share = 1
@@ -63,7 +65,7 @@
 	}
 	r.advancedAt = now
 	if slow {
-		elapsed /= slowdown
+		elapsed /= slowdownFactor
 	}
 	switch {
 	case byFleet:
@@ -76,8 +78,8 @@
 	return r.roundedShare()
 }
 
-// roundedShare is the share rounded up to whole steps, so that processes whose clocks differ a little keep the same
-// keys away.
+// roundedShare returns the share rounded up to whole steps, so that processes whose clocks differ slightly keep the
+// same keys away.
 func (r *Ramp) roundedShare() float64 {
 	steps := int(r.share*rampSteps + (1 - stepTolerance))
 	return float64(steps) / rampSteps
