--- a/evacuation/ramp_test.go
+++ b/evacuation/ramp_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// All keys at once overload a zone whose caches are cold. A process leaves a zone that fails at once, one that an
-// operator evacuated in steps, and returns in steps, more slowly while reads miss; a relapse on the way back is at
-// once.
+// Guards against overloading a zone with cold caches by returning all keys at once. A process leaves a failing zone
+// immediately and a zone evacuated by an operator in steps. It returns in steps, more slowly while reads miss; after a
+// relapse during the recovery it leaves immediately again.
 func TestRampMovesInSteps(t *testing.T) {
 	durations := RampDurations{EvacuationNanos: 8000 * millisecond, RecoveryNanos: 16_000 * millisecond}
 	var ramp Ramp
 	now := int64(1e12)
 	for n, step := range []struct {
-		after           int64
-		evacuated       []string
-		worksHere, slow bool
-		want            float64
+		after                int64
+		evacuated            []string
+		ownZoneHealthy, slow bool
+		want                 float64
 	}{
 		{0, nil, false, false, 0},
 		{100 * millisecond, []string{"z"}, false, false, 1.0 / 32},
@@ -26,13 +26,13 @@
 		{3000 * millisecond, nil, false, true, 0.90625},
 		{100 * millisecond, []string{"y", AutomaticPrefix + "z"}, false, false, 1},
 		{8000 * millisecond, nil, false, false, 0.5},
-		{100 * millisecond, []string{AutomaticPrefix + "z"}, false, false, 1}, // A relapse half-way.
+		{100 * millisecond, []string{AutomaticPrefix + "z"}, false, false, 1}, // A relapse during the recovery.
 		{60_000 * millisecond, nil, false, false, 0},
-		{100 * millisecond, []string{AutomaticPrefix + "z"}, true, false, 0}, // Its own zone, which works for it.
-		{8000 * millisecond, []string{"z"}, true, false, 1},                  // But not against an operator.
+		{100 * millisecond, []string{AutomaticPrefix + "z"}, true, false, 0}, // Its own zone, healthy for this process.
+		{8000 * millisecond, []string{"z"}, true, false, 1},                  // An operator's evacuation takes precedence.
 	} {
 		now += step.after
-		if got := ramp.Advance(now, "z", step.evacuated, step.worksHere, step.slow, durations); got != step.want {
+		if got := ramp.Advance(now, "z", step.evacuated, step.ownZoneHealthy, step.slow, durations); got != step.want {
 			t.Errorf("step %d: %v, want %v", n, got, step.want)
 		}
 	}
@@ -42,14 +42,14 @@
 	}
 }
 
-// A process that started in the middle of a return sent all of its keys to cold endpoints at once. It starts where the
-// others are, and goes on from there; a share that makes no sense keeps all keys away.
-func TestRampStartsWhereOthersAre(t *testing.T) {
+// Guards against a process that starts during a recovery sending all of its keys to endpoints with cold caches at once.
+// It starts at the share of the other processes and continues from there; an invalid share keeps all keys away.
+func TestRampStartsAtShareOfOtherProcesses(t *testing.T) {
 	durations := RampDurations{EvacuationNanos: 10_000 * millisecond, RecoveryNanos: 12_000 * millisecond}
 	for _, c := range []struct {
-		share        float64
-		evacuated    []string
-		first, later float64
+		share                float64
+		evacuated            []string
+		wantFirst, wantLater float64
 	}{
 		{0, nil, 0, 0},
 		{0.75, nil, 0.75, 0.5},
@@ -65,14 +65,14 @@
 		ramp.Start(c.share)
 		first := ramp.Advance(now, "z", c.evacuated, false, false, durations)
 		later := ramp.Advance(now+3000*millisecond, "z", c.evacuated, false, false, durations)
-		if first != c.first || later != c.later {
-			t.Errorf("%v, evacuated %v: %v and %v, want %v and %v", c.share, c.evacuated, first, later, c.first, c.later)
+		if first != c.wantFirst || later != c.wantLater {
+			t.Errorf("%v, evacuated %v: %v and %v, want %v and %v", c.share, c.evacuated, first, later, c.wantFirst, c.wantLater)
 		}
 	}
 }
 
-// Two processes whose clocks differ by nanoseconds sent the keys of one step to different zones. A share counts as the
-// next step only if it is above a whole one by more than rounding explains.
+// Guards against two processes whose clocks differ by nanoseconds sending the keys of one step to different zones. A
+// share is rounded up to the next step only if it exceeds a whole step by more than the rounding tolerance.
 func TestRampToleratesRounding(t *testing.T) {
 	for _, c := range []struct{ share, want float64 }{
 		{0.5, 16.0 / 32},
