--- a/budgets/ledger.go
+++ b/budgets/ledger.go
@@ -1,78 +1,82 @@
-// Package budgets divides what a fleet may do in all (capacity of endpoints that warm up, capacity of endpoints that
-// are new, tenants' quotas) among its processes, by the traffic that each reports. The consensus leader keeps a
-// Ledger and grants a share of the whole with each lease. A process acts on its HeldShare while its lease lasts, and
-// without a lease on ShareWithoutLease.
+// Package budgets divides fleet-wide budgets (the capacity of endpoints that are warming up, the capacity of new
+// endpoints, tenants' quotas) among the processes of the fleet in proportion to the traffic that each reports. The
+// consensus leader keeps a Ledger and grants a share of the whole budget with each lease. A process acts on its
+// HeldShare while its lease lasts, and on ShareWithoutLease otherwise.
 //
-// The package is pure: the clock is handed in. Nothing locks: the callers, leader and lease holder in consensus, make
-// one call at a time. Times are nanoseconds of the leader's clock. Shares are fractions of the whole, from 0 to 1.
+// The package is pure: the caller passes in the clock. Its types are not safe for concurrent use: the callers, the
+// leader and the lease holder in package consensus, make one call at a time. Times are nanoseconds of the leader's
+// clock. Shares are fractions of the whole budget, from 0 to 1.
 //
-// What it guarantees: while no more than the stated number of processes run, the shares that all act on never add up
-// to more than the whole, whatever is lost, repeated, late or stopped, and whoever crashes, comes back or is elected;
-// as long as clocks keep to the stated error of their rate. A share that shrinks counts as soon as its holder hears
-// of it. One grows only into what nobody can be acting on any more.
+// Guarantee: while no more than the configured maximum of processes run, and clock rates stay within the configured
+// error, the shares that all processes act on never add up to more than the whole. This holds when messages are lost,
+// repeated or delayed, when processes pause, crash or restart, and when a new leader is elected. A reduced share takes
+// effect as soon as its holder learns of it. A share is raised only by what no other process can still be acting on.
 package budgets
 
 import "math"
 
 const (
-	// maxAccounts bounds the processes that a ledger knows: two incarnations of each that a fleet may have.
+	// maxAccounts is the maximum number of processes in a ledger: two incarnations of each process of the largest
+	// fleet.
 	maxAccounts = 8192
-	// maxPromises bounds the promises that are kept of one process; further ones count as the largest of them.
+	// maxPromises is the maximum number of promises recorded for one process. A further one is merged with the last,
+	// and the larger share of the two is kept.
 	maxPromises = 16
-	// minRequestRate, in requests a second, is what a process without traffic counts as, so that it has some share when
-	// the first requests come.
+	// minRequestRate, in requests per second, is the rate assumed for a process without traffic, so that it has some
+	// share when its first requests arrive.
 	minRequestRate = 1
-	// maxRequestRate, in requests a second, is what no process can have: one that reports more is not believed.
+	// maxRequestRate, in requests per second, is more than any process can receive. A higher reported rate is ignored.
 	maxRequestRate = 1e9
-	// sharePrecision is how many steps the whole has when a share is rounded down.
+	// sharePrecision is the number of steps of the whole to which shares are rounded down.
 	sharePrecision = 1e6
 )
 
-// Holder is one incarnation of a process. One that restarts, and the second one over an upgrade, is another holder: the
-// earlier one may still act on its share.
+// Holder identifies one incarnation of a process. A process that restarts, or that replaces another during an upgrade,
+// is a different holder, because the earlier incarnation may still be acting on its share.
 type Holder struct {
 	Name        string
 	Incarnation uint64
 }
 
-// ShareRequest is what a process states with its request for a lease.
+// ShareRequest is the information that a process sends with its request for a lease.
 type ShareRequest struct {
-	Seq         uint64  // of the request, within the incarnation
-	GrantSeq    uint64  // Seq of the request that the share it acts on was granted for
-	RequestRate float64 // requests a second that arrive at it
+	Seq         uint64  // sequence number of this request within the incarnation
+	GrantSeq    uint64  // Seq of the request for which the process's current share was granted
+	RequestRate float64 // requests per second that arrive at the process
 }
 
 // Ledger is the leader's record of the shares it has granted. A new leader starts with an empty one.
 type Ledger struct {
 	maxProcesses  int
-	leaseTimeout  int64 // after so long on this clock a lease is over on any
-	withholdUntil int64 // nothing above ShareWithoutLease is granted before
+	leaseTimeout  int64 // time after a grant, on the leader's clock, when its lease has expired on every clock
+	withholdUntil int64 // until then, no share above ShareWithoutLease is granted
 	accounts      map[Holder]*account
 
-	// Overcommits counts grants made while more processes had leases than the fleet is stated to have.
+	// Overcommits counts grants made while more processes had leases than maxProcesses.
 	Overcommits int
 }
 
-// account is what a ledger keeps of one process.
+// account is a ledger's record of one process.
 type account struct {
 	requestRate float64
-	promises    []promise // in the order of their grants
+	promises    []promise // in the order in which they were granted
 }
 
 // promise is a share that a process may be acting on.
 type promise struct {
-	seq       uint64 // of the request it was granted for
+	seq       uint64 // Seq of the request for which it was granted
 	share     float64
 	expiresAt int64
 }
 
-// ShareWithoutLease is the share of a process without a lease in a fleet of so many: half of an even share. So the
-// half of the whole is kept for those without a lease, wherever they are, and the other half is divided by traffic.
+// ShareWithoutLease is the share of a process without a lease in a fleet of at most maxProcesses: half of an equal
+// share. Half of the whole is thus enough for all processes if none has a lease, and the other half is divided by
+// traffic.
 func ShareWithoutLease(maxProcesses int) float64 { return 0.5 / float64(max(1, maxProcesses)) }
 
 // New returns the ledger of a process that has just become the leader of a fleet of at most maxProcesses.
-// leaseTimeout is how long after a grant its lease is over on every clock. Until then no share is raised: what an
-// earlier leader granted is not known here, and may still be acted on.
+// leaseTimeout is the time after a grant when its lease has expired on every clock. No share is raised until
+// leaseTimeout after now, because grants of an earlier leader are unknown to the new ledger and may still be in use.
 func New(now int64, maxProcesses int, leaseTimeout int64) *Ledger {
 	return &Ledger{
 		maxProcesses:  maxProcesses,
@@ -82,41 +86,43 @@
 	}
 }
 
-// Grant returns the share that goes with a lease granted now, and records it as promised. A process beyond maxAccounts
-// gets ShareWithoutLease and is not recorded.
+// Grant returns the share to grant with a lease now, and records it as a promise. If the ledger is full, a further
+// process gets ShareWithoutLease and is not recorded.
 func (l *Ledger) Grant(now int64, holder Holder, request ShareRequest) float64 {
-	others := l.commitmentsBeside(now, holder)
+	others := l.commitmentsOfOthers(now, holder)
 	own := l.account(holder)
 	if own == nil {
 		return ShareWithoutLease(l.maxProcesses)
 	}
-	own.requestRate = believedRate(request.RequestRate)
+	own.requestRate = plausibleRate(request.RequestRate)
 	own.dropObsolete(now, request.GrantSeq)
 	if others.processes+1 > l.maxProcesses {
 		l.Overcommits++
 	}
-	share := l.shareBeside(now, others, own.requestRate)
+	share := l.shareFor(now, others, own.requestRate)
 	own.record(promise{request.Seq, share, now + l.leaseTimeout})
 	return share
 }
 
-// believedRate is what a stated rate counts as. One that cannot be counts as the least, so that lying does not pay.
-func believedRate(stated float64) float64 {
-	if !(stated >= 0) || stated > maxRequestRate { // The first is true for NaN too.
+// plausibleRate returns the rate to use for a reported rate. An invalid or implausible one counts as minRequestRate, so
+// that reporting wrong rates brings no advantage.
+func plausibleRate(stated float64) float64 {
+	if !(stated >= 0) || stated > maxRequestRate { // The first condition is also true for NaN.
 		stated = 0
 	}
 	return max(minRequestRate, stated)
 }
 
-// commitments sum up what processes with leases may be acting on.
+// commitments are the totals over processes that may be acting on granted shares.
 type commitments struct {
 	processes   int
 	share       float64
 	requestRate float64
 }
 
-// commitmentsBeside sums up all processes but one, and forgets those whose last lease is over.
-func (l *Ledger) commitmentsBeside(now int64, holder Holder) (sum commitments) {
+// commitmentsOfOthers returns the totals over all processes except holder. It deletes the accounts of those whose last
+// lease has expired.
+func (l *Ledger) commitmentsOfOthers(now int64, holder Holder) (sum commitments) {
 	for other, account := range l.accounts {
 		if other == holder {
 			continue
@@ -133,7 +139,7 @@
 	return sum
 }
 
-// account returns a process's account, a new one if need be, or nil if there are too many.
+// account returns the account of holder, creating it if necessary, or nil if the ledger is full.
 func (l *Ledger) account(holder Holder) *account {
 	if known := l.accounts[holder]; known != nil {
 		return known
@@ -146,42 +152,43 @@
 	return created
 }
 
-// shareBeside is the share of a process with this rate beside what is promised to others. Each process with a lease has
-// ShareWithoutLease; so much is reserved for each without one; the rest goes by traffic, as far as it is not promised.
-func (l *Ledger) shareBeside(now int64, others commitments, requestRate float64) float64 {
-	alone := ShareWithoutLease(l.maxProcesses)
+// shareFor returns the share of a process with the given request rate, given the commitments to others. Each process
+// with a lease gets ShareWithoutLease, and as much is reserved for each process without one. The rest is divided in
+// proportion to traffic, as far as it is not promised to others.
+func (l *Ledger) shareFor(now int64, others commitments, requestRate float64) float64 {
+	shareWithoutLease := ShareWithoutLease(l.maxProcesses)
 	if now < l.withholdUntil {
-		// An earlier leader's promises are not known here. A share that the process says it holds does not help: what
-		// it holds may since have been promised to others as well.
-		return alone
+		// The promises of an earlier leader are unknown. The share that the process reports to hold cannot be confirmed
+		// either: it may since have been promised to others as well.
+		return shareWithoutLease
 	}
 	leased := others.processes + 1
-	reserved := alone * float64(max(0, l.maxProcesses-leased))
-	byTraffic := max(0, 1-reserved-alone*float64(leased)) * requestRate / (others.requestRate + requestRate)
-	free := max(alone, 1-reserved-others.share)
-	return floorShare(min(alone+byTraffic, free), alone)
+	reserved := shareWithoutLease * float64(max(0, l.maxProcesses-leased))
+	byTraffic := max(0, 1-reserved-shareWithoutLease*float64(leased)) * requestRate / (others.requestRate + requestRate)
+	available := max(shareWithoutLease, 1-reserved-others.share)
+	return floorShare(min(shareWithoutLease+byTraffic, available), shareWithoutLease)
 }
 
-// floorShare rounds a share down, but not below the least, so that the sum of many does not exceed the whole by
-// rounding.
-func floorShare(share, least float64) float64 {
-	return max(least, math.Floor(share*sharePrecision)/sharePrecision)
+// floorShare rounds a share down, but not below minimum, so that rounding never makes the sum of shares exceed the
+// whole.
+func floorShare(share, minimum float64) float64 {
+	return max(minimum, math.Floor(share*sharePrecision)/sharePrecision)
 }
 
-// dropObsolete forgets promises that expired, and those granted for requests before the one whose share the process
-// acts on: it takes no share of an earlier request any more (see HeldShare.Accept).
-func (a *account) dropObsolete(now int64, actsOn uint64) {
+// dropObsolete deletes promises that have expired, and those granted for requests before grantSeq, the request whose
+// share the process acts on: it accepts no share for an earlier request any more (see HeldShare.Accept).
+func (a *account) dropObsolete(now int64, grantSeq uint64) {
 	kept := a.promises[:0]
 	for _, p := range a.promises {
-		if now < p.expiresAt && p.seq >= actsOn {
+		if now < p.expiresAt && p.seq >= grantSeq {
 			kept = append(kept, p)
 		}
 	}
 	a.promises = kept
 }
 
-// record adds a promise. If there are too many, it is merged with the last one so that no share is forgotten: a process
-// that hears no answers may still get any of them.
+// record adds a promise. If there are already maxPromises, the new promise is merged with the last one, so that no
+// share is lost from the record: a process that has received no responses so far may still receive any of them.
 func (a *account) record(granted promise) {
 	if len(a.promises) < maxPromises {
 		a.promises = append(a.promises, granted)
@@ -192,7 +199,8 @@
 	*last = granted
 }
 
-// outstanding is the largest share that the process can be acting on under a lease; 0: it can have none.
+// outstanding returns the largest share that the process can be acting on under a lease, or 0 if it cannot have a
+// lease.
 func (a *account) outstanding(now int64) (share float64) {
 	for _, p := range a.promises {
 		if now < p.expiresAt {
--- a/budgets/ledger_test.go
+++ b/budgets/ledger_test.go
@@ -13,16 +13,16 @@
 const (
 	millisecond = int64(time.Millisecond)
 
-	// A lease lasts for so long on its holder's clock; after the second it is over on any clock.
+	// leaseDuration is how long a lease lasts on its holder's clock. After leaseTimeout it has expired on every clock.
 	leaseDuration = 1800 * millisecond
 	leaseTimeout  = 1837 * millisecond
 )
 
-// process is one of a simulated fleet.
+// process is one process of the simulated fleet.
 type process struct {
 	incarnation uint64
 	seq         uint64
-	sentAt      map[uint64]int64 // requests, by Seq
+	sentAt      map[uint64]int64 // send times of requests, by Seq
 	held        HeldShare
 	leasedUntil int64
 	requestRate float64
@@ -33,7 +33,8 @@
 	return &process{incarnation: incarnation, sentAt: map[uint64]int64{}, requestRate: requestRate}
 }
 
-// share is what the process acts on; leases count for so long after their end.
+// share returns the share that the process acts on. leaseOverrun is how long it keeps its share after its lease
+// expired.
 func (p *process) share(now, leaseOverrun int64, maxProcesses int) float64 {
 	if now < p.leasedUntil+leaseOverrun && p.held.Share > 0 {
 		return p.held.Share
@@ -48,11 +49,12 @@
 	incarnation uint64
 	isRequest   bool
 	request     ShareRequest
-	share       float64 // of a grant
-	seq         uint64  // of the request it answers
+	share       float64 // granted share
+	seq         uint64  // Seq of the request to which the grant responds
 }
 
-// fleet is a leader's ledger and the processes, under one clock, with a network that loses, delays and repeats.
+// fleet simulates a leader's ledger and its processes under one clock, with a network that loses, delays and repeats
+// messages.
 type fleet struct {
 	random    *rand.Rand
 	now       int64
@@ -62,9 +64,10 @@
 	lossRate  float64
 }
 
-// A process that held its share a little longer than its lease, or a leader that granted again what an earlier one had
-// granted, put the fleet over the whole: cold endpoints were overloaded. The sum of what all act on is never over the
-// whole, and in the mean not far below. That the check sees a fault is tested with leases that overrun.
+// Guards against overloading cold endpoints because the shares in use add up to more than the whole: a process keeps
+// its share slightly longer than its lease, or a leader grants again what an earlier leader has granted. The sum must
+// never exceed the whole, and on average must not be far below it. Runs with leases that overrun verify that the check
+// detects a fault.
 func TestSumOfSharesNeverExceedsWhole(t *testing.T) {
 	steps := 30000
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
@@ -73,23 +76,23 @@
 	for seed := range uint64(6) {
 		largest, mean := runFleet(seed, steps, 0)
 		if largest > 1+1e-9 {
-			t.Errorf("seed %d: %v of the whole", seed, largest)
+			t.Errorf("seed %d: shares add up to %v of the whole", seed, largest)
 		}
 		if mean < 0.7 {
-			t.Errorf("seed %d: in the mean only %v of the whole is used", seed, mean)
+			t.Errorf("seed %d: on average only %v of the whole is used", seed, mean)
 		}
 	}
-	isSeen := false
+	isDetected := false
 	for seed := range uint64(6) {
 		largest, _ := runFleet(seed, steps, leaseDuration)
-		isSeen = isSeen || largest > 1+1e-9
+		isDetected = isDetected || largest > 1+1e-9
 	}
-	if !isSeen {
-		t.Error("shares that outlive their leases are not seen")
+	if !isDetected {
+		t.Error("shares that outlive their leases are not detected")
 	}
 }
 
-// runFleet returns the largest sum of what all act on, and its mean while all are up.
+// runFleet returns the largest sum of the shares that processes act on, and the mean sum while all processes are up.
 func runFleet(seed uint64, steps int, leaseOverrun int64) (largest, mean float64) {
 	const maxProcesses = 9
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 4)), now: 1e12, lossRate: 0.1}
@@ -97,7 +100,7 @@
 	for range maxProcesses {
 		f.processes = append(f.processes, newProcess(1, float64(1+f.random.IntN(300))))
 	}
-	last, counted := f.now, 0.0
+	lastAt, allUpNanos := f.now, 0.0
 	for range steps {
 		f.now += f.random.Int64N(60 * millisecond)
 		f.injectFault(maxProcesses)
@@ -112,21 +115,21 @@
 		}
 		largest = max(largest, sum)
 		if up == maxProcesses {
-			mean += sum * float64(f.now-last)
-			counted += float64(f.now - last)
+			mean += sum * float64(f.now-lastAt)
+			allUpNanos += float64(f.now - lastAt)
 		}
-		last = f.now
+		lastAt = f.now
 	}
-	return largest, mean / max(1, counted)
+	return largest, mean / max(1, allUpNanos)
 }
 
 func (f *fleet) injectFault(maxProcesses int) {
 	switch n := f.random.IntN(len(f.processes)); f.random.IntN(400) {
-	case 0: // A crash, or a new incarnation after one.
+	case 0: // A crash, or a restart as a new incarnation.
 		if f.processes[n].isDown = !f.processes[n].isDown; !f.processes[n].isDown {
 			f.processes[n] = newProcess(f.processes[n].incarnation+1, f.processes[n].requestRate)
 		}
-	case 1: // Another leader.
+	case 1: // The leader changes.
 		f.ledger = New(f.now, maxProcesses, leaseTimeout)
 	case 2:
 		f.lossRate = f.random.Float64() * 0.7
@@ -149,29 +152,29 @@
 	}
 }
 
-// send puts a message on its way, by chance several times or not at all.
-func (f *fleet) send(to []delivery, d delivery) []delivery {
-	for again := true; again; again = f.random.IntN(8) == 0 {
+// send adds a message to queue, at random several times or not at all.
+func (f *fleet) send(queue []delivery, d delivery) []delivery {
+	for repeat := true; repeat; repeat = f.random.IntN(8) == 0 {
 		if f.random.Float64() >= f.lossRate {
 			d.arrivesAt = f.now + 1 + f.random.Int64N(900*millisecond)
-			to = append(to, d)
+			queue = append(queue, d)
 		}
 	}
-	return to
+	return queue
 }
 
 func (f *fleet) deliver() {
-	// The slice is reused while it is read: a grant that is repeated may overwrite a message behind it, which is lost.
-	// The seeds' bounds were set with that.
-	later := f.inTransit[:0]
+	// The slice is reused while it is read: a repeated grant may overwrite a message that is still to be read, which is
+	// then lost. The bounds that the test checks for these seeds were set with this behaviour.
+	kept := f.inTransit[:0]
 	for _, d := range f.inTransit {
 		p := f.processes[d.process]
 		switch {
 		case d.arrivesAt > f.now:
-			later = append(later, d)
+			kept = append(kept, d)
 		case d.isRequest:
 			share := f.ledger.Grant(f.now, Holder{string(rune('a' + d.process)), d.incarnation}, d.request)
-			later = f.send(later, delivery{process: d.process, incarnation: d.incarnation, share: share, seq: d.request.Seq})
+			kept = f.send(kept, delivery{process: d.process, incarnation: d.incarnation, share: share, seq: d.request.Seq})
 		case !p.isDown && p.incarnation == d.incarnation:
 			p.held.Accept(d.seq, d.share)
 			if until := p.sentAt[d.seq] + leaseDuration; until > p.leasedUntil && f.now < until {
@@ -179,25 +182,26 @@
 			}
 		}
 	}
-	f.inTransit = later
+	f.inTransit = kept
 }
 
-// An even division left busy processes without capacity that idle ones did not use. Shares follow the traffic; a new
-// leader raises none until earlier leases are over; and one that reports nonsense gets the least.
+// Guards against an equal division, which leaves busy processes without capacity that idle ones do not use. Shares are
+// proportional to traffic; a new leader raises none until earlier leases have expired; and a process that reports an
+// invalid rate gets the minimum.
 func TestSharesFollowTraffic(t *testing.T) {
 	const maxProcesses = 4
 	ledger := New(0, maxProcesses, leaseTimeout)
 	rates := []float64{100, 300, math.NaN(), 100}
 	var shares [4]float64
-	var heldFrom [4]uint64
+	var grantSeqs [4]uint64
 	for round := range uint64(8) {
 		now := int64(round) * 600 * millisecond
 		for n, rate := range rates {
 			holder := Holder{string(rune('a' + n)), 1}
-			shares[n] = ledger.Grant(now, holder, ShareRequest{Seq: round + 1, GrantSeq: heldFrom[n], RequestRate: rate})
-			heldFrom[n] = round + 1
+			shares[n] = ledger.Grant(now, holder, ShareRequest{Seq: round + 1, GrantSeq: grantSeqs[n], RequestRate: rate})
+			grantSeqs[n] = round + 1
 			if now < leaseTimeout && shares[n] != ShareWithoutLease(maxProcesses) {
-				t.Fatalf("%v granted at %d ms, while earlier leases may last", shares[n], now/millisecond)
+				t.Fatalf("%v granted at %d ms, while earlier leases may still be valid", shares[n], now/millisecond)
 			}
 		}
 	}
@@ -211,15 +215,15 @@
 		t.Errorf("%v promised in all", sum)
 	}
 	if ledger.Overcommits != 0 {
-		t.Errorf("%d overcommits among as many as stated", ledger.Overcommits)
+		t.Errorf("%d overcommits with as many processes as configured", ledger.Overcommits)
 	}
 	ledger.Grant(7*600*millisecond, Holder{"e", 1}, ShareRequest{Seq: 1})
 	if ledger.Overcommits != 1 {
-		t.Errorf("%d overcommits with one more than stated", ledger.Overcommits)
+		t.Errorf("%d overcommits with one process more than configured", ledger.Overcommits)
 	}
 }
 
-// promised is the most that all holders of a ledger's leases can be acting on.
+// promised returns the largest sum of shares that all holders of leases from a ledger can be acting on.
 func promised(l *Ledger, now int64) (sum float64) {
 	for _, account := range l.accounts {
 		sum += account.outstanding(now)
@@ -227,8 +231,8 @@
 	return sum
 }
 
-// A ledger that knows as many processes as it may keep gives any other the share of one alone, and keeps nothing of it.
-func TestFullLedgerRecordsNobodyElse(t *testing.T) {
+// A full ledger grants any further process ShareWithoutLease and does not record it.
+func TestFullLedgerRecordsNoFurtherHolder(t *testing.T) {
 	ledger, now := New(0, 4, leaseTimeout), int64(1e12)
 	for n := range 8192 {
 		ledger.accounts[Holder{fmt.Sprint("p", n), 1}] = &account{requestRate: 1, promises: []promise{{1, 1e-6, now + 1}}}
@@ -239,8 +243,8 @@
 	}
 }
 
-// A process that stated an endless rate, or none that is a number, took the whole of what is divided by traffic.
-func TestUnbelievableRatesCountAsTheLeast(t *testing.T) {
+// Guards against a process that reports an infinite rate or NaN taking everything that is divided by traffic.
+func TestImplausibleRatesCountAsMinimum(t *testing.T) {
 	for _, c := range []struct{ stated, want float64 }{
 		{0, 1},
 		{0.3, 1},
@@ -251,7 +255,7 @@
 		{math.NaN(), 1},
 		{-5, 1},
 	} {
-		if got := believedRate(c.stated); got != c.want {
+		if got := plausibleRate(c.stated); got != c.want {
 			t.Errorf("%v counts as %v, want %v", c.stated, got, c.want)
 		}
 	}
