--- a/budgets/golden_test.go
+++ b/budgets/golden_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files in testdata from what the code does now")
+var update = flag.Bool("update", false, "overwrite the golden files in testdata with the current output")
 
-// compareGolden holds lines against a file in testdata.
+// compareGolden compares lines with a golden file in testdata.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path, got := "testdata/"+name, strings.Join(lines, "\n")+"\n"
@@ -33,9 +33,9 @@
 	}
 }
 
-// Two builds that grant other shares for the same requests can be over the whole together while the lead passes from
-// one to the other. At most three processes are known to a ledger at a time here: more are summed in the order of a
-// map, whose rounding differs from run to run.
+// Two builds that grant different shares for the same requests can together exceed the whole while leadership passes
+// from one to the other. The ledger knows at most three processes at a time here: more would be summed in map iteration
+// order, so that rounding errors differ between runs.
 func TestGoldenGrants(t *testing.T) {
 	var lines []string
 	for maxProcesses := range 8 {
@@ -43,23 +43,23 @@
 		now := int64(1e12)
 		ledger := New(now, maxProcesses, leaseTimeout)
 		incarnations, seqs, held := [3]uint64{1, 1, 1}, [3]uint64{}, [3]HeldShare{}
-		crashed := now
-		over, deaf := 0, false
-		processes := 2 + maxProcesses%2 // With three nobody crashes: a new incarnation is one process more.
+		crashedAt := now
+		overcommits, loseGrants := 0, false
+		processes := 2 + maxProcesses%2 // With three, none crashes: a new incarnation counts as a further process.
 		for range 20_000 {
 			now += random.Int64N(60 * millisecond)
 			switch n := random.IntN(processes); random.IntN(300) {
 			case 0:
-				if processes == 2 && now > crashed+leaseTimeout {
-					crashed, incarnations[n], seqs[n], held[n] = now, incarnations[n]+1, 0, HeldShare{}
+				if processes == 2 && now > crashedAt+leaseTimeout {
+					crashedAt, incarnations[n], seqs[n], held[n] = now, incarnations[n]+1, 0, HeldShare{}
 				}
 			case 1:
-				over += ledger.Overcommits
-				ledger = New(now, maxProcesses, leaseTimeout) // Another leads.
+				overcommits += ledger.Overcommits
+				ledger = New(now, maxProcesses, leaseTimeout) // The leader changes.
 			case 2:
 				now += 2 * leaseTimeout
 			case 3, 4:
-				deaf = !deaf // No answer arrives: promises pile up.
+				loseGrants = !loseGrants // While true, all grants are lost and promises accumulate.
 			}
 			n := random.IntN(processes)
 			seqs[n]++
@@ -68,16 +68,16 @@
 			case 0:
 				request.RequestRate = []float64{math.NaN(), math.Inf(1), -5, 1e300, 0.3}[random.IntN(5)]
 			case 1:
-				request.GrantSeq = random.Uint64() // It lies about what it holds.
+				request.GrantSeq = random.Uint64() // A false report of the share it holds.
 			}
 			share := ledger.Grant(now, Holder{fmt.Sprint("p", n), incarnations[n]}, request)
-			if !deaf && random.IntN(3) != 0 { // Else the answer is lost.
+			if !loseGrants && random.IntN(3) != 0 { // Otherwise the grant is lost.
 				held[n].Accept(request.Seq-uint64(random.IntN(2)), share)
 			}
 			fmt.Fprintln(sum, n, share, held[n].Share, held[n].GrantSeq, ledger.Overcommits, promised(ledger, now) > 0)
 		}
 		lines = append(lines, fmt.Sprint("most ", maxProcesses, " alone ", ShareWithoutLease(maxProcesses),
-			" over ", over+ledger.Overcommits, " ", hex.EncodeToString(sum.Sum(nil))))
+			" over ", overcommits+ledger.Overcommits, " ", hex.EncodeToString(sum.Sum(nil))))
 	}
 	compareGolden(t, "grants.golden", lines)
 }
