--- a/budgets/held_test.go
+++ b/budgets/held_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A late answer to an earlier request replaced a share that the ledger had since lowered. A share is taken only from an
-// answer to a later request, and only if it can be one.
+// Guards against a late response to an earlier request replacing a share that the ledger has since lowered. A share is
+// accepted only from a response to a later request, and only if its value is valid.
 func TestHeldShareIgnoresLateGrants(t *testing.T) {
 	var held HeldShare
 	for _, c := range []struct {
