--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -9,9 +9,9 @@
 
 const windowSeconds = float64(decay.TimeConstant) / 1e9
 
-// rejectedRatios has tenants send requests to the whole fleet for a minute, at these rates a second, while attempts end
-// late. It returns the part of each tenant's requests at one balancer, which gets trafficShare of the fleet's traffic,
-// that was rejected in the last half.
+// rejectedRatios simulates tenants that send requests to the whole fleet for a minute at the given rates per second,
+// while attempts end late. It returns, for a balancer that receives trafficShare of the fleet's traffic, the fraction
+// of each tenant's requests that was rejected during the second half minute.
 func rejectedRatios(seed uint64, rates, quotas []float64, trafficShare, evenShare float64) []float64 {
 	random := rand.New(rand.NewPCG(seed, 1))
 	l := New(quotas)
@@ -37,65 +37,66 @@
 	return rejected
 }
 
-// A balancer of a large fleet gets some ten requests a second of six tenants. By chance one of them is quiet for a
-// moment, and all others seem to be beyond their shares: as all are inside them, few of their requests may be rejected.
+// Guards against rejecting requests of tenants within their shares because another tenant happens to send none for a
+// moment. A balancer of a large fleet receives about ten requests per second from six tenants, all within their shares:
+// few of their requests may be rejected.
 func TestThinTrafficInsideSharesIsAdmitted(t *testing.T) {
-	quotas := []float64{690, 600, 570, 540, 420, 180} // of a fleet of 3,000 a second
+	quotas := []float64{690, 600, 570, 540, 420, 180} // fleet of 3,000 requests per second
 	rates := []float64{552, 540, 570, 486, 400, 126}
 	for seed := range uint64(5) {
 		for tenant, ratio := range rejectedRatios(seed, rates, quotas, 1.0/279, 0.5/279) {
 			if ratio > 0.2 {
-				t.Errorf("seed %d: %.2f of tenant %d's requests rejected, all tenants being inside their shares", seed, ratio, tenant)
+				t.Errorf("seed %d: %.2f of tenant %d's requests rejected, although all tenants are within their shares", seed, ratio, tenant)
 			}
 		}
 	}
 }
 
-// One tenant asks four times its share while the fleet is overloaded, and every tenant's requests end late. Its own are
-// the ones to be rejected, at a balancer that gets all traffic and at one of many.
+// One tenant sends four times its share while the fleet is overloaded and requests of all tenants end late. Mainly that
+// tenant's requests must be rejected, both at a balancer that receives all traffic and at one of many.
 func TestTenantBeyondItsShareIsRejected(t *testing.T) {
 	quotas := []float64{600, 600, 600, 600}
 	rates := []float64{2400, 600, 500, 550}
 	for seed := range uint64(5) {
-		for _, fleet := range []float64{1, 30, 279} {
-			rejected := rejectedRatios(seed, rates, quotas, 1/fleet, 0.5/fleet)
+		for _, balancers := range []float64{1, 30, 279} {
+			rejected := rejectedRatios(seed, rates, quotas, 1/balancers, 0.5/balancers)
 			if rejected[0] < 0.4 || rejected[1] > 0.2 || rejected[2] > 0.2 || rejected[3] > 0.2 {
-				t.Errorf("seed %d, one of %g balancers: rejected %.2f", seed, fleet, rejected)
+				t.Errorf("seed %d, one of %g balancers: rejected %.2f", seed, balancers, rejected)
 			}
 		}
 	}
 }
 
-// A tenant is beyond its share, and the fleet has room for it. Rejecting it would lose requests for nothing: quotas
-// bind only while attempts end late.
+// Guards against rejecting requests of a tenant beyond its share while the fleet has spare capacity: quotas are
+// enforced only while attempts end late.
 func TestNothingIsRejectedWhileAttemptsEndInTime(t *testing.T) {
 	l := New([]float64{1})
 	for n := range 1000 {
 		l.RecordOutcomes(100, 3)
 		if l.ShouldReject(0, Traffic{Now: int64(n) * 1e6, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
-			t.Fatal("rejected though attempts end in time")
+			t.Fatal("rejected although attempts end in time")
 		}
 	}
 	for range 1000 {
 		l.RecordOutcomes(100, 50)
 	}
 	if !l.ShouldReject(0, Traffic{Now: 1e9, WindowSeconds: windowSeconds, TrafficShare: 0.1}, func() float64 { return 0.99 }) {
-		t.Fatal("not rejected though attempts end late")
+		t.Fatal("not rejected although attempts end late")
 	}
 }
 
-// Half of a tenant's traffic comes to one balancer while the other tenant is idle. The estimate from quotas would put
-// all of it beyond the tenant's share; load reports know better, and go first.
+// One balancer receives half of all traffic while the second tenant is idle. By the estimate from quotas, the first
+// tenant would exceed its share; load reports are more accurate and take precedence.
 func TestLoadReportsOverrideTheEstimate(t *testing.T) {
 	l := New([]float64{300, 300})
 	l.Restore(0, nil)
 	for n := range 1000 { // The other tenant sends nothing.
 		traffic := Traffic{Now: int64(n) * 1e7, WindowSeconds: windowSeconds, TrafficShare: 0.5, EvenShare: 0.01}
 		if l.ShouldReject(0, traffic, func() float64 { return 0.9 }) {
-			t.Fatal("rejected though reports tell that half of all traffic comes here")
+			t.Fatal("rejected although load reports say that this balancer receives half of all traffic")
 		}
 	}
 	if l.ShouldReject(-1, Traffic{}, nil) {
-		t.Fatal("a request of no tenant rejected")
+		t.Fatal("a request without a tenant was rejected")
 	}
 }
