--- a/quota/golden_test.go
+++ b/quota/golden_test.go
@@ -13,12 +13,12 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden values in testdata anew")
+var update = flag.Bool("update", false, "overwrite the golden files in testdata with the current output")
 
-// A draw more or less, or a share that is off by a bit, changes each decision that comes after it. Over tenants with
-// and without quotas that change, times in which attempts end in time and late, with load reports and without, and a
-// limiter that takes over from another, each decision, the draws it takes and what is handed on stay as those of
-// version 860147b.
+// One random draw more or less, or a share that differs in one bit, changes all later decisions. Decisions, the number
+// of draws and the state passed to a successor must equal those of version 860147b. Covers tenants with and without
+// quotas, changes of quotas, attempts that end in time and late, load reports present and absent, and a handover
+// between limiters.
 func TestGoldenTrace(t *testing.T) {
 	trace, rejected := sha256.New(), 0
 	for seed := range uint64(20) {
@@ -58,12 +58,12 @@
 				l.SetQuota(4, 500)
 			}
 		}
-		for _, asked := range l.RequestCounts() {
-			fmt.Fprintln(trace, math.Float64bits(asked.Value), asked.UpdatedAt)
+		for _, requestCount := range l.RequestCounts() {
+			fmt.Fprintln(trace, math.Float64bits(requestCount.Value), requestCount.UpdatedAt)
 		}
 	}
 	if rejected < 2000 {
-		t.Errorf("%d rejected: the run reaches too little", rejected)
+		t.Errorf("%d requests rejected: too few for the trace to cover rejection", rejected)
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
 	if *update {
