--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,13 +1,14 @@
-// Package subset says which endpoints a balancer keeps idle connections to, out of all it may use. It takes nothing
-// from the ordinary path: the candidates of a key are the same for all balancers, and an endpoint outside the subset is
-// sent to whenever a key asks for it. Only what costs while nothing is sent is divided.
+// Package subset computes connection subsets: to which of the endpoints that a balancer may use it keeps idle
+// connections. Routing is not affected: the candidates of a key are the same for all balancers, and a balancer sends
+// requests to an endpoint outside its subset whenever a key requires it. Only the cost of idle connections is divided.
 //
-// Each endpoint chooses its balancers, not each balancer its endpoints: it takes the first ones in its own order, by
-// rendezvous hashing (see package rendezvous). So all endpoints of one weight have exactly as many; a balancer that
-// comes or goes moves only what it gains or leaves behind, which is the least that can move; and an endpoint that
-// comes or goes moves nothing of the others'.
+// Balancers are assigned to each endpoint, not endpoints to each balancer: an endpoint gets the highest-ranked balancers
+// by rendezvous hashing (see package rendezvous). All endpoints of equal weight therefore have the same number of
+// balancers. While that number does not change, a balancer that joins or leaves moves only its own connections, which is
+// the minimum, and an endpoint that joins or leaves moves no connections of other endpoints.
 //
-// The package is pure: names in, names out. Whoever holds the same lists gets the same result without a message.
+// The package is pure: the result depends only on the names, zones and weights passed in. Processes with the same lists
+// compute the same result without communication.
 package subset
 
 import (
@@ -19,31 +20,31 @@
 	"hollylever/rendezvous"
 )
 
-// Balancer is one that uses endpoints.
+// Balancer identifies a balancer.
 type Balancer struct {
 	Name, Zone string
 }
 
-// Endpoint is one that balancers use. Weight is its size relative to others; one that is not positive and finite
-// counts as 1.
+// Endpoint is an endpoint that balancers use. Weight is its size relative to others; a weight that is not positive and
+// finite counts as 1.
 type Endpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// Config says how large subsets are. More of either costs idle connections.
+// Config sets the size of subsets. Higher minimums cost more idle connections.
 type Config struct {
-	MinEndpoints int  // endpoints that a balancer has in the mean, at least
-	MinBalancers int  // balancers that an endpoint has, at least: when some of them go, others still have a connection
-	ZoneLocal    bool // prefer balancers of the endpoint's zone, where it has enough of them
+	MinEndpoints int  // minimum of the mean number of endpoints per balancer
+	MinBalancers int  // minimum number of balancers per endpoint: if some leave, others are still connected
+	ZoneLocal    bool // prefer balancers of the endpoint's zone if there are enough of them
 }
 
-// DefaultConfig is for fleets of all sizes: enough endpoints that a first request seldom waits for a connection, and
-// three balancers an endpoint, so that two may go at once.
+// DefaultConfig suits fleets of all sizes: enough endpoints per balancer that a first request rarely waits for a
+// connection, and three balancers per endpoint, so that two of them may leave at once.
 var DefaultConfig = Config{MinEndpoints: 20, MinBalancers: 3}
 
-// BalancersPerEndpoint is how many balancers an endpoint of mean weight has, in a fleet of so many balancers and
-// endpoints.
+// BalancersPerEndpoint returns the number of balancers of an endpoint of mean weight, in a fleet with the given numbers
+// of balancers and endpoints.
 func (c Config) BalancersPerEndpoint(balancers, endpoints int) int {
 	if balancers == 0 || endpoints == 0 {
 		return 0
@@ -52,19 +53,18 @@
 	return min(balancers, max(c.MinBalancers, needed))
 }
 
-// Assignment says which balancers have which endpoints. It does not change once it is made; any number of goroutines
-// may use it.
+// Assignment maps endpoints to balancers and balancers to endpoints. It is immutable and safe for concurrent use.
 type Assignment struct {
 	config      Config
 	balancers   []Balancer       // sorted by name
-	hashes      []uint64         // of their names
-	all         []int            // indices of balancers: all,
-	byZone      map[string][]int // and those of each zone
-	perEndpoint int              // balancers of an endpoint of mean weight
-	meanWeight  float64          // of endpoints
+	hashes      []uint64         // hashes of the balancers' names
+	all         []int            // indices of all balancers
+	byZone      map[string][]int // indices of each zone's balancers
+	perEndpoint int              // number of balancers of an endpoint of mean weight
+	meanWeight  float64          // mean weight of endpoints
 }
 
-// New assigns these endpoints to these balancers. The order of the lists does not matter.
+// New assigns the given endpoints to the given balancers. The order of the lists does not matter.
 func New(balancers []Balancer, endpoints []Endpoint, config Config) *Assignment {
 	a := &Assignment{
 		config:      config,
@@ -91,8 +91,8 @@
 	return 1
 }
 
-// BalancersOf returns the names of an endpoint's balancers in its own order: as many as its weight over the mean asks
-// for, and one at least.
+// BalancersOf returns the names of an endpoint's balancers, the highest-ranked first. Their number is proportional to
+// the endpoint's weight relative to the mean, and at least one.
 func (a *Assignment) BalancersOf(endpoint Endpoint) []string {
 	if len(a.balancers) == 0 {
 		return nil
@@ -109,12 +109,12 @@
 	return names
 }
 
-// candidates are the balancers of the endpoint's zone, if these are preferred and as many as it needs to be safe; else
-// all. They are indices of balancers.
+// candidates returns the indices of the balancers of the endpoint's zone, if these are preferred and there are at least
+// MinBalancers of them (or wanted, if that is less); otherwise the indices of all balancers.
 func (a *Assignment) candidates(endpoint Endpoint, wanted int) []int {
-	near := a.byZone[endpoint.Zone]
-	if a.config.ZoneLocal && len(near) >= min(wanted, a.config.MinBalancers) {
-		return near
+	sameZone := a.byZone[endpoint.Zone]
+	if a.config.ZoneLocal && len(sameZone) >= min(wanted, a.config.MinBalancers) {
+		return sameZone
 	}
 	return a.all
 }
@@ -125,7 +125,8 @@
 	index int
 }
 
-// rank returns balancers in the order of an endpoint, the highest score first; equal scores go by name.
+// rank returns the balancers with the given indices ranked for an endpoint, the highest score first; balancers with
+// equal scores are ordered by name.
 func (a *Assignment) rank(endpoint Endpoint, balancers []int) []rankedBalancer {
 	hash := hashName(endpoint.Name)
 	ranked := make([]rankedBalancer, len(balancers))
@@ -138,7 +139,7 @@
 	return ranked
 }
 
-// EndpointsOf returns the names of a balancer's endpoints, out of and in the order of those given.
+// EndpointsOf returns the names of those of the given endpoints that are assigned to a balancer, in the given order.
 func (a *Assignment) EndpointsOf(balancer string, endpoints []Endpoint) (names []string) {
 	for _, e := range endpoints {
 		if slices.Contains(a.BalancersOf(e), balancer) {
