--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// newFleet returns so many balancers and endpoints of weight 1, spread over zones.
+// newFleet returns the given numbers of balancers and endpoints of weight 1, spread evenly over zones.
 func newFleet(balancerCount, endpointCount, zones int) (balancers []Balancer, endpoints []Endpoint) {
 	for n := range balancerCount {
 		balancers = append(balancers, Balancer{fmt.Sprint("b-", n), fmt.Sprint("z", n%zones)})
@@ -21,7 +21,7 @@
 	return balancers, endpoints
 }
 
-// connection is a balancer's use of an endpoint.
+// connection is a connection that a balancer keeps to an endpoint.
 type connection struct{ balancer, endpoint string }
 
 type connectionSet map[connection]bool
@@ -46,8 +46,8 @@
 	return byEndpoint, byBalancer
 }
 
-// minus counts the connections that other does not have.
-func (s connectionSet) minus(other connectionSet) (count int) {
+// countMissingIn returns the number of connections in s that are not in other.
+func (s connectionSet) countMissingIn(other connectionSet) (count int) {
 	for c := range s {
 		if !other[c] {
 			count++
@@ -56,8 +56,9 @@
 	return count
 }
 
-// Where balancers choose their endpoints at random, some endpoints are checked by six times as many as others and some
-// by nobody. Here no endpoint is in use by more than 1.10 of the mean, at all sizes, and none by nobody.
+// If balancers chose their endpoints at random, some endpoints would be checked by six times as many balancers as
+// others and some by none. At all sizes, each endpoint must have at least one balancer and at most 1.10 times the mean
+// number.
 func TestConnectionsAreSpreadEvenly(t *testing.T) {
 	for _, size := range []struct{ balancers, endpoints int }{
 		{3, 3}, {3, 5000}, {5, 24}, {12, 24}, {12, 5000}, {100, 24}, {100, 500}, {300, 1000}, {1000, 24}, {1000, 5000},
@@ -78,16 +79,16 @@
 				fewest = min(fewest, count)
 			}
 			if mean := float64(total) / float64(size.endpoints); len(byEndpoint) != size.endpoints || float64(most) > 1.10*mean {
-				t.Errorf("%+v, zone local %t: %d endpoints in use, the most by %d, mean %.2f", size, zoneLocal, len(byEndpoint), most, mean)
+				t.Errorf("%+v, zone local %t: %d endpoints have balancers, at most %d each, mean %.2f", size, zoneLocal, len(byEndpoint), most, mean)
 			}
 			if len(byBalancer) != size.balancers || fewest < 1 {
-				t.Errorf("%+v, zone local %t: %d balancers have endpoints, the fewest %d", size, zoneLocal, len(byBalancer), fewest)
+				t.Errorf("%+v, zone local %t: %d balancers have endpoints, at least %d each", size, zoneLocal, len(byBalancer), fewest)
 			}
 		}
 	}
 }
 
-// An endpoint of twice the weight gets twice the requests, and needs twice the connections.
+// An endpoint of twice the weight receives twice as many requests and needs twice as many connections.
 func TestConnectionsFollowWeight(t *testing.T) {
 	balancers, endpoints := newFleet(200, 100, 1)
 	for n := range endpoints {
@@ -103,13 +104,13 @@
 			t.Errorf("weight %v: %v connections", endpoints[n].Weight, counts)
 		}
 	}
-	if single, double := byEndpoint["h-1"], byEndpoint["h-2"]; math.Abs(float64(double)/float64(single)-2) > 0.1 {
-		t.Errorf("%d connections, and %d with twice the weight", single, double)
+	if atWeight1, atWeight2 := byEndpoint["h-1"], byEndpoint["h-2"]; math.Abs(float64(atWeight2)/float64(atWeight1)-2) > 0.1 {
+		t.Errorf("%d connections, and %d with twice the weight", atWeight1, atWeight2)
 	}
 }
 
-// With zones of unlike size, endpoints of a small zone had fewer balancers than they need. They keep to their zone only
-// where it has enough, and all endpoints of a zone have equally many.
+// Guards against endpoints of a small zone having too few balancers when zones differ in size. Endpoints use only
+// balancers of their own zone if it has enough, and all endpoints of a zone have the same number of balancers.
 func TestZoneLocalFallsBackToAllZones(t *testing.T) {
 	var balancers []Balancer
 	var endpoints []Endpoint
@@ -143,9 +144,9 @@
 	}
 }
 
-// If one balancer more made all choose anew, each deployment would reopen all connections of the fleet. Over seeded
-// joins and leaves no more than 1.2 times the least moves, as long as the number for each endpoint stays the same. The
-// order of the lists does not matter.
+// Guards against each deployment reopening all connections of the fleet because one more balancer changes all subsets.
+// Over random joins and leaves, at most 1.2 times the minimum number of connections moves while the number of balancers
+// per endpoint stays the same. The order of the lists does not matter.
 func TestJoinsAndLeavesMoveLittle(t *testing.T) {
 	steps := 300
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
@@ -173,25 +174,26 @@
 		random.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] })
 		after := connections(balancers, endpoints, DefaultConfig)
 		if now := DefaultConfig.BalancersPerEndpoint(len(balancers), len(endpoints)); now != perEndpoint {
-			before, perEndpoint = after, now // All endpoints have one more or less: that much has to move.
+			before, perEndpoint = after, now // Connections of all endpoints must move.
 			continue
 		}
-		moved, least := max(after.minus(before), before.minus(after)), leastMoves(before, after)
-		if float64(moved) > 1.2*float64(least) {
-			t.Fatalf("step %d: %d moved, the least is %d", step, moved, least)
+		moved, minMoved := max(after.countMissingIn(before), before.countMissingIn(after)), minMoves(before, after)
+		if float64(moved) > 1.2*float64(minMoved) {
+			t.Fatalf("step %d: %d connections moved, the minimum is %d", step, moved, minMoved)
 		}
 		before = after
 	}
 }
 
-// leastMoves is what has to move: the connections of whoever came, and of whoever went.
-func leastMoves(before, after connectionSet) (least int) {
+// minMoves returns the minimum number of connections that must move: those of balancers and endpoints that joined or
+// left.
+func minMoves(before, after connectionSet) (total int) {
 	endpointsBefore, balancersBefore := before.countByName()
 	endpointsAfter, balancersAfter := after.countByName()
 	countOnlyIn := func(counts, others map[string]int) {
 		for name, count := range counts {
 			if others[name] == 0 {
-				least += count
+				total += count
 			}
 		}
 	}
@@ -199,5 +201,5 @@
 	countOnlyIn(endpointsBefore, endpointsAfter)
 	countOnlyIn(balancersAfter, balancersBefore)
 	countOnlyIn(balancersBefore, balancersAfter)
-	return least
+	return total
 }
