--- a/subset/golden_test.go
+++ b/subset/golden_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files in testdata from what the code does now")
+var update = flag.Bool("update", false, "overwrite the golden files in testdata with the current output")
 
-// Balancers of two builds that compute other subsets leave some endpoints without anybody who looks after them. Each
-// endpoint's balancers and each balancer's endpoints are part of the trace, over sizes, zones, weights and nearness.
+// If balancers of two builds compute different subsets, some endpoints are in no balancer's subset. The trace includes
+// each endpoint's balancers and each balancer's endpoints, for several fleet sizes, zones, weights and configurations.
 func TestGoldenSubsets(t *testing.T) {
 	var lines []string
 	for _, size := range [][3]int{{0, 3, 1}, {3, 0, 1}, {1, 1, 1}, {3, 3, 3}, {3, 200, 2}, {12, 24, 3}, {30, 7, 4}, {100, 60, 3}} {
@@ -29,7 +29,7 @@
 			for n := range endpoints {
 				endpoints[n].Weight = []float64{1, 0, 2, 0.25, -3, math.Inf(1), math.NaN(), 7}[n%8]
 				if n%5 == 4 {
-					endpoints[n].Zone = "nobody's"
+					endpoints[n].Zone = "zone without balancers"
 				}
 			}
 			assignment := New(balancers, endpoints, config)
@@ -39,7 +39,7 @@
 			for _, b := range balancers {
 				fmt.Fprintf(sum, "%q\n", assignment.EndpointsOf(b.Name, endpoints))
 			}
-			fmt.Fprintf(sum, "%q\n", assignment.EndpointsOf("nobody", endpoints))
+			fmt.Fprintf(sum, "%q\n", assignment.EndpointsOf("unknown balancer", endpoints))
 			perEndpoint := config.BalancersPerEndpoint(size[0], size[1])
 			lines = append(lines, fmt.Sprint(size, " ", perEndpoint, " ", hex.EncodeToString(sum.Sum(nil))))
 		}
