--- a/decay/decay_test.go
+++ b/decay/decay_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Old failures that never fade would keep a recovered server avoided. A sum is 1/e of itself after one TimeConstant,
-// and a clock that goes back neither revives nor moves it.
+// Guards against old failures that never decay, because of which a recovered server would still be avoided. A sum
+// decays to 1/e of its value after one TimeConstant, and a clock that is set back neither raises it nor changes its
+// time.
 func TestSumDecays(t *testing.T) {
 	var sum Sum
 	sum.Add(0, 8)
@@ -14,12 +15,12 @@
 		t.Errorf("%g after one time constant, not %g", got, 8/math.E)
 	}
 	if sum.Add(0, 1); sum.UpdatedAt != TimeConstant {
-		t.Error("a clock that went back moved the sum")
+		t.Error("a clock that was set back changed UpdatedAt")
 	}
 }
 
-// An average that lags would let a burst pass for load, and load for a burst: it approaches a level that holds, and
-// decays as a sum does after that level has ended.
+// Guards against an average that mistakes a burst for sustained load, or sustained load for a burst. It approaches a
+// level that stays constant, and after that level has ended it decays as a sum does.
 func TestAverageIsTimeWeighted(t *testing.T) {
 	var average Average
 	average.Update(0, 0)
