--- a/decay/golden_test.go
+++ b/decay/golden_test.go
@@ -13,10 +13,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden values in testdata anew")
+var update = flag.Bool("update", false, "overwrite the golden files in testdata with the current output")
 
-// Each decision of a balancer reads these counts: a sum that is off by a bit changes what is decided long after. Over
-// times that stand still, go on and go back, each value stays as version 860147b computed it.
+// Balancers decide by these counts, so a sum that differs in one bit changes decisions long afterwards. For times that
+// stand still, advance and go back, each value must equal the one computed by version 860147b.
 func TestGoldenTrace(t *testing.T) {
 	trace, random := sha256.New(), rand.New(rand.NewPCG(1, 1))
 	record := func(values ...float64) {
