--- a/outage/detector.go
+++ b/outage/detector.go
@@ -100,7 +100,7 @@
 // updateSuspicions judges all zones anew, as each outcome of one is evidence about the others.
 func (d *Detector) updateSuspicions() {
 	for i := range d.zones {
-		d.zones[i].isSuspected = d.isLikelyLost(i)
+		d.zones[i].isSuspected = d.isLikelyDown(i)
 	}
 }
 
@@ -108,8 +108,8 @@
 // of these has responded since it began.
 func (d *Detector) IsSuspected(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
 
-// isLikelyLost works out what IsSuspected tells, for a position in d.zones.
-func (d *Detector) isLikelyLost(position int) bool {
+// isLikelyDown works out what IsSuspected tells, for a position in d.zones.
+func (d *Detector) isLikelyDown(position int) bool {
 	z := &d.zones[position]
 	if len(z.failedServers) < minFailedServers {
 		return false
--- a/outage/golden_test.go
+++ b/outage/golden_test.go
@@ -25,8 +25,8 @@
 		for n := range 2000 {
 			now += random.Int64N(20 * ms)
 			zone, server := random.IntN(5)-1, random.IntN(120)
-			isLost := n/300%2 == 1 && zone == n/600%4 || n/500%3 == 2 && zone == 3
-			if isLost || random.Float64() < rate {
+			isDown := n/300%2 == 1 && zone == n/600%4 || n/500%3 == 2 && zone == 3
+			if isDown || random.Float64() < rate {
 				d.RecordFailure(zone, server, now)
 			} else {
 				d.RecordResponse(zone, now)
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -98,7 +98,7 @@
 	decayedFailures float64
 
 	misses    missRate
-	missAlarm highMissAlarm
+	missAlarm widespreadMissAlarm
 
 	zonesSeen zoneSet // scratch of the functions that count zones
 
@@ -197,15 +197,15 @@
 		if endpoint.isEjected() && !endpoint.isReturning() {
 			d.ejectedCount++
 		}
-		if endpoint.isForgettable(now) {
+		if endpoint.isInactive(now) {
 			delete(d.active, id)
 		}
 	}
 }
 
-// isForgettable reports whether no evidence, ejection or relapse of an endpoint can matter any more.
-func (e *endpointState) isForgettable(now int64) bool {
-	const memory = evidenceTimeout + maxReturnSpread + relapseWindow
+// isInactive reports whether no evidence, ejection or relapse of an endpoint can matter any more.
+func (e *endpointState) isInactive(now int64) bool {
+	const retention = evidenceTimeout + maxReturnSpread + relapseWindow
 	return !e.isEjected() && len(e.reports) == 0 && e.recoveryReportsDue == 0 &&
-		now-max(e.lastFailure, e.ejectionEndedAt) > memory
+		now-max(e.lastFailure, e.ejectionEndedAt) > retention
 }
--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -69,7 +69,7 @@
 func (d *Detector) hasRecovered(now int64, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	lastSuccess, _ := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
-	return lastSuccess > endpoint.ejectedAt || d.collectEvidence(now, endpoint, evidenceTimeout).witnesses == 0
+	return lastSuccess > endpoint.ejectedAt || d.collectEvidence(now, endpoint, evidenceTimeout).reporters == 0
 }
 
 // beginReturn sets when this balancer takes the endpoint into use again. Members return one after another, the more
--- a/outlier/ejection_test.go
+++ b/outlier/ejection_test.go
@@ -42,7 +42,7 @@
 		fault func(s *simulation)
 	}{
 		{"a broken cable", func(s *simulation) { s.disconnected[4] = true }},
-		{"a liar", func(s *simulation) { s.disconnected[4], s.lyingMember = true, 4 }},
+		{"a liar", func(s *simulation) { s.disconnected[4], s.misreportingMember = true, 4 }},
 		{"a zone that is cut off", func(s *simulation) {
 			for n := 0; n < 12; n += 3 {
 				s.disconnected[n] = true
@@ -113,7 +113,7 @@
 		s.alive[n] = !slices.Contains(inOrder[:3], detector)
 	}
 	s.failureRates[5] = 0
-	s.run(maxProbeDelay+4*minProbeStep+minReturnSpread+1000*millisecond, 1)
+	s.run(maxProbeDelay+4*minProbeStagger+minReturnSpread+1000*millisecond, 1)
 	if ejected := s.ejectedBy(5); ejected != 0 {
 		t.Errorf("still ejected by %d after it was well", ejected)
 	}
@@ -175,10 +175,10 @@
 			if step%50 == 0 {
 				s.injectFault()
 			}
-			var before [64][16]int64
+			var ejectedBefore [64][16]int64
 			for n, detector := range s.detectors {
 				for at, id := range s.endpoints {
-					before[n][at] = detector.endpoints[id].ejectedAt
+					ejectedBefore[n][at] = detector.endpoints[id].ejectedAt
 				}
 			}
 			s.tick(0.5)
@@ -188,9 +188,9 @@
 				}
 				for at, id := range s.endpoints {
 					endpoint := detector.endpoints[id]
-					if endpoint.ejectedAt == s.now && before[n][at] != s.now && s.alive[n] && endpoint.lastSuccess < s.now {
+					if endpoint.ejectedAt == s.now && ejectedBefore[n][at] != s.now && s.alive[n] && endpoint.lastSuccess < s.now {
 						e := detector.collectEvidence(s.now, endpoint, ejectionWindow+20*millisecond)
-						if e.witnesses < 2 || e.zones < min(2, detector.zoneCount) {
+						if e.reporters < 2 || e.zones < min(2, detector.zoneCount) {
 							t.Fatalf("seed %d step %d: balancer %d ejects endpoint %d on %+v", seed, step, n, at, e)
 						}
 					}
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -11,20 +11,20 @@
 	evidenceTimeout = 15000 * millisecond
 	// probeEvidenceWindow is how far back failures count for who probes next, also after they expired as evidence.
 	probeEvidenceWindow = 2 * evidenceTimeout
-	// minWitnesses is how many balancers must agree: one alone may have a broken network of its own.
-	minWitnesses = 2
-	// minWitnessZones is from how many zones they must be, where there are more: one zone may be cut off.
-	minWitnessZones = 2
-	// maxFailuresPerWitness bounds what one balancer's consecutive failures weigh, so that one that lies cannot make up
+	// minReporters is how many balancers must agree: one alone may have a broken network of its own.
+	minReporters = 2
+	// minReporterZones is from how many zones they must be, where there are more: one zone may be cut off.
+	minReporterZones = 2
+	// maxFailuresPerReporter bounds what one balancer's consecutive failures weigh, so that one that lies cannot make up
 	// for others.
-	maxFailuresPerWitness = 4
-	// chanceMargin is how many times as many endpoints would have to be watched until chance alone ejects one.
-	chanceMargin = 1000.0
+	maxFailuresPerReporter = 4
+	// falsePositiveMargin is how many times as many endpoints would have to be watched until chance alone ejects one.
+	falsePositiveMargin = 1000.0
 )
 
 // evidence sums up the failures of an endpoint that count within a window.
 type evidence struct {
-	witnesses           int   // balancers that report failures
+	reporters           int   // balancers that report failures
 	zones               int   // that these are in
 	failures            int   // consecutive ones, each witness's up to maxFailuresPerWitness
 	latestFailure       int64 // anybody's; 0: none
@@ -44,8 +44,8 @@
 		if first < endpoint.lastSuccess {
 			failures = 1
 		}
-		sum.witnesses++
-		sum.failures += min(failures, maxFailuresPerWitness)
+		sum.reporters++
+		sum.failures += min(failures, maxFailuresPerReporter)
 		if d.zonesSeen.add(zone) {
 			sum.zones++
 		}
@@ -69,12 +69,12 @@
 //
 //	f^r * n^w * (endpoints+1) <= 1/chanceMargin, in logarithms below
 func (d *Detector) hasConsensus(e evidence) bool {
-	if e.witnesses < minWitnesses || e.zones < min(minWitnessZones, d.zoneCount) {
+	if e.reporters < minReporters || e.zones < min(minReporterZones, d.zoneCount) {
 		return false
 	}
-	surprise := float64(e.failures) * math.Log(1/d.failureRate())
-	byChance := float64(e.witnesses)*math.Log(float64(len(d.members))) + math.Log(chanceMargin*float64(d.listedCount+1))
-	return surprise >= byChance
+	logImprobability := float64(e.failures) * math.Log(1/d.failureRate())
+	required := float64(e.reporters)*math.Log(float64(len(d.members))) + math.Log(falsePositiveMargin*float64(d.listedCount+1))
+	return logImprobability >= required
 }
 
 // lastSuccessSeen returns when a balancer whose success counts here saw the endpoint succeed last: this one, one of its
@@ -82,7 +82,7 @@
 //
 // So an endpoint that only its own zone reaches stays in use there, and one that only other zones reach is ejected
 // here, but for probes.
-func (d *Detector) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, elsewhere int64) {
+func (d *Detector) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, lastInOtherZone int64) {
 	last = endpoint.lastSuccess
 	for _, r := range endpoint.reports {
 		switch {
@@ -90,23 +90,23 @@
 		case r.zone == d.self.Zone || r.observedAt > latestFailureInZone:
 			last = max(last, r.observedAt)
 		default:
-			elsewhere = max(elsewhere, r.observedAt)
+			lastInOtherZone = max(lastInOtherZone, r.observedAt)
 		}
 	}
-	return last, elsewhere
+	return last, lastInOtherZone
 }
 
 // zoneSet counts distinct zones. Zone numbers are small, so it is an array that is reused without being cleared.
 type zoneSet struct {
-	round   uint32
-	addedIn []uint32 // by zone: the round in which it was added last
+	generation uint32
+	addedIn    []uint32 // by zone: the round in which it was added last
 }
 
 // clear begins a new set.
 func (s *zoneSet) clear() {
-	if s.round++; s.round == 0 { // The counter wrapped: older entries would look like new ones.
+	if s.generation++; s.generation == 0 { // The counter wrapped: older entries would look like new ones.
 		clear(s.addedIn)
-		s.round = 1
+		s.generation = 1
 	}
 }
 
@@ -115,7 +115,7 @@
 	if missing := int(zone) + 1 - len(s.addedIn); missing > 0 {
 		s.addedIn = append(s.addedIn, make([]uint32, missing)...)
 	}
-	isNew := s.addedIn[zone] != s.round
-	s.addedIn[zone] = s.round
+	isNew := s.addedIn[zone] != s.generation
+	s.addedIn[zone] = s.generation
 	return isNew
 }
--- a/outlier/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -7,7 +7,7 @@
 // balancer.
 func TestConsensusNeedsMoreThanChance(t *testing.T) {
 	for _, c := range []struct {
-		members, endpoints, witnesses int
+		members, endpoints, reporters int
 		attempts, failures            int // seen before
 		want                          int // failures of each witness that it takes, or more than maxFailuresPerWitness
 	}{
@@ -39,8 +39,8 @@
 			detector.Observe(1e12, endpoints[1], observation)
 		}
 		got := 1
-		for ; got <= maxFailuresPerWitness; got++ {
-			if detector.hasConsensus(evidence{witnesses: c.witnesses, zones: min(3, c.witnesses), failures: got * c.witnesses}) {
+		for ; got <= maxFailuresPerReporter; got++ {
+			if detector.hasConsensus(evidence{reporters: c.reporters, zones: min(3, c.reporters), failures: got * c.reporters}) {
 				break
 			}
 		}
--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -45,7 +45,7 @@
 		return
 	}
 	d.MessagesAccepted++
-	zone := d.learnZone(index, m.Zone)
+	zone := d.resolveZone(index, m.Zone)
 	d.senders[m.From] = senderState{m.Incarnation, m.Seq, zone, float64(min(m.MissPercent, 100)) / 100, now}
 	for _, r := range m.Reports {
 		endpoint := d.endpoints[r.Endpoint]
@@ -58,9 +58,9 @@
 	}
 }
 
-// learnZone returns the zone of a member: as this balancer knows it, or else as the member says. Each process numbers
+// resolveZone returns the zone of a member: as this balancer knows it, or else as the member says. Each process numbers
 // zones for itself, so that the former goes first.
-func (d *Detector) learnZone(index int, stated uint16) uint16 {
+func (d *Detector) resolveZone(index int, stated uint16) uint16 {
 	member := &d.members[index]
 	if member.Zone == UnknownZone && stated != UnknownZone {
 		member.Zone = stated
@@ -196,7 +196,7 @@
 	selected := reports[:min(len(reports), maxReportsPerMessage)]
 	for _, r := range selected {
 		endpoint := d.endpoints[r.Endpoint]
-		endpoint.sentFailures, endpoint.sentAt = countedFailures(r), now
+		endpoint.sentFailures, endpoint.sentAt = effectiveFailures(r), now
 		if r.ConsecutiveFailures == 0 {
 			endpoint.recoveryReportsDue--
 		}
@@ -204,12 +204,12 @@
 	for _, r := range reports[len(selected):] {
 		endpoint := d.endpoints[r.Endpoint]
 		isFirstOfRecovery := r.ConsecutiveFailures == 0 && endpoint.recoveryReportsDue == recoveryRepeats
-		if countedFailures(r) > endpoint.sentFailures || isFirstOfRecovery {
+		if effectiveFailures(r) > endpoint.sentFailures || isFirstOfRecovery {
 			d.urgent = true
 		}
 	}
 	return selected
 }
 
-// countedFailures is how many consecutive failures of a report can count at its receivers.
-func countedFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerWitness) }
+// effectiveFailures is how many consecutive failures of a report can count at its receivers.
+func effectiveFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerReporter) }
--- a/outlier/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -124,7 +124,7 @@
 
 // A table that kept too few reports per endpoint never reached a large fleet's consensus. All of 1,024 members' reports
 // of one endpoint are kept; of all endpoints together no more than the bound.
-func TestAllWitnessesAreStored(t *testing.T) {
+func TestAllReportersAreStored(t *testing.T) {
 	detector, now := newLargeFleetDetector(), int64(1e15)
 	report := func(from int, endpoints ...uint32) {
 		m := &Message{From: uint32(from), Incarnation: 1, Seq: detector.senders[uint32(from)].seq + 1, Zone: 60000}
@@ -141,8 +141,8 @@
 		report(from, 5000)
 	}
 	e := detector.collectEvidence(now, detector.endpoints[5000], ejectionWindow)
-	if e.witnesses != largeFleet-1 || e.zones != largeFleet-1 {
-		t.Errorf("%d witnesses of %d zones are kept", e.witnesses, e.zones)
+	if e.reporters != largeFleet-1 || e.zones != largeFleet-1 {
+		t.Errorf("%d witnesses of %d zones are kept", e.reporters, e.zones)
 	}
 	for from := 2; from <= largeFleet; from++ {
 		for first := uint32(1); first < 181; first += maxReportsPerMessage {
--- a/outlier/golden_test.go
+++ b/outlier/golden_test.go
@@ -53,7 +53,7 @@
 	s.trace = sha256.New()
 	members := slices.Clone(s.detectors[0].members)
 	reads, misses := make([]int, len(s.detectors)), make([]int, len(s.detectors))
-	missing := 0.05
+	missShare := 0.05
 	for step := range 2500 {
 		if step%40 == 0 {
 			endpoint, n := s.random.IntN(len(s.endpoints)), s.random.IntN(len(s.detectors))
@@ -86,7 +86,7 @@
 					detector.SetMessageDelay(s.random.Int64N(6000*millisecond) - 100*millisecond)
 				}
 			case 11:
-				missing = 0.6 - missing
+				missShare = 0.6 - missShare
 			case 12: // More fail than a message holds.
 				for at := range s.failureRates {
 					if at%3 != 0 {
@@ -94,7 +94,7 @@
 					}
 				}
 			case 13:
-				s.lyingMember = n
+				s.misreportingMember = n
 			}
 		}
 		s.tick(1.5)
@@ -109,7 +109,7 @@
 			}
 			if step%5 == 0 {
 				reads[n] += s.random.IntN(30)
-				misses[n] += int(missing * float64(s.random.IntN(40)))
+				misses[n] += int(missShare * float64(s.random.IntN(40)))
 				fmt.Fprintf(s.trace, "misses %d %t\n", n, detector.UpdateMissRate(s.now, reads[n], misses[n]))
 			}
 			if step%20 == 0 {
@@ -160,8 +160,8 @@
 	} {
 		bytes := m.Encode()
 		lines = append(lines, hex.EncodeToString(bytes))
-		back, err := DecodeMessage(bytes)
-		if err != nil || hex.EncodeToString(back.Encode()) != hex.EncodeToString(bytes) {
+		decoded, err := DecodeMessage(bytes)
+		if err != nil || hex.EncodeToString(decoded.Encode()) != hex.EncodeToString(bytes) {
 			t.Errorf("%x does not come back: %v", bytes, err)
 		}
 	}
--- a/outlier/missrate.go
+++ b/outlier/missrate.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// missRateWindow is the time constant over which a miss rate is an average.
-	missRateWindow = 500 * millisecond
+	// missRateTimeConstant is the time constant over which a miss rate is an average.
+	missRateTimeConstant = 500 * millisecond
 	// minReadsForMissRate is how many reads in that time tell a rate; with fewer it is scaled down, as chance moves it.
 	minReadsForMissRate = 10.0
 	// elevatedMissRate is from where a balancer reports its miss rate, and what keeps the alarm up once it is raised.
@@ -31,7 +31,7 @@
 
 // update takes the reads and misses since the process started.
 func (r *missRate) update(now int64, reads, misses int) {
-	decay := math.Exp(-float64(now-r.updatedAt) / float64(missRateWindow))
+	decay := math.Exp(-float64(now-r.updatedAt) / float64(missRateTimeConstant))
 	if r.updatedAt == 0 {
 		decay = 0
 	}
@@ -49,8 +49,8 @@
 	return uint8(min(100, r.value*100))
 }
 
-// highMissAlarm is up while reads miss for the whole fleet.
-type highMissAlarm struct {
+// widespreadMissAlarm is up while reads miss for the whole fleet.
+type widespreadMissAlarm struct {
 	raised bool
 	since  int64
 }
@@ -72,10 +72,10 @@
 		d.urgent = true
 	}
 	votes := d.countMissVotes(now)
-	quorum := max(minWitnesses, (len(d.members)+alarmMembersDivisor-1)/alarmMembersDivisor)
+	quorum := max(minReporters, (len(d.members)+alarmMembersDivisor-1)/alarmMembersDivisor)
 	switch {
-	case !d.missAlarm.raised && votes.high >= quorum && votes.highZones >= min(minWitnessZones, d.zoneCount):
-		d.missAlarm = highMissAlarm{raised: true, since: now}
+	case !d.missAlarm.raised && votes.high >= quorum && votes.highZones >= min(minReporterZones, d.zoneCount):
+		d.missAlarm = widespreadMissAlarm{raised: true, since: now}
 	case d.missAlarm.raised && now-d.missAlarm.since >= minAlarmDuration && votes.elevated < quorum:
 		d.missAlarm.raised = false
 	}
--- a/outlier/missrate_test.go
+++ b/outlier/missrate_test.go
@@ -4,7 +4,7 @@
 
 // A balancer that restarted misses all its reads; if the fleet took that for a cold cache, all would change how they
 // rank endpoints. A third of the members in two zones must say so, and the alarm ends when fewer do.
-func TestHighMissAlarmNeedsQuorum(t *testing.T) {
+func TestWidespreadMissAlarmNeedsQuorum(t *testing.T) {
 	for _, c := range []struct {
 		from []uint32
 		own  int // misses of 100 own reads
--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -111,7 +111,7 @@
 	before := endpoint.consecutiveFailures
 	endpoint.consecutiveFailures = min(maxReportedFailures, before+failures)
 	endpoint.lastFailure, endpoint.recoveryReportsDue = now, 0
-	if before < maxFailuresPerWitness && endpoint.consecutiveFailures >= d.reportThreshold() || endpoint.isEjected() {
+	if before < maxFailuresPerReporter && endpoint.consecutiveFailures >= d.reportThreshold() || endpoint.isEjected() {
 		d.urgent = true
 	}
 }
--- a/outlier/probe.go
+++ b/outlier/probe.go
@@ -9,9 +9,9 @@
 	// ejectionPerProbeDelay is the length of an ejection over the probe delay it leads to: failed probes stay below a
 	// fixed rate, and a recovery is found within a quarter of the outage's length.
 	ejectionPerProbeDelay = 4
-	// minProbeStep is how long a lease holder has before the next member may probe too, so that one that is dead or has
+	// minProbeStagger is how long a lease holder has before the next member may probe too, so that one that is dead or has
 	// nothing to send does not keep the endpoint ejected.
-	minProbeStep = 500 * millisecond
+	minProbeStagger = 500 * millisecond
 )
 
 // holdsProbeLease reports whether this balancer may send one attempt to an ejected endpoint to find out whether it
@@ -21,17 +21,17 @@
 // Where another zone has seen the endpoint succeed, the first member of this zone need not wait for the others.
 func (d *Detector) holdsProbeLease(now int64, id uint32, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
-	_, successElsewhere := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
+	_, successInOtherZone := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
 	rank, rankInZone := d.probeRank(id, endpoint)
 
 	delay := min(maxProbeDelay, max(minProbeDelay, (now-endpoint.ejectedAt)/ejectionPerProbeDelay))
-	step := max(minProbeStep, d.messageDelay)
-	dueAt := known.latestFailure + max(d.messageDelay, delay) + int64(rank)*step
-	if successElsewhere > endpoint.ejectedAt && successElsewhere > endpoint.ownLatestFailure() {
-		dueAt = min(dueAt, successElsewhere+int64(rankInZone)*step)
+	stagger := max(minProbeStagger, d.messageDelay)
+	dueAt := known.latestFailure + max(d.messageDelay, delay) + int64(rank)*stagger
+	if successInOtherZone > endpoint.ejectedAt && successInOtherZone > endpoint.ownLatestFailure() {
+		dueAt = min(dueAt, successInOtherZone+int64(rankInZone)*stagger)
 	}
-	isUnused := endpoint.lastAttempt < dueAt-int64(rank)*step || now-endpoint.lastAttempt > maxProbeDelay
-	return now >= dueAt && isUnused
+	leaseUnused := endpoint.lastAttempt < dueAt-int64(rank)*stagger || now-endpoint.lastAttempt > maxProbeDelay
+	return now >= dueAt && leaseUnused
 }
 
 // probeRank counts the members that may probe an endpoint before this one, among all and in this one's zone. Members
--- a/outlier/simulation_test.go
+++ b/outlier/simulation_test.go
@@ -17,10 +17,10 @@
 	now    int64
 	trace  hash.Hash // of all messages and attempts; nil: none is kept
 
-	detectors    []*Detector
-	alive        []bool // by detector
-	disconnected []bool // by detector: all its attempts fail
-	lyingMember  int    // reports 200 failures of whatever it reports; -1: nobody does
+	detectors          []*Detector
+	alive              []bool // by detector
+	disconnected       []bool // by detector: all its attempts fail
+	misreportingMember int    // reports 200 failures of whatever it reports; -1: nobody does
 
 	endpoints      []uint32
 	failureRates   []float64 // by endpoint: the chance that an attempt fails
@@ -42,14 +42,14 @@
 
 func newSimulation(tb testing.TB, seed uint64, balancers, endpoints, zones int) *simulation {
 	s := &simulation{
-		tb:           tb,
-		random:       rand.New(rand.NewPCG(seed, 9)),
-		now:          1e12,
-		messageDelay: 20 * millisecond,
-		lyingMember:  -1,
-		alive:        make([]bool, balancers),
-		disconnected: make([]bool, balancers),
-		failureRates: make([]float64, endpoints),
+		tb:                 tb,
+		random:             rand.New(rand.NewPCG(seed, 9)),
+		now:                1e12,
+		messageDelay:       20 * millisecond,
+		misreportingMember: -1,
+		alive:              make([]bool, balancers),
+		disconnected:       make([]bool, balancers),
+		failureRates:       make([]float64, endpoints),
 	}
 	var members []Member
 	for n := range balancers {
@@ -102,7 +102,7 @@
 			if size := len(m.Encode()); size > MaxMessageBytes {
 				s.tb.Fatalf("a message has %d bytes", size)
 			}
-			if s.lyingMember == n {
+			if s.misreportingMember == n {
 				for i := range m.Reports {
 					m.Reports[i].ConsecutiveFailures = 200
 				}
--- a/outlier/status.go
+++ b/outlier/status.go
@@ -20,12 +20,12 @@
 func (d *Detector) Status(now int64) (all []EndpointStatus) {
 	for id, endpoint := range d.active {
 		known := d.collectEvidence(now, endpoint, evidenceTimeout)
-		if known.witnesses == 0 && !endpoint.isEjected() {
+		if known.reporters == 0 && !endpoint.isEjected() {
 			continue
 		}
 		status := EndpointStatus{
 			ID:                     id,
-			Witnesses:              known.witnesses,
+			Witnesses:              known.reporters,
 			Zones:                  known.zones,
 			ConsecutiveFailures:    known.failures,
 			OwnConsecutiveFailures: endpoint.consecutiveFailures,
