--- a/outage/detector.go
+++ b/outage/detector.go
@@ -1,14 +1,14 @@
-// Package outage detects zones that have stopped answering, from the outcomes of one balancer's own attempts. Package
-// policy calls it for each attempt that is answered or fails, and asks it before it selects a server.
+// Package outage detects zones that have stopped responding, from the outcomes of one balancer's own attempts. Package
+// policy records each attempt that is answered or fails, and queries the detector before it selects a server.
 //
-// A balancer of a large fleet sends each server one request in many seconds, so that a lost zone would cost it an
-// attempt for each of the zone's servers if it found them out one by one. Failures of different servers of one zone
-// without a response of that zone between them tell sooner, as long as other zones respond meanwhile: the detector asks
-// how probable such a series would be if the zone failed no more often than the others, and suspects the zone when that
-// is improbable.
+// In a large fleet a balancer sends each server only one request in many seconds. If it detected the failed servers of
+// an unreachable zone one by one, the outage would cost it an attempt for each server. Consecutive failures of
+// different servers of one zone, without any response from that zone in between, reveal the outage sooner as long as
+// other zones respond meanwhile. The detector computes how probable such a series would be if the zone failed no more
+// often than the others, and suspects the zone if the series is improbable.
 //
-// The package does no I/O: times are nanoseconds of the caller's clock, and random draws are handed in. A Detector must
-// not be used concurrently.
+// The package does no I/O: the caller passes in times, in nanoseconds of its clock, and random numbers. A Detector is
+// not safe for concurrent use.
 package outage
 
 import (
@@ -17,51 +17,53 @@
 )
 
 const (
-	// maxFalseAlarmProbability is how improbable a series of failures has to be, were the zone like the others, to
-	// suspect it. A false alarm costs little, as the zone's next response ends it and other zones serve meanwhile; each
-	// further failure that is waited for costs a request.
+	// maxFalseAlarmProbability is the threshold for suspecting a zone: the probability of its series of failures if the
+	// zone failed as often as the others. A false alarm is cheap, as the zone's next response ends it and other zones
+	// serve the requests meanwhile, whereas waiting for each further failure costs a request.
 	maxFalseAlarmProbability = 1.0 / 50
-	// priorFailures of priorAttempts are assumed of the other zones until their outcomes tell.
+	// priorFailures and priorAttempts are the prior of the other zones' failure rate, which dominates until enough
+	// outcomes are recorded.
 	priorFailures = 1.0
 	priorAttempts = 10.0
-	// outcomeWindow is over how many outcomes a zone's counts are averaged: long enough to tell a rate of some percent,
-	// short enough to forget a fault that has passed.
+	// outcomeWindow is the decay constant of a zone's counts, in outcomes: long enough to measure a failure rate of a
+	// few percent, short enough to discard a past fault.
 	outcomeWindow = 64.0
-	// minFailedServers is how many different servers make a series. The failures of one alone tell of that server.
+	// minFailedServers is the minimum number of different failed servers in a series. Failures of a single server are
+	// evidence only against that server.
 	minFailedServers = 2
-	// maxFailedServers bounds the servers remembered of a series, and with them the memory and the time of an outcome.
-	// A longer series is called for only where more than 94 in 100 attempts fail everywhere.
+	// maxFailedServers limits the servers stored per series, and thereby memory use and the time to record an outcome.
+	// A longer series would be needed only if more than 94% of the attempts fail in all zones.
 	maxFailedServers = 64
-	// maxBackoffFactor bounds by how much longer a zone is avoided when more of its servers have failed, so that its
-	// return is noticed.
+	// maxBackoffFactor limits the factor by which failures of further servers prolong the avoidance of a zone, so that
+	// its recovery is detected.
 	maxBackoffFactor = 8
 )
 
-// Detector holds what one balancer knows of its zones.
+// Detector holds one balancer's outcome history of all zones.
 type Detector struct {
-	zones        []zoneHistory // by index + 1
+	zones        []zoneHistory // by zone index + 1
 	backoffNanos float64       // see New
 }
 
-// zoneHistory is what the outcomes of attempts to one zone's servers tell.
+// zoneHistory summarizes the outcomes of attempts at the servers of one zone.
 type zoneHistory struct {
-	failures, attempts float64 // averaged over outcomeWindow
+	failures, attempts float64 // decaying sums, see outcomeWindow
 
-	// The series: different servers that failed since the zone's last response.
+	// The series: the different servers that have failed since the zone's last response.
 	failedServers []int
 	seriesStartAt int64 // first failure of the series
 	lastFailureAt int64
 
 	lastResponseAt int64
-	isSuspected    bool // kept, as it is asked for each server at each request and changes with outcomes alone
+	isSuspected    bool // cached: it is read per server and request and changes only with outcomes
 }
 
-// New returns a Detector that tries a suspected zone again with a probability that grows over backoffNanos, in
-// nanoseconds.
+// New returns a Detector. backoffNanos is the base time constant, in nanoseconds, with which the probability of
+// retrying a suspected zone grows after a failure.
 func New(backoffNanos int64) *Detector { return &Detector{backoffNanos: float64(backoffNanos)} }
 
-// zone returns a zone by its index in the settings. Index -1, of servers whose zone the settings do not name, is one
-// more zone.
+// zone returns the history of a zone by its index in the settings. Index -1 is a zone of its own for all servers whose
+// zone is not in the settings.
 func (d *Detector) zone(index int) *zoneHistory {
 	for len(d.zones) < index+2 {
 		d.zones = append(d.zones, zoneHistory{})
@@ -69,13 +71,14 @@
 	return &d.zones[index+1]
 }
 
-// recordOutcome counts an attempt, with 1 for a failure and 0 for a response.
+// recordOutcome adds an attempt to the counts; failures is 1 for a failure and 0 for a response.
 func (z *zoneHistory) recordOutcome(failures float64) {
 	z.failures += failures - z.failures/outcomeWindow
 	z.attempts += 1 - z.attempts/outcomeWindow
 }
 
-// RecordResponse takes a response of any kind, a rejection too, from a server of the zone. It ends the zone's series.
+// RecordResponse records a response of any kind, including a rejection, from a server of the zone. It ends the zone's
+// series.
 func (d *Detector) RecordResponse(zoneIndex int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(0)
@@ -83,7 +86,7 @@
 	d.updateSuspicions()
 }
 
-// RecordFailure takes an attempt without a response: no connection came up, or nothing came in time.
+// RecordFailure records an attempt without a response: the connection failed, or no response arrived in time.
 func (d *Detector) RecordFailure(zoneIndex, server int, now int64) {
 	z := d.zone(zoneIndex)
 	z.recordOutcome(1)
@@ -97,18 +100,19 @@
 	d.updateSuspicions()
 }
 
-// updateSuspicions judges all zones anew, as each outcome of one is evidence about the others.
+// updateSuspicions re-evaluates all zones, as an outcome in one zone affects the failure rate the others are compared
+// to.
 func (d *Detector) updateSuspicions() {
 	for i := range d.zones {
 		d.zones[i].isSuspected = d.isLikelyDown(i)
 	}
 }
 
-// IsSuspected tells whether the zone seems lost: its series of failures would be improbable in the other zones, and one
-// of these has responded since it began.
+// IsSuspected reports whether the zone is probably down: its series of failures would be improbable in the other zones,
+// and one of these has responded since the series began.
 func (d *Detector) IsSuspected(zoneIndex int) bool { return d.zone(zoneIndex).isSuspected }
 
-// isLikelyDown works out what IsSuspected tells, for a position in d.zones.
+// isLikelyDown computes the result of IsSuspected for the zone at a position in d.zones.
 func (d *Detector) isLikelyDown(position int) bool {
 	z := &d.zones[position]
 	if len(z.failedServers) < minFailedServers {
@@ -117,23 +121,24 @@
 	failures, attempts, otherResponded := priorFailures, priorAttempts, false
 	for i := range d.zones {
 		other := &d.zones[i]
-		// Guards against two zones that are lost at a time: each would make the other's failures look usual.
+		// Zones with a series of their own are excluded: if two zones are down at the same time, each would
+		// otherwise make the other's failures look normal.
 		if i == position || len(other.failedServers) >= minFailedServers {
 			continue
 		}
 		failures += other.failures
 		attempts += other.attempts
-		// Guards against a fault of this balancer's own, such as its network: nobody responds then, and no zone is to
-		// blame.
+		// Requires a response from another zone. If none responds, the fault is on this balancer's side, such as
+		// its network, and no zone should be suspected.
 		otherResponded = otherResponded || other.lastResponseAt > z.seriesStartAt
 	}
 	seriesProbability := math.Pow(failures/attempts, float64(len(z.failedServers)))
 	return otherResponded && seriesProbability < maxFalseAlarmProbability
 }
 
-// ShouldAvoid tells whether a request should go to another zone, for a random draw from 0 to 1. A suspected zone is
-// tried again with a probability that grows with the time since its last failure, and more slowly the more of its
-// servers have failed.
+// ShouldAvoid reports whether a request should go to another zone. draw is a uniform random number from 0 to 1. A
+// suspected zone is retried with a probability that grows with the time since its last failure, and more slowly the
+// more of its servers have failed.
 func (d *Detector) ShouldAvoid(zoneIndex int, now int64, draw float64) bool {
 	if !d.IsSuspected(zoneIndex) {
 		return false
