--- a/outage/detector_test.go
+++ b/outage/detector_test.go
@@ -7,15 +7,15 @@
 	second = 1000 * ms
 )
 
-// A zone is lost, and each request that is sent there costs its client a timeout. It has to be suspected after a few
-// failures, and only by those that can't be put down to one server, to chance or to this balancer's own network.
+// Guards against requests timing out because they are sent to a zone that is down. The zone must be suspected after a
+// few failures, but not if these can be explained by a single server, by chance or by this balancer's own network.
 func TestZoneIsSuspectedAfterImprobableFailures(t *testing.T) {
 	const zone, otherZone = 0, 1
 	for name, c := range map[string]struct {
 		events   func(d *Detector)
 		suspects bool
 	}{
-		"nothing known": {func(d *Detector) {}, false},
+		"no outcomes": {func(d *Detector) {}, false},
 		"three servers fail in a row while the other zone responds": {func(d *Detector) {
 			for server := range 3 {
 				d.RecordFailure(zone, server, 2*ms)
@@ -28,7 +28,7 @@
 				d.RecordResponse(otherZone, 3*ms)
 			}
 		}, false},
-		"responses of the zone in between": {func(d *Detector) {
+		"the zone responds between failures": {func(d *Detector) {
 			for server := range 20 {
 				d.RecordFailure(zone, server, 2*ms)
 				d.RecordResponse(otherZone, 3*ms)
@@ -62,7 +62,7 @@
 			d.RecordFailure(zone, 2, 2*ms)
 			d.RecordResponse(otherZone, 3*ms)
 		}, true},
-		"two zones are lost at the same time": {func(d *Detector) {
+		"two zones are down at the same time": {func(d *Detector) {
 			for range 30 {
 				d.RecordResponse(2, ms)
 			}
@@ -81,13 +81,14 @@
 		d := New(3 * second)
 		c.events(d)
 		if d.IsSuspected(zone) != c.suspects || d.IsSuspected(otherZone) {
-			t.Errorf("%s: suspected %t, the other zone %t", name, d.IsSuspected(zone), d.IsSuspected(otherZone))
+			t.Errorf("%s: zone suspected: %t, other zone suspected: %t", name, d.IsSuspected(zone), d.IsSuspected(otherZone))
 		}
 	}
 }
 
-// A zone is avoided after it has recovered, and its servers idle while the others are overloaded. It has to be tried
-// again, more often the longer it has not failed, and used by all requests after its first response.
+// Guards against a recovered zone being avoided, so that its servers idle while those of other zones are overloaded. A
+// suspected zone must be retried with a probability that grows with the time since its last failure, and must be used
+// by all requests after its first response.
 func TestSuspectedZoneIsTriedAgain(t *testing.T) {
 	d := New(3 * second)
 	for server := range 5 {
@@ -100,17 +101,17 @@
 		avoids bool
 	}{{0, 0.999, true}, {5 * second, 0.5, true}, {5 * second, 0.8, false}, {150 * second, 0.01, false}} {
 		if d.ShouldAvoid(0, second+c.after, c.draw) != c.avoids {
-			t.Errorf("%d s after the last failure, draw %g: avoided is %t", c.after/second, c.draw, !c.avoids)
+			t.Errorf("%d s after the last failure, draw %g: avoided: %t", c.after/second, c.draw, !c.avoids)
 		}
 	}
 	d.RecordResponse(0, 2*second)
 	if d.ShouldAvoid(0, 2*second, 0) {
-		t.Error("avoided though it has responded")
+		t.Error("zone is avoided although it has responded")
 	}
 }
 
-// All servers fail at times, and a zone like the others is avoided by chance: the others would carry its load. That
-// stays rare, however often all fail.
+// Guards against a healthy zone being avoided because of random failures, which would shift its load to the others.
+// False alarms must be rare at any failure rate that is the same in all zones.
 func TestFalseAlarmsAreRare(t *testing.T) {
 	for _, rate := range []float64{0.01, 0.05, 0.125, 0.3, 0.6} {
 		d, random, alarms := New(3*second), uint64(1), 0
@@ -128,7 +129,7 @@
 			}
 		}
 		if float64(alarms) > 2*maxFalseAlarmProbability*100_000 {
-			t.Errorf("%d of 100000 attempts end with a suspected zone where %g fail everywhere", alarms, rate)
+			t.Errorf("a zone is suspected after %d of 100000 attempts at a failure rate of %g in all zones", alarms, rate)
 		}
 	}
 }
