--- a/outage/golden_test.go
+++ b/outage/golden_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden values in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata with the current results")
 
-// A zone that is suspected an attempt sooner or later than before costs or saves requests without any test turning red.
-// Over five zones that fail at times, one or two of them wholly, each answer of the detector stays as that of version
+// Guards against changes in when a zone is suspected, even by a single attempt, which other tests do not detect. In
+// runs with five zones that fail occasionally, one or two of them completely, all results must equal those of version
 // 860147b.
 func TestGoldenTrace(t *testing.T) {
 	trace, suspected, avoided := sha256.New(), 0, 0
@@ -43,7 +43,7 @@
 		}
 	}
 	if suspected < 1000 || avoided < 500 {
-		t.Errorf("%d suspected, %d avoided: the run reaches too little", suspected, avoided)
+		t.Errorf("only %d results suspected and %d avoided: the run covers too few cases", suspected, avoided)
 	}
 	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "trace.golden")
 	if *update {
@@ -53,6 +53,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || strings.TrimSpace(string(want)) != got {
-		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+		t.Errorf("trace hash is %s, want %s (read error: %v)", got, want, err)
 	}
 }
