--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -1,17 +1,21 @@
-// Package outlier detects cache hosts that fail, on the evidence of several balancers together: each reports the
-// consecutive failures that it observed itself, and each ejects an endpoint for itself once chance no longer explains
-// what was reported. While an endpoint is ejected, one balancer at a time holds the lease to probe it.
+// Package outlier detects failing cache hosts from the combined evidence of several balancers. Each balancer reports
+// the consecutive failures that it observed itself, and each decides independently to eject an endpoint once the
+// reported failures are too improbable to be chance. While an endpoint is ejected, one balancer at a time holds the
+// lease to probe it.
 //
-// The package is pure: the clock and the messages are handed in and out, and nothing here waits, draws or does I/O. A
-// Detector does not lock: its callers, fleet between processes and the simulator's adapter, make one call at a time.
+// The package is deterministic: the caller supplies the clock and transports the messages, and nothing here blocks,
+// uses random numbers or does I/O. A Detector is not safe for concurrent use; its callers, package fleet and the
+// simulator's adapter, serialize their calls.
 //
-// What it guarantees:
-//   - A report is only about what its sender observed itself; nothing received is passed on, so no rumour feeds itself.
-//   - The outcome does not depend on the order of messages, on repeats, or on losses for longer than a repeat takes.
-//   - A message takes MaxMessageBytes at most, and everything that is stored has a bound.
-//   - Without messages from anybody, no endpoint stays ejected for longer than evidenceTimeout and a return.
+// Guarantees:
+//   - A report covers only what its sender observed itself. Received reports are not forwarded, so that they cannot
+//     reinforce themselves.
+//   - The outcome does not depend on the order or duplication of messages. A lost message delays it until the report is
+//     repeated.
+//   - A message takes at most MaxMessageBytes, and all stored state is bounded.
+//   - If no messages arrive at all, an endpoint stays ejected for at most evidenceTimeout plus one return.
 //
-// All times are nanoseconds of one monotonic clock of the caller; all spans are nanoseconds.
+// All times and durations are in nanoseconds; times are readings of the caller's monotonic clock.
 package outlier
 
 import (
@@ -22,49 +26,50 @@
 const millisecond = int64(time.Millisecond)
 
 const (
-	// maxEndpoints bounds the endpoints that are known here. Further ones of the list are not observed.
+	// maxEndpoints limits the number of tracked endpoints. Endpoints beyond it in the list are not observed.
 	maxEndpoints = 1 << 13
-	// MaxMembers bounds the members whose messages are taken, this one included.
+	// MaxMembers limits the members whose messages are accepted, this one included.
 	MaxMembers = 4096
-	// maxMessageDelay bounds what SetMessageDelay is told, so that one bad estimate does not stop ejection for minutes.
+	// maxMessageDelay limits the value given to SetMessageDelay, so that one bad estimate does not delay ejections by
+	// minutes.
 	maxMessageDelay = 4000 * millisecond
 )
 
-// Member is a balancer whose messages are taken. Zone is UnknownZone until it is known.
+// Member is a balancer whose messages are accepted. Zone is UnknownZone until it is known.
 type Member struct {
 	ID   uint32
 	Zone uint16
 }
 
-// UnknownZone is the zone of a member whose zone is not known. No zone has this number; earlier versions know no
-// larger one.
+// UnknownZone stands for a zone that is not known. No zone has this number. Earlier versions support no larger zone
+// number.
 const UnknownZone = 255
 
-// endpointState is what this balancer observed of one endpoint, what others reported of it, and where it stands in the
-// life cycle of an ejection: in use (ejectedAt is 0), ejected, or returning (returnsAt is set).
+// endpointState holds this balancer's own observations of one endpoint, the reports of other members, and the state of
+// its ejection: in use (ejectedAt is 0), ejected, or returning (returnsAt is set).
 type endpointState struct {
-	consecutiveFailures int   // of this balancer's own attempts, none of which succeeded since
-	lastFailure         int64 // of an own attempt; 0: none
-	lastSuccess         int64 // of an own attempt; 0: none
-	lastAttempt         int64 // sent while the endpoint was ejected; 0: none
-
-	recoveryReportsDue int   // messages that still have to say that the endpoint succeeds again
-	sentFailures       int   // consecutive failures that the last report stated, as far as they count
-	sentAt             int64 // when a report of it went out last
-
-	reports []storedReport // the last one of each member, sorted by sender
-
-	ejectedAt        int64 // when the fleet's evidence was enough; 0: it is not ejected
-	ejectionStartsAt int64 // when this balancer acts on that
-	returnsAt        int64 // when this balancer takes it into use again; 0: no recovery was seen yet
-	ejectionEndedAt  int64 // when a recovery was seen last; 0: never
-	relapses         int   // ejections in a row, each within relapseWindow of the recovery before it
+	consecutiveFailures int   // of this balancer's own attempts, since its last success
+	lastFailure         int64 // of this balancer's own attempts; 0: none
+	lastSuccess         int64 // of this balancer's own attempts; 0: none
+	lastAttempt         int64 // last attempt sent while the endpoint was ejected; 0: none
+
+	recoveryReportsDue int   // in how many more messages the recovery is reported
+	sentFailures       int   // effectiveFailures of the last report sent
+	sentAt             int64 // when a report on this endpoint was last sent
+
+	reports []storedReport // the latest from each member, sorted by sender
+
+	ejectedAt        int64 // when the evidence sufficed; 0: not ejected
+	ejectionStartsAt int64 // when this balancer stops using the endpoint
+	returnsAt        int64 // when this balancer resumes using it; 0: no recovery detected yet
+	ejectionEndedAt  int64 // when a recovery was last detected; 0: never
+	relapses         int   // consecutive ejections, each within relapseWindow of the previous recovery
 }
 
 func (e *endpointState) isEjected() bool   { return e.ejectedAt != 0 }
 func (e *endpointState) isReturning() bool { return e.returnsAt != 0 }
 
-// senderState is the last message of one member.
+// senderState holds the state from one member's latest message.
 type senderState struct {
 	incarnation uint64
 	seq         uint32
@@ -73,7 +78,7 @@
 	heardAt     int64
 }
 
-// Detector is one balancer's outlier detector. New makes one.
+// Detector is the outlier detector of one balancer. Use New to create one.
 type Detector struct {
 	self        Member
 	incarnation uint64
@@ -83,31 +88,32 @@
 	zoneCount   int // distinct known zones of members
 	senders     map[uint32]senderState
 
-	endpoints     map[uint32]*endpointState // all that are listed
-	active        map[uint32]*endpointState // those of endpoints of which there is any evidence
+	endpoints     map[uint32]*endpointState // all listed endpoints
+	active        map[uint32]*endpointState // the subset of endpoints with any evidence
 	listedCount   int
-	ejectedCount  int // of active, those ejected and not returning, as of the last Tick
+	ejectedCount  int // endpoints ejected and not returning, as of the last Tick
 	storedReports int
 
 	lastSeq      uint32
 	lastSentAt   int64
-	urgent       bool  // the next message need not wait for repeatInterval
-	messageDelay int64 // how late messages arrive, as the caller knows it
+	urgent       bool  // the next message does not wait for repeatInterval
+	messageDelay int64 // estimated by the caller
 
-	decayedAttempts float64 // attempts and failures of the recent past, at endpoints that are not ejected
+	decayedAttempts float64 // decaying sums over attempts at endpoints that are not ejected
 	decayedFailures float64
 
 	misses    missRate
 	missAlarm widespreadMissAlarm
 
-	zonesSeen zoneSet // scratch of the functions that count zones
+	zonesSeen zoneSet // reusable buffer for counting distinct zones
 
-	// Counts of messages: sent, accepted, older than one accepted before, and from senders that are no members.
+	// Message counts: sent; accepted; stale, which are duplicates or older than one already accepted; and from senders
+	// that are not members.
 	MessagesSent, MessagesAccepted, MessagesStale, MessagesFromUnknown int
 }
 
-// New returns a detector without evidence. incarnation tells it from an earlier process with the same ID and must be
-// larger than that one's.
+// New returns a detector without evidence. incarnation distinguishes it from earlier processes with the same ID and
+// must be larger than theirs.
 func New(self Member, incarnation uint64) *Detector {
 	d := &Detector{
 		self:        self,
@@ -120,8 +126,8 @@
 	return d
 }
 
-// SetMembers replaces the members whose messages are taken; self may be among them or not. What members reported that
-// are not among these is dropped.
+// SetMembers replaces the members whose messages are accepted. It does not matter whether they include this balancer.
+// Reports of members that are no longer listed are dropped.
 func (d *Detector) SetMembers(members []Member) {
 	d.members = append(d.members[:0], d.self)
 	for _, m := range members {
@@ -137,7 +143,7 @@
 	d.dropDepartedMembers()
 }
 
-// countZones counts the zones that members are known to be in.
+// countZones updates zoneCount, the number of distinct known zones of the members.
 func (d *Detector) countZones() {
 	d.zonesSeen.clear()
 	d.zoneCount = 0
@@ -148,7 +154,8 @@
 	}
 }
 
-// dropDepartedMembers forgets the reports of those who are no longer members: they are no witnesses any more.
+// dropDepartedMembers removes the state and reports of senders that are no longer members, as their reports must not
+// count as evidence.
 func (d *Detector) dropDepartedMembers() {
 	isDeparted := func(id uint32) bool {
 		_, ok := d.memberIndex[id]
@@ -164,7 +171,8 @@
 	}
 }
 
-// SetEndpoints replaces the listed endpoints by those with these IDs (see HashName). Evidence about others is dropped.
+// SetEndpoints replaces the listed endpoints with those of the given IDs (see HashName). Evidence about other endpoints
+// is dropped.
 func (d *Detector) SetEndpoints(ids []uint32) {
 	d.listedCount = min(len(ids), maxEndpoints)
 	listed := make(map[uint32]bool, d.listedCount)
@@ -182,12 +190,12 @@
 	}
 }
 
-// SetMessageDelay sets how late messages arrive here, in nanoseconds, as far as the caller knows. Ejections and
-// returns are spread over four times that, so that the fleet sees the effect of the first balancers before the last
-// ones follow.
+// SetMessageDelay sets the estimated delivery delay of incoming messages, in nanoseconds. Ejections and returns are
+// spread over at least four times this delay, so that the fleet observes the effect of the first balancers' changes
+// before the last ones follow.
 func (d *Detector) SetMessageDelay(delay int64) { d.messageDelay = min(max(0, delay), maxMessageDelay) }
 
-// Tick decides which endpoints are ejected. The caller runs it at each tick of its clock and after each message.
+// Tick decides which endpoints are ejected. The caller invokes it at each tick of its clock and after each message.
 func (d *Detector) Tick(now int64) {
 	d.ejectedCount, d.storedReports = 0, 0
 	for id, endpoint := range d.active {
@@ -203,7 +211,7 @@
 	}
 }
 
-// isInactive reports whether no evidence, ejection or relapse of an endpoint can matter any more.
+// isInactive reports whether an endpoint has no evidence, ejection or relapse left that could affect a decision.
 func (e *endpointState) isInactive(now int64) bool {
 	const retention = evidenceTimeout + maxReturnSpread + relapseWindow
 	return !e.isEjected() && len(e.reports) == 0 && e.recoveryReportsDue == 0 &&
