--- a/outlier/ejection.go
+++ b/outlier/ejection.go
@@ -3,33 +3,35 @@
 import "hollylever/rendezvous"
 
 const (
-	// minEjectionSpread is over how long the members stop using an ejected endpoint where messages are quick. It is
-	// short: an endpoint that fails for several gives nothing to those who stay.
+	// minEjectionSpread is the time over which the members stop using an ejected endpoint when message delays are
+	// small. It is short because an endpoint that fails for several members is of no use to the rest either.
 	minEjectionSpread = 200 * millisecond
-	// minReturnSpread is over how long they take it into use again, so that it is not overloaded at once.
+	// minReturnSpread is the time over which the members resume using an endpoint, so that the returning load does not
+	// overload it.
 	minReturnSpread = 1000 * millisecond
-	// maxReturnSpread bounds that after relapses.
+	// maxReturnSpread limits the return spread after relapses.
 	maxReturnSpread = 16000 * millisecond
-	// delaysPerSpread is how many message delays a spread lasts at least: no more than a quarter of the members changes
-	// over before a report of what the first ones met can reach the others.
+	// delaysPerSpread is the minimum length of a spread in message delays: at most a quarter of the members switch over
+	// before reports of the first ones' results can reach the others.
 	delaysPerSpread = 4
-	// relapseWindow is how soon after a recovery a new ejection counts as a relapse, which doubles the next spread.
+	// relapseWindow is the time after a recovery within which a new ejection counts as a relapse. Each relapse doubles
+	// the next return spread.
 	relapseWindow = 20000 * millisecond
-	// maxReturnDoublings bounds the doublings, so that the spread cannot overflow before maxReturnSpread is applied.
+	// maxReturnDoublings limits the doublings, so that the spread cannot overflow before maxReturnSpread is applied.
 	maxReturnDoublings = 6
-	// maxEjectedShare is the part of the endpoints that may be ejected. If more fail, the cause is behind all of them
-	// or on this balancer's side, and sending to the rest would only overload it.
+	// maxEjectedShare is the largest share of the endpoints that may be ejected. If more fail, the cause is a shared
+	// dependency or this balancer itself, and shifting all load to the remaining endpoints would only overload them.
 	maxEjectedShare = 0.4
 
-	// ejectedPenalty is what an ejection takes from an endpoint's chance of success: all of it. With less, a busy fleet
-	// would go on trying it.
+	// ejectedPenalty is the share of an endpoint's estimated success probability that an ejection removes: all of it.
+	// With a smaller penalty a busy fleet would keep sending attempts to the endpoint.
 	ejectedPenalty = 1.0
-	// ProbePenalty stands in place of a penalty where this balancer holds the probe lease: one attempt shall go to the
-	// endpoint, whatever this balancer thinks of it.
+	// ProbePenalty is returned instead of a penalty while this balancer holds the probe lease: it should send one
+	// attempt to the endpoint regardless of its own estimate of it.
 	ProbePenalty = -1.0
 )
 
-// updateEjection moves an endpoint through its life cycle: in use, ejected, returning, and in use again.
+// updateEjection applies the state transitions of an endpoint: in use, ejected, returning, and in use again.
 func (d *Detector) updateEjection(now int64, id uint32, endpoint *endpointState) {
 	recent := d.collectEvidence(now, endpoint, ejectionWindow)
 	lastSuccess, _ := d.lastSuccessSeen(endpoint, recent.latestFailureInZone)
@@ -38,7 +40,7 @@
 	case isFailing && (!endpoint.isEjected() || endpoint.isReturning()):
 		d.eject(now, id, endpoint)
 	case !endpoint.isEjected():
-		// In use, and the evidence does not suffice.
+		// The endpoint is in use and the evidence does not suffice to eject it.
 	case endpoint.isReturning():
 		if now >= endpoint.returnsAt {
 			endpoint.uneject()
@@ -48,8 +50,8 @@
 	}
 }
 
-// eject begins an ejection. Members stop using the endpoint one after another, in their order for it; one that has not
-// taken it into use again since the ejection before just stays away.
+// eject starts an ejection. Members stop using the endpoint one after another, in the order of spreadPosition. A member
+// that has not resumed using it since the previous ejection stops at once.
 func (d *Detector) eject(now int64, id uint32, endpoint *endpointState) {
 	if endpoint.ejectionEndedAt != 0 && now-endpoint.ejectionEndedAt < relapseWindow {
 		endpoint.relapses++
@@ -64,16 +66,17 @@
 	endpoint.ejectedAt, endpoint.returnsAt = now, 0
 }
 
-// hasRecovered reports whether an ejection is over: the endpoint succeeded since for somebody who counts here, or the
-// evidence has expired. The latter guards against an ejection that never ends because nobody can report any more.
+// hasRecovered reports whether an ejection is over: a success that counts for this balancer (see lastSuccessSeen) was
+// observed since it began, or all evidence has expired. The expiry ensures that an ejection ends even if no member can
+// report any more.
 func (d *Detector) hasRecovered(now int64, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	lastSuccess, _ := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
 	return lastSuccess > endpoint.ejectedAt || d.collectEvidence(now, endpoint, evidenceTimeout).reporters == 0
 }
 
-// beginReturn sets when this balancer takes the endpoint into use again. Members return one after another, the more
-// slowly the more often a return did not last.
+// beginReturn sets when this balancer resumes using the endpoint. Members return one after another, over a time that
+// doubles with each relapse.
 func (d *Detector) beginReturn(now int64, id uint32, endpoint *endpointState) {
 	spread := max(minReturnSpread, delaysPerSpread*d.messageDelay) << min(endpoint.relapses, maxReturnDoublings)
 	spread = min(maxReturnSpread, spread)
@@ -83,8 +86,8 @@
 
 func (e *endpointState) uneject() { e.ejectedAt, e.returnsAt = 0, 0 }
 
-// Penalty returns what the fleet's evidence takes from an endpoint's chance of success here: 0 for nothing, 1 for all
-// of it, or ProbePenalty.
+// Penalty returns the share of an endpoint's estimated success probability that the fleet's evidence removes: 0 for
+// none, 1 for all of it, or ProbePenalty.
 func (d *Detector) Penalty(now int64, id uint32) float64 {
 	endpoint := d.endpoints[id]
 	switch {
@@ -96,12 +99,12 @@
 	return ejectedPenalty
 }
 
-// isAvoided reports whether this balancer acts on an endpoint's ejection now.
+// isAvoided reports whether this balancer currently does not use an endpoint because it is ejected.
 func (d *Detector) isAvoided(now int64, endpoint *endpointState) bool {
 	switch {
 	case !endpoint.isEjected():
 		return false
-	case endpoint.lastSuccess > endpoint.ejectedAt: // What this balancer sees itself outweighs what others report.
+	case endpoint.lastSuccess > endpoint.ejectedAt: // Own observations take precedence over reports.
 		return false
 	case float64(d.ejectedCount) > maxEjectedShare*float64(d.listedCount):
 		return false
@@ -111,8 +114,8 @@
 	return now >= endpoint.ejectionStartsAt
 }
 
-// RecordAttempt records that an attempt goes to an endpoint, which uses up a probe lease. It returns the penalty from
-// then on, and whether the endpoint is ejected at all.
+// RecordAttempt records that an attempt is sent to an endpoint, which consumes a probe lease that this balancer holds.
+// It returns the penalty after that, and whether the endpoint is ejected.
 func (d *Detector) RecordAttempt(now int64, id uint32) (penalty float64, ejected bool) {
 	endpoint := d.active[id]
 	if endpoint == nil || !endpoint.isEjected() {
@@ -122,7 +125,7 @@
 	return d.Penalty(now, id), true
 }
 
-// EachEjection calls visit with each endpoint that is ejected or was until lately, and its penalty, in no particular
+// EachEjection calls visit with each endpoint that is ejected or was until recently, and its penalty, in no particular
 // order.
 func (d *Detector) EachEjection(now int64, visit func(id uint32, penalty float64)) {
 	for id, endpoint := range d.active {
@@ -133,10 +136,10 @@
 	}
 }
 
-// spreadPosition is this balancer's place among the members for an endpoint, from 0 (first) to under 1. Places are
-// ranks and no random draws, so that equally many members move in each part of a spread.
+// spreadPosition returns this balancer's position within a spread for an endpoint, from 0 (first) to below 1. It is
+// computed from the rank among the members instead of a random number, so that switch-overs are evenly distributed.
 func (d *Detector) spreadPosition(id uint32) float64 {
-	// The complement makes this order another one than that of probes.
+	// The complement makes this order independent of the probe order.
 	ownScore, before := memberScore(^id, d.self.ID), 0
 	for _, m := range d.members {
 		score := memberScore(^id, m.ID)
@@ -147,7 +150,8 @@
 	return float64(before) / float64(len(d.members))
 }
 
-// memberScore orders the members for an endpoint by rendezvous hashing: the highest score is first.
+// memberScore returns the rendezvous hash of an endpoint and a member, which orders the members per endpoint. The
+// highest score comes first.
 func memberScore(endpoint, member uint32) uint64 {
 	return rendezvous.Mix((uint64(endpoint)<<32 | uint64(member)) + rendezvous.GoldenRatio)
 }
