--- a/outlier/ejection_test.go
+++ b/outlier/ejection_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// An endpoint that hangs cost each balancer its own failed attempts before anybody left it. Together all but those that
-// probe leave it for less than half of the failures that each alone pays, and take it back soon after it is well.
+// Guards against each balancer having to detect a hanging endpoint through its own failed attempts. With messages, all
+// balancers except those that probe must eject it with at most half of the failed attempts, and resume using it soon
+// after it recovers.
 func TestFleetEjectsFailingEndpoint(t *testing.T) {
 	failures := map[bool]int{}
 	for _, blocked := range []bool{true, false} {
@@ -17,33 +18,33 @@
 		s.messagesBlocked = blocked
 		s.run(5000*millisecond, 0.25)
 		s.failureRates[3] = 1
-		s.run(20000*millisecond, 0.25) // One attempt a balancer and second at each endpoint.
+		s.run(20000*millisecond, 0.25) // About one attempt per balancer and second at each endpoint.
 		failures[blocked] = s.failedAttempts
 		if ejected := s.ejectedBy(3); !blocked && ejected < 12-5 {
-			t.Errorf("only %d of 12 ejected it", ejected)
+			t.Errorf("ejected by only %d of 12 balancers", ejected)
 		}
 		s.failureRates[3] = 0
 		s.run(15000*millisecond, 0.25)
 		if ejected := s.ejectedBy(3); ejected != 0 {
-			t.Errorf("ejected by %d still, 15 s after it was well", ejected)
+			t.Errorf("still ejected by %d balancers 15 s after the endpoint recovered", ejected)
 		}
 	}
-	t.Logf("failed attempts: %d alone, %d with messages", failures[true], failures[false])
+	t.Logf("failed attempts: %d without messages, %d with messages", failures[true], failures[false])
 	if failures[false] > failures[true]/2 {
 		t.Errorf("%d failed attempts with messages, %d without", failures[false], failures[true])
 	}
 }
 
-// A balancer whose own network fails, one that lies, and a zone that is cut off see every endpoint fail. If that were
-// enough, they would take healthy endpoints from all the others.
+// Guards against healthy endpoints being ejected by the whole fleet because a single member or zone reports failures:
+// a disconnected member, one that reports false counts, or a partitioned zone.
 func TestNoEjectionOnEvidenceOfOneMemberOrZone(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(s *simulation)
 	}{
-		{"a broken cable", func(s *simulation) { s.disconnected[4] = true }},
-		{"a liar", func(s *simulation) { s.disconnected[4], s.misreportingMember = true, 4 }},
-		{"a zone that is cut off", func(s *simulation) {
+		{"one disconnected member", func(s *simulation) { s.disconnected[4] = true }},
+		{"one misreporting member", func(s *simulation) { s.disconnected[4], s.misreportingMember = true, 4 }},
+		{"one partitioned zone", func(s *simulation) {
 			for n := 0; n < 12; n += 3 {
 				s.disconnected[n] = true
 			}
@@ -67,8 +68,8 @@
 	}
 }
 
-// When the origin behind all endpoints fails, ejecting them one by one would overload those that are left. None is
-// ejected where everything fails, and never more than a half.
+// Guards against overload of the remaining endpoints when the origin behind all of them fails. No endpoint may stay
+// ejected if every attempt fails, and never more than half of them.
 func TestNoEjectionWhenEverythingFails(t *testing.T) {
 	for _, failureRate := range []float64{0.9, 1} {
 		s := newSimulation(t, 3, 12, 24, 3)
@@ -92,16 +93,16 @@
 	}
 }
 
-// A probe lease of a member that has died kept an endpoint ejected that was well again. The next in its order probes a
-// step later; and when no message arrives at all, every ejection ends by itself.
+// Guards against a recovered endpoint staying ejected because the holder of the probe lease is down. The next member in
+// the probe order must probe one stagger interval later, and every ejection must end if no messages arrive at all.
 func TestProbeLeasePassesOverDeadMembers(t *testing.T) {
 	s := newSimulation(t, 4, 12, 24, 1)
 	s.failureRates[5] = 1
 	s.run(5000*millisecond, 1)
 	if s.ejectedBy(5) == 0 {
-		t.Fatal("nobody ejected it")
+		t.Fatal("no balancer ejected the endpoint")
 	}
-	// The first three in its order are dead, and nobody knows yet.
+	// The first three members in its probe order are down but still listed as members.
 	inOrder := slices.Clone(s.detectors)
 	slices.SortFunc(inOrder, func(a, b *Detector) int {
 		if memberScore(s.endpoints[5], a.self.ID) > memberScore(s.endpoints[5], b.self.ID) {
@@ -115,23 +116,24 @@
 	s.failureRates[5] = 0
 	s.run(maxProbeDelay+4*minProbeStagger+minReturnSpread+1000*millisecond, 1)
 	if ejected := s.ejectedBy(5); ejected != 0 {
-		t.Errorf("still ejected by %d after it was well", ejected)
+		t.Errorf("still ejected by %d balancers after the endpoint recovered", ejected)
 	}
-	// No message arrives any more.
+	// From here on no messages arrive.
 	s.failureRates[5] = 1
 	s.run(5000*millisecond, 1)
 	if s.ejectedBy(5) == 0 {
-		t.Fatal("nobody ejected it")
+		t.Fatal("no balancer ejected the endpoint")
 	}
 	s.failureRates[5], s.messagesBlocked = 0, true
 	s.run(evidenceTimeout+2*minReturnSpread+1000*millisecond, 1)
 	if ejected := s.ejectedBy(5); ejected != 0 {
-		t.Errorf("ejected by %d though no message has arrived for longer than %d ns", ejected, evidenceTimeout)
+		t.Errorf("still ejected by %d balancers after more than %d ns without messages", ejected, evidenceTimeout)
 	}
 }
 
-// An endpoint that fails as soon as more than a half of the fleet uses it would be taken back and dropped by all at
-// once, for ever. However late messages are, at most a quarter returns within one message delay.
+// Guards against endless oscillation: an endpoint that fails as soon as more than half of the fleet uses it would be
+// put back into use and ejected by all balancers at once. At most a quarter of the balancers may return within one
+// message delay, however long that is.
 func TestReturnsAreSpread(t *testing.T) {
 	const balancers = 40
 	for _, delay := range []int64{0, 200 * millisecond, 1000 * millisecond, 2000 * millisecond} {
@@ -152,18 +154,19 @@
 				mostReturns = max(mostReturns, ejected[n-1-ticksPerDelay]-ejected[n-1])
 			}
 		}
-		t.Logf("delay %d ms: at most %d of %d return within one", delay/millisecond, mostReturns, balancers)
-		if mostReturns > balancers/4+4 { // A quarter, and some for the rounding of places and for probes.
-			t.Errorf("delay %d ms: %d of %d return within one", delay/millisecond, mostReturns, balancers)
+		t.Logf("delay %d ms: at most %d of %d balancers return within one delay", delay/millisecond, mostReturns, balancers)
+		if mostReturns > balancers/4+4 { // The 4 allow for rounded positions and probes.
+			t.Errorf("delay %d ms: %d of %d balancers return within one delay", delay/millisecond, mostReturns, balancers)
 		}
 		if last := ejected[len(ejected)-1]; last != 0 {
-			t.Errorf("delay %d ms: ejected by %d still, after 20 s", delay/millisecond, last)
+			t.Errorf("delay %d ms: still ejected by %d balancers after 20 s", delay/millisecond, last)
 		}
 	}
 }
 
-// Under seeded faults (members come, go, break and lose their memory; the network loses, delays and repeats) nothing is
-// ejected without its witnesses, everything stored has its bound, and once all is well nothing stays ejected.
+// Checks invariants under seeded random faults: members stop, restart without state or are disconnected, and the
+// network loses, delays and duplicates messages. No endpoint may be ejected without enough reporters, stored state must
+// stay within its limits, and no endpoint may stay ejected once all faults are over.
 func TestInvariantsUnderRandomFaults(t *testing.T) {
 	steps := 3000
 	if n, err := strconv.Atoi(os.Getenv("HOLLYLEVER_STEPS")); err == nil {
@@ -209,13 +212,13 @@
 		s.run(evidenceTimeout+maxReturnSpread+5000*millisecond, 0.5)
 		for at := range s.endpoints {
 			if ejected := s.ejectedBy(at); ejected > 0 {
-				t.Errorf("seed %d: endpoint %d is ejected by %d though all is well", seed, at, ejected)
+				t.Errorf("seed %d: endpoint %d is still ejected by %d balancers after all faults ended", seed, at, ejected)
 			}
 		}
 	}
 }
 
-// injectFault changes one thing by chance, for better or worse.
+// injectFault introduces or ends one randomly chosen fault.
 func (s *simulation) injectFault() {
 	endpoint, balancer := s.random.IntN(len(s.endpoints)), s.random.IntN(len(s.detectors))
 	switch s.random.IntN(8) {
@@ -230,7 +233,7 @@
 		s.messageDelay = 1 + s.random.Int64N(2000*millisecond)
 	case 6:
 		s.alive[balancer] = !s.alive[balancer]
-	case 7: // A new process of the same name, which knows nothing.
+	case 7: // Restart: a new process of the same member, without state.
 		previous := s.detectors[balancer]
 		s.detectors[balancer] = New(previous.self, previous.incarnation+1)
 		s.detectors[balancer].SetMembers(previous.members)
@@ -238,8 +241,8 @@
 	}
 }
 
-// TestSizes is a measurement and not for CI: what messages save and cost at sizes that processes do not reach.
-// HOLLYLEVER_SIZES names the numbers of balancers.
+// TestSizes is a measurement that CI does not run: how many failed attempts messages prevent and how much traffic they
+// cause in fleets too large to run as processes. HOLLYLEVER_SIZES is a comma-separated list of numbers of balancers.
 func TestSizes(t *testing.T) {
 	sizes := os.Getenv("HOLLYLEVER_SIZES")
 	if sizes == "" {
@@ -260,14 +263,14 @@
 			s.run(20000*millisecond, 0.5)
 			failures[connected], bytes[connected] = s.failedAttempts, s.bytesSent
 		}
-		t.Logf("%d balancers, %d endpoints, 50 attempts a second each, one endpoint fails for 20 s: %d failures alone, "+
-			"%d with messages; %.0f bytes a balancer and second sent", balancers, 2*balancers,
+		t.Logf("%d balancers, %d endpoints, 50 attempts per second each, one endpoint fails for 20 s: %d failures "+
+			"without messages, %d with messages; %.0f bytes sent per balancer and second", balancers, 2*balancers,
 			failures[0], failures[1], float64(bytes[1])/20/float64(balancers))
 	}
 }
 
-// An endpoint that fails under load alone was taken back at once each time. A new ejection within 20 s of the recovery
-// counts as a relapse, which makes the next return slower; one after that begins anew.
+// Guards against an endpoint that fails only under load being put back into use equally fast each time. An ejection
+// within 20 s of the recovery counts as a relapse, which slows down the next return; a later one resets the count.
 func TestEjectionSoonAfterRecoveryIsRelapse(t *testing.T) {
 	for _, c := range []struct {
 		sinceRecovery int64
