--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -3,35 +3,38 @@
 import "math"
 
 const (
-	// ejectionWindow is how recent a failure must be to count towards a new ejection: a few attempts of a quiet
-	// balancer, so that two of them can be witnesses at the same time.
+	// ejectionWindow is the maximum age of a failure that counts towards a new ejection. It spans a few attempts of a
+	// balancer with little traffic, so that two such balancers can be reporters at the same time.
 	ejectionWindow = 3000 * millisecond
-	// evidenceTimeout is how long evidence keeps an endpoint ejected. It is longer than a probe takes to come round to
-	// the next balancer, so that an ejection does not lapse between two probes.
+	// evidenceTimeout is how long evidence keeps an endpoint ejected. It is longer than the probe lease takes to pass
+	// to the next balancer, so that an ejection does not expire between two probes.
 	evidenceTimeout = 15000 * millisecond
-	// probeEvidenceWindow is how far back failures count for who probes next, also after they expired as evidence.
+	// probeEvidenceWindow is the maximum age of failures that determine who probes next. They are used for that even
+	// after they have expired as evidence.
 	probeEvidenceWindow = 2 * evidenceTimeout
-	// minReporters is how many balancers must agree: one alone may have a broken network of its own.
+	// minReporters is the minimum number of balancers that must agree: a single one may have a network fault of its
+	// own.
 	minReporters = 2
-	// minReporterZones is from how many zones they must be, where there are more: one zone may be cut off.
+	// minReporterZones is the minimum number of zones they must be in, if there are that many: a single zone may
+	// be partitioned from the others.
 	minReporterZones = 2
-	// maxFailuresPerReporter bounds what one balancer's consecutive failures weigh, so that one that lies cannot make up
-	// for others.
+	// maxFailuresPerReporter limits the weight of one balancer's consecutive failures, so that one that reports false
+	// values cannot replace other reporters.
 	maxFailuresPerReporter = 4
-	// falsePositiveMargin is how many times as many endpoints would have to be watched until chance alone ejects one.
+	// falsePositiveMargin is the inverse of the accepted probability that chance alone ejects any of the endpoints.
 	falsePositiveMargin = 1000.0
 )
 
-// evidence sums up the failures of an endpoint that count within a window.
+// evidence aggregates the failures of an endpoint that count within a time window.
 type evidence struct {
-	reporters           int   // balancers that report failures
-	zones               int   // that these are in
-	failures            int   // consecutive ones, each witness's up to maxFailuresPerWitness
-	latestFailure       int64 // anybody's; 0: none
-	latestFailureInZone int64 // of a witness in this balancer's zone; 0: none
+	reporters           int   // balancers that observed failures, this one included
+	zones               int   // distinct zones of the reporters
+	failures            int   // sum of consecutive failures, at most maxFailuresPerReporter of each reporter
+	latestFailure       int64 // of any reporter; 0: none
+	latestFailureInZone int64 // of a reporter in this balancer's zone; 0: none
 }
 
-// collectEvidence sums up what this balancer observed and what others reported, as far as it is younger than window.
+// collectEvidence aggregates this balancer's own observations and the stored reports that are more recent than window.
 func (d *Detector) collectEvidence(now int64, endpoint *endpointState, window int64) evidence {
 	d.zonesSeen.clear()
 	var sum evidence
@@ -39,8 +42,9 @@
 		if failures == 0 || now-latest >= window || latest < endpoint.lastSuccess {
 			return
 		}
-		// An overloaded endpoint fails for one and succeeds for another all the time, and everybody would leave it.
-		// If this balancer saw a success since the run began, only the run's last failure can count.
+		// An overloaded endpoint fails some attempts and answers others at the same time; it must not be ejected by
+		// the whole fleet for that. If this balancer observed a success since the run of failures began, only the
+		// run's last failure counts.
 		if first < endpoint.lastSuccess {
 			failures = 1
 		}
@@ -61,13 +65,14 @@
 	return sum
 }
 
-// hasConsensus reports whether the evidence suffices for an ejection: enough witnesses in enough zones, and more
+// hasConsensus reports whether the evidence suffices for an ejection: enough reporters in enough zones, and more
 // failures than chance explains.
 //
-// If single attempts fail at the rate f, then a given set of w out of n balancers sees r consecutive failures in all
-// with probability f^r, and there are at most n^w such sets. Over all endpoints that must stay below 1/chanceMargin:
+// If single attempts fail at the rate f, a given set of w out of n balancers observes a total of r consecutive failures
+// with probability f^r, and there are at most n^w such sets. The code compares logarithms to check that the probability
+// over all endpoints is at most 1/falsePositiveMargin:
 //
-//	f^r * n^w * (endpoints+1) <= 1/chanceMargin, in logarithms below
+//	f^r * n^w * (endpoints+1) <= 1/falsePositiveMargin
 func (d *Detector) hasConsensus(e evidence) bool {
 	if e.reporters < minReporters || e.zones < min(minReporterZones, d.zoneCount) {
 		return false
@@ -77,11 +82,12 @@
 	return logImprobability >= required
 }
 
-// lastSuccessSeen returns when a balancer whose success counts here saw the endpoint succeed last: this one, one of its
-// zone, or anybody after latestFailureInZone. elsewhere is the latest success of another zone that does not count.
+// lastSuccessSeen returns the time of the endpoint's last success that counts for this balancer: one observed by this
+// balancer, by a member of its zone, or by any member after latestFailureInZone. lastInOtherZone is the latest success
+// in another zone that does not count.
 //
-// So an endpoint that only its own zone reaches stays in use there, and one that only other zones reach is ejected
-// here, but for probes.
+// As a result, an endpoint that is reachable only from its own zone stays in use there, and one that is reachable only
+// from other zones is ejected by the members of this zone, which send it only probes.
 func (d *Detector) lastSuccessSeen(endpoint *endpointState, latestFailureInZone int64) (last, lastInOtherZone int64) {
 	last = endpoint.lastSuccess
 	for _, r := range endpoint.reports {
@@ -96,21 +102,22 @@
 	return last, lastInOtherZone
 }
 
-// zoneSet counts distinct zones. Zone numbers are small, so it is an array that is reused without being cleared.
+// zoneSet is a set of zones. Zone numbers are small, so it is a slice indexed by zone. A generation counter makes it
+// reusable without clearing the slice.
 type zoneSet struct {
 	generation uint32
-	addedIn    []uint32 // by zone: the round in which it was added last
+	addedIn    []uint32 // by zone: the generation in which it was last added
 }
 
-// clear begins a new set.
+// clear empties the set.
 func (s *zoneSet) clear() {
-	if s.generation++; s.generation == 0 { // The counter wrapped: older entries would look like new ones.
+	if s.generation++; s.generation == 0 { // The counter wrapped around: old entries would look current.
 		clear(s.addedIn)
 		s.generation = 1
 	}
 }
 
-// add reports whether the zone is new in the set, and adds it.
+// add adds a zone and reports whether it was not in the set before.
 func (s *zoneSet) add(zone uint16) bool {
 	if missing := int(zone) + 1 - len(s.addedIn); missing > 0 {
 		s.addedIn = append(s.addedIn, make([]uint32, missing)...)
