--- a/outlier/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// With a bound that chance reaches, a fleet that watches many endpoints would eject a healthy one every few minutes;
-// with one too strict, an endpoint that hangs is left too late. So many failures it takes, by what is rare for this
-// balancer.
+// Checks the number of failures required for an ejection at several fleet sizes and failure rates. If chance alone
+// reached it, a fleet with many endpoints would eject a healthy one every few minutes; if it were too high, a hanging
+// endpoint would be ejected too late.
 func TestConsensusNeedsMoreThanChance(t *testing.T) {
 	for _, c := range []struct {
 		members, endpoints, reporters int
-		attempts, failures            int // seen before
+		attempts, failures            int // observed before
 		want                          int // failures of each witness that it takes, or more than maxFailuresPerWitness
 	}{
-		{12, 24, 1, 0, 0, 5}, // One alone is never enough.
+		{12, 24, 1, 0, 0, 5}, // A single reporter is never enough.
 		{12, 24, 2, 0, 0, 2},
 		{12, 24, 2, 50_000, 0, 2},
 		{100, 50, 2, 50_000, 0, 2},
@@ -45,23 +45,23 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%+v: it takes %d", c, got)
+			t.Errorf("%+v: got %d", c, got)
 		}
 	}
 }
 
-// A balancer that believed to know rates of one in 100,000 after a quiet night would eject on two single failures.
-// Rates begin at 0.005 and are never taken for lower than one in 1,000.
+// Guards against ejections on two single failures by a balancer that has observed no failures for hours and estimates a
+// failure rate of one in 100,000. The estimate must start at 0.005 and never fall below one in 1,000.
 func TestFailureRateHasFloor(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
 	detector.SetEndpoints([]uint32{1000})
 	if rate := detector.failureRate(); rate != 0.005 {
-		t.Errorf("it begins at %v", rate)
+		t.Errorf("initial failure rate is %v, want 0.005", rate)
 	}
 	for range 100_000 {
 		detector.Observe(1e12, 1000, Success)
 	}
 	if rate := detector.failureRate(); rate != 0.001 {
-		t.Errorf("after 100,000 successes it is %v", rate)
+		t.Errorf("failure rate after 100,000 successes is %v, want 0.001", rate)
 	}
 }
