--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// minMessageInterval is the least time between two messages, so that a burst of failures goes out as a few
+	// minMessageInterval is the minimum time between two messages, so that a burst of failures is batched into a few
 	// messages.
 	minMessageInterval = 50 * millisecond
-	// repeatInterval is how often reports are repeated while nothing new happens: a lost message costs that long.
+	// repeatInterval is the interval at which reports are repeated while nothing changes. It is the delay that a lost
+	// message causes.
 	repeatInterval = 500 * millisecond
-	// recoveryRepeats is in how many messages a recovery is reported. It is not repeated for as long as it holds, as
-	// failures are, so it must survive the loss of some.
+	// recoveryRepeats is the number of messages in which a recovery is reported. Unlike failures, which are repeated as
+	// long as they persist, a recovery is reported only this often and must survive the loss of some messages.
 	recoveryRepeats = 4
-	// minReportsPerEndpoint is how many members' reports are kept of each endpoint in any case.
+	// minReportsPerEndpoint is the number of reports that can be stored for each endpoint in any case.
 	minReportsPerEndpoint = 64
-	// maxStoredReports bounds the reports of all endpoints together (2.6 MB); beyond it an endpoint keeps
-	// minReportsPerEndpoint. As long as no endpoint has more than that, as many are kept as there are members.
+	// maxStoredReports is the total number of reports (2.6 MB) from which an endpoint that has minReportsPerEndpoint or
+	// more gets no further ones without evicting another. Below it, a report of every member is stored for each
+	// endpoint.
 	maxStoredReports = 1024 * minReportsPerEndpoint
 )
 
-// storedReport is the last report of one member on one endpoint, on this balancer's clock.
+// storedReport is the latest report of one member on one endpoint, with times of this balancer's clock.
 type storedReport struct {
 	sender              uint32
 	zone                uint16
 	consecutiveFailures uint8 // 0: the endpoint succeeded
-	firstFailureAt      int64 // the earliest that was reported of this run
+	firstFailureAt      int64 // the earliest reported failure of this run of failures
 	observedAt          int64 // the latest failure, or the success
 	receivedAt          int64
 }
 
-// HandleMessage records what another balancer reports. Messages of nobody known, repeats, and messages older than one
-// accepted before are counted and otherwise ignored: merging must not depend on the network's order.
+// HandleMessage stores the reports of another balancer. Messages from unknown senders, duplicates, and messages older
+// than one already accepted are counted and otherwise ignored, so that the result does not depend on delivery order.
 func (d *Detector) HandleMessage(now int64, m *Message) {
-	index := d.memberIndex[m.From] // 0 for this balancer and for those that are no members.
+	index := d.memberIndex[m.From] // 0 for this balancer and for senders that are not members.
 	if index == 0 {
 		d.MessagesFromUnknown++
 		return
@@ -58,8 +60,8 @@
 	}
 }
 
-// resolveZone returns the zone of a member: as this balancer knows it, or else as the member says. Each process numbers
-// zones for itself, so that the former goes first.
+// resolveZone returns the zone of a member: the one this balancer knows, or else the one stated by the member. The
+// former takes precedence because each process assigns its own zone numbers.
 func (d *Detector) resolveZone(index int, stated uint16) uint16 {
 	member := &d.members[index]
 	if member.Zone == UnknownZone && stated != UnknownZone {
@@ -69,8 +71,8 @@
 	return member.Zone
 }
 
-// storeReport keeps a report in place of its sender's last one. If there are too many, the one that was received
-// longest ago gives way.
+// storeReport replaces the sender's previous report, or adds one. If there are too many reports, it evicts the
+// endpoint's least recently received one.
 func (d *Detector) storeReport(endpoint *endpointState, report storedReport) {
 	index, known := endpoint.findReport(report.sender)
 	if known {
@@ -90,7 +92,7 @@
 	d.storedReports++
 }
 
-// findReport returns where a sender's report is, or where it would have to be inserted.
+// findReport returns the index of a sender's report, or the index at which to insert one.
 func (e *endpointState) findReport(sender uint32) (index int, found bool) {
 	return slices.BinarySearchFunc(e.reports, sender, func(r storedReport, sender uint32) int {
 		return cmp.Compare(r.sender, sender)
@@ -107,15 +109,15 @@
 	e.reports = slices.Delete(e.reports, oldest, oldest+1)
 }
 
-// dropExpiredReports forgets reports that nothing reads any more.
+// dropExpiredReports removes reports that can no longer affect any decision.
 func (e *endpointState) dropExpiredReports(now int64) {
 	e.reports = slices.DeleteFunc(e.reports, func(r storedReport) bool {
 		return now-r.observedAt > probeEvidenceWindow && now-r.receivedAt > probeEvidenceWindow
 	})
 }
 
-// NextMessage returns the message that is due, or nil: at once after a change, repeated while something fails, and
-// none while all is well. The caller sends it to all members.
+// NextMessage returns the message that is due, or nil. A message is due soon after a change and is repeated while there
+// is anything to report; otherwise none is sent. The caller sends it to all members.
 func (d *Detector) NextMessage(now int64) *Message {
 	sinceLast := now - d.lastSentAt
 	if sinceLast < minMessageInterval || !d.urgent && sinceLast < repeatInterval {
@@ -139,9 +141,9 @@
 	return m
 }
 
-// reportsDue returns a report of each endpoint of which others should hear, in no particular order. There are none
-// while more than maxEjectedShare of the endpoints fail here: the cause is behind all of them, or this balancer's own
-// network.
+// reportsDue returns the reports to send, at most one per endpoint, in no particular order. It returns none while more
+// than maxEjectedShare of the endpoints fail for this balancer, as the cause is then a shared dependency or this
+// balancer's own network.
 func (d *Detector) reportsDue(now int64) (reports []Report) {
 	if float64(d.countFailing(now)) > maxEjectedShare*float64(d.listedCount) {
 		return nil
@@ -161,7 +163,8 @@
 	return reports
 }
 
-// countFailing counts the endpoints whose latest attempts of this balancer failed.
+// countFailing returns the number of endpoints at which this balancer's latest attempts failed, within
+// evidenceTimeout.
 func (d *Detector) countFailing(now int64) (failing int) {
 	for _, endpoint := range d.active {
 		if endpoint.consecutiveFailures > 0 && now-endpoint.lastFailure < evidenceTimeout {
@@ -171,8 +174,8 @@
 	return failing
 }
 
-// isFailureDue reports whether others should hear of an endpoint's failures here. Once it is ejected everywhere, only
-// failures since then, those of probes, are news.
+// isFailureDue reports whether this balancer's failures at an endpoint are to be reported. Once the ejection has had
+// time to take effect everywhere, only failures since it began, which are those of probes, carry new information.
 func (d *Detector) isFailureDue(now int64, endpoint *endpointState) bool {
 	if endpoint.consecutiveFailures == 0 || now-endpoint.lastFailure >= evidenceTimeout {
 		return false
@@ -184,10 +187,11 @@
 	return endpoint.isEjected() && endpoint.lastFailure > endpoint.ejectedAt
 }
 
-// selectReports returns as many reports as a message holds: those first that were sent longest ago or never, of these
-// the most recent. If one is left out that says more than was sent of its endpoint, the next message is due at once.
+// selectReports returns as many reports as fit into a message. Endpoints that were never reported or were reported
+// longest ago come first; ties go to the most recent observation. If an omitted report adds to what was last sent about
+// its endpoint, the next message is marked urgent.
 func (d *Detector) selectReports(now int64, reports []Report) []Report {
-	slices.SortFunc(reports, func(a, b Report) int { // Ties go by endpoint, so that a run can be repeated.
+	slices.SortFunc(reports, func(a, b Report) int { // Remaining ties are broken by ID for reproducible runs.
 		return cmp.Or(
 			cmp.Compare(d.endpoints[a.Endpoint].sentAt, d.endpoints[b.Endpoint].sentAt),
 			cmp.Compare(a.AgeMillis, b.AgeMillis),
@@ -211,5 +215,5 @@
 	return selected
 }
 
-// effectiveFailures is how many consecutive failures of a report can count at its receivers.
+// effectiveFailures returns the number of a report's consecutive failures that count at its receivers.
 func effectiveFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerReporter) }
