--- a/outlier/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two balancers that received the same messages in another order decided otherwise. Whatever the order, and with
-// repeats and losses, the last report of each member is what counts.
+// Guards against balancers reaching different decisions because they received the same messages in different orders.
+// With reordered and duplicated messages, only the latest report of each member may count.
 func TestMergeIsOrderIndependent(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	endpoints := []uint32{1000, 1001, 1002, 1003, 1004}
@@ -33,7 +33,7 @@
 		for from := range 6 {
 			for seq := range 4 {
 				m := &Message{From: uint32(from + 2), Incarnation: 1, Seq: uint32(seq + 1), Zone: uint16(from % 2)}
-				for _, id := range endpoints { // All in each message: the later one replaces the earlier one whole.
+				for _, id := range endpoints { // Later messages replace all reports of earlier ones.
 					failures, age := uint8(random.IntN(5)), uint16(random.IntN(2000))
 					m.Reports = append(m.Reports, Report{Endpoint: id, ConsecutiveFailures: failures, AgeMillis: age})
 				}
@@ -44,12 +44,13 @@
 		shuffled := append(slices.Clone(messages), messages[:8]...)
 		random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		if got := ejectedAfter(shuffled); !slices.Equal(got, want) {
-			t.Fatalf("%v in order, %v shuffled", want, got)
+			t.Fatalf("ejected: %v in order, %v shuffled", want, got)
 		}
 	}
 }
 
-// A late message of a process that is over spoke for the one that came after it, with failures of before its start.
+// Guards against a delayed message from an ended process being attributed to its successor, which would count failures
+// from before the successor's start.
 func TestStaleIncarnationIsIgnored(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
 	detector.SetMembers([]Member{{2, 0}, {3, 0}})
@@ -66,7 +67,7 @@
 
 const largeFleet = 1024
 
-// newLargeFleetDetector returns the detector of one of 1,024 members, each in a zone of its own, with 1,024 endpoints.
+// newLargeFleetDetector returns the detector of one of 1,024 members, each in its own zone, with 1,024 endpoints.
 func newLargeFleetDetector() *Detector {
 	detector := New(Member{1, 0}, 1)
 	var members []Member
@@ -83,8 +84,8 @@
 	return detector
 }
 
-// With more failing endpoints than a message holds, some were never reported. Of 400 of 1,024 that fail at once, and
-// that succeed again, all are reported in as many messages as they fill.
+// Guards against endpoints never being reported when more of them fail than fit into one message. When 400 of 1,024
+// endpoints fail or recover at once, all must be reported within the minimum number of messages.
 func TestAllFailingEndpointsAreReported(t *testing.T) {
 	detector, now := newLargeFleetDetector(), int64(1e15)
 	const failing = 400
@@ -102,7 +103,7 @@
 				break
 			}
 			if size := len(m.Encode()); size > MaxMessageBytes {
-				t.Fatalf("a message has %d bytes", size)
+				t.Fatalf("message has %d bytes, limit %d", size, MaxMessageBytes)
 			}
 			for _, r := range m.Reports {
 				if r.ConsecutiveFailures > 0 == fails {
@@ -111,19 +112,19 @@
 			}
 		}
 		if len(reported) != failing {
-			t.Errorf("%d endpoints of %d are reported", len(reported), failing)
+			t.Errorf("%d of %d endpoints are reported", len(reported), failing)
 		}
 	}
 	expectAllReported(Failure, true)
 	now += minMessageInterval
 	if detector.NextMessage(now); detector.urgent {
-		t.Error("another message is due at once, though all was reported")
+		t.Error("next message is urgent although everything was reported")
 	}
 	expectAllReported(Success, false)
 }
 
-// A table that kept too few reports per endpoint never reached a large fleet's consensus. All of 1,024 members' reports
-// of one endpoint are kept; of all endpoints together no more than the bound.
+// Guards against a limit on stored reports per endpoint that is too low for the consensus of a large fleet. The reports
+// of all 1,024 members on one endpoint must be stored, and the total must stay within its limit.
 func TestAllReportersAreStored(t *testing.T) {
 	detector, now := newLargeFleetDetector(), int64(1e15)
 	report := func(from int, endpoints ...uint32) {
@@ -142,7 +143,7 @@
 	}
 	e := detector.collectEvidence(now, detector.endpoints[5000], ejectionWindow)
 	if e.reporters != largeFleet-1 || e.zones != largeFleet-1 {
-		t.Errorf("%d witnesses of %d zones are kept", e.reporters, e.zones)
+		t.Errorf("%d reporters in %d zones are stored", e.reporters, e.zones)
 	}
 	for from := 2; from <= largeFleet; from++ {
 		for first := uint32(1); first < 181; first += maxReportsPerMessage {
@@ -157,20 +158,20 @@
 	for _, endpoint := range detector.endpoints {
 		stored += len(endpoint.reports)
 		if endpoint.reports != nil && len(endpoint.reports) < minReportsPerEndpoint {
-			t.Errorf("%d reports are kept of an endpoint that all report on", len(endpoint.reports))
+			t.Errorf("only %d reports are stored of an endpoint that all members report on", len(endpoint.reports))
 		}
 	}
 	if stored > maxStoredReports+181*minReportsPerEndpoint || stored != detector.storedReports {
-		t.Errorf("%d reports are kept, %d by the count", stored, detector.storedReports)
+		t.Errorf("%d reports are stored, but storedReports is %d", stored, detector.storedReports)
 	}
 }
 
-// Reports of members that fell silent filled the table for ever. A report is dropped once it is 30 s old, both by its
-// sender's word and since it was received; until then the order of probes may depend on it.
+// Guards against reports of members that no longer send messages being stored indefinitely. A report must be dropped
+// once both its observation and its receipt are more than 30 s old; until then the probe order may depend on it.
 func TestReportsExpire(t *testing.T) {
 	const now, old = int64(1e12), 30_000 * millisecond
 	for _, c := range []struct {
-		observed, received int64 // ago
+		observed, received int64 // age
 		want               int
 	}{
 		{old, old, 1},
