--- a/outlier/golden_test.go
+++ b/outlier/golden_test.go
@@ -15,9 +15,9 @@
 	"hollylever/policy"
 )
 
-var update = flag.Bool("update", false, "write the golden files in testdata from what the code does now")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata with the current results")
 
-// compareGolden holds lines against a file in testdata.
+// compareGolden compares lines with a file in testdata, or rewrites the file if -update is set.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path, got := "testdata/"+name, strings.Join(lines, "\n")+"\n"
@@ -36,8 +36,9 @@
 	}
 }
 
-// A build that decides otherwise than its neighbours over the same evidence ejects or returns endpoints at other
-// times than they do. Each message, attempt, penalty, status and count of a seeded run is part of the trace.
+// Guards against unintended changes of decisions: during an upgrade, builds that decide differently on the same
+// evidence would eject endpoints and return them to use at different times. The trace covers each message, attempt,
+// sampled penalty, status and count of a seeded run.
 func TestGoldenTraces(t *testing.T) {
 	lines := []string{}
 	for seed := range uint64(4) {
@@ -46,8 +47,8 @@
 	compareGolden(t, "traces.golden", lines)
 }
 
-// goldenRun plays 25 s with members that come, go and lie, and a network that loses, delays and repeats; it gives the
-// hash of all that is seen.
+// goldenRun simulates 25 s in which members stop, restart and report false counts, and the network loses, delays and
+// duplicates messages. It returns the hash of the trace.
 func goldenRun(t *testing.T, seed uint64) string {
 	s := newSimulation(t, 100+seed, 6+int(seed)*3, 40, 1+int(seed)%4)
 	s.trace = sha256.New()
@@ -71,12 +72,12 @@
 				s.messageDelay = 1 + s.random.Int64N(2000*millisecond)
 			case 7:
 				s.alive[n] = !s.alive[n]
-			case 8: // A new process under the same name.
+			case 8: // Restart: a new process of the same member, without state.
 				s.detectors[n] = New(members[n], s.detectors[n].incarnation+1)
 				s.detectors[n].SetMembers(members)
 				s.detectors[n].SetEndpoints(s.endpoints)
 				reads[n], misses[n] = 0, 0
-			case 9: // Members and endpoints that are gone, and come again.
+			case 9: // Half of the members and endpoints are removed; case 10 restores them.
 				s.detectors[n].SetMembers(members[:len(members)/2])
 				s.detectors[n].SetEndpoints(s.endpoints[:len(s.endpoints)/2])
 			case 10:
@@ -87,7 +88,7 @@
 				}
 			case 11:
 				missShare = 0.6 - missShare
-			case 12: // More fail than a message holds.
+			case 12: // More endpoints fail than fit into a message.
 				for at := range s.failureRates {
 					if at%3 != 0 {
 						s.failureRates[at] = float64(step / 40 % 2)
@@ -122,7 +123,7 @@
 
 func traceStatus(t *testing.T, s *simulation, n int) {
 	detector := s.detectors[n]
-	detector.Observe(s.now, 77, Failure) // An endpoint that is not listed.
+	detector.Observe(s.now, 77, Failure) // Not a listed endpoint.
 	detector.Observe(s.now, s.endpoints[0], Inconclusive)
 	status := detector.Status(s.now)
 	slices.SortFunc(status, func(a, b EndpointStatus) int { return cmp.Compare(a.ID, b.ID) })
@@ -142,7 +143,8 @@
 		detector.MessagesSent, detector.MessagesAccepted, detector.MessagesStale, detector.MessagesFromUnknown)
 }
 
-// Processes of two builds exchange these bytes over an upgrade: one that wrote them otherwise would be heard by nobody.
+// Guards against changes of the encoding: during an upgrade, processes of different builds exchange these messages, and
+// others would reject those of a build with a different encoding.
 func TestGoldenMessages(t *testing.T) {
 	full := &Message{From: 1<<32 - 1, Incarnation: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, MissPercent: 100}
 	for n := range uint32(maxReportsPerMessage) {
@@ -162,7 +164,7 @@
 		lines = append(lines, hex.EncodeToString(bytes))
 		decoded, err := DecodeMessage(bytes)
 		if err != nil || hex.EncodeToString(decoded.Encode()) != hex.EncodeToString(bytes) {
-			t.Errorf("%x does not come back: %v", bytes, err)
+			t.Errorf("%x does not survive a round trip: %v", bytes, err)
 		}
 	}
 	for outcome := range policy.Outcome(16) {
@@ -182,13 +184,13 @@
 		"tagged":     {0xc1, 0x86, 1, 1, 1, 1, 0x80, 1},
 	} {
 		if m, err := DecodeMessage(bytes); err == nil {
-			t.Errorf("%s: %x is taken as %+v", name, bytes, m)
+			t.Errorf("%s: %x is decoded as %+v, want an error", name, bytes, m)
 		}
 	}
 }
 
-// A table that is full and evicts another witness than its neighbours do calls another number of witnesses. Members
-// learn each other's zones from messages.
+// Guards against changes in which reports are evicted when the store is full, as builds that evict differently would
+// count different reporters. The members learn each other's zones from messages.
 func TestGoldenFullTables(t *testing.T) {
 	detector, now, sum := New(Member{1, UnknownZone}, 1), int64(1e15), sha256.New()
 	var members []Member
@@ -222,7 +224,7 @@
 		endpoints = append(endpoints, id)
 	}
 	detector.SetEndpoints(endpoints)
-	for _, id := range endpoints[8190:8194] { // The first two of these are the last that are known.
+	for _, id := range endpoints[8190:8194] { // Only the first two are within maxEndpoints.
 		detector.Observe(now, id, ConnectFailure)
 	}
 	traceStatus(t, &simulation{now: now, detectors: []*Detector{detector}, endpoints: endpoints, trace: sum}, 0)
