--- a/outlier/message_test.go
+++ b/outlier/message_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-// A message that is larger than its bound is refused by all who receive it. The largest one there can be is not.
+// Receivers reject messages that exceed MaxMessageBytes, so the largest possible message must stay within it.
 func TestLargestMessageFits(t *testing.T) {
 	m := &Message{From: 1<<32 - 1, Incarnation: 1<<64 - 1, Seq: 1<<32 - 1, Zone: 1<<16 - 1, MissPercent: 100}
 	for n := range uint32(maxReportsPerMessage) {
 		m.Reports = append(m.Reports, Report{Endpoint: 1<<32 - 1 - n, ConsecutiveFailures: maxReportedFailures, AgeMillis: 1<<16 - 1})
 	}
 	if size := len(m.Encode()); size > MaxMessageBytes {
-		t.Errorf("it has %d bytes", size)
+		t.Errorf("message has %d bytes, limit %d", size, MaxMessageBytes)
 	}
 }
 
-// Whatever bytes a peer sends, nothing panics.
+// Arbitrary bytes from a peer must not cause a panic.
 func FuzzDecodeMessage(f *testing.F) {
 	reports := []Report{{Endpoint: 9, ConsecutiveFailures: 2, AgeMillis: 40}}
 	f.Add((&Message{From: 7, Incarnation: 1 << 40, Seq: 3, Zone: 2, Reports: reports}).Encode())
