--- a/outlier/missrate.go
+++ b/outlier/missrate.go
@@ -3,33 +3,37 @@
 import "math"
 
 const (
-	// missRateTimeConstant is the time constant over which a miss rate is an average.
+	// missRateTimeConstant is the time constant of the decaying sums behind a miss rate.
 	missRateTimeConstant = 500 * millisecond
-	// minReadsForMissRate is how many reads in that time tell a rate; with fewer it is scaled down, as chance moves it.
+	// minReadsForMissRate is the decayed number of reads required for a meaningful rate. With fewer reads the rate is
+	// scaled down, as chance dominates it.
 	minReadsForMissRate = 10.0
-	// elevatedMissRate is from where a balancer reports its miss rate, and what keeps the alarm up once it is raised.
+	// elevatedMissRate is the miss rate from which a balancer reports it and counts towards keeping a raised alarm.
 	elevatedMissRate = 0.25
-	// highMissRate is from where a balancer counts towards raising the alarm.
+	// highMissRate is the miss rate from which a balancer counts towards raising the alarm.
 	highMissRate = 0.4
-	// minAlarmDuration is how long the alarm stays up at least, so that it does not flap with the caches' first fills.
+	// minAlarmDuration is the minimum time for which the alarm stays raised, so that it does not flap while the caches
+	// begin to fill.
 	minAlarmDuration = 2000 * millisecond
-	// maxMissReportAge is how old a report of a miss rate may be: three repeats, so that the loss of two does no harm.
+	// maxMissReportAge is the maximum age of a reported miss rate: three repeat intervals, so that two consecutive
+	// messages may be lost.
 	maxMissReportAge = 3 * repeatInterval
-	// alarmMembersDivisor: a third of the members must agree. One alone has lost its own cache, as after a restart.
+	// alarmMembersDivisor sets the quorum for the alarm to a third of the members. A single member with a high rate has
+	// only lost its own cache, as after a restart.
 	alarmMembersDivisor = 3
 )
 
-// missRate is the share of this balancer's recent reads that missed.
+// missRate computes the share of cache misses among this balancer's recent reads.
 type missRate struct {
 	value         float64 // from 0 to 1
 	decayedReads  float64
 	decayedMisses float64
-	lastReads     int // the counters that were handed in last
+	lastReads     int // the counters passed to the previous update
 	lastMisses    int
 	updatedAt     int64 // 0: never
 }
 
-// update takes the reads and misses since the process started.
+// update recomputes the rate from the total numbers of reads and misses since the process started.
 func (r *missRate) update(now int64, reads, misses int) {
 	decay := math.Exp(-float64(now-r.updatedAt) / float64(missRateTimeConstant))
 	if r.updatedAt == 0 {
@@ -41,7 +45,7 @@
 	r.value = r.decayedMisses / max(minReadsForMissRate, r.decayedReads)
 }
 
-// percent is the rate's form in a message: 0 unless it is elevated.
+// percent returns the rate as stated in a message: 0 unless it is elevated.
 func (r *missRate) percent() uint8 {
 	if r.value < elevatedMissRate {
 		return 0
@@ -49,22 +53,23 @@
 	return uint8(min(100, r.value*100))
 }
 
-// widespreadMissAlarm is up while reads miss for the whole fleet.
+// widespreadMissAlarm is raised while cache misses are widespread: reads miss for the whole fleet.
 type widespreadMissAlarm struct {
 	raised bool
 	since  int64
 }
 
-// missVotes counts the balancers whose reads miss.
+// missVotes counts the balancers with elevated and with high miss rates.
 type missVotes struct {
-	elevated  int
+	elevated  int // includes those with a high rate
 	high      int
-	highZones int // that those with a high rate are in
+	highZones int // distinct zones of those with a high rate
 }
 
-// UpdateMissRate takes this balancer's reads and misses since its start, and reports whether reads miss for the whole
-// fleet: for a third of the members, two at least, in two zones where there are more. The alarm lasts for
-// minAlarmDuration, and until fewer than these have an elevated rate.
+// UpdateMissRate takes this balancer's total reads and misses since its start and reports whether cache misses are
+// widespread. The alarm is raised when a third of the members, at least two, have a high miss rate, in at least two
+// zones if the members are in more than one. It stays raised for at least minAlarmDuration, and until fewer members
+// than that have an elevated rate.
 func (d *Detector) UpdateMissRate(now int64, reads, misses int) bool {
 	wasHigh := d.misses.value >= highMissRate
 	d.misses.update(now, reads, misses)
@@ -82,7 +87,7 @@
 	return d.missAlarm.raised
 }
 
-// countMissVotes counts this balancer and those that reported lately.
+// countMissVotes counts this balancer and the members whose latest message is recent enough.
 func (d *Detector) countMissVotes(now int64) (votes missVotes) {
 	d.zonesSeen.clear()
 	count := func(rate float64, zone uint16) {
