--- a/outlier/missrate_test.go
+++ b/outlier/missrate_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// A balancer that restarted misses all its reads; if the fleet took that for a cold cache, all would change how they
-// rank endpoints. A third of the members in two zones must say so, and the alarm ends when fewer do.
+// Guards against the fleet changing how it ranks endpoints because a few members miss all their reads, as after a
+// restart. A third of the members, in two zones, must have a high miss rate, and the alarm must end once fewer do.
 func TestWidespreadMissAlarmNeedsQuorum(t *testing.T) {
 	for _, c := range []struct {
 		from []uint32
-		own  int // misses of 100 own reads
+		own  int // misses among 100 reads of this balancer
 		want bool
 	}{
 		{[]uint32{2}, 10, false},
-		{[]uint32{4, 7, 10}, 90, false}, // All of this balancer's zone.
+		{[]uint32{4, 7, 10}, 90, false}, // All in this balancer's zone.
 		{[]uint32{2, 3, 4, 5}, 10, true},
 		{[]uint32{2, 3}, 10, false},
 	} {
@@ -28,15 +28,15 @@
 			}
 		}
 		if got := detector.UpdateMissRate(now, 100, c.own); got != c.want {
-			t.Errorf("%v: %t", c.from, got)
+			t.Errorf("reporters %v: alarm is %t, want %t", c.from, got, c.want)
 		}
 		if detector.UpdateMissRate(now+minAlarmDuration+1, 300, c.own+20) {
-			t.Errorf("%v: it does not end", c.from)
+			t.Errorf("reporters %v: alarm does not end", c.from)
 		}
 	}
 }
 
-// A message that only says how many reads miss is sent, and is small.
+// A message that carries only a miss rate must be sent, and must be small.
 func TestMissRateIsReportedWithoutReports(t *testing.T) {
 	detector := New(Member{1, 0}, 1)
 	detector.UpdateMissRate(1e12, 100, 50)
