--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// failureRateAttempts is over how many attempts the failure rate is an average: ten seconds at 200 a second.
+	// failureRateAttempts is the decay constant of the failure rate, in attempts: ten seconds at 200 attempts per
+	// second.
 	failureRateAttempts = 2000.0
-	// minFailureRate is the lowest rate that is believed: no balancer has seen enough attempts to know a lower one.
+	// minFailureRate is the lower limit of the estimated failure rate: no balancer has observed enough attempts to
+	// establish a lower one.
 	minFailureRate = 0.001
-	// rareFailureRate is up to where a single failure is news. Above it single failures are noise, two in a row are
-	// not.
+	// rareFailureRate is the failure rate up to which a single failure is reported. Above it single failures are noise,
+	// but two consecutive ones are not.
 	rareFailureRate = 0.01
-	// maxReportedFailures bounds the consecutive failures that are counted, so that they fit into a report.
+	// maxReportedFailures limits the count of consecutive failures, so that it fits into a report.
 	maxReportedFailures = 200
 )
 
-// Observation is what the end of an attempt tells of its endpoint.
+// Observation is what the result of an attempt shows about its endpoint.
 type Observation int
 
 const (
-	// Inconclusive is the observation of an attempt whose end says nothing of the endpoint.
+	// Inconclusive is the observation of an attempt whose result shows nothing about the endpoint.
 	Inconclusive Observation = iota
-	// Success is an answer, whatever it says.
+	// Success is any answer, whatever its content.
 	Success
 	// Failure is an attempt that ended in an error, a timeout or a reset.
 	Failure
-	// ConnectFailure is an attempt for which no connection was made. It weighs as much as two failures.
+	// ConnectFailure is an attempt for which no connection was made. It counts as two failures.
 	ConnectFailure
 )
 
@@ -47,7 +49,7 @@
 	return fmt.Sprintf("Observation(%d)", int(o))
 }
 
-// failures is how many consecutive failures the observation counts as.
+// failures returns the number of consecutive failures that the observation counts as.
 func (o Observation) failures() int {
 	switch o {
 	case Failure:
@@ -58,9 +60,9 @@
 	return 0
 }
 
-// Classify tells what an attempt says of its endpoint that ended with outcome after took, where expected is the
-// latency objective of its request (any unit, the same for both). An attempt that was cancelled counts as failed if
-// it had used half of that: hedging would otherwise hide an endpoint that hangs.
+// Classify returns the observation for an attempt that ended with outcome after the duration took. expected is the
+// latency objective of its request, in the same unit as took. A cancelled attempt counts as failed if it had used at
+// least half of that time; hedging would otherwise hide an endpoint that hangs.
 func Classify(outcome policy.Outcome, took, expected int64) Observation {
 	switch outcome {
 	case policy.OK, policy.CacheMiss:
@@ -77,7 +79,7 @@
 	return Inconclusive
 }
 
-// Observe records what an own attempt says of its endpoint. Endpoints that are not listed are ignored.
+// Observe records the observation from an attempt of this balancer. Endpoints that are not listed are ignored.
 func (d *Detector) Observe(now int64, id uint32, observation Observation) {
 	endpoint := d.endpoints[id]
 	if endpoint == nil {
@@ -95,7 +97,8 @@
 	}
 }
 
-// recordSuccess ends a run of failures. If others may act on that run they are told at once that it is over.
+// recordSuccess ends a run of failures. If other members may have acted on that run, the recovery is reported without
+// waiting for repeatInterval.
 func (d *Detector) recordSuccess(now int64, endpoint *endpointState) {
 	endpoint.lastSuccess = now
 	if endpoint.consecutiveFailures >= d.reportThreshold() || endpoint.isEjected() {
@@ -105,8 +108,8 @@
 	endpoint.consecutiveFailures, endpoint.sentFailures = 0, 0
 }
 
-// recordFailure prolongs a run of failures, and makes a message due at once while each further failure still counts for
-// others, or where the endpoint is ejected and they wait for the outcome of probes.
+// recordFailure extends a run of failures. It marks the next message as urgent while additional failures still count at
+// the receivers, or if the endpoint is ejected and other members wait for the outcome of probes.
 func (d *Detector) recordFailure(now int64, endpoint *endpointState, failures int) {
 	before := endpoint.consecutiveFailures
 	endpoint.consecutiveFailures = min(maxReportedFailures, before+failures)
@@ -116,7 +119,7 @@
 	}
 }
 
-// updateFailureRate counts an attempt at an endpoint that is not ejected.
+// updateFailureRate includes an attempt at an endpoint that is not ejected in the failure rate.
 func (d *Detector) updateFailureRate(observation Observation) {
 	const decay = 1 - 1/failureRateAttempts
 	d.decayedFailures *= decay
@@ -126,12 +129,12 @@
 	}
 }
 
-// failureRate is the chance that an attempt fails at an endpoint that nobody holds for an outlier. It begins at 0.005.
+// failureRate estimates the probability that an attempt fails at an endpoint that is not ejected. It starts at 0.005.
 func (d *Detector) failureRate() float64 {
 	return max(minFailureRate, (d.decayedFailures+0.5)/(d.decayedAttempts+100))
 }
 
-// reportThreshold is from how many consecutive failures on an endpoint is reported.
+// reportThreshold returns the number of consecutive failures from which an endpoint is reported.
 func (d *Detector) reportThreshold() int {
 	if d.failureRate() <= rareFailureRate {
 		return 1
