--- a/outlier/probe.go
+++ b/outlier/probe.go
@@ -1,24 +1,26 @@
 package outlier
 
 const (
-	// minProbeDelay is how long after a failure an ejected endpoint is probed again at the earliest.
+	// minProbeDelay is the minimum time between a failure of an ejected endpoint and the next probe.
 	minProbeDelay = 1000 * millisecond
-	// maxProbeDelay bounds the delay, which grows with the length of the ejection. A probe that was sent and of which
-	// nothing was heard is repeated after it too.
+	// maxProbeDelay limits the probe delay, which grows with the duration of the ejection. It is also the time after
+	// which a probe without a known outcome is repeated.
 	maxProbeDelay = 8000 * millisecond
-	// ejectionPerProbeDelay is the length of an ejection over the probe delay it leads to: failed probes stay below a
-	// fixed rate, and a recovery is found within a quarter of the outage's length.
+	// ejectionPerProbeDelay is the ratio of an ejection's duration to its probe delay. It limits the rate of failed
+	// probes, and a recovery is detected within a quarter of the outage's duration.
 	ejectionPerProbeDelay = 4
-	// minProbeStagger is how long a lease holder has before the next member may probe too, so that one that is dead or has
-	// nothing to send does not keep the endpoint ejected.
+	// minProbeStagger is the minimum time before the next member in the probe order may probe too, so that a lease
+	// holder that is down or has no requests to send does not keep the endpoint ejected.
 	minProbeStagger = 500 * millisecond
 )
 
-// holdsProbeLease reports whether this balancer may send one attempt to an ejected endpoint to find out whether it
-// recovered. Nobody grants the lease: it follows from the members, the endpoint and the latest failure that was heard
-// of. After the probe delay the first member in the endpoint's order may probe, a step later the second too, and so on;
-// each further failure starts the delay again for all. Two probe at once only where a report takes longer than a step.
-// Where another zone has seen the endpoint succeed, the first member of this zone need not wait for the others.
+// holdsProbeLease reports whether this balancer may send one attempt to an ejected endpoint to check whether it has
+// recovered. The lease is not granted by any process: each member derives it from the members, the endpoint and the
+// latest known failure. After the probe delay the first member in the endpoint's probe order may probe, one stagger
+// interval later also the second, and so on. Each new failure restarts the delay for all members. Two members probe at
+// the same time only if a report takes longer than the stagger interval to arrive. If another zone has observed a
+// success since the ejection and since this balancer's latest failure, the members of this zone need not wait for the
+// probe delay or for members of other zones.
 func (d *Detector) holdsProbeLease(now int64, id uint32, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	_, successInOtherZone := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
@@ -34,9 +36,9 @@
 	return now >= dueAt && leaseUnused
 }
 
-// probeRank counts the members that may probe an endpoint before this one, among all and in this one's zone. Members
-// are ordered by their latest failure at it, the earliest first, and by score among equals: one whose own network is
-// broken, and whose probes fail for that, stands last and does not keep the endpoint from the others.
+// probeRank returns the number of members that may probe an endpoint before this one, among all members and within this
+// balancer's zone. Members are ordered by the time of their latest failure at the endpoint, earliest first, and then by
+// score. A member whose probes fail because of its own network therefore ranks last and does not delay the others.
 func (d *Detector) probeRank(id uint32, endpoint *endpointState) (rank, rankInZone int) {
 	latestFailure := make(map[uint32]int64, len(endpoint.reports))
 	for _, r := range endpoint.reports {
@@ -61,7 +63,7 @@
 	return rank, rankInZone
 }
 
-// ownLatestFailure is when this balancer's latest attempt failed, or 0 if it succeeded.
+// ownLatestFailure returns the time of this balancer's latest failure, or 0 if it has observed a success since.
 func (e *endpointState) ownLatestFailure() int64 {
 	if e.consecutiveFailures == 0 {
 		return 0
