--- a/outlier/simulation_test.go
+++ b/outlier/simulation_test.go
@@ -9,27 +9,27 @@
 
 const tickInterval = 10 * millisecond
 
-// simulation is a fleet of detectors and the endpoints they use, under one clock: attempts, and a network that loses,
-// delays and repeats messages.
+// simulation runs a fleet of detectors and the endpoints that they use on one clock. It simulates attempts and a
+// network that loses, delays and duplicates messages.
 type simulation struct {
 	tb     testing.TB
 	random *rand.Rand
 	now    int64
-	trace  hash.Hash // of all messages and attempts; nil: none is kept
+	trace  hash.Hash // hash of all messages and attempts; nil: not recorded
 
 	detectors          []*Detector
 	alive              []bool // by detector
 	disconnected       []bool // by detector: all its attempts fail
-	misreportingMember int    // reports 200 failures of whatever it reports; -1: nobody does
+	misreportingMember int    // states 200 failures in each of its reports; -1: none
 
 	endpoints      []uint32
-	failureRates   []float64 // by endpoint: the chance that an attempt fails
-	failedAttempts int       // at endpoints that fail
+	failureRates   []float64 // by endpoint: the probability that an attempt fails
+	failedAttempts int       // at endpoints with a failure rate above 0
 
 	inTransit       []delivery
 	lossRate        float64
 	repeatRate      float64
-	messageDelay    int64 // in the mean
+	messageDelay    int64 // the average
 	messagesBlocked bool
 	bytesSent       int
 }
@@ -68,7 +68,7 @@
 	return s
 }
 
-// send puts a message on its way to all others.
+// send sends a message to all other detectors, subject to loss, duplication and delay.
 func (s *simulation) send(from int, payload []byte) {
 	s.bytesSent += len(payload) * (len(s.detectors) - 1)
 	s.record("message %d %d %x\n", s.now, from, payload)
@@ -88,8 +88,8 @@
 	}
 }
 
-// tick lets tickInterval pass: messages arrive, each detector ticks and sends, and each balancer sends so many
-// attempts.
+// tick advances the clock by tickInterval: due messages are delivered, each detector ticks and sends its message, and
+// each balancer sends the given average number of attempts.
 func (s *simulation) tick(attempts float64) {
 	s.now += tickInterval
 	s.deliver()
@@ -100,7 +100,7 @@
 		detector.Tick(s.now)
 		if m := detector.NextMessage(s.now); m != nil {
 			if size := len(m.Encode()); size > MaxMessageBytes {
-				s.tb.Fatalf("a message has %d bytes", size)
+				s.tb.Fatalf("message has %d bytes, limit %d", size, MaxMessageBytes)
 			}
 			if s.misreportingMember == n {
 				for i := range m.Reports {
@@ -135,7 +135,8 @@
 	s.inTransit = later
 }
 
-// attempt has a balancer send to an endpoint by chance, unless a penalty or its own failures there speak against it.
+// attempt sends an attempt of a balancer to a random endpoint, unless it is skipped because of the endpoint's penalty
+// or the balancer's own recent failures there.
 func (s *simulation) attempt(balancer int) {
 	detector, chosen := s.detectors[balancer], s.random.IntN(len(s.endpoints))
 	id := s.endpoints[chosen]
@@ -166,7 +167,7 @@
 	}
 }
 
-// ejectedBy counts the balancers that do not use an endpoint on the fleet's evidence.
+// ejectedBy returns the number of running balancers that do not use an endpoint because it is ejected.
 func (s *simulation) ejectedBy(endpoint int) (count int) {
 	for n, detector := range s.detectors {
 		if s.alive[n] && detector.Penalty(s.now, s.endpoints[endpoint]) > 0 {
