--- a/outlier/status.go
+++ b/outlier/status.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// EndpointStatus is what an operator sees of one endpoint of which there is evidence.
+// EndpointStatus is the state of one endpoint with evidence, as shown to operators.
 type EndpointStatus struct {
 	ID                     uint32  `json:"-"`
-	Endpoint               string  `json:"host"` // filled in by the caller
-	Witnesses              int     `json:"witnesses"`
-	Zones                  int     `json:"zones"` // that the witnesses are in
+	Endpoint               string  `json:"host"`      // filled in by the caller
+	Witnesses              int     `json:"witnesses"` // balancers that observed failures, this one included
+	Zones                  int     `json:"zones"`     // distinct zones of the balancers counted in Witnesses
 	ConsecutiveFailures    int     `json:"failures_in_a_row"`
 	OwnConsecutiveFailures int     `json:"own_failures_in_a_row"`
 	Ejected                bool    `json:"heeded"`
@@ -16,7 +16,7 @@
 	EjectedMillis          int64   `json:"for_ms"` // since the ejection
 }
 
-// Status returns the endpoints that are ejected or of which somebody reports failures, in no particular order.
+// Status returns the endpoints that are ejected or have reported failures, in no particular order.
 func (d *Detector) Status(now int64) (all []EndpointStatus) {
 	for id, endpoint := range d.active {
 		known := d.collectEvidence(now, endpoint, evidenceTimeout)
