--- a/policy/admission.go
+++ b/policy/admission.go
@@ -54,22 +54,22 @@
 
 // admissionLimiter is the state of the overload rule. The sums decay by the evidence clock (evidence.go).
 type admissionLimiter struct {
-	arrivals       sum     // requests
-	shed           sum     // requests rejected for overload
-	cacheMisses    sum     // answers that were misses: they return at once and add no capacity
-	answers        sum     // attempts that caches answered with a value
-	answerTime     sum     // total latency of these answers, in nanoseconds
-	baseLatency    float64 // latency of an attempt while nothing is queued, in nanoseconds: the lowest recent mean
-	tolerance      float64 // factor on the capacity, 0 to 1, lowered by restarts
-	loweredAt      int64   // when the tolerance was last lowered
-	lastDispatchAt int64   // when an attempt was last sent
+	arrivals          sum     // requests
+	rejectedOverload  sum     // requests rejected for overload
+	cacheMisses       sum     // answers that were misses: they return at once and add no capacity
+	answers           sum     // attempts that caches answered with a value
+	answerTime        sum     // total latency of these answers, in nanoseconds
+	baseLatency       float64 // latency of an attempt while nothing is queued, in nanoseconds: the lowest recent mean
+	capacityFactor    float64 // factor on the capacity, 0 to 1, lowered by restarts
+	capacityLoweredAt int64   // when the tolerance was last lowered
+	lastDispatchAt    int64   // when an attempt was last sent
 }
 
 // recordAnswer records the latency, in nanoseconds, of an attempt that a cache answered with a value.
-func (a *admissionLimiter) recordAnswer(evidence, latency int64) {
-	a.answers.Add(evidence, 1)
-	a.answerTime.Add(evidence, float64(latency))
-	a.baseLatency = min(a.answerTime.ValueAt(evidence)/a.answers.ValueAt(evidence), a.baseLatency*baseLatencyGrowth)
+func (a *admissionLimiter) recordAnswer(activityTime, latency int64) {
+	a.answers.Add(activityTime, 1)
+	a.answerTime.Add(activityTime, float64(latency))
+	a.baseLatency = min(a.answerTime.ValueAt(activityTime)/a.answers.ValueAt(activityTime), a.baseLatency*baseLatencyGrowth)
 }
 
 // countArrival counts a request that has arrived.
@@ -84,7 +84,7 @@
 	case b.quotas.ShouldReject(info.Tenant, b.traffic(), b.random.float64):
 		b.finish(now, index, OverQuota)
 	case !goesToOrigin && b.areEndpointsBusy() && b.isOverloaded(now, request):
-		b.count(&b.admission.shed)
+		b.count(&b.admission.rejectedOverload)
 		request.bypassesCaches = b.canBypassCaches(request)
 		if !request.bypassesCaches || !b.enqueue(now, index, info.HasKey) {
 			b.finish(now, index, Overloaded)
@@ -96,24 +96,24 @@
 
 // areEndpointsBusy reports whether the caches are busy by their load reports, or may be, as none reports its strain.
 func (b *Balancer) areEndpointsBusy() bool {
-	if !b.settings.reportsStrain || b.reports.reporting == 0 {
+	if !b.settings.reportsStrain || b.reports.reporters == 0 {
 		return true
 	}
-	return b.reports.strain > maxIdleStrain*b.reports.reporting
+	return b.reports.strain > maxIdleStrain*b.reports.reporters
 }
 
 // isOverloaded reports whether the expected wait of a new attempt is too long. If no attempt was sent for as long as
 // the objective, one is admitted whatever is in flight: its outcome shows whether the overload persists.
 func (b *Balancer) isOverloaded(now int64, request *requestState) bool {
-	class, evidence, a := &b.settings.classes[request.class], b.clock.evidence, &b.admission
+	class, activityTime, a := &b.settings.classes[request.class], b.clock.activityTime, &b.admission
 	unresponsiveInFlight, unresponsive := b.countUnresponsive()
 	baseline := b.baselineConcurrency(now, unresponsive)
 	rate := b.answerRate()
 	share := b.queueingShare(request)
-	rejected := b.fleetwide.latency.rejected.ValueAt(evidence)
+	rejected := b.fleetwide.latency.rejected.ValueAt(activityTime)
 	rejectedRatio := rejected / (b.fleetwide.latency.answers.Value + rejected + 1)
 	queueing := a.baseLatency + share*max(0, float64(class.objective)-a.baseLatency)
-	capacity := (1 - rejectedRatio) * a.tolerance * (baseline + (1-rejectedRatio)*rate*queueing)
+	capacity := (1 - rejectedRatio) * a.capacityFactor * (baseline + (1-rejectedRatio)*rate*queueing)
 	slack := math.Sqrt(capacity) // The standard deviation of a count is about its square root.
 	return float64(b.load.inFlight-unresponsiveInFlight) > capacity+slack && now < a.lastDispatchAt+class.objective
 }
@@ -129,19 +129,19 @@
 // answerRate returns how many attempts caches answer this balancer per nanosecond, misses excluded. Until a whole time
 // constant has been observed, the rate is computed over the time that has.
 func (b *Balancer) answerRate() float64 {
-	evidence := b.clock.evidence
+	activityTime := b.clock.activityTime
 	// The part of the time constant that has been observed since the start.
-	observed := 1 - math.Exp(-float64(evidence+minRateWindow)/float64(timeConstant))
-	answers := b.fleetwide.latency.answers.ValueAt(evidence) - b.admission.cacheMisses.ValueAt(evidence)
-	return answers / observed / float64(timeConstant) * b.clock.pace
+	observed := 1 - math.Exp(-float64(activityTime+minRateWindow)/float64(timeConstant))
+	answers := b.fleetwide.latency.answers.ValueAt(activityTime) - b.admission.cacheMisses.ValueAt(activityTime)
+	return answers / observed / float64(timeConstant) * b.clock.rate
 }
 
 // queueingShare returns the part of its objective, beyond the base latency, that a request may spend queueing. It is
 // smaller for a read of a key not read lately, the more requests are being shed.
 func (b *Balancer) queueingShare(request *requestState) float64 {
 	share := defaultQueueingShare
-	if !request.isWrite && b.recentKeys[request.key%maxRecentKeys].key != request.key {
-		shed := b.admission.shed.ValueAt(b.clock.evidence) / (b.admission.arrivals.ValueAt(b.clock.evidence) + 1)
+	if !request.isWrite && b.recentKeys[request.key%recentKeySlots].key != request.key {
+		shed := b.admission.rejectedOverload.ValueAt(b.clock.activityTime) / (b.admission.arrivals.ValueAt(b.clock.activityTime) + 1)
 		share *= max(minUnknownKeyShare, 1-shed)
 	}
 	return share
@@ -159,7 +159,7 @@
 		case b.outages.IsSuspected(endpoint.zone):
 			attempts += endpoint.load.inFlight
 			endpoints++
-		case endpoint.outlier.silentSince > 0:
+		case endpoint.outlier.lastUnresponsiveAt > 0:
 			silentAttempts += endpoint.load.inFlight
 			silent++
 		}
@@ -176,13 +176,13 @@
 // quota estimates it.
 func (b *Balancer) traffic() quota.Traffic {
 	traffic := quota.Traffic{
-		Now:           b.clock.evidence,
-		WindowSeconds: float64(timeConstant) / b.clock.pace / float64(second),
+		Now:           b.clock.activityTime,
+		WindowSeconds: float64(timeConstant) / b.clock.rate / float64(second),
 		EvenShare:     1 / b.fleetSize,
 	}
-	if all := b.reports.servedRate / b.reports.reporting * float64(len(b.ready)); all > 0 {
+	if all := b.reports.servedRate / b.reports.reporters * float64(len(b.ready)); all > 0 {
 		successes := &b.outcomes.successes
-		traffic.TrafficShare = (successes.ValueAt(b.clock.evidence) + math.Sqrt(successes.Value+1)) / (all * traffic.WindowSeconds)
+		traffic.TrafficShare = (successes.ValueAt(b.clock.activityTime) + math.Sqrt(successes.Value+1)) / (all * traffic.WindowSeconds)
 	}
 	return traffic
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -51,8 +51,8 @@
 		return h.balancer.load.inFlight
 	}
 	before := capacity()
-	latency, evidence := &h.balancer.fleetwide.latency, h.balancer.clock.evidence
-	latency.rejected.Add(evidence, latency.answers.ValueAt(evidence))
+	latency, activityTime := &h.balancer.fleetwide.latency, h.balancer.clock.activityTime
+	latency.rejected.Add(activityTime, latency.answers.ValueAt(activityTime))
 	if after := capacity(); after > before*2/3 {
 		t.Errorf("capacity is %d attempts with half of them rejected, and %d with none; want at most 2/3 of that", after, before)
 	}
@@ -133,26 +133,26 @@
 // Load may have caused the restarts of endpoints, so that each lowers the tolerance for overload. Restarts close
 // together count as one, the tolerance never falls below its minimum, and it recovers over time.
 func TestOverloadToleranceFallsAndRecovers(t *testing.T) {
-	a := admissionLimiter{tolerance: 1}
+	a := admissionLimiter{capacityFactor: 1}
 	now := second
-	a.lowerTolerance(now)
-	a.lowerTolerance(now + restartSpacing)
-	if a.tolerance != restartTolerance {
-		t.Errorf("tolerance is %g after two restarts close together, want %g", a.tolerance, restartTolerance)
+	a.lowerCapacityFactor(now)
+	a.lowerCapacityFactor(now + restartSpacing)
+	if a.capacityFactor != restartCapacityFactor {
+		t.Errorf("tolerance is %g after two restarts close together, want %g", a.capacityFactor, restartCapacityFactor)
 	}
 	for range 20 {
 		now += restartSpacing + 1
-		a.lowerTolerance(now)
+		a.lowerCapacityFactor(now)
 	}
-	if a.tolerance != minOverloadTolerance {
-		t.Errorf("tolerance is %g after many restarts, want %g", a.tolerance, minOverloadTolerance)
+	if a.capacityFactor != minCapacityFactor {
+		t.Errorf("tolerance is %g after many restarts, want %g", a.capacityFactor, minCapacityFactor)
 	}
-	a.recover(toleranceRecovery / 2)
-	if want := minOverloadTolerance + 0.5; a.tolerance != want {
-		t.Errorf("tolerance is %g after half of the recovery time, want %g", a.tolerance, want)
+	a.recoverCapacityFactor(capacityFactorRecovery / 2)
+	if want := minCapacityFactor + 0.5; a.capacityFactor != want {
+		t.Errorf("tolerance is %g after half of the recovery time, want %g", a.capacityFactor, want)
 	}
-	if a.recover(toleranceRecovery); a.tolerance != 1 {
-		t.Errorf("tolerance is %g after the recovery time, want 1", a.tolerance)
+	if a.recoverCapacityFactor(capacityFactorRecovery); a.capacityFactor != 1 {
+		t.Errorf("tolerance is %g after the recovery time, want 1", a.capacityFactor)
 	}
 }
 
@@ -164,7 +164,7 @@
 		for index := range b.endpoints {
 			b.endpoints[index].load.inFlight = 5
 			if index < c.hanging {
-				b.endpoints[index].outlier.silentSince = unixStart
+				b.endpoints[index].outlier.lastUnresponsiveAt = unixStart
 			}
 		}
 		if attempts, endpoints := b.countUnresponsive(); attempts != c.attempts || endpoints != c.endpoints {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -57,7 +57,7 @@
 	executor Executor
 	settings settings
 	random   randomSource
-	clock    evidenceClock
+	clock    activityClock
 
 	// The endpoint list (endpoints.go).
 	endpoints    []endpointState
@@ -80,22 +80,22 @@
 	widespreadMisses bool    // the fleet agrees that many reads miss
 
 	// Statistics and limits, with the file of the rule that uses them.
-	candidates      []candidate              // scratch space for the request being dispatched
-	load            loadMeter                // at ready caches (selection.go)
-	fleetwide       machineType              // latency over all caches (selection.go)
-	outcomes        outcomeCounts            // over all caches (outlier.go)
-	connectFailures sum                      // attempts that got no connection
-	outages         *outage.Detector         // zones that stopped answering (outlier.go)
-	warmThroughput  warmThroughput           // slowstart.go
-	admission       admissionLimiter         // admission.go
-	quotas          *quota.Limiter           // per tenant (admission.go)
-	quality         attemptQuality           // timely attempts, and late or failed ones (observations.go)
-	reports         loadReports              // of ready caches (observations.go)
-	retries         retryBudget              // for the whole balancer (retry.go)
-	overdue         sum                      // attempts that took far longer than others (retry.go)
-	misses          missRate                 // of reads (cacheaside.go)
-	originReads     originLimiter            // cacheaside.go
-	recentKeys      [maxRecentKeys]keyRecord // indexed by key modulo maxRecentKeys (observations.go)
+	candidates      []candidate               // scratch space for the request being dispatched
+	load            loadMeter                 // at ready caches (selection.go)
+	fleetwide       machineType               // latency over all caches (selection.go)
+	outcomes        outcomeCounts             // over all caches (outlier.go)
+	connectFailures sum                       // attempts that got no connection
+	outages         *outage.Detector          // zones that stopped answering (outlier.go)
+	warmThroughput  warmThroughput            // slowstart.go
+	admission       admissionLimiter          // admission.go
+	quotas          *quota.Limiter            // per tenant (admission.go)
+	quality         attemptQuality            // timely attempts, and late or failed ones (observations.go)
+	reports         loadReports               // of ready caches (observations.go)
+	retries         retryBudget               // for the whole balancer (retry.go)
+	overdue         sum                       // attempts that took far longer than others (retry.go)
+	misses          missRate                  // of reads (cacheaside.go)
+	originReads     originLimiter             // cacheaside.go
+	recentKeys      [recentKeySlots]keyRecord // indexed by key modulo maxRecentKeys (observations.go)
 }
 
 // New returns a Balancer without any endpoints or statistics. values maps the dotted names of settings to float64,
@@ -108,13 +108,13 @@
 		executor:     executor,
 		settings:     s,
 		random:       newRandomSource(seed),
-		clock:        evidenceClock{startedAt: now, now: now, pace: 1},
+		clock:        activityClock{startedAt: now, now: now, rate: 1},
 		origin:       noEndpoint,
 		keyQueues:    map[keyQueueID]*keyQueue{},
 		fleetSize:    s.fleetSize,
 		processShare: 1,
 		outages:      outage.New(decay.TimeConstant),
-		admission:    admissionLimiter{tolerance: 1, baseLatency: float64(second)},
+		admission:    admissionLimiter{capacityFactor: 1, baseLatency: float64(second)},
 		quotas:       quota.New(s.quotas),
 		retries:      retryBudget{tokens: 1},
 		originReads:  newOriginLimiter(s.fleetSize),
@@ -127,7 +127,7 @@
 
 // advanceClock moves the clocks to now. Every event handler that updates decaying statistics calls it first.
 func (b *Balancer) advanceClock(now int64) {
-	b.admission.recover(now - b.clock.now)
+	b.admission.recoverCapacityFactor(now - b.clock.now)
 	b.clock.advance(now, &b.admission.arrivals)
 }
 
@@ -187,12 +187,12 @@
 	if attempt.state == inFlight {
 		b.addInFlight(request, result.Endpoint, -1)
 	}
-	request.ended++
-	attempt.state = result.Outcome.executionState()
+	request.endedAttempts++
+	attempt.state = result.Outcome.provenExecution()
 	b.detectRestart(now, result)
 	b.recordOutcome(now, request, result)
-	if result.Outcome == CacheMiss && request.missedAt == noEndpoint {
-		request.missedAt = result.Endpoint
+	if result.Outcome == CacheMiss && request.missedCache == noEndpoint {
+		request.missedCache = result.Endpoint
 	}
 	b.adjustKeyConcurrency(now, request, result)
 	b.continueRequest(now, index, result)
--- a/policy/cacheaside.go
+++ b/policy/cacheaside.go
@@ -45,15 +45,15 @@
 // were also late or failed.
 type missRate struct{ reads, missed, failed sum }
 
-// areFrequent reports whether so many reads miss that the candidates of each key are to be tried in one fixed order.
-func (m *missRate) areFrequent(evidence int64) bool {
-	return m.missed.ValueAt(evidence) > maxMissRatio*(m.reads.ValueAt(evidence)+1)
+// areMissesFrequent reports whether so many reads miss that the candidates of each key are to be tried in one fixed order.
+func (m *missRate) areMissesFrequent(activityTime int64) bool {
+	return m.missed.ValueAt(activityTime) > maxMissRatio*(m.reads.ValueAt(activityTime)+1)
 }
 
 // isOriginFailing reports whether so many reads fail that after an error at one endpoint the next would fail, too.
 // slack is added to the number of reads, so that one failure among few reads is not enough.
-func (m *missRate) isOriginFailing(evidence int64, slack float64) bool {
-	return m.failed.ValueAt(evidence) > maxMissRatio*(m.reads.ValueAt(evidence)+slack)
+func (m *missRate) isOriginFailing(activityTime int64, slack float64) bool {
+	return m.failed.ValueAt(activityTime) > maxMissRatio*(m.reads.ValueAt(activityTime)+slack)
 }
 
 // goesToOrigin reports whether a request's next attempt goes to the origin: that of a write, of a read that missed, of a
@@ -62,7 +62,7 @@
 	if !b.settings.cacheAside {
 		return false
 	}
-	return request.isWrite || request.missedAt != noEndpoint || request.bypassesCaches || b.isLastRetry(request)
+	return request.isWrite || request.missedCache != noEndpoint || request.bypassesCaches || b.isLastRetry(request)
 }
 
 // isLastRetry reports whether a request can have at most one more attempt, by the settings or because no tokens are
@@ -71,7 +71,7 @@
 	if len(request.attempts) == 0 {
 		return false
 	}
-	return len(request.attempts) == b.settings.maxAttempts-1 || !b.retries.canPay()
+	return len(request.attempts) == b.settings.maxAttempts-1 || !b.retries.hasToken()
 }
 
 // isOriginFull reports whether the limit keeps a read from the origin. The fractional part of the limit is the
@@ -119,7 +119,7 @@
 		}
 		waiter.awaitsFetch = false
 		if storedIn != noEndpoint && b.canDispatch(now, waiter, storedIn) {
-			waiter.missedAt = noEndpoint
+			waiter.missedCache = noEndpoint
 			b.send(now, index, storedIn)
 		} else {
 			b.coalesceOriginFetch(now, index)
--- a/policy/cacheaside_test.go
+++ b/policy/cacheaside_test.go
@@ -117,7 +117,7 @@
 		areFrequent, isFailing bool
 	}{{0, 0, 0, false, false}, {0, 0.1, 0, false, false}, {100, 10, 10, false, false}, {100, 20, 10, true, false}, {100, 20, 20, true, true}} {
 		rate := missRate{reads: sum{Value: c.reads}, missed: sum{Value: c.missed}, failed: sum{Value: c.failed}}
-		if got := rate.areFrequent(0); got != c.areFrequent {
+		if got := rate.areMissesFrequent(0); got != c.areFrequent {
 			t.Errorf("%+v: areFrequent returns %t, want %t", c, got, c.areFrequent)
 		}
 		if got := rate.isOriginFailing(0, 1); got != c.isFailing {
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -34,10 +34,10 @@
 	deadline    int64 // attempts end by this time
 	answerBy    int64 // its final answer is due by this time unless an attempt is in flight
 
-	attempts  []attempt
-	inFlight  int // number of attempts in flight
-	ended     int // number of attempts that have ended
-	openIndex int // its index in Balancer.openRequests
+	attempts      []attempt
+	inFlight      int // number of attempts in flight
+	endedAttempts int // number of attempts that have ended
+	openIndex     int // its index in Balancer.openRequests
 
 	candidateCount int   // number of candidates to choose from
 	backoff        int64 // its last wait, in nanoseconds; 0: none yet
@@ -47,7 +47,7 @@
 	isDequeued bool      // it has left the waiting part of its queue
 
 	// Cache-aside (cacheaside.go).
-	missedAt       int  // the first cache that did not hold its key; noEndpoint: none
+	missedCache    int  // the first cache that did not hold its key; noEndpoint: none
 	bypassesCaches bool // it goes to the origin, as the caches are overloaded
 	isFetching     bool // it fetches its key from the origin
 	awaitsFetch    bool // it waits for another request's fetch of its key
@@ -67,7 +67,7 @@
 		answerBy:       now + max(info.Remaining, deadlineDrift),
 		attempts:       attempts,
 		candidateCount: initialCandidates,
-		missedAt:       noEndpoint,
+		missedCache:    noEndpoint,
 	}
 	if class.lateValue == 0 {
 		stretch := int64(class.objectiveStretch * float64(info.PredictedWork))
@@ -139,15 +139,15 @@
 	request, endpoint := &b.requests[index], &b.endpoints[target]
 	endpoint.slowStart.tokens--
 	if target != b.origin && len(request.attempts) > 0 {
-		endpoint.retries.spend()
-		b.retries.spend()
+		endpoint.retries.withdraw()
+		b.retries.withdraw()
 	}
 	request.attempts = append(request.attempts, attempt{endpoint: target, sentAt: now})
-	endpoint.attempts.Add(b.clock.evidence, 1)
+	endpoint.attempts.Add(b.clock.activityTime, 1)
 	b.admission.lastDispatchAt = now
 	b.addInFlight(request, target, 1)
 	until := request.deadline
-	if request.isKeyThrottled() || b.settings.hasFewBuffers {
+	if request.isKeyThrottled() || b.settings.hasLimitedBuffers {
 		// The concurrency or the buffer that the attempt would hold after that is worth more than a late answer.
 		until = request.usefulUntil
 	}
@@ -166,8 +166,8 @@
 // addInFlight adds change, which is 1 when an attempt begins and -1 when it ends, to the numbers of attempts in flight.
 func (b *Balancer) addInFlight(request *requestState, target, change int) {
 	endpoint := &b.endpoints[target]
-	endpoint.load.settle(b.clock.evidence)
-	b.load.settle(b.clock.evidence)
+	endpoint.load.advanceAverage(b.clock.activityTime)
+	b.load.advanceAverage(b.clock.activityTime)
 	request.inFlight += change
 	endpoint.load.inFlight += change
 	if b.isListed(endpoint) && target != b.origin {
@@ -185,7 +185,7 @@
 	if result.IsAnswered {
 		storedIn := noEndpoint
 		if outcome == OK {
-			storedIn = request.missedAt
+			storedIn = request.missedCache
 		}
 		b.closeRequest(now, index, storedIn)
 		return
@@ -226,7 +226,7 @@
 		return false
 	}
 	// While the key or the origin is failing, other endpoints would return the same error.
-	return request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.evidence, 0)
+	return request.isKeyThrottled() || b.misses.isOriginFailing(b.clock.activityTime, 0)
 }
 
 // finish gives a request its final answer when no endpoint has answered it. The request is rejected if it may safely be
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -107,7 +107,7 @@
 		endpoint.slowStart.updatedAt = now
 		endpoint.report.servedRate = notReported
 	}
-	if endpoint.slowStart.restarted(now, info.StartedAt, b.settings.bootStampError) {
+	if endpoint.slowStart.recordListedStart(now, info.StartedAt, b.settings.startTimeError) {
 		endpoint.report = loadReport{servedRate: notReported}
 	}
 	switch info.Health {
@@ -148,7 +148,7 @@
 // CommitEndpointUpdate ends an update and makes the new list effective.
 func (b *Balancer) CommitEndpointUpdate(now int64) {
 	b.advanceClock(now)
-	b.load.settle(b.clock.evidence)
+	b.load.advanceAverage(b.clock.activityTime)
 	b.ready, b.origin = b.ready[:0], noEndpoint
 	b.load.inFlight, b.totalWeight, b.warmWeight = 0, 0, 0
 	b.reports.reset()
@@ -190,7 +190,7 @@
 	if endpoint.health == Ready {
 		return true
 	}
-	return b.settings.onlyDrainingBinds && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
+	return b.settings.mayUseRemoved && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
 }
 
 // Parameters of the 64-bit FNV-1a hash (Fowler, Noll and Vo).
--- a/policy/evidence.go
+++ b/policy/evidence.go
@@ -19,13 +19,13 @@
 const timeConstant = decay.TimeConstant
 
 const (
-	// fullPaceRequests is the decaying sum of arrivals at which the evidence clock reaches full speed. With fewer
+	// fullRateRequests is the decaying sum of arrivals at which the evidence clock reaches full speed. With fewer
 	// requests it runs proportionally slower.
-	fullPaceRequests = 60.0
+	fullRateRequests = 60.0
 
-	// minPace is the lowest speed of the evidence clock. It bounds the age of statistics, as observations from half a
+	// minRate is the lowest speed of the evidence clock. It bounds the age of statistics, as observations from half a
 	// minute ago say little about the present.
-	minPace = 0.1
+	minRate = 0.1
 )
 
 // A sum, and a time-weighted average of a level, that decay by the evidence clock.
@@ -34,24 +34,24 @@
 	average = decay.Average
 )
 
-// evidenceClock keeps the time of the caller's clock and of the evidence clock. Times are nanoseconds.
-type evidenceClock struct {
-	startedAt int64
-	now       int64   // time of the caller's clock
-	evidence  int64   // time of the evidence clock
-	pace      float64 // speed of the evidence clock relative to the caller's clock, from minPace to 1
+// activityClock keeps the time of the caller's clock and of the evidence clock. Times are nanoseconds.
+type activityClock struct {
+	startedAt    int64
+	now          int64   // time of the caller's clock
+	activityTime int64   // time of the evidence clock
+	rate         float64 // speed of the evidence clock relative to the caller's clock, from minPace to 1
 }
 
 // advance moves both clocks to now and updates the pace from the number of recent arrivals.
-func (c *evidenceClock) advance(now int64, arrivals *sum) {
-	c.evidence += int64(float64(now-c.now) * c.pace)
-	c.now, c.pace = now, min(1, max(minPace, arrivals.ValueAt(c.evidence)/fullPaceRequests))
+func (c *activityClock) advance(now int64, arrivals *sum) {
+	c.activityTime += int64(float64(now-c.now) * c.rate)
+	c.now, c.rate = now, min(1, max(minRate, arrivals.ValueAt(c.activityTime)/fullRateRequests))
 }
 
 // count adds one to each sum.
 func (b *Balancer) count(sums ...*sum) {
 	for _, s := range sums {
-		s.Add(b.clock.evidence, 1)
+		s.Add(b.clock.activityTime, 1)
 	}
 }
 
--- a/policy/executor.go
+++ b/policy/executor.go
@@ -54,8 +54,8 @@
 	completed
 )
 
-// executionState returns what an outcome proves about whether its attempt ran.
-func (o Outcome) executionState() executionState {
+// provenExecution returns what an outcome proves about whether its attempt ran.
+func (o Outcome) provenExecution() executionState {
 	switch o {
 	case OK:
 		return completed
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -42,7 +42,7 @@
 	timers        map[int64][]int
 	sendCounts    map[int]int
 	rejected      int
-	reasons       [reasons]int
+	reasons       [numReasons]int
 	retryAfters   []int64
 	failed        int
 	remainingSkew int64 // added to the remaining time that each request states
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -164,12 +164,12 @@
 // throttledFailureRatio of its attempts fail, against the poor ratio of all attempts. A key whose odds reach
 // throttleLogOdds is throttled. A further failure at the same endpoint adds no evidence.
 func (b *Balancer) recordKeyFailure(now int64, request *requestState, result AttemptResult) {
-	record, late := &b.recentKeys[request.key%maxRecentKeys], b.quality.late.ValueAt(b.clock.evidence)
-	poorRatio := (late + poorRatioPrior) / (late + b.quality.timely.ValueAt(b.clock.evidence) + 1)
+	record, late := &b.recentKeys[request.key%recentKeySlots], b.quality.lateOrFailed.ValueAt(b.clock.activityTime)
+	poorRatio := (late + poorRatioPrior) / (late + b.quality.timely.ValueAt(b.clock.activityTime) + 1)
 	isKnown := record.key == request.key
 	if result.Outcome == OK {
 		if isKnown {
-			record.suspicion = max(0, record.suspicion+math.Log((1-throttledFailureRatio)/(1-poorRatio)))
+			record.failureLogOdds = max(0, record.failureLogOdds+math.Log((1-throttledFailureRatio)/(1-poorRatio)))
 		}
 		return
 	}
@@ -178,21 +178,21 @@
 	}
 	if !isKnown {
 		*record = keyRecord{
-			key:       request.key,
-			endpoint:  noEndpoint,
-			failedAt:  result.Endpoint,
-			suspicion: failureLogOdds(poorRatio),
+			key:            request.key,
+			endpoint:       noEndpoint,
+			failedEndpoint: result.Endpoint,
+			failureLogOdds: failureLogOdds(poorRatio),
 		}
 		return
 	}
-	if record.failedAt == result.Endpoint {
+	if record.failedEndpoint == result.Endpoint {
 		return
 	}
-	record.failedAt = result.Endpoint
-	record.suspicion += failureLogOdds(poorRatio)
+	record.failedEndpoint = result.Endpoint
+	record.failureLogOdds += failureLogOdds(poorRatio)
 	id := keyQueueID{key: request.key}
-	if record.suspicion >= throttleLogOdds && b.keyQueues[id] == nil {
-		record.suspicion = 0
+	if record.failureLogOdds >= throttleLogOdds && b.keyQueues[id] == nil {
+		record.failureLogOdds = 0
 		b.newKeyQueue(now, id)
 	}
 }
@@ -213,12 +213,12 @@
 	}
 	if queue.inOrder {
 		if outcome == TimedOut || outcome == Reset || outcome == Cancelled {
-			queue.pausedUntil = max(queue.pausedUntil, now+b.settings.orderSettle)
+			queue.pausedUntil = max(queue.pausedUntil, now+b.settings.keyOrderDelay)
 		}
 		return
 	}
 	switch {
-	case outcome == OK && result.Latency < b.settings.classes[request.class].objective/timelyShare:
+	case outcome == OK && result.Latency < b.settings.classes[request.class].objective/timelyObjectiveDivisor:
 		queue.concurrency += 1 / max(1, queue.concurrency)
 	case outcome == OK || outcome == Errored || outcome == TimedOut:
 		queue.concurrency = max(minKeyConcurrency, queue.concurrency*concurrencyDecrease)
@@ -230,7 +230,7 @@
 func (b *Balancer) leaveKeyQueue(now int64, index int) {
 	request := &b.requests[index]
 	queue := request.queue
-	if queue == nil || request.isOpen || request.ended < len(request.attempts) {
+	if queue == nil || request.isOpen || request.endedAttempts < len(request.attempts) {
 		return
 	}
 	request.queue = nil
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -128,7 +128,7 @@
 	if n := concurrency(8); n < 8 {
 		t.Errorf("%d attempts in flight for another key, want at least 8", n)
 	}
-	if failures := h.balancer.outcomes.failures.ValueAt(h.balancer.clock.evidence); failures > 4 {
+	if failures := h.balancer.outcomes.failures.ValueAt(h.balancer.clock.activityTime); failures > 4 {
 		t.Errorf("%.1f failures of a throttled key count against endpoints, want at most 4", failures)
 	}
 	endAll(8, OK)
--- a/policy/observations.go
+++ b/policy/observations.go
@@ -13,13 +13,13 @@
 	// before answers lose their value.
 	lateRatio = 0.75
 
-	// timelyShare divides the objective: an answer within objective/timelyShare shows that more requests could be
+	// timelyObjectiveDivisor divides the objective: an answer within objective/timelyObjectiveDivisor shows that more requests could be
 	// answered in time.
-	timelyShare = 2
+	timelyObjectiveDivisor = 2
 
-	// maxRecentKeys is the size of the table of recently answered keys. It is prime because the slot of a key is the
+	// recentKeySlots is the size of the table of recently answered keys. It is prime because the slot of a key is the
 	// key modulo the size.
-	maxRecentKeys = 8191
+	recentKeySlots = 8191
 
 	// notReported is the servedRate of an endpoint that has sent no load report.
 	notReported = -1
@@ -33,14 +33,14 @@
 )
 
 // attemptQuality counts timely attempts, and those that were late or failed.
-type attemptQuality struct{ timely, late sum }
+type attemptQuality struct{ timely, lateOrFailed sum }
 
 // keyRecord is an entry of the table of recent keys.
 type keyRecord struct {
-	key       uint64
-	endpoint  int     // that answered the key last; noEndpoint if there is none
-	failedAt  int     // the endpoint at which it failed last
-	suspicion float64 // log odds that requests for the key fail at any endpoint (keyqueue.go)
+	key            uint64
+	endpoint       int     // that answered the key last; noEndpoint if there is none
+	failedEndpoint int     // the endpoint at which it failed last
+	failureLogOdds float64 // log odds that requests for the key fail at any endpoint (keyqueue.go)
 }
 
 // loadReport is the last load report of an endpoint.
@@ -53,7 +53,7 @@
 type loadReports struct {
 	servedRate float64
 	strain     float64
-	reporting  float64 // number of caches that have sent a report
+	reporters  float64 // number of caches that have sent a report
 }
 
 // reset clears the sum at the start of an update of the endpoint list.
@@ -64,7 +64,7 @@
 	if report.servedRate >= 0 {
 		l.servedRate += report.servedRate
 		l.strain += report.strain
-		l.reporting++
+		l.reporters++
 	}
 }
 
@@ -73,7 +73,7 @@
 func (l *loadReports) replace(report *loadReport, values []float64, fields []string) {
 	if report.servedRate < 0 {
 		report.servedRate = 0
-		l.reporting++
+		l.reporters++
 	}
 	l.servedRate, l.strain = l.servedRate-report.servedRate, l.strain-report.strain
 	for i, value := range values {
@@ -145,9 +145,9 @@
 	endpoint := &b.endpoints[result.Endpoint]
 	switch {
 	case isSuccess:
-		endpoint.outlier.silentSince, endpoint.restart.failures = 0, 0
-		endpoint.retries.earn()
-		b.retries.earn()
+		endpoint.outlier.lastUnresponsiveAt, endpoint.restart.failures = 0, 0
+		endpoint.retries.deposit()
+		b.retries.deposit()
 		b.count(&endpoint.outlier.outcomes.successes)
 	case result.Outcome != Rejected && result.Outcome != NotSent:
 		b.count(&endpoint.outlier.outcomes.failures)
@@ -159,12 +159,12 @@
 func (b *Balancer) recordQuality(outcome Outcome, isLateOrFailed bool) {
 	switch {
 	case isLateOrFailed && !outcome.isSilent():
-		b.count(&b.quality.late)
+		b.count(&b.quality.lateOrFailed)
 	case !isLateOrFailed:
 		b.count(&b.quality.timely)
 	}
-	evidence := b.clock.evidence
-	b.quotas.RecordOutcomes(b.quality.timely.ValueAt(evidence), b.quality.late.ValueAt(evidence))
+	activityTime := b.clock.activityTime
+	b.quotas.RecordOutcomes(b.quality.timely.ValueAt(activityTime), b.quality.lateOrFailed.ValueAt(activityTime))
 }
 
 // recordOriginOutcome adjusts the limit of reads in flight at the origin. Writes do not change it, since they can only
@@ -173,7 +173,7 @@
 	if request.isWrite {
 		return
 	}
-	if result.Outcome == OK && result.Latency < objective/timelyShare {
+	if result.Outcome == OK && result.Latency < objective/timelyObjectiveDivisor {
 		b.originReads.increase()
 		return
 	}
@@ -188,7 +188,7 @@
 	case isSuccess:
 		b.count(&b.outcomes.successes)
 		if endpoint.slowStart.isWarm {
-			b.warmThroughput.answers.Add(b.clock.evidence, 1/max(1, b.warmWeight))
+			b.warmThroughput.answers.Add(b.clock.activityTime, 1/max(1, b.warmWeight))
 		}
 	case result.Outcome == Rejected:
 		b.count(&endpoint.rejected, &b.fleetwide.latency.rejected, &b.machineTypes[endpoint.machineType].latency.rejected)
@@ -200,15 +200,15 @@
 // recordCacheAnswer records the latency of an answer from a cache (a value, a miss or an error) and, for reads, whether
 // it missed.
 func (b *Balancer) recordCacheAnswer(request *requestState, result AttemptResult, isLateOrFailed bool) {
-	evidence, outcome := b.clock.evidence, result.Outcome
+	activityTime, outcome := b.clock.activityTime, result.Outcome
 	if outcome == OK {
-		b.admission.recordAnswer(evidence, result.Latency)
+		b.admission.recordAnswer(activityTime, result.Latency)
 		b.rememberKey(request.key, result.Endpoint)
 	}
 	endpoint := &b.endpoints[result.Endpoint]
 	for _, record := range [2]*latencyRecord{&b.fleetwide.latency, &b.machineTypes[endpoint.machineType].latency} {
-		record.answers.Add(evidence, 1)
-		record.time.Add(evidence, float64(result.Latency))
+		record.answers.Add(activityTime, 1)
+		record.time.Add(activityTime, float64(result.Latency))
 	}
 	if outcome == CacheMiss {
 		b.count(&b.admission.cacheMisses)
@@ -231,7 +231,7 @@
 
 // rememberKey records which endpoint answered a key last.
 func (b *Balancer) rememberKey(key uint64, endpoint int) {
-	record := &b.recentKeys[key%maxRecentKeys]
+	record := &b.recentKeys[key%recentKeySlots]
 	if record.key != key {
 		*record = keyRecord{key: key}
 	}
--- a/policy/observations_test.go
+++ b/policy/observations_test.go
@@ -17,10 +17,10 @@
 		figures []float64
 		want    loadReports
 	}{
-		{&first, []float64{100, 7, 0.5, missing}, loadReports{servedRate: 100, strain: 0.5, reporting: 1}},
-		{&second, []float64{40, 7, 1.5, missing}, loadReports{servedRate: 140, strain: 1.5, reporting: 2}},
-		{&first, []float64{missing, missing, 0.25, missing}, loadReports{servedRate: 140, strain: 1.25, reporting: 2}},
-		{&second, []float64{60, missing, missing, 3}, loadReports{servedRate: 160, strain: 1, reporting: 2}},
+		{&first, []float64{100, 7, 0.5, missing}, loadReports{servedRate: 100, strain: 0.5, reporters: 1}},
+		{&second, []float64{40, 7, 1.5, missing}, loadReports{servedRate: 140, strain: 1.5, reporters: 2}},
+		{&first, []float64{missing, missing, 0.25, missing}, loadReports{servedRate: 140, strain: 1.25, reporters: 2}},
+		{&second, []float64{60, missing, missing, 3}, loadReports{servedRate: 160, strain: 1, reporters: 2}},
 	} {
 		if reports.replace(c.report, c.figures, fields); reports != c.want {
 			t.Errorf("report %d: %+v, want %+v", n, reports, c.want)
@@ -29,7 +29,7 @@
 	reports.reset()
 	reports.add(second)
 	reports.add(loadReport{servedRate: notReported})
-	if want := (loadReports{servedRate: 60, strain: 0.75, reporting: 1}); reports != want {
+	if want := (loadReports{servedRate: 60, strain: 0.75, reporters: 1}); reports != want {
 		t.Errorf("after the first endpoint left the list: %+v, want %+v", reports, want)
 	}
 }
@@ -40,7 +40,7 @@
 		OK: completed, Errored: mayHaveRun, Rejected: neverRan, TimedOut: mayHaveRun, ConnectFailed: neverRan,
 		Reset: mayHaveRun, Cancelled: mayHaveRun, NotSent: neverRan, CacheMiss: neverRan,
 	} {
-		if got := outcome.executionState(); got != want {
+		if got := outcome.provenExecution(); got != want {
 			t.Errorf("%v: state %d, want %d", outcome, got, want)
 		}
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -44,9 +44,9 @@
 
 // outlierState is the evidence on whether an endpoint is an outlier.
 type outlierState struct {
-	outcomes    outcomeCounts
-	silentSince int64   // last failed connection or overdue attempt, if there was no success since; 0: none
-	peerVerdict float64 // of other balancers, 0 to 1; negative: this balancer holds the probe lease
+	outcomes           outcomeCounts
+	lastUnresponsiveAt int64   // last failed connection or overdue attempt, if there was no success since; 0: none
+	peerVerdict        float64 // of other balancers, 0 to 1; negative: this balancer holds the probe lease
 }
 
 // isProbe reports whether this balancer holds the probe lease for an endpoint that the fleet has ejected.
@@ -55,9 +55,9 @@
 // isOutlier decides at random whether an endpoint is passed over. draw returns a random number from 0 up to 1.
 func (b *Balancer) isOutlier(index int, draw func() float64) bool {
 	endpoint := &b.endpoints[index]
-	state, evidence := &endpoint.outlier, b.clock.evidence
-	successes := state.outcomes.successes.ValueAt(evidence) + priorSuccesses
-	failures := state.outcomes.failures.ValueAt(evidence) + priorFailures
+	state, activityTime := &endpoint.outlier, b.clock.activityTime
+	successes := state.outcomes.successes.ValueAt(activityTime) + priorSuccesses
+	failures := state.outcomes.failures.ValueAt(activityTime) + priorFailures
 	if b.isUnreachable(endpoint, draw) {
 		return true
 	}
@@ -65,10 +65,10 @@
 		return false
 	}
 	n := successes + failures
-	fleetSuccesses := b.outcomes.successes.ValueAt(evidence) + priorSuccesses
+	fleetSuccesses := b.outcomes.successes.ValueAt(activityTime) + priorSuccesses
 	deviation := draw() + draw() + draw() + draw() - uniformSumMean
 	drawnRatio := successes/n + deviation*math.Sqrt(uniformSumPrecision*successes*failures/(n+1))/n
-	return drawnRatio < successRatioFloor*fleetSuccesses/(fleetSuccesses+b.outcomes.failures.ValueAt(evidence)+priorFailures)
+	return drawnRatio < successRatioFloor*fleetSuccesses/(fleetSuccesses+b.outcomes.failures.ValueAt(activityTime)+priorFailures)
 }
 
 // isUnreachable decides at random whether an endpoint is passed over on evidence that is stronger than an error: a
@@ -76,9 +76,9 @@
 // of its zone. A zone outage does not matter for an endpoint for which this balancer holds the probe lease.
 func (b *Balancer) isUnreachable(endpoint *endpointState, draw func() float64) bool {
 	state := &endpoint.outlier
-	age := float64(b.clock.now-state.silentSince) / float64(timeConstant)
+	age := float64(b.clock.now-state.lastUnresponsiveAt) / float64(timeConstant)
 	switch {
-	case state.silentSince > 0 && draw() < math.Exp(-age):
+	case state.lastUnresponsiveAt > 0 && draw() < math.Exp(-age):
 		return true
 	case state.peerVerdict > 0 && draw() < state.peerVerdict:
 		return true
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("%d attempts were sent to an ejected endpoint, want none", sends[2])
 	}
 	for range 20 {
-		h.balancer.endpoints[2].outlier.outcomes.failures.Add(h.balancer.clock.evidence, 1)
+		h.balancer.endpoints[2].outlier.outcomes.failures.Add(h.balancer.clock.activityTime, 1)
 	}
 	h.balancer.UpdatePeerVerdict(2, 0)
 	suspected, _ := h.sendKeys(30, 1)
@@ -111,13 +111,13 @@
 			b.outcomes.successes.Value, s.outcomes.failures.Value, s.peerVerdict = 100, 20, -1
 		}, medianDraw, false},
 		"a connection just failed": {func(b *Balancer, s *outlierState) {
-			s.silentSince = b.clock.now
+			s.lastUnresponsiveAt = b.clock.now
 		}, 0.99, true},
 		"a connection failed a time constant ago, a low draw": {func(b *Balancer, s *outlierState) {
-			s.silentSince = b.clock.now - timeConstant
+			s.lastUnresponsiveAt = b.clock.now - timeConstant
 		}, 0.36, true},
 		"a connection failed a time constant ago, a high draw": {func(b *Balancer, s *outlierState) {
-			s.silentSince = b.clock.now - timeConstant
+			s.lastUnresponsiveAt = b.clock.now - timeConstant
 		}, 0.37, false},
 		"a verdict of 0.4, a low draw":  {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.39, true},
 		"a verdict of 0.4, a high draw": {func(_ *Balancer, s *outlierState) { s.peerVerdict = 0.4 }, 0.41, false},
--- a/policy/reason.go
+++ b/policy/reason.go
@@ -14,11 +14,11 @@
 	AttemptsSpent               // it has had all attempts that the settings allow
 	DeadlineNear                // no further attempt could be answered in time
 	AttemptFailed               // its last attempt failed in a way that a retry cannot correct
-	reasons
+	numReasons
 )
 
 // reasonNames are the names in logs and at /metrics. They must not change, as operators rely on them.
-var reasonNames = [reasons]string{
+var reasonNames = [numReasons]string{
 	"over_share", "overloaded", "queue_full", "no_server", "no_credit", "servers_busy", "attempts_spent", "deadline",
 	"attempt_failed",
 }
@@ -28,7 +28,7 @@
 
 // Reasons returns all reasons in order.
 func Reasons() []Reason {
-	all := make([]Reason, reasons)
+	all := make([]Reason, numReasons)
 	for i := range all {
 		all[i] = Reason(i)
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -46,14 +46,14 @@
 // retryBudget is a token bucket that successes fill and retries drain.
 type retryBudget struct{ tokens float64 }
 
-// earn adds tokens for a success.
-func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+retryTokensPerSuccess) }
+// deposit adds tokens for a success.
+func (r *retryBudget) deposit() { r.tokens = min(maxRetryTokens, r.tokens+retryTokensPerSuccess) }
 
-// spend takes the token for a retry.
-func (r *retryBudget) spend() { r.tokens-- }
+// withdraw takes the token for a retry.
+func (r *retryBudget) withdraw() { r.tokens-- }
 
-// canPay reports whether there is a whole token for a retry.
-func (r *retryBudget) canPay() bool { return r.tokens >= 1 }
+// hasToken reports whether there is a whole token for a retry.
+func (r *retryBudget) hasToken() bool { return r.tokens >= 1 }
 
 // backOff has a request wait before its next attempt. If the wait would be too long, or the request may have no further
 // attempt, it gets its final answer with the given reason instead.
@@ -82,17 +82,17 @@
 // overdueAt returns the time at which an attempt that begins now becomes overdue.
 func (b *Balancer) overdueAt(now int64, request *requestState) int64 {
 	objective := b.settings.classes[request.class].objective
-	return now + max(objective/overdueObjectiveDivisor, int64(jammedRatio*b.meanLatency()))
+	return now + max(objective/overdueObjectiveDivisor, int64(excessiveLatencyRatio*b.meanLatency()))
 }
 
 // hedge handles a request whose last attempt is overdue. The attempt's endpoint counts as silent from now on. The
 // request gets a second attempt if that is allowed and likely to help.
 func (b *Balancer) hedge(now int64, index int) {
-	request, arrivals := &b.requests[index], b.admission.arrivals.ValueAt(b.clock.evidence)
+	request, arrivals := &b.requests[index], b.admission.arrivals.ValueAt(b.clock.activityTime)
 	silent := request.attempts[len(request.attempts)-1].endpoint
 	overdue := &b.endpoints[silent]
 	b.outages.RecordFailure(overdue.zone, silent, now)
-	overdue.outlier.silentSince = now
+	overdue.outlier.lastUnresponsiveAt = now
 	isZoneLost := b.outages.IsSuspected(overdue.zone)
 	if !isZoneLost {
 		b.count(&b.overdue)
@@ -108,7 +108,7 @@
 	if target == noEndpoint || now >= request.usefulUntil || !b.canDispatch(now, request, target) {
 		return
 	}
-	overdue.outlier.outcomes.failures.Add(b.clock.evidence, 1) // Only if hedged: otherwise its own end counts it.
+	overdue.outlier.outcomes.failures.Add(b.clock.activityTime, 1) // Only if hedged: otherwise its own end counts it.
 	b.send(now, index, target)
 }
 
@@ -116,7 +116,7 @@
 // for overload. Then single endpoints or connections are slow, and not all endpoints or the origin.
 func (b *Balancer) isOverdueRatioLow(arrivals float64) bool {
 	return b.overdue.Value < maxOverdueRatio*arrivals &&
-		b.admission.shed.ValueAt(b.clock.evidence) < maxHedgingShedRatio*arrivals
+		b.admission.rejectedOverload.ValueAt(b.clock.activityTime) < maxHedgingShedRatio*arrivals
 }
 
 // mayHedge reports whether a request may have two attempts in flight. For a throttled key both would wait for the same
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -60,20 +60,20 @@
 func TestRetryBudgetIsBounded(t *testing.T) {
 	var budget retryBudget
 	for n := range 5 {
-		if budget.canPay() {
+		if budget.hasToken() {
 			t.Errorf("the budget allows a retry after %d successes, want none before 5", n)
 		}
-		budget.earn()
+		budget.deposit()
 	}
-	if !budget.canPay() {
+	if !budget.hasToken() {
 		t.Error("the budget allows no retry after 5 successes")
 	}
 	for range 1000 {
-		budget.earn()
+		budget.deposit()
 	}
 	retries := 0
-	for ; budget.canPay(); retries++ {
-		budget.spend()
+	for ; budget.hasToken(); retries++ {
+		budget.withdraw()
 	}
 	if retries != maxRetryTokens {
 		t.Errorf("the budget allows %d retries in a row, want %g", retries, maxRetryTokens)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -27,10 +27,10 @@
 	// kept with probability (mean latency / its latency)^5.
 	latencyExponent = 0.2
 
-	// jammedRatio is the multiple of the mean latency above which an endpoint is left out until all endpoints are
+	// excessiveLatencyRatio is the multiple of the mean latency above which an endpoint is left out until all endpoints are
 	// candidates. If all candidates are left out, the candidate set grows as it does after a rejection: the load of a
 	// single key can exceed what its candidates can serve.
-	jammedRatio = 3.0
+	excessiveLatencyRatio = 3.0
 
 	// priorAttempts is the weight, in attempts, of the prior in a latency estimate: the mean latency of a larger group,
 	// such as all endpoints of the same machine type.
@@ -52,8 +52,8 @@
 	average  average
 }
 
-// settle updates the average to the present. It must be called before inFlight changes.
-func (m *loadMeter) settle(evidence int64) { m.average.Update(evidence, m.inFlight) }
+// advanceAverage updates the average to the present. It must be called before inFlight changes.
+func (m *loadMeter) advanceAverage(activityTime int64) { m.average.Update(activityTime, m.inFlight) }
 
 // latencyRecord holds decaying sums of the latency of attempts at the endpoints of one machine type, or at all
 // endpoints.
@@ -65,25 +65,25 @@
 
 // mean returns the mean latency of an attempt, in nanoseconds. others, the mean of a larger group, counts as
 // priorAttempts attempts, so it dominates while there are few answers.
-func (l *latencyRecord) mean(evidence int64, others float64) float64 {
-	rejected := l.rejected.ValueAt(evidence)
-	n := l.answers.ValueAt(evidence) + rejected + priorAttempts
-	return (l.time.ValueAt(evidence) + rejected*float64(timeConstant) + priorAttempts*others) / n
+func (l *latencyRecord) mean(activityTime int64, others float64) float64 {
+	rejected := l.rejected.ValueAt(activityTime)
+	n := l.answers.ValueAt(activityTime) + rejected + priorAttempts
+	return (l.time.ValueAt(activityTime) + rejected*float64(timeConstant) + priorAttempts*others) / n
 }
 
 // meanLatency returns the mean latency of attempts at caches, in nanoseconds.
-func (b *Balancer) meanLatency() float64 { return b.fleetwide.latency.mean(b.clock.evidence, 0) }
+func (b *Balancer) meanLatency() float64 { return b.fleetwide.latency.mean(b.clock.activityTime, 0) }
 
 // loadAndLatency returns the average number of attempts in flight at an endpoint per unit of weight, and the latency of
 // an attempt there in nanoseconds. The mean latency of the endpoint's machine type is the prior of the latency. While
 // the endpoint's cache fills after an evacuation, its latency is capped at the mean of all caches.
 func (b *Balancer) loadAndLatency(index int) (load, latency float64) {
 	endpoint := &b.endpoints[index]
-	evidence := b.clock.evidence
-	attempts := endpoint.attempts.ValueAt(evidence)
-	own := endpoint.load.average.Update(evidence, endpoint.load.inFlight) + rejectionWeight*endpoint.rejected.ValueAt(evidence)
-	prior := b.machineTypes[endpoint.machineType].latency.mean(evidence, b.meanLatency())
-	latency = (own*float64(timeConstant)/b.clock.pace + priorAttempts*prior) / (attempts + priorAttempts)
+	activityTime := b.clock.activityTime
+	attempts := endpoint.attempts.ValueAt(activityTime)
+	own := endpoint.load.average.Update(activityTime, endpoint.load.inFlight) + rejectionWeight*endpoint.rejected.ValueAt(activityTime)
+	prior := b.machineTypes[endpoint.machineType].latency.mean(activityTime, b.meanLatency())
+	latency = (own*float64(timeConstant)/b.clock.rate + priorAttempts*prior) / (attempts + priorAttempts)
 	if b.clock.now < endpoint.evacuated.cacheFillsUntil {
 		latency = min(latency, b.meanLatency())
 	}
@@ -98,9 +98,9 @@
 
 // selectionOrder returns the order that the recent miss rate calls for.
 func (b *Balancer) selectionOrder() selectionOrder {
-	evidence := b.clock.evidence
-	ordered := b.misses.areFrequent(evidence)
-	strict := ordered && (b.widespreadMisses || b.misses.isOriginFailing(evidence, 1))
+	activityTime := b.clock.activityTime
+	ordered := b.misses.areMissesFrequent(activityTime)
+	strict := ordered && (b.widespreadMisses || b.misses.isOriginFailing(activityTime, 1))
 	return selectionOrder{ordered, strict}
 }
 
@@ -152,7 +152,7 @@
 // average load of the mean endpoint.
 func (b *Balancer) maxLoad() float64 {
 	mean := float64(b.load.inFlight)/float64(max(1, len(b.ready))) +
-		b.load.average.Update(b.clock.evidence, b.load.inFlight)/max(1, b.totalWeight)
+		b.load.average.Update(b.clock.activityTime, b.load.inFlight)/max(1, b.totalWeight)
 	return overloadRatio*mean + overloadSlack
 }
 
@@ -160,7 +160,7 @@
 // jammedRatio times as high, as each key that moves costs an extra attempt and an origin fetch.
 func (b *Balancer) maxLatency() float64 {
 	if b.settings.cacheAside {
-		return b.meanLatency() * jammedRatio
+		return b.meanLatency() * excessiveLatencyRatio
 	}
 	return b.meanLatency()
 }
@@ -171,7 +171,7 @@
 	if request.candidateCount >= len(b.ready) || endpoint.outlier.isProbe() {
 		return false
 	}
-	return latency > jammedRatio*b.meanLatency()
+	return latency > excessiveLatencyRatio*b.meanLatency()
 }
 
 // isNearMean reports whether an endpoint's load is at most maxLoad and its latency passes a random check against
@@ -186,7 +186,7 @@
 // moveLastReadFirst moves the cache that answered a key last to the front of the first n candidates, so that the key is
 // fetched for one cache only while the miss rate is high.
 func (b *Balancer) moveLastReadFirst(key uint64, n int) {
-	last := b.recentKeys[key%maxRecentKeys]
+	last := b.recentKeys[key%recentKeySlots]
 	if last.key != key {
 		return
 	}
@@ -202,11 +202,11 @@
 // which it holds the probe lease. It moves none if the order is strict, as all balancers must then use the same order,
 // nor while many connections fail.
 func (b *Balancer) moveLocalFirst(n int, isStrict bool) (local int) {
-	connectFailures := b.connectFailures.ValueAt(b.clock.evidence)
+	connectFailures := b.connectFailures.ValueAt(b.clock.activityTime)
 	if isStrict || n == 0 {
 		return 0
 	}
-	if connectFailures >= maxConnectFailureRatio*(b.outcomes.successes.ValueAt(b.clock.evidence)+1) {
+	if connectFailures >= maxConnectFailureRatio*(b.outcomes.successes.ValueAt(b.clock.activityTime)+1) {
 		return 0
 	}
 	for position := range n {
@@ -244,7 +244,7 @@
 		return false
 	}
 	isRetry := len(request.attempts) > 0
-	if isRetry && !(b.retries.canPay() && b.endpoints[index].retries.canPay()) {
+	if isRetry && !(b.retries.hasToken() && b.endpoints[index].retries.hasToken()) {
 		return false
 	}
 	return !request.hasTried(index) || len(b.ready) <= len(request.attempts)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -178,9 +178,9 @@
 // full only after it has lasted for a while.
 func TestLoadMeterAveragesOverTime(t *testing.T) {
 	var meter loadMeter
-	meter.settle(0)
+	meter.advanceAverage(0)
 	meter.inFlight = 10
-	meter.settle(timeConstant)
+	meter.advanceAverage(timeConstant)
 	meter.inFlight = 0
 	want := 10 * (1 - 1/math.E)
 	if got := meter.average.Update(timeConstant, 0); math.Abs(got-want) > 1e-9 {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -8,13 +8,13 @@
 	quotas  []float64 // requests per second of each tenant, for the whole fleet; 0: no quota
 	zone    int       // this balancer's zone, as an index in the list of zones; -1: not stated
 
-	fleetSize     float64 // number of balancers, at least 1
-	maxAttempts   int     // per request, at least 1
-	mayHedge      bool    // two attempts of a request may be in flight at the same time
-	mayCancel     bool    // attempts may be cancelled
-	maxRetryAfter int64   // the longest Retry-After that clients honour; 0: Retry-After must not be sent
-	dialTimeout   int64   // a connection that is not established within it has failed
-	hasFewBuffers bool    // a response to a slow client holds one of a limited number of buffers until its attempt ends
+	fleetSize         float64 // number of balancers, at least 1
+	maxAttempts       int     // per request, at least 1
+	mayHedge          bool    // two attempts of a request may be in flight at the same time
+	mayCancel         bool    // attempts may be cancelled
+	maxRetryAfter     int64   // the longest Retry-After that clients honour; 0: Retry-After must not be sent
+	dialTimeout       int64   // a connection that is not established within it has failed
+	hasLimitedBuffers bool    // a response to a slow client holds one of a limited number of buffers until its attempt ends
 
 	startCapacity    float64 // fraction of its full capacity that an endpoint has when it starts
 	warmUp           int64   // time until it has its full capacity
@@ -22,18 +22,18 @@
 	overloadAfter    int64   // for this long
 
 	deadlineDrift  int64 // by how much longer than stated a client may wait, because clocks differ
-	bootStampError int64 // the largest error of a stated start time
-	orderSettle    int64 // pause of a key whose requests are sent in order, after an attempt that may still be running
+	startTimeError int64 // the largest error of a stated start time
+	keyOrderDelay  int64 // pause of a key whose requests are sent in order, after an attempt that may still be running
 
 	cacheAside        bool // the balancer, not the cache, fetches missing keys from the origin
 	originMachineType int  // machine type of the origin; -1: there is no origin
 	weightsFollowLoad bool // stated weights decrease as load increases
 
-	onlyDrainingBinds bool  // an endpoint that is removed without having drained may be sent to
-	mustSubscribe     bool  // discovery sends changes of the list only to balancers that watch it
-	isListPushed      bool  // discovery sends changes without being asked
-	pollInterval      int64 // time after which a list counts as known even if the balancer has not called for it
-	drainGrace        int64 // time for which attempts may still start after a drain is known
+	mayUseRemoved bool  // an endpoint that is removed without having drained may be sent to
+	mustSubscribe bool  // discovery sends changes of the list only to balancers that watch it
+	isListPushed  bool  // discovery sends changes without being asked
+	pollInterval  int64 // time after which a list counts as known even if the balancer has not called for it
+	drainGrace    int64 // time for which attempts may still start after a drain is known
 
 	reportFields  []string // names of the values of a load report, in order
 	reportsStrain bool     // one of them shows how busy an endpoint is
@@ -89,18 +89,18 @@
 		mayHedge:          v.boolean("allowed.secondCopies"),
 		mayCancel:         v.boolean("allowed.cancelling"),
 		dialTimeout:       v.duration("allowed.dialTimeout"),
-		hasFewBuffers:     v.number("allowed.outBuffers") > 0,
+		hasLimitedBuffers: v.number("allowed.outBuffers") > 0,
 		startCapacity:     v.number("invariants.startCapacity"),
 		warmUp:            v.duration("invariants.warmUp"),
 		overloadMultiple:  v.number("invariants.fallMultiple"),
 		overloadAfter:     v.duration("invariants.tipAfter"),
 		deadlineDrift:     v.duration("invariants.deadlineDrift"),
-		bootStampError:    v.duration("invariants.bootStampError"),
-		orderSettle:       v.duration("invariants.orderSettle"),
+		startTimeError:    v.duration("invariants.bootStampError"),
+		keyOrderDelay:     v.duration("invariants.orderSettle"),
 		cacheAside:        v.text("extra.mode") == "aside",
 		originMachineType: int(v.number("extra.originKind")),
 		weightsFollowLoad: v.text("weights") == "live",
-		onlyDrainingBinds: v.boolean("invariants.onlyDrainingBinds"),
+		mayUseRemoved:     v.boolean("invariants.onlyDrainingBinds"),
 		mustSubscribe:     v.text("registryMode") == "subscribe",
 		isListPushed:      v.text("registryMode") == "automatic",
 		pollInterval:      v.duration("invariants.askEvery"),
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -55,11 +55,11 @@
 			{effect: NonIdempotent, objective: 600 * ms, objectiveStretch: 2, lateValue: 0.2},
 		},
 		quotas: []float64{50, 0}, zone: 1, fleetSize: 30, maxAttempts: 3, mayHedge: true, mayCancel: true,
-		maxRetryAfter: 2 * second, dialTimeout: 200 * ms, hasFewBuffers: true,
+		maxRetryAfter: 2 * second, dialTimeout: 200 * ms, hasLimitedBuffers: true,
 		startCapacity: 0.2, warmUp: 9 * second, overloadMultiple: 2.5, overloadAfter: second,
-		deadlineDrift: 500 * ms, bootStampError: 800 * ms, orderSettle: ms / 2,
+		deadlineDrift: 500 * ms, startTimeError: 800 * ms, keyOrderDelay: ms / 2,
 		cacheAside: true, originMachineType: 2, weightsFollowLoad: true,
-		onlyDrainingBinds: true, mustSubscribe: true, pollInterval: 10 * second, drainGrace: 2500 * ms,
+		mayUseRemoved: true, mustSubscribe: true, pollInterval: 10 * second, drainGrace: 2500 * ms,
 		reportFields: []string{"served_ps", "pending"}, reportsStrain: true,
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -52,10 +52,10 @@
 	updatedAt   int64   // last refill of the tokens
 }
 
-// restarted records the start that the endpoint list states and reports whether it is a new one. If the stated starts
+// recordListedStart records the start that the endpoint list states and reports whether it is a new one. If the stated starts
 // are inexact by up to stampError, the endpoint counts as started at the latest possible time that is not in the
 // future, so that it does not count as warm too soon.
-func (s *slowStartState) restarted(now, listedStart, stampError int64) bool {
+func (s *slowStartState) recordListedStart(now, listedStart, stampError int64) bool {
 	isLater := listedStart > s.listedStart
 	isEarlier := listedStart > 0 && listedStart < s.listedStart
 	if !isLater && !(isEarlier && stampError > 0) {
@@ -66,8 +66,8 @@
 	return true
 }
 
-// begin sets the start to now, after a restart that was detected but is not in the endpoint list.
-func (s *slowStartState) begin(now int64) {
+// markRestarted sets the start to now, after a restart that was detected but is not in the endpoint list.
+func (s *slowStartState) markRestarted(now int64) {
 	s.startedAt, s.tokens, s.updatedAt = now, 0, 0
 }
 
@@ -81,9 +81,9 @@
 }
 
 // update brings the peak up to date and returns it. perSecond converts the sum of answers into a rate per second.
-func (w *warmThroughput) update(now, evidence int64, perSecond float64) float64 {
+func (w *warmThroughput) update(now, activityTime int64, perSecond float64) float64 {
 	decayed := w.peak * math.Exp(-float64(now-w.peakAt)/float64(peakTimeConstants*timeConstant))
-	w.peak, w.peakAt = max(w.answers.ValueAt(evidence)*perSecond, decayed), now
+	w.peak, w.peakAt = max(w.answers.ValueAt(activityTime)*perSecond, decayed), now
 	return w.peak
 }
 
@@ -109,11 +109,11 @@
 // requests takes the place of that throughput if it is higher than the minimum.
 func (b *Balancer) refillSlowStart(now int64, index int) float64 {
 	endpoint := &b.endpoints[index]
-	perSecond := b.clock.pace * float64(second) / float64(timeConstant)
+	perSecond := b.clock.rate * float64(second) / float64(timeConstant)
 	capacity := b.warmingCapacity(now, endpoint)
-	peak := b.warmThroughput.update(now, b.clock.evidence, perSecond)
+	peak := b.warmThroughput.update(now, b.clock.activityTime, perSecond)
 	warmRate := max(peak*endpoint.weight, minThroughput/b.fleetSize) // in requests per second
-	arrivingRate := b.admission.arrivals.ValueAt(b.clock.evidence) * perSecond * endpoint.weight / max(1, b.totalWeight)
+	arrivingRate := b.admission.arrivals.ValueAt(b.clock.activityTime) * perSecond * endpoint.weight / max(1, b.totalWeight)
 	if peak == 0 {
 		warmRate = max(warmRate, arrivingRate)
 	}
@@ -129,11 +129,11 @@
 // It is the capacity that the settings state for the time since the start, times a factor that stays within the
 // overload multiple. The factor rises with recent successes and falls with rejections and failures.
 func (b *Balancer) warmingCapacity(now int64, endpoint *endpointState) float64 {
-	s, evidence := &b.settings, b.clock.evidence
+	s, activityTime := &b.settings, b.clock.activityTime
 	statedCapacity := s.startCapacity + (1-s.startCapacity)*max(0, float64(now-endpoint.slowStart.startedAt)/float64(s.warmUp))
 	maxFactor := slowStartMargin * s.overloadMultiple
-	successes := endpoint.outlier.outcomes.successes.ValueAt(evidence) * b.clock.pace
-	rejected, failed := endpoint.rejected.ValueAt(evidence), endpoint.outlier.outcomes.failures.ValueAt(evidence)
+	successes := endpoint.outlier.outcomes.successes.ValueAt(activityTime) * b.clock.rate
+	rejected, failed := endpoint.rejected.ValueAt(activityTime), endpoint.outlier.outcomes.failures.ValueAt(activityTime)
 	return statedCapacity * (min(1, maxFactor) + max(0, maxFactor-1)*successes/(successes+halfConfidenceAnswers*(1+rejected+failed)))
 }
 
@@ -149,19 +149,19 @@
 	// restarted. A single one may be a network fault.
 	restartConnectFailures = 2
 
-	// restartTolerance is the factor by which a restart lowers the admission limiter's tolerance, and with it the
+	// restartCapacityFactor is the factor by which a restart lowers the admission limiter's tolerance, and with it the
 	// number of attempts in flight above which requests are rejected. Overload may have caused the restart, as health
 	// checks restart an endpoint that holds too many requests.
-	restartTolerance = 0.7
+	restartCapacityFactor = 0.7
 
-	// minOverloadTolerance is the least tolerance after restarts, as endpoints may also crash for other reasons.
-	minOverloadTolerance = 0.3
+	// minCapacityFactor is the least tolerance after restarts, as endpoints may also crash for other reasons.
+	minCapacityFactor = 0.3
 
 	// restartSpacing is the time, in nanoseconds, within which several restarts lower the tolerance only once.
 	restartSpacing = second / 2
 
-	// toleranceRecovery is the time, in nanoseconds, in which the tolerance recovers by 1.
-	toleranceRecovery = 40 * second
+	// capacityFactorRecovery is the time, in nanoseconds, in which the tolerance recovers by 1.
+	capacityFactorRecovery = 40 * second
 )
 
 // detectRestart updates the restart detector of an endpoint with the result of an attempt. It does not reset the
@@ -176,25 +176,25 @@
 			detector.failures++
 		}
 		if detector.failures > restartConnectFailures {
-			endpoint.slowStart.begin(now)
+			endpoint.slowStart.markRestarted(now)
 		}
 		if detector.failures == restartConnectFailures+1 {
-			b.admission.lowerTolerance(now)
+			b.admission.lowerCapacityFactor(now)
 		}
-		endpoint.outlier.silentSince = now
+		endpoint.outlier.lastUnresponsiveAt = now
 	case Reset:
 		detector.failures = max(1, detector.failures)
 	}
 }
 
-// lowerTolerance lowers the tolerance after a restart that overload may have caused.
-func (a *admissionLimiter) lowerTolerance(now int64) {
-	if now > a.loweredAt+restartSpacing {
-		a.tolerance, a.loweredAt = max(minOverloadTolerance, a.tolerance*restartTolerance), now
+// lowerCapacityFactor lowers the tolerance after a restart that overload may have caused.
+func (a *admissionLimiter) lowerCapacityFactor(now int64) {
+	if now > a.capacityLoweredAt+restartSpacing {
+		a.capacityFactor, a.capacityLoweredAt = max(minCapacityFactor, a.capacityFactor*restartCapacityFactor), now
 	}
 }
 
-// recover raises the tolerance in proportion to the elapsed time, in nanoseconds.
-func (a *admissionLimiter) recover(elapsed int64) {
-	a.tolerance = min(1, a.tolerance+float64(elapsed)/float64(toleranceRecovery))
+// recoverCapacityFactor raises the tolerance in proportion to the elapsed time, in nanoseconds.
+func (a *admissionLimiter) recoverCapacityFactor(elapsed int64) {
+	a.capacityFactor = min(1, a.capacityFactor+float64(elapsed)/float64(capacityFactorRecovery))
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -27,13 +27,13 @@
 	h := newHarness(t, 1, 0, nil)
 	answerWeightedTraffic(h)
 	budget := func(successes, rejections float64) float64 {
-		evidence := h.balancer.clock.evidence
+		activityTime := h.balancer.clock.activityTime
 		endpoint := &h.balancer.endpoints[0]
 		state := &endpoint.slowStart
 		state.startedAt, state.tokens, state.updatedAt = h.now-second, 0, h.now-second/8
-		endpoint.outlier.outcomes.successes = sum{Value: successes, UpdatedAt: evidence}
-		endpoint.outlier.outcomes.failures = sum{Value: 0, UpdatedAt: evidence}
-		endpoint.rejected = sum{Value: rejections, UpdatedAt: evidence}
+		endpoint.outlier.outcomes.successes = sum{Value: successes, UpdatedAt: activityTime}
+		endpoint.outlier.outcomes.failures = sum{Value: 0, UpdatedAt: activityTime}
+		endpoint.rejected = sum{Value: rejections, UpdatedAt: activityTime}
 		return h.balancer.refillSlowStart(h.now, 0)
 	}
 	fresh, proven, full := budget(0, 0), budget(1000, 0), budget(30, 30)
@@ -143,7 +143,7 @@
 	h := newHarness(t, 1, 1, map[string]any{"allowed.mostTrips": 1.0})
 	endNext := func(outcome Outcome) { h.endAttempt(h.request(Safe, 1, second), 0, outcome) }
 	h.advance(5 * second)
-	if endNext(Reset); h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.tolerance < 1 {
+	if endNext(Reset); h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.capacityFactor < 1 {
 		t.Error("a reset connection alone counts as a restart")
 	}
 	if endNext(OK); h.balancer.endpoints[0].restart.failures > 0 {
@@ -154,14 +154,14 @@
 	}
 	endNext(OK)
 	endNext(Reset)
-	if endNext(ConnectFailed); h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.tolerance < 1 {
+	if endNext(ConnectFailed); h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.capacityFactor < 1 {
 		t.Error("a reset connection and one failed connection count as a restart")
 	}
-	if endNext(ConnectFailed); !h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.tolerance > 0.9 {
+	if endNext(ConnectFailed); !h.balancer.isWarmingUp(h.now, 0) || h.balancer.admission.capacityFactor > 0.9 {
 		t.Error("a reset connection and two failed connections do not count as a restart")
 	}
 	h.advance(60 * second)
-	if h.balancer.advanceClock(h.now); h.balancer.admission.tolerance < 1 {
+	if h.balancer.advanceClock(h.now); h.balancer.admission.capacityFactor < 1 {
 		t.Error("the tolerance of the admission limiter did not recover within 60 s")
 	}
 }
@@ -185,7 +185,7 @@
 		{"no start stated any more, inexact", 60, 0, 100, 20, false, 60},
 	} {
 		state := slowStartState{listedStart: c.known, startedAt: c.known, tokens: 3, updatedAt: 90}
-		if isNew := state.restarted(c.now, c.listedStart, c.stampError); isNew != c.isNew || state.startedAt != c.startedAt {
+		if isNew := state.recordListedStart(c.now, c.listedStart, c.stampError); isNew != c.isNew || state.startedAt != c.startedAt {
 			t.Errorf("%s: new = %t, startedAt = %d, want %t, %d", c.name, isNew, state.startedAt, c.isNew, c.startedAt)
 		}
 		if wasReset := state.tokens == 0 && state.updatedAt == 0; wasReset != c.isNew {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -40,7 +40,7 @@
 	StartedAt                                         int64
 	InFlight, Attempts, Successes, Failures, Rejected Sum
 	RetryTokens                                       float32
-	ConnectFailedAt                                   int64
+	LastUnresponsiveAt                                int64
 	ServedRate, Strain                                float32
 }
 
@@ -48,11 +48,11 @@
 // are by its evidence clock, which read Evidence.
 type State struct {
 	_                                                               struct{} `cbor:",toarray"`
-	Now, StartedAt, Evidence                                        int64
-	Pace                                                            float64
+	Now, StartedAt, ActivityTime                                    int64
+	ActivityRate                                                    float64
 	InFlight, Successes, Failures, WarmAnswers                      Sum
 	Reads, ReadsMissed, ReadsFailed, Timely, Late                   Sum
-	Arrivals, Shed, CacheMisses, Answers, AnswerTime                Sum
+	Arrivals, RejectedOverload, CacheMisses, Answers, AnswerTime    Sum
 	ConnectFailures, Overdue                                        Sum
 	RetryTokens, BaseLatency, Admitted, OriginLimit, PeakThroughput float64
 	PeakAt                                                          int64
@@ -61,15 +61,15 @@
 	Tenants                                                         []Sum
 	Endpoints                                                       []EndpointState
 	Keys                                                            []uint64 // recently answered keys
-	Places                                                          []uint32 // for each of Keys, the index in Endpoints of the endpoint that answered it
+	KeyEndpoints                                                    []uint32 // for each of Keys, the index in Endpoints of the endpoint that answered it
 }
 
 // sums returns the sums that are not per endpoint or machine type, in the order of State.sums.
 func (b *Balancer) sums() [15]*sum {
 	return [15]*sum{
 		&b.outcomes.successes, &b.outcomes.failures, &b.warmThroughput.answers,
-		&b.misses.reads, &b.misses.missed, &b.misses.failed, &b.quality.timely, &b.quality.late,
-		&b.admission.arrivals, &b.admission.shed, &b.admission.cacheMisses, &b.admission.answers, &b.admission.answerTime,
+		&b.misses.reads, &b.misses.missed, &b.misses.failed, &b.quality.timely, &b.quality.lateOrFailed,
+		&b.admission.arrivals, &b.admission.rejectedOverload, &b.admission.cacheMisses, &b.admission.answers, &b.admission.answerTime,
 		&b.connectFailures, &b.overdue,
 	}
 }
@@ -79,17 +79,17 @@
 	return [15]*Sum{
 		&s.Successes, &s.Failures, &s.WarmAnswers,
 		&s.Reads, &s.ReadsMissed, &s.ReadsFailed, &s.Timely, &s.Late,
-		&s.Arrivals, &s.Shed, &s.CacheMisses, &s.Answers, &s.AnswerTime,
+		&s.Arrivals, &s.RejectedOverload, &s.CacheMisses, &s.Answers, &s.AnswerTime,
 		&s.ConnectFailures, &s.Overdue,
 	}
 }
 
 func (b *Balancer) encodeSum(s sum) Sum {
-	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.clock.evidence-s.UpdatedAt)}
+	return Sum{Value: float32(max(0, s.Value)), Age: max(0, b.clock.activityTime-s.UpdatedAt)}
 }
 
 func (b *Balancer) decodeSum(s Sum) sum {
-	return sum{Value: float64(s.Value), UpdatedAt: b.clock.evidence - s.Age}
+	return sum{Value: float64(s.Value), UpdatedAt: b.clock.activityTime - s.Age}
 }
 
 func (b *Balancer) encodeMachineType(m *machineType) MachineTypeState {
@@ -108,17 +108,17 @@
 
 func (b *Balancer) encodeEndpoint(e *endpointState) EndpointState {
 	return EndpointState{
-		Hash:            e.hash,
-		StartedAt:       e.slowStart.startedAt,
-		InFlight:        b.encodeSum(sum(e.load.average)),
-		Attempts:        b.encodeSum(e.attempts),
-		Successes:       b.encodeSum(e.outlier.outcomes.successes),
-		Failures:        b.encodeSum(e.outlier.outcomes.failures),
-		Rejected:        b.encodeSum(e.rejected),
-		RetryTokens:     float32(e.retries.tokens),
-		ConnectFailedAt: e.outlier.silentSince,
-		ServedRate:      float32(e.report.servedRate),
-		Strain:          float32(e.report.strain),
+		Hash:               e.hash,
+		StartedAt:          e.slowStart.startedAt,
+		InFlight:           b.encodeSum(sum(e.load.average)),
+		Attempts:           b.encodeSum(e.attempts),
+		Successes:          b.encodeSum(e.outlier.outcomes.successes),
+		Failures:           b.encodeSum(e.outlier.outcomes.failures),
+		Rejected:           b.encodeSum(e.rejected),
+		RetryTokens:        float32(e.retries.tokens),
+		LastUnresponsiveAt: e.outlier.lastUnresponsiveAt,
+		ServedRate:         float32(e.report.servedRate),
+		Strain:             float32(e.report.strain),
 	}
 }
 
@@ -133,9 +133,9 @@
 	e.rejected = b.decodeSum(stored.Rejected)
 	e.retries.tokens = float64(stored.RetryTokens)
 	e.report = loadReport{servedRate: float64(stored.ServedRate), strain: float64(stored.Strain)}
-	e.outlier.silentSince = 0
-	if stored.ConnectFailedAt > 0 {
-		e.outlier.silentSince = toLocalTime(stored.ConnectFailedAt)
+	e.outlier.lastUnresponsiveAt = 0
+	if stored.LastUnresponsiveAt > 0 {
+		e.outlier.lastUnresponsiveAt = toLocalTime(stored.LastUnresponsiveAt)
 	}
 	e.slowStart.tokens, e.slowStart.updatedAt = 0, now
 }
@@ -143,13 +143,13 @@
 // SaveState stores the learned state in state, whose slices are reused.
 func (b *Balancer) SaveState(now int64, state *State) {
 	b.advanceClock(now)
-	endpoints, keys, places := state.Endpoints[:0], state.Keys[:0], state.Places[:0]
+	endpoints, keys, places := state.Endpoints[:0], state.Keys[:0], state.KeyEndpoints[:0]
 	machineTypes, tenants := state.MachineTypes[:0], state.Tenants[:0]
 	*state = State{
 		Now:            now,
 		StartedAt:      b.clock.startedAt,
-		Evidence:       b.clock.evidence,
-		Pace:           b.clock.pace,
+		ActivityTime:   b.clock.activityTime,
+		ActivityRate:   b.clock.rate,
 		InFlight:       b.encodeSum(sum(b.load.average)),
 		RetryTokens:    b.retries.tokens,
 		BaseLatency:    b.admission.baseLatency,
@@ -183,7 +183,7 @@
 			keys, places = append(keys, record.key), append(places, storedIndex[record.endpoint])
 		}
 	}
-	state.Endpoints, state.Keys, state.Places, state.MachineTypes, state.Tenants = endpoints, keys, places, machineTypes, tenants
+	state.Endpoints, state.Keys, state.KeyEndpoints, state.MachineTypes, state.Tenants = endpoints, keys, places, machineTypes, tenants
 }
 
 // errMalformedState is returned for a state that SaveState cannot have written.
@@ -212,7 +212,7 @@
 		}
 	}
 	// A ServedRate of notReported (-1) is valid.
-	return e.ConnectFailedAt <= now && areFinite(float64(e.RetryTokens), float64(e.Strain), float64(e.ServedRate)+1) &&
+	return e.LastUnresponsiveAt <= now && areFinite(float64(e.RetryTokens), float64(e.Strain), float64(e.ServedRate)+1) &&
 		e.RetryTokens <= maxRetryTokens
 }
 
@@ -222,10 +222,10 @@
 	switch {
 	case !s.hasValidScalars() || !s.hasValidParts():
 		return errMalformedState
-	case len(s.Endpoints) > maxEndpoints, len(s.MachineTypes) > maxMachineTypes, len(s.Keys) > maxRecentKeys, len(s.Keys) != len(s.Places):
-		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.Places))
+	case len(s.Endpoints) > maxEndpoints, len(s.MachineTypes) > maxMachineTypes, len(s.Keys) > recentKeySlots, len(s.Keys) != len(s.KeyEndpoints):
+		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.KeyEndpoints))
 	}
-	for _, index := range s.Places {
+	for _, index := range s.KeyEndpoints {
 		if int(index) >= len(s.Endpoints) {
 			return errMalformedState
 		}
@@ -235,10 +235,10 @@
 
 // hasValidScalars reports whether the single numbers and times are within their ranges.
 func (s *State) hasValidScalars() bool {
-	areInRange := s.Pace > 0 && s.Pace <= 1 && s.BaseLatency > 0 && s.Admitted <= 1 && s.RetryTokens <= maxRetryTokens
-	areTimes := s.Evidence >= 0 && s.StartedAt > 0 && s.StartedAt <= s.Now && s.PeakAt <= s.Now
+	areInRange := s.ActivityRate > 0 && s.ActivityRate <= 1 && s.BaseLatency > 0 && s.Admitted <= 1 && s.RetryTokens <= maxRetryTokens
+	areTimes := s.ActivityTime >= 0 && s.StartedAt > 0 && s.StartedAt <= s.Now && s.PeakAt <= s.Now
 	return areInRange && areTimes &&
-		areFinite(s.Pace, s.RetryTokens, s.BaseLatency, s.Admitted, s.OriginLimit, s.PeakThroughput)
+		areFinite(s.ActivityRate, s.RetryTokens, s.BaseLatency, s.Admitted, s.OriginLimit, s.PeakThroughput)
 }
 
 // hasValidParts reports whether the sums and the states of tenants, machine types and endpoints are valid.
@@ -265,7 +265,7 @@
 func (b *Balancer) RestoreState(now int64, state *State, age int64) (known int) {
 	clockOffset := now - age - state.Now // not 0 if the system clock was set since the state was saved
 	toLocalTime := func(then int64) int64 { return min(now, then+clockOffset) }
-	b.clock = evidenceClock{startedAt: toLocalTime(state.StartedAt), now: now, evidence: state.Evidence, pace: state.Pace}
+	b.clock = activityClock{startedAt: toLocalTime(state.StartedAt), now: now, activityTime: state.ActivityTime, rate: state.ActivityRate}
 	b.load.average = average(b.decodeSum(state.InFlight))
 	b.retries.tokens, b.admission.baseLatency, b.originReads.limit = state.RetryTokens, state.BaseLatency, state.OriginLimit
 	b.warmThroughput.peak, b.warmThroughput.peakAt = state.PeakThroughput, toLocalTime(state.PeakAt)
@@ -283,11 +283,11 @@
 	b.quotas.Restore(state.Admitted, requests)
 	indexes, known := b.restoreEndpoints(now, state, toLocalTime)
 	for n, key := range state.Keys {
-		if index := indexes[state.Places[n]]; index != noEndpoint {
-			b.recentKeys[key%maxRecentKeys] = keyRecord{key: key, endpoint: index}
+		if index := indexes[state.KeyEndpoints[n]]; index != noEndpoint {
+			b.recentKeys[key%recentKeySlots] = keyRecord{key: key, endpoint: index}
 		}
 	}
-	b.clock.evidence += int64(float64(age) * state.Pace) // Statistics decay over the gap as if the process had kept running.
+	b.clock.activityTime += int64(float64(age) * state.ActivityRate) // Statistics decay over the gap as if the process had kept running.
 	b.BeginEndpointUpdate(IncrementalList)
 	b.CommitEndpointUpdate(now)
 	return known
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -67,14 +67,14 @@
 		}
 		old.advanceClock(then)
 		for n, restored := range b.sums() {
-			if want := old.sums()[n].ValueAt(old.clock.evidence); math.Abs(restored.ValueAt(b.clock.evidence)-want) > 1e-3*want+1e-6 {
+			if want := old.sums()[n].ValueAt(old.clock.activityTime); math.Abs(restored.ValueAt(b.clock.activityTime)-want) > 1e-3*want+1e-6 {
 				t.Errorf("%s: sum %d is %v, want %v", name, n, restored.Value, want)
 			}
 		}
 		for i := range b.endpoints {
 			got, want := &b.endpoints[i].outlier.outcomes, &old.endpoints[i].outlier.outcomes
-			successes := got.successes.ValueAt(b.clock.evidence) - want.successes.ValueAt(old.clock.evidence)
-			failures := got.failures.ValueAt(b.clock.evidence) - want.failures.ValueAt(old.clock.evidence)
+			successes := got.successes.ValueAt(b.clock.activityTime) - want.successes.ValueAt(old.clock.activityTime)
+			failures := got.failures.ValueAt(b.clock.activityTime) - want.failures.ValueAt(old.clock.activityTime)
 			if math.Abs(successes) > 1e-2 || math.Abs(failures) > 1e-2 {
 				t.Errorf("%s: endpoint %d has %g successes and %g failures more than before", name, i, successes, failures)
 			}
--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -25,11 +25,11 @@
 func sample(keys int) *Snapshot {
 	s := &Snapshot{BalancerName: "n1", SettingsFingerprint: 7, WrittenAt: now.UnixNano(),
 		DiscoveryServer: "127.0.0.1:1", ListIndex: 9, EndpointList: []byte(`{}`)}
-	s.BalancerState = policy.State{Now: now.UnixNano(), StartedAt: now.UnixNano() - 5, Evidence: 100, Pace: 1, BaseLatency: 1e9, Admitted: 1,
+	s.BalancerState = policy.State{Now: now.UnixNano(), StartedAt: now.UnixNano() - 5, ActivityTime: 100, ActivityRate: 1, BaseLatency: 1e9, Admitted: 1,
 		Endpoints:    []policy.EndpointState{{Hash: 1, Successes: policy.Sum{Value: 3, Age: 4}}, {Hash: 2, ServedRate: -1}},
-		MachineTypes: []policy.MachineTypeState{{Weight: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, Places: []uint32{}}
+		MachineTypes: []policy.MachineTypeState{{Weight: 2}}, Tenants: []policy.Sum{}, Keys: []uint64{}, KeyEndpoints: []uint32{}}
 	for n := range keys {
-		s.BalancerState.Keys, s.BalancerState.Places = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.Places, uint32(n%2))
+		s.BalancerState.Keys, s.BalancerState.KeyEndpoints = append(s.BalancerState.Keys, uint64(n)+1), append(s.BalancerState.KeyEndpoints, uint32(n%2))
 	}
 	return s
 }
@@ -90,11 +90,11 @@
 		spoil func(s *Snapshot)
 		want  error
 	}{
-		"a place beyond the hosts":      {func(s *Snapshot) { s.BalancerState.Places[3] = 2 }, ErrInvalid},
-		"fewer places than keys":        {func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] }, ErrInvalid},
+		"a place beyond the hosts":      {func(s *Snapshot) { s.BalancerState.KeyEndpoints[3] = 2 }, ErrInvalid},
+		"fewer places than keys":        {func(s *Snapshot) { s.BalancerState.KeyEndpoints = s.BalancerState.KeyEndpoints[:4] }, ErrInvalid},
 		"a sum below zero":              {func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 }, ErrInvalid},
 		"an age below zero":             {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
-		"a pace of zero":                {func(s *Snapshot) { s.BalancerState.Pace = 0 }, ErrInvalid},
+		"a pace of zero":                {func(s *Snapshot) { s.BalancerState.ActivityRate = 0 }, ErrInvalid},
 		"a start after the end":         {func(s *Snapshot) { s.BalancerState.StartedAt = s.BalancerState.Now + 1 }, ErrInvalid},
 		"more credit than there can be": {func(s *Snapshot) { s.BalancerState.RetryTokens = 1e9 }, ErrInvalid},
 		"of another balancer":           {func(s *Snapshot) { s.BalancerName = "n2" }, ErrNotApplicable},
