--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -23,7 +23,7 @@
 //	snapshot.go      saving and restoring learned state across a restart
 //	settings.go      typed settings
 //	executor.go      the Executor interface and the types of events
-//	evidence.go      the evidence clock, by which statistics decay, and the random source
+//	clock.go         the activity clock, by which statistics decay, and the random source
 //	reason.go        reasons for rejecting or failing a request
 //
 // Times and durations are integer nanoseconds of one clock. Requests, endpoints, classes, tenants, machine types and
@@ -95,7 +95,7 @@
 	overdue         sum                       // attempts that took far longer than others (retry.go)
 	misses          missRate                  // of reads (cacheaside.go)
 	originReads     originLimiter             // cacheaside.go
-	recentKeys      [recentKeySlots]keyRecord // indexed by key modulo maxRecentKeys (observations.go)
+	recentKeys      [recentKeySlots]keyRecord // indexed by key modulo recentKeySlots (observations.go)
 }
 
 // New returns a Balancer without any endpoints or statistics. values maps the dotted names of settings to float64,
--- a/policy/evidence.go
+++ b/policy/clock.go
@@ -6,43 +6,43 @@
 	"hollylever/decay"
 )
 
-// The evidence clock and the random source.
+// The activity clock and the random source.
 //
-// Sums and averages decay exponentially by the evidence clock, a logical clock that runs slower when fewer requests
+// Sums and averages decay exponentially by the activity clock, a logical clock that runs slower when fewer requests
 // arrive. With little traffic, statistics thus cover a longer period and enough answers; with much traffic they react
 // quickly. On a clock of constant speed, a balancer in a large fleet would forget one answer of an endpoint before it
 // gets the next.
 
-// timeConstant is the time, in nanoseconds, in which statistics decay to 1/e while the evidence clock runs at full
+// timeConstant is the time, in nanoseconds, in which statistics decay to 1/e while the activity clock runs at full
 // speed. It is long enough for a balancer with some tens of requests per second to collect enough of them, and short
 // enough to notice a fault within seconds.
 const timeConstant = decay.TimeConstant
 
 const (
-	// fullRateRequests is the decaying sum of arrivals at which the evidence clock reaches full speed. With fewer
+	// fullRateRequests is the decaying sum of arrivals at which the activity clock reaches full speed. With fewer
 	// requests it runs proportionally slower.
 	fullRateRequests = 60.0
 
-	// minRate is the lowest speed of the evidence clock. It bounds the age of statistics, as observations from half a
+	// minRate is the lowest speed of the activity clock. It bounds the age of statistics, as observations from half a
 	// minute ago say little about the present.
 	minRate = 0.1
 )
 
-// A sum, and a time-weighted average of a level, that decay by the evidence clock.
+// A sum, and a time-weighted average of a level, that decay by the activity clock.
 type (
 	sum     = decay.Sum
 	average = decay.Average
 )
 
-// activityClock keeps the time of the caller's clock and of the evidence clock. Times are nanoseconds.
+// activityClock keeps the time of the caller's clock and of the activity clock. Times are nanoseconds.
 type activityClock struct {
 	startedAt    int64
 	now          int64   // time of the caller's clock
-	activityTime int64   // time of the evidence clock
-	rate         float64 // speed of the evidence clock relative to the caller's clock, from minPace to 1
+	activityTime int64   // time of the activity clock
+	rate         float64 // speed of the activity clock relative to the caller's clock, from minRate to 1
 }
 
-// advance moves both clocks to now and updates the pace from the number of recent arrivals.
+// advance moves both clocks to now and updates the rate from the number of recent arrivals.
 func (c *activityClock) advance(now int64, arrivals *sum) {
 	c.activityTime += int64(float64(now-c.now) * c.rate)
 	c.now, c.rate = now, min(1, max(minRate, arrivals.ValueAt(c.activityTime)/fullRateRequests))
