--- a/policy/admission.go
+++ b/policy/admission.go
@@ -18,9 +18,9 @@
 // the rate. The request is rejected if that exceeds the base latency plus the request's queueing share of the rest of
 // its objective:
 //
-//	inFlight > capacity + sqrt(capacity), capacity = accepted x tolerance x (baseline + accepted x rate x queueing)
+//	inFlight > capacity + sqrt(capacity), capacity = accepted x capacityFactor x (baseline + accepted x rate x queueing)
 //
-// accepted is the part of the answers that are not rejections, tolerance is lowered by restarts (slowstart.go),
+// accepted is the part of the answers that are not rejections, capacityFactor is lowered by restarts (slowstart.go),
 // baseline is the concurrency that is allowed at any rate, queueing is the longest wait that is allowed, and the square
 // root allows for random variation.
 //
@@ -52,7 +52,7 @@
 	minRateWindow = second / 4
 )
 
-// admissionLimiter is the state of the overload rule. The sums decay by the evidence clock (evidence.go).
+// admissionLimiter is the state of the overload rule. The sums decay by the activity clock (clock.go).
 type admissionLimiter struct {
 	arrivals          sum     // requests
 	rejectedOverload  sum     // requests rejected for overload
@@ -60,8 +60,8 @@
 	answers           sum     // attempts that caches answered with a value
 	answerTime        sum     // total latency of these answers, in nanoseconds
 	baseLatency       float64 // latency of an attempt while nothing is queued, in nanoseconds: the lowest recent mean
-	capacityFactor    float64 // factor on the capacity, 0 to 1, lowered by restarts
-	capacityLoweredAt int64   // when the tolerance was last lowered
+	capacityFactor    float64 // 0 to 1, lowered by restarts
+	capacityLoweredAt int64   // when a restart last lowered the capacity factor
 	lastDispatchAt    int64   // when an attempt was last sent
 }
 
@@ -137,22 +137,22 @@
 }
 
 // queueingShare returns the part of its objective, beyond the base latency, that a request may spend queueing. It is
-// smaller for a read of a key not read lately, the more requests are being shed.
+// smaller for a read of a key not read lately, the more requests are rejected for overload.
 func (b *Balancer) queueingShare(request *requestState) float64 {
 	share := defaultQueueingShare
 	if !request.isWrite && b.recentKeys[request.key%recentKeySlots].key != request.key {
-		shed := b.admission.rejectedOverload.ValueAt(b.clock.activityTime) / (b.admission.arrivals.ValueAt(b.clock.activityTime) + 1)
-		share *= max(minUnknownKeyShare, 1-shed)
+		rejectedRatio := b.admission.rejectedOverload.ValueAt(b.clock.activityTime) / (b.admission.arrivals.ValueAt(b.clock.activityTime) + 1)
+		share *= max(minUnknownKeyShare, 1-rejectedRatio)
 	}
 	return share
 }
 
-// countUnresponsive counts the endpoints in zones that are suspected to be lost, endpoints elsewhere that are silent,
-// and the attempts in flight at both. These attempts use no capacity of other endpoints and would be mistaken for
-// overload. If most of the endpoints outside lost zones are silent, overload itself may be the cause, and only those in
-// lost zones are counted.
+// countUnresponsive counts the endpoints in zones that are suspected to be lost, unresponsive endpoints elsewhere, and
+// the attempts in flight at both. These attempts use no capacity of other endpoints and would be mistaken for overload.
+// If most of the endpoints outside lost zones are unresponsive, overload itself may be the cause, and only those in lost
+// zones are counted.
 func (b *Balancer) countUnresponsive() (attempts, endpoints int) {
-	silentAttempts, silent := 0, 0
+	attemptsElsewhere, endpointsElsewhere := 0, 0
 	for _, index := range b.ready {
 		endpoint := &b.endpoints[index]
 		switch {
@@ -160,13 +160,13 @@
 			attempts += endpoint.load.inFlight
 			endpoints++
 		case endpoint.outlier.lastUnresponsiveAt > 0:
-			silentAttempts += endpoint.load.inFlight
-			silent++
+			attemptsElsewhere += endpoint.load.inFlight
+			endpointsElsewhere++
 		}
 	}
-	if silent <= (len(b.ready)-endpoints)/2 {
-		attempts += silentAttempts
-		endpoints += silent
+	if endpointsElsewhere <= (len(b.ready)-endpoints)/2 {
+		attempts += attemptsElsewhere
+		endpoints += endpointsElsewhere
 	}
 	return attempts, endpoints
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -130,29 +130,29 @@
 	}
 }
 
-// Load may have caused the restarts of endpoints, so that each lowers the tolerance for overload. Restarts close
-// together count as one, the tolerance never falls below its minimum, and it recovers over time.
-func TestOverloadToleranceFallsAndRecovers(t *testing.T) {
+// Load may have caused the restarts of endpoints, so that each lowers the capacity factor. Restarts close
+// together count as one, the factor never falls below its minimum, and it recovers over time.
+func TestCapacityFactorFallsAndRecovers(t *testing.T) {
 	a := admissionLimiter{capacityFactor: 1}
 	now := second
 	a.lowerCapacityFactor(now)
 	a.lowerCapacityFactor(now + restartSpacing)
 	if a.capacityFactor != restartCapacityFactor {
-		t.Errorf("tolerance is %g after two restarts close together, want %g", a.capacityFactor, restartCapacityFactor)
+		t.Errorf("capacity factor is %g after two restarts close together, want %g", a.capacityFactor, restartCapacityFactor)
 	}
 	for range 20 {
 		now += restartSpacing + 1
 		a.lowerCapacityFactor(now)
 	}
 	if a.capacityFactor != minCapacityFactor {
-		t.Errorf("tolerance is %g after many restarts, want %g", a.capacityFactor, minCapacityFactor)
+		t.Errorf("capacity factor is %g after many restarts, want %g", a.capacityFactor, minCapacityFactor)
 	}
 	a.recoverCapacityFactor(capacityFactorRecovery / 2)
 	if want := minCapacityFactor + 0.5; a.capacityFactor != want {
-		t.Errorf("tolerance is %g after half of the recovery time, want %g", a.capacityFactor, want)
+		t.Errorf("capacity factor is %g after half of the recovery time, want %g", a.capacityFactor, want)
 	}
 	if a.recoverCapacityFactor(capacityFactorRecovery); a.capacityFactor != 1 {
-		t.Errorf("tolerance is %g after the recovery time, want 1", a.capacityFactor)
+		t.Errorf("capacity factor is %g after the recovery time, want 1", a.capacityFactor)
 	}
 }
 
--- a/policy/cacheaside.go
+++ b/policy/cacheaside.go
@@ -45,7 +45,8 @@
 // were also late or failed.
 type missRate struct{ reads, missed, failed sum }
 
-// areMissesFrequent reports whether so many reads miss that the candidates of each key are to be tried in one fixed order.
+// areMissesFrequent reports whether so many reads miss that the candidates of each key are to be tried in one fixed
+// order.
 func (m *missRate) areMissesFrequent(activityTime int64) bool {
 	return m.missed.ValueAt(activityTime) > maxMissRatio*(m.reads.ValueAt(activityTime)+1)
 }
--- a/policy/cacheaside_test.go
+++ b/policy/cacheaside_test.go
@@ -113,12 +113,12 @@
 // reads must not be enough.
 func TestMissRateIsAShareOfReads(t *testing.T) {
 	for _, c := range []struct {
-		reads, missed, failed  float64
-		areFrequent, isFailing bool
+		reads, missed, failed        float64
+		areMissesFrequent, isFailing bool
 	}{{0, 0, 0, false, false}, {0, 0.1, 0, false, false}, {100, 10, 10, false, false}, {100, 20, 10, true, false}, {100, 20, 20, true, true}} {
 		rate := missRate{reads: sum{Value: c.reads}, missed: sum{Value: c.missed}, failed: sum{Value: c.failed}}
-		if got := rate.areMissesFrequent(0); got != c.areFrequent {
-			t.Errorf("%+v: areFrequent returns %t, want %t", c, got, c.areFrequent)
+		if got := rate.areMissesFrequent(0); got != c.areMissesFrequent {
+			t.Errorf("%+v: areMissesFrequent returns %t, want %t", c, got, c.areMissesFrequent)
 		}
 		if got := rate.isOriginFailing(0, 1); got != c.isFailing {
 			t.Errorf("%+v: isOriginFailing returns %t, want %t", c, got, c.isFailing)
--- a/policy/dispatch.go
+++ b/policy/dispatch.go
@@ -36,7 +36,7 @@
 
 	attempts      []attempt
 	inFlight      int // number of attempts in flight
-	endedAttempts int // number of attempts that have ended
+	endedAttempts int
 	openIndex     int // its index in Balancer.openRequests
 
 	candidateCount int   // number of candidates to choose from
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -183,7 +183,7 @@
 	b.reports.add(endpoint.report)
 }
 
-// isListed reports whether the list allows an endpoint to be sent to. With the setting onlyDrainingBinds, absence from
+// isListed reports whether the list allows an endpoint to be sent to. With mayUseRemoved, absence from
 // the list does not prove that an endpoint is down: one that was removed without having drained may still be sent to,
 // and is judged by its answers.
 func (b *Balancer) isListed(endpoint *endpointState) bool {
--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -85,11 +85,11 @@
 	}
 }
 
-// Discovery may drop an endpoint that still answers. With onlyDrainingBinds, an endpoint that is missing from the list
+// Discovery may drop an endpoint that still answers. With mayUseRemoved, an endpoint that is missing from the list
 // may be sent to, unless it drained before; then it may not until it is listed as ready again.
-func TestRemovedEndpointServesWhereOnlyDrainingBinds(t *testing.T) {
-	for _, onlyDrainingBinds := range []bool{true, false} {
-		h := newHarness(t, 1, 2, map[string]any{"invariants.onlyDrainingBinds": onlyDrainingBinds})
+func TestRemovedEndpointServesWhereItMayBeUsed(t *testing.T) {
+	for _, mayUseRemoved := range []bool{true, false} {
+		h := newHarness(t, 1, 2, map[string]any{"invariants.onlyDrainingBinds": mayUseRemoved})
 		listAs := func(health Health) { h.updateList(FullList, 1, func(int) (Health, int64) { return health, 0 }) }
 		isUsed := func() bool { // Endpoint 1 is not listed, and no connection to it succeeds.
 			for range 300 {
@@ -104,15 +104,15 @@
 			return used
 		}
 		h.health[1] = Removed
-		if listAs(Removed); isUsed() != onlyDrainingBinds {
-			t.Errorf("onlyDrainingBinds %v: an endpoint listed as removed is used: %v", onlyDrainingBinds, !onlyDrainingBinds)
+		if listAs(Removed); isUsed() != mayUseRemoved {
+			t.Errorf("mayUseRemoved %v: an endpoint listed as removed is used: %v", mayUseRemoved, !mayUseRemoved)
 		}
 		listAs(Draining)
 		if listAs(Removed); isUsed() { // The harness checks this, too.
-			t.Errorf("onlyDrainingBinds %v: an endpoint that drained and was removed is used", onlyDrainingBinds)
+			t.Errorf("mayUseRemoved %v: an endpoint that drained and was removed is used", mayUseRemoved)
 		}
 		if listAs(Ready); !isUsed() {
-			t.Errorf("onlyDrainingBinds %v: an endpoint that is ready again is not used", onlyDrainingBinds)
+			t.Errorf("mayUseRemoved %v: an endpoint that is ready again is not used", mayUseRemoved)
 		}
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -239,7 +239,7 @@
 }
 
 // checkKeyOrder fails the test if a request of a class with keepOrder is sent before earlier requests for its key have
-// ended, or before orderSettle has passed since an attempt that may still be running.
+// ended, or before keyOrderDelay has passed since an attempt that may still be running.
 func (h *harness) checkKeyOrder(i int) {
 	request := &h.requests[i]
 	if h.settings["workloads.0.keepOrder"] != true || request.effect != Safe {
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -10,8 +10,8 @@
 //
 // Order: the class of requests asks for it (keepOrder). Requests of one key are dispatched one at a time, in the order
 // in which they arrived. The next one is dispatched when all earlier ones have their final answers and the outcomes of
-// all their attempts are known. After an attempt that may still run, the queue also pauses for orderSettle. This guards
-// against writes of one key that run in another order than they were sent.
+// all their attempts are known. After an attempt that may still run, the queue also pauses for keyOrderDelay. This
+// guards against writes of one key that run in another order than they were sent.
 //
 // Throttling: the attempts for a key fail at one endpoint after another. This is detected by a sequential probability
 // ratio test (Wald, 1945) against the poor ratio, which is the part of all attempts that fail or are answered late. The
@@ -164,8 +164,8 @@
 // throttledFailureRatio of its attempts fail, against the poor ratio of all attempts. A key whose odds reach
 // throttleLogOdds is throttled. A further failure at the same endpoint adds no evidence.
 func (b *Balancer) recordKeyFailure(now int64, request *requestState, result AttemptResult) {
-	record, late := &b.recentKeys[request.key%recentKeySlots], b.quality.lateOrFailed.ValueAt(b.clock.activityTime)
-	poorRatio := (late + poorRatioPrior) / (late + b.quality.timely.ValueAt(b.clock.activityTime) + 1)
+	record, lateOrFailed := &b.recentKeys[request.key%recentKeySlots], b.quality.lateOrFailed.ValueAt(b.clock.activityTime)
+	poorRatio := (lateOrFailed + poorRatioPrior) / (lateOrFailed + b.quality.timely.ValueAt(b.clock.activityTime) + 1)
 	isKnown := record.key == request.key
 	if result.Outcome == OK {
 		if isKnown {
--- a/policy/observations.go
+++ b/policy/observations.go
@@ -6,14 +6,14 @@
 // decides which outcomes update which counters. Three observations that do not come from the end of an attempt are
 // recorded next to their rules: an overdue attempt (hedge in retry.go), a restart that the list does not show
 // (detectRestart in slowstart.go), and an origin with no capacity left (dispatch in dispatch.go). The statistics cover
-// this balancer only, and the sums decay by the evidence clock.
+// this balancer only, and the sums decay by the activity clock.
 
 const (
 	// lateRatio is the fraction of the objective after which an answer counts as late, so that queueing is noticed
 	// before answers lose their value.
 	lateRatio = 0.75
 
-	// timelyObjectiveDivisor divides the objective: an answer within objective/timelyObjectiveDivisor shows that more requests could be
+	// timelyObjectiveDivisor: an answer within the objective divided by this number shows that more requests could be
 	// answered in time.
 	timelyObjectiveDivisor = 2
 
@@ -32,14 +32,14 @@
 	reportPending    = "pending"   // queued requests
 )
 
-// attemptQuality counts timely attempts, and those that were late or failed.
+// attemptQuality holds decaying counts of attempts.
 type attemptQuality struct{ timely, lateOrFailed sum }
 
 // keyRecord is an entry of the table of recent keys.
 type keyRecord struct {
 	key            uint64
 	endpoint       int     // that answered the key last; noEndpoint if there is none
-	failedEndpoint int     // the endpoint at which it failed last
+	failedEndpoint int     // at which it failed last
 	failureLogOdds float64 // log odds that requests for the key fail at any endpoint (keyqueue.go)
 }
 
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -45,7 +45,7 @@
 // outlierState is the evidence on whether an endpoint is an outlier.
 type outlierState struct {
 	outcomes           outcomeCounts
-	lastUnresponsiveAt int64   // last failed connection or overdue attempt, if there was no success since; 0: none
+	lastUnresponsiveAt int64   // latest failed connection or overdue attempt without a success since; 0: none
 	peerVerdict        float64 // of other balancers, 0 to 1; negative: this balancer holds the probe lease
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -12,11 +12,11 @@
 // final answer at once if the next wait would end after the time at which an answer still has value.
 //
 // Hedging (Dean and Barroso, The Tail at Scale, 2013): an attempt is overdue once it has taken half of the objective
-// and jammedRatio times the mean latency. Where the settings allow it, the request gets a second attempt at another
-// candidate, paid from the budget, and the first answer counts. This guards against single connections or endpoints
-// that fall silent. The symptom is requests that time out although their endpoint answers others. If many attempts are
-// overdue, the endpoints as a whole or the origin are slow, and a second attempt would only cause another fetch; so
-// none is made.
+// and excessiveLatencyRatio times the mean latency. Where the settings allow it, the request gets a second attempt at
+// another candidate, for a token from the budget, and the first answer counts. This guards against single connections or
+// endpoints that fall silent. The symptom is requests that time out although their endpoint answers others. If many
+// attempts are overdue, the endpoints as a whole or the origin are slow, and a second attempt would only cause another
+// fetch; so none is made.
 
 const (
 	// retryTokensPerSuccess limits retries to a fifth of the successes.
@@ -33,7 +33,7 @@
 	retryAfterShare = 1.0 / 6
 
 	// overdueObjectiveDivisor: an attempt is overdue after the objective divided by this number, if that is later than
-	// jammedRatio times the mean latency.
+	// excessiveLatencyRatio times the mean latency.
 	overdueObjectiveDivisor = 2
 
 	// maxOverdueRatio is the part of the requests up to which attempts may be overdue while requests are still hedged.
@@ -85,13 +85,13 @@
 	return now + max(objective/overdueObjectiveDivisor, int64(excessiveLatencyRatio*b.meanLatency()))
 }
 
-// hedge handles a request whose last attempt is overdue. The attempt's endpoint counts as silent from now on. The
+// hedge handles a request whose last attempt is overdue. The attempt's endpoint counts as unresponsive from now on. The
 // request gets a second attempt if that is allowed and likely to help.
 func (b *Balancer) hedge(now int64, index int) {
 	request, arrivals := &b.requests[index], b.admission.arrivals.ValueAt(b.clock.activityTime)
-	silent := request.attempts[len(request.attempts)-1].endpoint
-	overdue := &b.endpoints[silent]
-	b.outages.RecordFailure(overdue.zone, silent, now)
+	unresponsive := request.attempts[len(request.attempts)-1].endpoint
+	overdue := &b.endpoints[unresponsive]
+	b.outages.RecordFailure(overdue.zone, unresponsive, now)
 	overdue.outlier.lastUnresponsiveAt = now
 	isZoneLost := b.outages.IsSuspected(overdue.zone)
 	if !isZoneLost {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Many attempts fail after a long time of success. The saved tokens must pay for a limited number of retries, so that
+// Many attempts fail after a long time of success. The saved tokens must allow a limited number of retries, so that
 // retries do not multiply the load of failing endpoints.
 func TestRetryBudgetIsBounded(t *testing.T) {
 	var budget retryBudget
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -27,9 +27,9 @@
 	// kept with probability (mean latency / its latency)^5.
 	latencyExponent = 0.2
 
-	// excessiveLatencyRatio is the multiple of the mean latency above which an endpoint is left out until all endpoints are
-	// candidates. If all candidates are left out, the candidate set grows as it does after a rejection: the load of a
-	// single key can exceed what its candidates can serve.
+	// excessiveLatencyRatio is the multiple of the mean latency above which an endpoint is left out until all endpoints
+	// are candidates. If all candidates are left out, the candidate set grows as it does after a rejection: the load of
+	// a single key can exceed what its candidates can serve.
 	excessiveLatencyRatio = 3.0
 
 	// priorAttempts is the weight, in attempts, of the prior in a latency estimate: the mean latency of a larger group,
@@ -157,7 +157,7 @@
 }
 
 // maxLatency returns the latency, in nanoseconds, above which an endpoint may be passed over. With cache-aside it is
-// jammedRatio times as high, as each key that moves costs an extra attempt and an origin fetch.
+// excessiveLatencyRatio times as high, as each key that moves costs an extra attempt and an origin fetch.
 func (b *Balancer) maxLatency() float64 {
 	if b.settings.cacheAside {
 		return b.meanLatency() * excessiveLatencyRatio
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -52,16 +52,16 @@
 	updatedAt   int64   // last refill of the tokens
 }
 
-// recordListedStart records the start that the endpoint list states and reports whether it is a new one. If the stated starts
-// are inexact by up to stampError, the endpoint counts as started at the latest possible time that is not in the
-// future, so that it does not count as warm too soon.
-func (s *slowStartState) recordListedStart(now, listedStart, stampError int64) bool {
+// recordListedStart records the start that the endpoint list states and reports whether it is a new one. If the stated
+// starts are inexact by up to startTimeError, the endpoint counts as started at the latest possible time that is not in
+// the future, so that it does not count as warm too soon.
+func (s *slowStartState) recordListedStart(now, listedStart, startTimeError int64) bool {
 	isLater := listedStart > s.listedStart
 	isEarlier := listedStart > 0 && listedStart < s.listedStart
-	if !isLater && !(isEarlier && stampError > 0) {
+	if !isLater && !(isEarlier && startTimeError > 0) {
 		return false
 	}
-	s.listedStart, s.startedAt = listedStart, max(1, min(now, listedStart+stampError))
+	s.listedStart, s.startedAt = listedStart, max(1, min(now, listedStart+startTimeError))
 	s.tokens, s.updatedAt = 0, 0
 	return true
 }
@@ -149,18 +149,18 @@
 	// restarted. A single one may be a network fault.
 	restartConnectFailures = 2
 
-	// restartCapacityFactor is the factor by which a restart lowers the admission limiter's tolerance, and with it the
+	// restartCapacityFactor is what a restart multiplies the admission limiter's capacity factor by. That lowers the
 	// number of attempts in flight above which requests are rejected. Overload may have caused the restart, as health
 	// checks restart an endpoint that holds too many requests.
 	restartCapacityFactor = 0.7
 
-	// minCapacityFactor is the least tolerance after restarts, as endpoints may also crash for other reasons.
+	// minCapacityFactor is the least capacity factor after restarts, as endpoints may also crash for other reasons.
 	minCapacityFactor = 0.3
 
-	// restartSpacing is the time, in nanoseconds, within which several restarts lower the tolerance only once.
+	// restartSpacing is the time, in nanoseconds, within which several restarts lower the capacity factor only once.
 	restartSpacing = second / 2
 
-	// capacityFactorRecovery is the time, in nanoseconds, in which the tolerance recovers by 1.
+	// capacityFactorRecovery is the time, in nanoseconds, in which the capacity factor recovers by 1.
 	capacityFactorRecovery = 40 * second
 )
 
@@ -187,14 +187,14 @@
 	}
 }
 
-// lowerCapacityFactor lowers the tolerance after a restart that overload may have caused.
+// lowerCapacityFactor lowers the capacity factor after a restart that overload may have caused.
 func (a *admissionLimiter) lowerCapacityFactor(now int64) {
 	if now > a.capacityLoweredAt+restartSpacing {
 		a.capacityFactor, a.capacityLoweredAt = max(minCapacityFactor, a.capacityFactor*restartCapacityFactor), now
 	}
 }
 
-// recoverCapacityFactor raises the tolerance in proportion to the elapsed time, in nanoseconds.
+// recoverCapacityFactor raises the capacity factor in proportion to the elapsed time, in nanoseconds.
 func (a *admissionLimiter) recoverCapacityFactor(elapsed int64) {
 	a.capacityFactor = min(1, a.capacityFactor+float64(elapsed)/float64(capacityFactorRecovery))
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -137,7 +137,7 @@
 }
 
 // An endpoint restarts and the endpoint list does not show it: a connection is reset, and then connections fail. The
-// endpoint must count as warming up from then on. As overload may have caused the restart, the tolerance of the
+// endpoint must count as warming up from then on. As overload may have caused the restart, the capacity factor of the
 // admission limiter must drop and recover later. Resets alone, or a single failed connection, must have neither effect.
 func TestUnlistedRestartIsDetected(t *testing.T) {
 	h := newHarness(t, 1, 1, map[string]any{"allowed.mostTrips": 1.0})
@@ -162,7 +162,7 @@
 	}
 	h.advance(60 * second)
 	if h.balancer.advanceClock(h.now); h.balancer.admission.capacityFactor < 1 {
-		t.Error("the tolerance of the admission limiter did not recover within 60 s")
+		t.Error("the capacity factor of the admission limiter did not recover within 60 s")
 	}
 }
 
@@ -170,10 +170,10 @@
 // once. If stated starts are inexact, any different one is new, and the latest possible start counts.
 func TestStartCountsOnce(t *testing.T) {
 	for _, c := range []struct {
-		name                                string
-		known, listedStart, now, stampError int64
-		isNew                               bool
-		startedAt                           int64
+		name                                    string
+		known, listedStart, now, startTimeError int64
+		isNew                                   bool
+		startedAt                               int64
 	}{
 		{"never stated", 0, 0, 100, 0, false, 0},
 		{"a first start", 0, 60, 100, 0, true, 60},
@@ -185,7 +185,7 @@
 		{"no start stated any more, inexact", 60, 0, 100, 20, false, 60},
 	} {
 		state := slowStartState{listedStart: c.known, startedAt: c.known, tokens: 3, updatedAt: 90}
-		if isNew := state.recordListedStart(c.now, c.listedStart, c.stampError); isNew != c.isNew || state.startedAt != c.startedAt {
+		if isNew := state.recordListedStart(c.now, c.listedStart, c.startTimeError); isNew != c.isNew || state.startedAt != c.startedAt {
 			t.Errorf("%s: new = %t, startedAt = %d, want %t, %d", c.name, isNew, state.startedAt, c.isNew, c.startedAt)
 		}
 		if wasReset := state.tokens == 0 && state.updatedAt == 0; wasReset != c.isNew {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -19,7 +19,7 @@
 	maxMachineTypes = 1 << 12
 )
 
-// Sum is a stored decaying sum. Age is the time from its last update to State.Evidence, by the evidence clock.
+// Sum is a stored decaying sum. Age is the time from its last update to State.ActivityTime, by the activity clock.
 type Sum struct {
 	_     struct{} `cbor:",toarray"`
 	Value float32
@@ -45,7 +45,7 @@
 }
 
 // State is the learned state of a balancer. Times are by the clock of the process that saved it, which read Now. Ages
-// are by its evidence clock, which read Evidence.
+// are by its activity clock, which read ActivityTime.
 type State struct {
 	_                                                               struct{} `cbor:",toarray"`
 	Now, StartedAt, ActivityTime                                    int64
@@ -143,7 +143,7 @@
 // SaveState stores the learned state in state, whose slices are reused.
 func (b *Balancer) SaveState(now int64, state *State) {
 	b.advanceClock(now)
-	endpoints, keys, places := state.Endpoints[:0], state.Keys[:0], state.KeyEndpoints[:0]
+	endpoints, keys, keyEndpoints := state.Endpoints[:0], state.Keys[:0], state.KeyEndpoints[:0]
 	machineTypes, tenants := state.MachineTypes[:0], state.Tenants[:0]
 	*state = State{
 		Now:            now,
@@ -180,10 +180,10 @@
 	}
 	for _, record := range b.recentKeys {
 		if record.key != 0 && record.endpoint >= 0 && record.endpoint < len(storedIndex) && storedIndex[record.endpoint] != maxEndpoints {
-			keys, places = append(keys, record.key), append(places, storedIndex[record.endpoint])
+			keys, keyEndpoints = append(keys, record.key), append(keyEndpoints, storedIndex[record.endpoint])
 		}
 	}
-	state.Endpoints, state.Keys, state.KeyEndpoints, state.MachineTypes, state.Tenants = endpoints, keys, places, machineTypes, tenants
+	state.Endpoints, state.Keys, state.KeyEndpoints, state.MachineTypes, state.Tenants = endpoints, keys, keyEndpoints, machineTypes, tenants
 }
 
 // errMalformedState is returned for a state that SaveState cannot have written.
@@ -223,7 +223,7 @@
 	case !s.hasValidScalars() || !s.hasValidParts():
 		return errMalformedState
 	case len(s.Endpoints) > maxEndpoints, len(s.MachineTypes) > maxMachineTypes, len(s.Keys) > recentKeySlots, len(s.Keys) != len(s.KeyEndpoints):
-		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d places", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.KeyEndpoints))
+		return fmt.Errorf("%w: %d endpoints, %d machine types, %d keys, %d key endpoints", errMalformedState, len(s.Endpoints), len(s.MachineTypes), len(s.Keys), len(s.KeyEndpoints))
 	}
 	for _, index := range s.KeyEndpoints {
 		if int(index) >= len(s.Endpoints) {
--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -90,17 +90,17 @@
 		spoil func(s *Snapshot)
 		want  error
 	}{
-		"a place beyond the hosts":      {func(s *Snapshot) { s.BalancerState.KeyEndpoints[3] = 2 }, ErrInvalid},
-		"fewer places than keys":        {func(s *Snapshot) { s.BalancerState.KeyEndpoints = s.BalancerState.KeyEndpoints[:4] }, ErrInvalid},
-		"a sum below zero":              {func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 }, ErrInvalid},
-		"an age below zero":             {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
-		"a pace of zero":                {func(s *Snapshot) { s.BalancerState.ActivityRate = 0 }, ErrInvalid},
-		"a start after the end":         {func(s *Snapshot) { s.BalancerState.StartedAt = s.BalancerState.Now + 1 }, ErrInvalid},
-		"more credit than there can be": {func(s *Snapshot) { s.BalancerState.RetryTokens = 1e9 }, ErrInvalid},
-		"of another balancer":           {func(s *Snapshot) { s.BalancerName = "n2" }, ErrNotApplicable},
-		"of other settings":             {func(s *Snapshot) { s.SettingsFingerprint = 8 }, ErrNotApplicable},
-		"too old":                       {func(s *Snapshot) { s.WrittenAt -= int64(maxAge) + 1 }, ErrNotApplicable},
-		"from far in the future":        {func(s *Snapshot) { s.WrittenAt += int64(maxAge) + 1 }, ErrNotApplicable},
+		"a key endpoint beyond the hosts": {func(s *Snapshot) { s.BalancerState.KeyEndpoints[3] = 2 }, ErrInvalid},
+		"fewer key endpoints than keys":   {func(s *Snapshot) { s.BalancerState.KeyEndpoints = s.BalancerState.KeyEndpoints[:4] }, ErrInvalid},
+		"a sum below zero":                {func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 }, ErrInvalid},
+		"an age below zero":               {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
+		"an activity rate of zero":        {func(s *Snapshot) { s.BalancerState.ActivityRate = 0 }, ErrInvalid},
+		"a start after the end":           {func(s *Snapshot) { s.BalancerState.StartedAt = s.BalancerState.Now + 1 }, ErrInvalid},
+		"more credit than there can be":   {func(s *Snapshot) { s.BalancerState.RetryTokens = 1e9 }, ErrInvalid},
+		"of another balancer":             {func(s *Snapshot) { s.BalancerName = "n2" }, ErrNotApplicable},
+		"of other settings":               {func(s *Snapshot) { s.SettingsFingerprint = 8 }, ErrNotApplicable},
+		"too old":                         {func(s *Snapshot) { s.WrittenAt -= int64(maxAge) + 1 }, ErrNotApplicable},
+		"from far in the future":          {func(s *Snapshot) { s.WrittenAt += int64(maxAge) + 1 }, ErrNotApplicable},
 	} {
 		s := sample(5)
 		c.spoil(s)
