--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -107,7 +107,7 @@
 		endpoint.slowStart.updatedAt = now
 		endpoint.report.servedRate = notReported
 	}
-	if endpoint.slowStart.restarted(now, info.StartedAt, b.settings.bootStampError) {
+	if endpoint.slowStart.recordListedStart(now, info.StartedAt, b.settings.startTimeError) {
 		endpoint.report = loadReport{servedRate: notReported}
 	}
 	switch info.Health {
@@ -148,7 +148,7 @@
 // CommitEndpointUpdate ends an update and makes the new list effective.
 func (b *Balancer) CommitEndpointUpdate(now int64) {
 	b.advanceClock(now)
-	b.load.settle(b.clock.evidence)
+	b.load.advanceAverage(b.clock.activityTime)
 	b.ready, b.origin = b.ready[:0], noEndpoint
 	b.load.inFlight, b.totalWeight, b.warmWeight = 0, 0, 0
 	b.reports.reset()
@@ -183,14 +183,14 @@
 	b.reports.add(endpoint.report)
 }
 
-// isListed reports whether the list allows an endpoint to be sent to. With the setting onlyDrainingBinds, absence from
+// isListed reports whether the list allows an endpoint to be sent to. With mayUseRemoved, absence from
 // the list does not prove that an endpoint is down: one that was removed without having drained may still be sent to,
 // and is judged by its answers.
 func (b *Balancer) isListed(endpoint *endpointState) bool {
 	if endpoint.health == Ready {
 		return true
 	}
-	return b.settings.onlyDrainingBinds && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
+	return b.settings.mayUseRemoved && endpoint.health == Removed && endpoint.isKnown() && !endpoint.hasDrained
 }
 
 // Parameters of the 64-bit FNV-1a hash (Fowler, Noll and Vo).
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -42,7 +42,7 @@
 	timers        map[int64][]int
 	sendCounts    map[int]int
 	rejected      int
-	reasons       [reasons]int
+	reasons       [numReasons]int
 	retryAfters   []int64
 	failed        int
 	remainingSkew int64 // added to the remaining time that each request states
@@ -239,7 +239,7 @@
 }
 
 // checkKeyOrder fails the test if a request of a class with keepOrder is sent before earlier requests for its key have
-// ended, or before orderSettle has passed since an attempt that may still be running.
+// ended, or before keyOrderDelay has passed since an attempt that may still be running.
 func (h *harness) checkKeyOrder(i int) {
 	request := &h.requests[i]
 	if h.settings["workloads.0.keepOrder"] != true || request.effect != Safe {
