--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -37,12 +37,12 @@
 	wasLeader   bool
 	ramps       map[string]*evacuation.Ramp
 
-	adoptionBegan  int64 // on Now's clock; 0: the exchange is not open yet
-	isAdoptionOver bool  // the ramps advance without the peers
+	adoptionStartedAt int64 // on Now's clock; 0: the exchange is not open yet
+	isAdoptionOver    bool  // the ramps advance without the peers
 
-	applied   map[string]float64 // shares, as the balancer has them
-	appliedAt int64
-	logged    []string // zones that are evacuated, as logged last
+	applied     map[string]float64 // shares, as the balancer has them
+	appliedAt   int64
+	loggedZones []string // zones that are evacuated, as logged last
 }
 
 // newEvacuationState begins without any ramp. The ramp back into a zone takes one and a half times as long as an
@@ -72,7 +72,7 @@
 	now              int64
 	zones            []evacuation.ZoneHealth // sorted by name
 	evacuated        []string                // by the effective configuration
-	ownZoneFails     bool                    // for this process itself
+	ownZoneFailing   bool                    // for this process itself
 	widespreadMisses bool                    // reads miss at many processes at once
 	isLeader         bool                    // this process leads, under a lease
 	hasProposal      bool                    // one of a zone waits for its answer
@@ -99,7 +99,7 @@
 // process that knows no configuration yet must not begin the ramp out of a zone that the fleet evacuated long ago.
 func (f *Fleet) zoneInput() (in zoneInput, ok bool) {
 	in.now = Now()
-	in.zones, in.ownZoneFails, in.widespreadMisses = f.outliers.zoneHealth(in.now, f.zone)
+	in.zones, in.ownZoneFailing, in.widespreadMisses = f.outliers.zoneHealth(in.now, f.zone)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	in.evacuated, in.hasProposal = f.effective.EvacuatedZones, f.hasZoneProposal
@@ -168,7 +168,7 @@
 		}
 		// A process stays in its own zone while that works for it, even if the fleet evacuates the zone: once out, it
 		// would observe nothing of the zone any more.
-		staysInOwn := zone.Zone == f.zone && (zone.Failing*2 < zone.Endpoints || !in.ownZoneFails)
+		staysInOwn := zone.Zone == f.zone && (zone.Failing*2 < zone.Endpoints || !in.ownZoneFailing)
 		share := ramp.Advance(in.now, zone.Zone, in.evacuated, staysInOwn, in.widespreadMisses, e.durations)
 		shares[zone.Zone] = share
 		statuses = append(statuses, ZoneStatus{
@@ -203,10 +203,10 @@
 }
 
 func (f *Fleet) logEvacuated(evacuated []string) {
-	if slices.Equal(evacuated, f.evacuation.logged) {
+	if slices.Equal(evacuated, f.evacuation.loggedZones) {
 		return
 	}
-	f.evacuation.logged = evacuated
+	f.evacuation.loggedZones = evacuated
 	f.log.Info().Strs("zones", evacuated).Msg("evacuated zones changed")
 }
 
@@ -223,8 +223,8 @@
 	if e.isAdoptionOver || f.exchange == nil { // During an upgrade there is none until the previous process has gone.
 		return nil
 	}
-	if e.adoptionBegan == 0 {
-		e.adoptionBegan = now
+	if e.adoptionStartedAt == 0 {
+		e.adoptionStartedAt = now
 	}
 	var partial []string
 	for _, m := range f.liveMembers() {
@@ -240,7 +240,7 @@
 	f.mu.Lock()
 	isLeased := f.effective.IsLeased
 	f.mu.Unlock()
-	e.isAdoptionOver = isLeased && len(peers) > 0 || now-e.adoptionBegan > maxRampAdoption
+	e.isAdoptionOver = isLeased && len(peers) > 0 || now-e.adoptionStartedAt > maxRampAdoption
 	return peers
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -143,7 +143,7 @@
 		return nil, fmt.Errorf("fleet.peers: %w", err)
 	}
 	folder := os.Getenv("TMPDIR")
-	seed := drawSeed()
+	seed := randomSeed()
 	incarnation := nextIncarnation(folder, time.Now(), binary.LittleEndian.Uint32(seed[:4]))
 	trace, err := openTrace(own.Text("fleet.trace"))
 	if err != nil {
@@ -153,7 +153,7 @@
 	f := &Fleet{
 		name: name, zone: zone, settingsDigest: settingsDigest, incarnation: incarnation,
 		leaseTiming: fleetconfig.ParseLeaseTiming(own), voters: fleetconfig.ParseNames(own.Text("fleet.keepers")),
-		balancer: balancer, log: log, trace: trace, handover: handoverIn(folder), inbox: newInbox(queue),
+		balancer: balancer, log: log, trace: trace, handover: newHandoverFile(folder), inbox: newInbox(queue),
 		peerLists:   peerLists{maxBehind: own.Duration("fleet.behind")},
 		connections: newConnectionSubset(own),
 		evacuation:  newEvacuationState(own.Boolean("fleet.zones"), balancer.SlowStartDuration()),
@@ -166,10 +166,10 @@
 	// The source is not safe for use by several goroutines: the lease holder and the replica draw from it under mu
 	// alone.
 	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.leaseTiming, f.voters, f, source.IntN)
-	f.recallHandover()
+	f.restoreHandover()
 	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
 	f.openReplica = func() error { return f.startReplica(own.Text("fleet.state"), source.IntN) }
-	if err := f.startFirst(); err != nil {
+	if err := f.startOrDefer(); err != nil {
 		return nil, err
 	}
 	log.Info().Str("listen", own.Text("fleet.listen")).Bool("replica", f.replica.state != nil).
@@ -177,16 +177,16 @@
 	return f, nil
 }
 
-// drawSeed draws the low bits of the incarnation and the seed of the source of random choices.
-func drawSeed() (seed [16]byte) {
+// randomSeed draws the low bits of the incarnation and the seed of the source of random choices.
+func randomSeed() (seed [16]byte) {
 	_, _ = crand.Read(seed[:]) // It does not fail; crypto/rand ends the program instead.
 	return seed
 }
 
-// startFirst opens the exchange and the replica as the process starts. During an upgrade the previous process may
+// startOrDefer opens the exchange and the replica as the process starts. During an upgrade the previous process may
 // still have the address and the log: the two are one member, so this one serves without a lease, on the handed-over
 // configuration, until Run can open both.
-func (f *Fleet) startFirst() error {
+func (f *Fleet) startOrDefer() error {
 	switch err := f.join(); {
 	case errors.Is(err, unix.EADDRINUSE):
 		f.log.Info().Msg("join deferred: another process of this name is in the fleet")
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -68,7 +68,7 @@
 
 // An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a
 // renamed field emptied them.
-func TestStatusKeepsItsJSONKeys(t *testing.T) {
+func TestStatusJSONKeys(t *testing.T) {
 	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, CompleteListsDigest: 12}
 	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4}}
@@ -91,7 +91,7 @@
 }
 
 // A call that is none has its code and its words, which scripts look for.
-func TestCallsKeepTheirAnswers(t *testing.T) {
+func TestAdminCallResponses(t *testing.T) {
 	f := newUnjoinedFleet(t, "", &recordingBalancer{})
 	var out strings.Builder
 	for _, call := range []struct{ method, path, body string }{
@@ -124,7 +124,7 @@
 
 // A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a
 // ban lapse.
-func TestHandoverFileKeepsItsForm(t *testing.T) {
+func TestHandoverFileFormat(t *testing.T) {
 	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
 	var many []consensus.Revision
 	for n := range uint64(maxPlainRevisions + 1) {
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 		f := newUnjoinedFleet(t, left, balancer)
-		f.recallHandover()
+		f.restoreHandover()
 		latest := versions[len(versions)-1].Number
 		if a := balancer.lastConfig; balancer.configsApplied != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
 			t.Errorf("%s: %d times, %+v", name, balancer.configsApplied, a)
@@ -172,7 +172,7 @@
 			t.Fatal(err)
 		}
 		if f := newUnjoinedFleet(t, left, balancer); true {
-			if f.recallHandover(); balancer.configsApplied != 0 || f.effective.LatestRevision != 0 {
+			if f.restoreHandover(); balancer.configsApplied != 0 || f.effective.LatestRevision != 0 {
 				t.Errorf("%q is acted on", spoilt)
 			}
 		}
@@ -181,7 +181,7 @@
 
 // A process that took a number at or below that of the one before it would be taken for that one's past: the file's
 // form has to stay readable.
-func TestIncarnationFileKeepsItsForm(t *testing.T) {
+func TestIncarnationFileFormat(t *testing.T) {
 	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	first := nextIncarnation(folder, now, 12345)
 	text, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -27,8 +27,8 @@
 // process has its first lease. "": there is none.
 type handoverFile string
 
-// handoverIn returns the file in a folder; none where there is no folder.
-func handoverIn(folder string) handoverFile {
+// newHandoverFile returns the file in a folder; none where there is no folder.
+func newHandoverFile(folder string) handoverFile {
 	if folder == "" {
 		return ""
 	}
@@ -57,11 +57,11 @@
 	if err != nil {
 		return err
 	}
-	aside := string(h) + ".new"
-	if err := os.WriteFile(aside, content, handoverPermission); err != nil {
+	temporaryPath := string(h) + ".new"
+	if err := os.WriteFile(temporaryPath, content, handoverPermission); err != nil {
 		return err
 	}
-	return os.Rename(aside, string(h))
+	return os.Rename(temporaryPath, string(h))
 }
 
 // read returns what the previous process left; false where the file is missing, too long or malformed: the process
@@ -132,8 +132,8 @@
 	return state
 }
 
-// recallHandover has the process act on what the previous one left, until it has a lease. Start calls it.
-func (f *Fleet) recallHandover() {
+// restoreHandover has the process act on what the previous one left, until it has a lease. Start calls it.
+func (f *Fleet) restoreHandover() {
 	state, ok := f.handover.read()
 	if !ok {
 		return
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -8,8 +8,8 @@
 	"hollylever/fleetconfig"
 )
 
-// calls are those that the admin endpoint hands on, and the method of each.
-var calls = map[string]string{
+// allowedMethods are those that the admin endpoint hands on, and the method of each.
+var allowedMethods = map[string]string{
 	"/fleet":         http.MethodGet,
 	"/fleet/history": http.MethodGet,
 	"/fleet/propose": http.MethodPost,
@@ -17,7 +17,7 @@
 
 // ServeHTTP answers the operators' calls under /fleet. The admin endpoint bounds the body and the time of each.
 func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	method, known := calls[r.URL.Path]
+	method, known := allowedMethods[r.URL.Path]
 	switch {
 	case !known:
 		http.Error(w, "unknown call", http.StatusNotFound)
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -11,9 +11,9 @@
 	incarnationName  = "hollylever.incarnation"
 	incarnationBytes = 8 // of the file: one number, little-endian
 
-	// incarnationDrawBits is how many low bits are drawn, so that no two processes of one millisecond have the same
+	// incarnationRandomBits is how many low bits are drawn, so that no two processes of one millisecond have the same
 	// incarnation. The 42 bits of milliseconds above them last until 2109.
-	incarnationDrawBits = 22
+	incarnationRandomBits = 22
 )
 
 // nextIncarnation numbers a process of a balancer above all before it, also above one that was killed within the same
@@ -22,12 +22,12 @@
 //
 // Peers take what has a lower incarnation for the past. A process with a number at or under the last one's would be
 // ignored until its clock had passed that.
-func nextIncarnation(folder string, now time.Time, draw uint32) uint64 {
+func nextIncarnation(folder string, now time.Time, randomBits uint32) uint64 {
 	millisecond := uint64(now.UnixMilli())
 	if last, ok := readIncarnation(folder); ok {
-		millisecond = max(millisecond, last>>incarnationDrawBits+1)
+		millisecond = max(millisecond, last>>incarnationRandomBits+1)
 	}
-	incarnation := millisecond<<incarnationDrawBits | uint64(draw)&(1<<incarnationDrawBits-1)
+	incarnation := millisecond<<incarnationRandomBits | uint64(randomBits)&(1<<incarnationRandomBits-1)
 	writeIncarnation(folder, incarnation)
 	return incarnation
 }
--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -7,7 +7,7 @@
 
 // The wall clock was stepped back between two processes, or both started within one millisecond, and peers took the
 // second for the past of the first. Each incarnation has to be above the one before it.
-func TestIncarnationsRiseWhateverTheClockDoes(t *testing.T) {
+func TestIncarnationsIncreaseDespiteClockSteps(t *testing.T) {
 	folder, now := t.TempDir(), time.Now()
 	before := nextIncarnation(folder, now, 1)
 	for n, step := range []time.Duration{0, time.Millisecond, -time.Hour, 0, time.Hour, -time.Hour} {
--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -252,7 +252,7 @@
 // at once.
 func (e *OutlierExchange) zoneHealth(
 	now int64, ownZone string,
-) (zones []evacuation.ZoneHealth, ownZoneFails, widespreadMisses bool) {
+) (zones []evacuation.ZoneHealth, ownZoneFailing, widespreadMisses bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	zones = slices.Clone(e.zones)
@@ -265,10 +265,10 @@
 			zones[at].Failing++
 		}
 		if status.OwnConsecutiveFailures > 0 && zones[at].Zone == ownZone {
-			ownZoneFails = true
+			ownZoneFailing = true
 		}
 	}
-	return zones, ownZoneFails, e.widespreadMisses
+	return zones, ownZoneFailing, e.widespreadMisses
 }
 
 // OutlierStatus is what the admin endpoint shows of outlier detection. The counts are of messages, since the start.
--- a/fleet/peerlists.go
+++ b/fleet/peerlists.go
@@ -100,7 +100,7 @@
 	index, digest, drains := f.balancer.EndpointList()
 	own := consensus.EndpointListState{Name: f.name, Index: index, Digest: digest, Drained: convertDrains(drains)}
 	lists := f.earlierOwnList(own)
-	peers, partial := f.laterLists(index, digest)
+	peers, partial := f.peerEndpointLists(index, digest)
 	lists = append(lists, peers...)
 	f.requestFullStates(f.peerLists.comparedAt, partial)
 	result := consensus.CompareLists(index, digest, lists)
@@ -120,9 +120,9 @@
 	return earlier
 }
 
-// laterLists returns the lists of the members that are there. Drains come with those that are later than this
+// peerEndpointLists returns the lists of the members that are there. Drains come with those that are later than this
 // process's or contradict it; partial names which of these published a part of their drains only.
-func (f *Fleet) laterLists(index, digest uint64) (lists []consensus.EndpointListState, partial []string) {
+func (f *Fleet) peerEndpointLists(index, digest uint64) (lists []consensus.EndpointListState, partial []string) {
 	now := time.Now()
 	for _, m := range f.exchange.Members() {
 		if m.IsGone(now) || m.Name == f.name {
--- a/fleet/proposals_test.go
+++ b/fleet/proposals_test.go
@@ -15,11 +15,11 @@
 // scriptedVoters is an exchange in which the voters answer as scripted. It notes each attempt.
 type scriptedVoters struct {
 	membership.Exchange
-	fleet    *Fleet
-	began    time.Time
-	attempts strings.Builder
-	answer   func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: none
-	count    int
+	fleet     *Fleet
+	startedAt time.Time
+	attempts  strings.Builder
+	answer    func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: none
+	count     int
 }
 
 func (s *scriptedVoters) Send(to string, message []byte) error {
@@ -31,7 +31,7 @@
 	if m.Ticket != nil {
 		ticket = fmt.Sprint("of term ", m.Ticket.Term)
 	}
-	fmt.Fprintf(&s.attempts, "  %v to %s, ticket %s\n", time.Since(s.began), to, ticket)
+	fmt.Fprintf(&s.attempts, "  %v to %s, ticket %s\n", time.Since(s.startedAt), to, ticket)
 	result := s.answer(to, s.count, m)
 	s.count++
 	if result == nil {
@@ -94,11 +94,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newUnjoinedFleet(t, "", &recordingBalancer{})
 			f.voters = []string{"b2", "b3", "b4"}
-			voters := &scriptedVoters{fleet: f, began: time.Now(), answer: c.answer}
+			voters := &scriptedVoters{fleet: f, startedAt: time.Now(), answer: c.answer}
 			f.exchange = voters
 			f.holder.HandleLeaseResponse(Now(), &consensus.LeaseResponse{Leader: c.leader})
 			result := f.Propose(context.Background(), consensus.Proposal{ID: "p", EjectEndpoints: []string{"h"}})
-			fmt.Fprintf(&out, "%s\n%s  result after %v: revision %d, %q, final %t\n", c.name, voters.attempts.String(), time.Since(voters.began),
+			fmt.Fprintf(&out, "%s\n%s  result after %v: revision %d, %q, final %t\n", c.name, voters.attempts.String(), time.Since(voters.startedAt),
 				result.Revision, result.Reason, result.IsFinal)
 			synctest.Wait()
 		})
--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -20,8 +20,8 @@
 	state *consensus.Replica // nil: this process has none, or it does not run now
 	log   *store.Log         // nil: it has no log, or it does not run now
 
-	hasFailed bool // its log has failed, and it has not been started again
-	isLost    bool // its log was found corrupt after such a failure: only a restart of the process helps
+	hasFailed  bool // its log has failed, and it has not been started again
+	isDisabled bool // its log was found corrupt after such a failure: only a restart of the process helps
 }
 
 // closeLog closes the log and releases its lock. What it could not write was never acknowledged to anybody, so the
@@ -48,11 +48,11 @@
 // an upgrade, still runs the replica.
 func (f *Fleet) startReplica(path string, intN func(n int) int) error {
 	r := &f.replica
-	if r.state != nil || r.isLost || !slices.Contains(f.voters, f.name) {
+	if r.state != nil || r.isDisabled || !slices.Contains(f.voters, f.name) {
 		return nil
 	}
 	storage, records, err := f.openReplicaLog(path)
-	if err != nil || r.isLost {
+	if err != nil || r.isDisabled {
 		return err
 	}
 	f.mu.Lock()
@@ -71,7 +71,7 @@
 // A corrupt log is put aside and the replica starts empty. At the start of a process that is safe: the process has a
 // new incarnation, and the other voters do not count the votes of the one before. After a failure during the
 // process's life it is not: the replica would vote again under an incarnation whose votes are lost, and two leaders
-// could be elected in one term. It then stays down (isLost) until the process is restarted.
+// could be elected in one term. It then stays down (isDisabled) until the process is restarted.
 func (f *Fleet) openReplicaLog(path string) (consensus.Storage, [][]byte, error) {
 	if path == "" {
 		return volatileStorage{}, nil, nil
@@ -82,7 +82,7 @@
 		return nil, nil, err
 	case errors.Is(err, store.ErrCorrupt) && f.replica.hasFailed:
 		f.log.Error().Str("file", path).Msg("replica stopped for good: its log is corrupt, restart the process")
-		f.replica.isLost = true
+		f.replica.isDisabled = true
 		log.Close()
 		return nil, nil, nil
 	case errors.Is(err, store.ErrCorrupt):
@@ -110,7 +110,7 @@
 // logReplicaRestarted logs once that a replica that had failed runs again.
 func (f *Fleet) logReplicaRestarted() {
 	f.mu.Lock()
-	hasRestarted := f.replica.hasFailed && !f.replica.isLost
+	hasRestarted := f.replica.hasFailed && !f.replica.isDisabled
 	f.replica.hasFailed = false
 	f.mu.Unlock()
 	if hasRestarted {
--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -32,7 +32,7 @@
 // Unwrap returns what is wrong with the field.
 func (e *InvalidFieldError) Unwrap() error { return e.Err }
 
-func invalid(field, format string, values ...any) error {
+func invalidField(field, format string, values ...any) error {
 	return &InvalidFieldError{Field: field, Err: fmt.Errorf(format, values...)}
 }
 
@@ -68,20 +68,20 @@
 	case err != nil:
 		return &InvalidFieldError{Field: "peers", Err: err}
 	case own.Integer("fleet.rate") != 0 && own.Integer("fleet.rate") < minSendRate:
-		return invalid("rate", "is not 0, nor from %d on", minSendRate)
+		return invalidField("rate", "is not 0, nor from %d on", minSendRate)
 	case own.Text("fleet.listen") == "":
-		return invalid("listen", "missing")
-	case !isReplicaCount(len(replicas)):
-		return invalid("keepers", "names %d, not one, three, five or seven", len(replicas))
+		return invalidField("listen", "missing")
+	case !isValidReplicaCount(len(replicas)):
+		return invalidField("keepers", "names %d, not one, three, five or seven", len(replicas))
 	case name != "" && !isPeer(peers, name) && own.Text("fleet.way") == "plain":
-		return invalid("peers", "%q, this process, is not among them", name)
+		return invalidField("peers", "%q, this process, is not among them", name)
 	}
 	return validateReplicas(replicas, peers)
 }
 
-// isReplicaCount reports whether there may be so many replicas. An even number survives no more failures than the odd
+// isValidReplicaCount reports whether there may be so many replicas. An even number survives no more failures than the odd
 // one below it, and with more than seven each revision waits for more disks than the further failures are worth.
-func isReplicaCount(n int) bool { return n == 1 || n == 3 || n == 5 || n == 7 }
+func isValidReplicaCount(n int) bool { return n == 1 || n == 3 || n == 5 || n == 7 }
 
 func isPeer(peers []Peer, name string) bool {
 	return slices.ContainsFunc(peers, func(peer Peer) bool { return peer.Name == name })
@@ -92,10 +92,10 @@
 func validateReplicas(replicas []string, peers []Peer) error {
 	for n, replica := range replicas {
 		if slices.Contains(replicas[:n], replica) {
-			return invalid("keepers", "%q stands twice", replica)
+			return invalidField("keepers", "%q stands twice", replica)
 		}
 		if !isPeer(peers, replica) {
-			return invalid("keepers", "%q is none of the peers", replica)
+			return invalidField("keepers", "%q is none of the peers", replica)
 		}
 	}
 	return nil
--- a/fleetconfig/fleetconfig_test.go
+++ b/fleetconfig/fleetconfig_test.go
@@ -15,7 +15,7 @@
 
 // A fleet that has grown to the largest size must still start from its settings: as many peers as may be, with the
 // longest names and addresses, are read, and one more is refused.
-func TestLargestFleetFitsIntoItsSettings(t *testing.T) {
+func TestLargestFleetConfig(t *testing.T) {
 	readSettings := func(peers int) (config.Values, []config.FieldError) {
 		var entries []string
 		for n := range peers {
--- a/fleetconfig/leasetiming.go
+++ b/fleetconfig/leasetiming.go
@@ -53,11 +53,11 @@
 func (t LeaseTiming) Validate() error {
 	switch {
 	case t.LeaseDuration < minLeaseDuration || t.LeaseDuration > maxLeaseDuration:
-		return invalid("lease", "%v is not 100ms to 1m", t.LeaseDuration)
+		return invalidField("lease", "%v is not 100ms to 1m", t.LeaseDuration)
 	case t.ClockRateError < 0 || t.ClockRateError > maxClockRateError:
-		return invalid("rate_error", "%v is not 0 to 0.1", t.ClockRateError)
+		return invalidField("rate_error", "%v is not 0 to 0.1", t.ClockRateError)
 	case t.MaxPause < 0 || t.MaxPause > t.LeaseDuration:
-		return invalid("pause", "%v is not 0s to the lease", t.MaxPause)
+		return invalidField("pause", "%v is not 0s to the lease", t.MaxPause)
 	}
 	return nil
 }
--- a/fleetconfig/peers.go
+++ b/fleetconfig/peers.go
@@ -42,7 +42,7 @@
 // ParsePeers reads a list of names and addresses, as in "b1=127.0.0.1:7001, b2=127.0.0.1:7002".
 func ParsePeers(text string) ([]Peer, error) {
 	var peers []Peer
-	isKnown := map[string]bool{}
+	seen := map[string]bool{}
 	for _, entry := range ParseNames(text) {
 		name, address, hasAddress := strings.Cut(entry, "=")
 		if !hasAddress || name == "" || len(name) > MaxNameBytes {
@@ -51,10 +51,10 @@
 		if _, err := net.ResolveUDPAddr("udp", address); err != nil {
 			return nil, fmt.Errorf("%q: %q %w", name, address, ErrPeerAddress)
 		}
-		if isKnown[name] {
+		if seen[name] {
 			return nil, fmt.Errorf("%q %w", name, ErrDuplicatePeer)
 		}
-		isKnown[name] = true
+		seen[name] = true
 		peers = append(peers, Peer{Name: name, Address: address})
 	}
 	if len(peers) > MaxMembers {
--- a/fleetconfig/proposal_test.go
+++ b/fleetconfig/proposal_test.go
@@ -8,7 +8,7 @@
 
 // An operator in an incident mistypes a field of a proposal. Were the field ignored, the proposal would be accepted and
 // do something else; it is refused with its file, line and field before anybody votes.
-func TestProposalErrorsNameTheirPlace(t *testing.T) {
+func TestProposalErrorsNamePosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"why = \"w\"\nouts = [\"h\"]\n":       "f:2:1: outs: no such field",
 		"why = \"w\"\nout = \"h\"\n":          "f:2:7: out: ",
