--- a/fleet/connections.go
+++ b/fleet/connections.go
@@ -8,10 +8,10 @@
 	"hollylever/subset"
 )
 
-// connectionSubset is what the endpoints to which this process keeps idle connections were computed from. Run alone
-// uses it.
+// connectionSubset holds the inputs of the last computation of the connection subset, the endpoints to which this
+// process keeps idle connections. Only Run uses it.
 type connectionSubset struct {
-	config    subset.Config // MinEndpoints 0: there are no subsets
+	config    subset.Config // subsets are disabled if MinEndpoints is 0
 	balancers []subset.Balancer
 	endpoints []subset.Endpoint
 }
@@ -24,8 +24,9 @@
 	}}
 }
 
-// updateConnectionSubset recomputes the subset if members or endpoints have changed, and tells the balancer. While no
-// other member is heard the subset is all endpoints, since nobody else would keep connections to the rest of them.
+// updateConnectionSubset recomputes the subset if members or endpoints have changed, and applies it to the balancer.
+// While no other member is live the subset is all endpoints, since no other process would keep connections to the
+// remaining ones.
 func (f *Fleet) updateConnectionSubset(live []membership.Member, endpoints []subset.Endpoint) {
 	c := &f.connections
 	if c.config.MinEndpoints == 0 {
