--- a/fleet/driver.go
+++ b/fleet/driver.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// announceInterval is how often a process publishes its state to the other members, which take it for gone after a
-// few of these without one.
+// announceInterval is how often a process publishes its state to the other members. They consider it gone after
+// several intervals without an announcement.
 const announceInterval = time.Second
 
-// Run drives the process's part until ctx ends, and leaves the fleet then. It is called once, after Start.
+// Run handles messages and timers until ctx is cancelled, and then leaves the fleet. It must be called once, after
+// Start.
 func (f *Fleet) Run(ctx context.Context) {
-	wake := time.NewTimer(0) // The next time that the lease holder or the replica has something due.
+	wake := time.NewTimer(0) // Fires when the lease holder or the replica has work due.
 	defer wake.Stop()
-	f.peerLists.timer = time.NewTimer(time.Hour) // Set as states of members come.
+	f.peerLists.timer = time.NewTimer(time.Hour) // Reset when a member's state arrives.
 	defer f.peerLists.timer.Stop()
 	announce := time.NewTicker(announceInterval)
 	defer announce.Stop()
 	f.startRetry = time.NewTicker(startRetryInterval)
 	defer f.startRetry.Stop()
-	f.updateMembers() // Before any message: an evacuated zone must not get requests as its endpoints are not known.
+	// Before any message is handled: an evacuated zone must not get requests because its endpoints are not known yet.
+	f.updateMembers()
 	var outlierTick <-chan time.Time
 	var outlierMessages <-chan []byte
 	if f.outliers != nil {
@@ -56,7 +58,7 @@
 	}
 }
 
-// announce publishes this process's state, and does what else is due once a second.
+// announce publishes this process's state, compares the endpoint lists and measures the load. It runs once a second.
 func (f *Fleet) announce() {
 	if f.exchange == nil {
 		return
@@ -75,7 +77,7 @@
 	}
 }
 
-// shutDown closes the exchange and the replica, so that the next process of this name can open their address and log.
+// shutDown closes the exchange and the replica, so that the next process of this name can use the address and the log.
 func (f *Fleet) shutDown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
