--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// evacuationDuration is that of the ramp out of a zone which an operator evacuates: the other zones' caches fill
-	// meanwhile.
+	// evacuationDuration is the duration of the ramp out of a zone that an operator evacuates. The caches of the other
+	// zones fill during the ramp.
 	evacuationDuration = 10 * time.Second
 
-	// maxRampAdoption is how long a process that starts keeps to its peers' ramps; after that it goes on by itself,
-	// whether it has heard any or not.
+	// maxRampAdoption is the longest time for which a starting process follows its peers' ramps. Afterwards it advances
+	// its own, whether or not it has heard from a peer.
 	maxRampAdoption = int64(3 * time.Second)
 
-	// reapplyInterval is how often the same shares are set at the balancer again: its list may have new endpoints.
+	// reapplyInterval is how often unchanged shares are applied to the balancer again, since its endpoint list may have
+	// gained endpoints.
 	reapplyInterval = int64(time.Second)
 
-	automaticAuthor = "fleet" // in the history, of proposals that no operator made
+	automaticAuthor = "fleet" // author, in the history, of proposals that no operator made
 )
 
-// evacuationState is this process's ramp for each zone, and the controller that proposes evacuations while it leads.
-// Run alone uses it.
+// evacuationState holds this process's ramp for each zone, and the controller that proposes evacuations while this
+// process is the leader. Only Run uses it.
 type evacuationState struct {
-	isAutomatic bool // the fleet may evacuate zones by itself
+	isAutomatic bool // the fleet may evacuate zones without an operator
 	durations   evacuation.RampDurations
 	controller  evacuation.Controller
 	wasLeader   bool
 	ramps       map[string]*evacuation.Ramp
 
-	adoptionStartedAt int64 // on Now's clock; 0: the exchange is not open yet
-	isAdoptionOver    bool  // the ramps advance without the peers
+	adoptionStartedAt int64 // on the clock of Now; 0 until the exchange is open
+	isAdoptionOver    bool  // the ramps advance independently of the peers'
 
-	applied     map[string]float64 // shares, as the balancer has them
+	applied     map[string]float64 // shares that were last applied to the balancer
 	appliedAt   int64
-	loggedZones []string // zones that are evacuated, as logged last
+	loggedZones []string // evacuated zones as last logged
 }
 
-// newEvacuationState begins without any ramp. The ramp back into a zone takes one and a half times as long as an
-// endpoint needs to warm up, so that each step comes when the keys of the one before are cached.
+// newEvacuationState returns a state without ramps. The recovery ramp takes one and a half times as long as an endpoint
+// needs to warm up, so that the keys of each step are cached before the next step.
 func newEvacuationState(isAutomatic bool, slowStart time.Duration) evacuationState {
 	recovery := slowStart * 3 / 2
 	return evacuationState{
@@ -56,30 +57,30 @@
 	}
 }
 
-// ZoneStatus is what the admin endpoint shows of a zone.
+// ZoneStatus is the state of a zone as shown by the admin endpoint.
 type ZoneStatus struct {
 	Zone                   string  `json:"zone"`
 	Endpoints              int     `json:"hosts"`
-	Failing                int     `json:"failing"` // endpoints that are ejected, on peers' reports too
-	IsOwn                  bool    `json:"own"`     // this process is in it
+	Failing                int     `json:"failing"` // ejected endpoints with current failure reports
+	IsOwn                  bool    `json:"own"`     // the zone is this process's own
 	EvacuatedByOperator    bool    `json:"left_by_hand"`
 	EvacuatedAutomatically bool    `json:"left_as_it_fails"`
-	Share                  float64 `json:"part_away"` // of the keys that does not go there now
+	Share                  float64 `json:"part_away"` // of the zone's keys that is routed elsewhere
 }
 
-// zoneInput is what the ramps and the controller go by.
+// zoneInput is the input of the ramps and the controller.
 type zoneInput struct {
 	now              int64
 	zones            []evacuation.ZoneHealth // sorted by name
-	evacuated        []string                // by the effective configuration
-	ownZoneFailing   bool                    // for this process itself
-	widespreadMisses bool                    // reads miss at many processes at once
-	isLeader         bool                    // this process leads, under a lease
-	hasProposal      bool                    // one of a zone waits for its answer
+	evacuated        []string                // according to the effective configuration
+	ownZoneFailing   bool                    // attempts of this process fail at an endpoint of its own zone
+	widespreadMisses bool                    // reads miss at many processes of the fleet
+	isLeader         bool                    // this process is the leader and has a lease
+	hasProposal      bool                    // a zone proposal is pending
 }
 
-// updateEvacuation advances the ramp of each zone, and proposes evacuations and their end if this process leads. Run
-// calls it.
+// updateEvacuation advances the ramp of each zone and, if this process is the leader, proposes to evacuate or restore
+// zones. It is called by Run.
 func (f *Fleet) updateEvacuation(ctx context.Context) {
 	in, ok := f.zoneInput()
 	if !ok {
@@ -95,8 +96,8 @@
 	f.logEvacuated(in.evacuated)
 }
 
-// zoneInput collects the input; false: nothing is to be done. With one zone there is nowhere else to send; and a
-// process that knows no configuration yet must not begin the ramp out of a zone that the fleet evacuated long ago.
+// zoneInput collects the input; ok is false if there is nothing to do. With a single zone there is no other to route
+// to, and a process that has no configuration yet must not start the ramp out of a zone that was evacuated long ago.
 func (f *Fleet) zoneInput() (in zoneInput, ok bool) {
 	in.now = Now()
 	in.zones, in.ownZoneFailing, in.widespreadMisses = f.outliers.zoneHealth(in.now, f.zone)
@@ -107,8 +108,8 @@
 	return in, len(in.zones) >= 2 && f.effective.LatestRevision > 0
 }
 
-// proposeEvacuations proposes what the controller asks for, if this process leads. The controller starts empty
-// whenever that begins or ends, since what another leader observed meanwhile is not known here.
+// proposeEvacuations makes the proposals of the controller if this process is the leader. The controller is reset
+// whenever leadership is gained or lost, since the observations of other leaders are not known here.
 func (f *Fleet) proposeEvacuations(ctx context.Context, in zoneInput) {
 	e := &f.evacuation
 	if in.isLeader != e.wasLeader {
@@ -127,8 +128,8 @@
 	}
 }
 
-// proposeZone proposes to evacuate a zone or to end that, in the background: Run must not wait for the majority's
-// answer.
+// proposeZone proposes to evacuate or to restore a zone, in the background: Run must not block until a majority has
+// answered.
 func (f *Fleet) proposeZone(ctx context.Context, p evacuation.Proposal) {
 	proposal := consensus.Proposal{
 		ID: crand.Text(), Author: automaticAuthor, Reason: fmt.Sprintf("%s: %d of %d", p.Reason, p.Failing, p.Endpoints),
@@ -153,7 +154,7 @@
 	f.hasZoneProposal = has
 }
 
-// advanceRamps returns, for each zone, the share of the keys that does not go there now.
+// advanceRamps advances the ramp of each zone and returns, by zone, the share of the keys that is routed elsewhere.
 func (f *Fleet) advanceRamps(in zoneInput, peers peerRamps) (shares map[string]float64, statuses []ZoneStatus) {
 	e := &f.evacuation
 	shares = map[string]float64{}
@@ -166,8 +167,8 @@
 		if share, known := peers.median(zone.Zone); known {
 			ramp.Start(share)
 		}
-		// A process stays in its own zone while that works for it, even if the fleet evacuates the zone: once out, it
-		// would observe nothing of the zone any more.
+		// A process keeps using its own zone while its attempts there succeed, even if the fleet evacuates the zone:
+		// without requests it could no longer observe the zone's health.
 		staysInOwn := zone.Zone == f.zone && (zone.Failing*2 < zone.Endpoints || !in.ownZoneFailing)
 		share := ramp.Advance(in.now, zone.Zone, in.evacuated, staysInOwn, in.widespreadMisses, e.durations)
 		shares[zone.Zone] = share
@@ -180,8 +181,8 @@
 	return shares, statuses
 }
 
-// applyEvacuation sets the shares at the balancer if any has changed, and again each reapplyInterval while one is
-// over 0. Changes go into the handover file.
+// applyEvacuation applies the shares to the balancer when one has changed, and every reapplyInterval while one is over
+// 0. Changed shares are written to the handover file.
 func (f *Fleet) applyEvacuation(now int64, shares map[string]float64, statuses []ZoneStatus) {
 	e := &f.evacuation
 	isDue := false
@@ -210,17 +211,16 @@
 	f.log.Info().Strs("zones", evacuated).Msg("evacuated zones changed")
 }
 
-// peerRamps are the members whose ramps a process that starts keeps to.
+// peerRamps are the members whose ramps a starting process follows.
 type peerRamps []membership.Member
 
-// peersToAdopt returns the peers whose ramps this process keeps to now; none once its own ramps advance by
-// themselves.
+// peersToAdopt returns the peers whose ramps this process follows; none once its own ramps advance independently.
 //
-// The handover file may be old. A process that started at the end of a ramp while the others are in the middle of it
-// would send all its keys to a zone whose caches are cold.
+// The handover file may be outdated. A process that resumed at the end of a ramp while its peers are in the middle of
+// it would route all its keys to a zone with cold caches.
 func (f *Fleet) peersToAdopt(now int64) (peers peerRamps) {
 	e := &f.evacuation
-	if e.isAdoptionOver || f.exchange == nil { // During an upgrade there is none until the previous process has gone.
+	if e.isAdoptionOver || f.exchange == nil { // In an upgrade the exchange is nil until the previous process exits.
 		return nil
 	}
 	if e.adoptionStartedAt == 0 {
@@ -230,7 +230,7 @@
 	for _, m := range f.liveMembers() {
 		switch {
 		case m.Name == f.name || m.LatestRevision == 0:
-		case m.IsPartial(): // Not all of its ramps are known.
+		case m.IsPartial(): // Some of its ramps may be missing.
 			partial = append(partial, m.Name)
 		default:
 			peers = append(peers, m)
@@ -244,8 +244,8 @@
 	return peers
 }
 
-// median returns the median of the shares of the keys that the peers do not send to a zone: some may not know the
-// last revision yet. false: there are no peers.
+// median returns the median of the peers' shares for a zone, since some peers may not have the latest revision yet. It
+// returns false if there are no peers.
 func (peers peerRamps) median(zone string) (share float64, known bool) {
 	if len(peers) == 0 {
 		return 0, false
