--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,13 +1,13 @@
-// Package fleet drives a process's part in a fleet of balancers. It gives the pure packages (lease and replica,
-// outlier detection, zone evacuation, connection subsets) their clock, sockets and disk, and tells the balancer what
-// follows from them; it decides nothing itself.
+// Package fleet runs one process's membership in a fleet of balancers. It connects the packages that hold the logic
+// (leases and replicas, outlier detection, zone evacuation, connection subsets) to the clock, the network and the
+// disk, and applies their results to the balancer. It makes no decisions of its own.
 //
-// One goroutine, Run, handles all messages and timers. Other goroutines only put messages into the inbox (the
-// exchange), look at the lease (CheckLease, by the balancer), report attempts (OutlierExchange, by the balancer),
-// propose changes and read the status (the admin endpoint).
+// A single goroutine, Run, handles all messages and timers. Other goroutines only enqueue messages (the exchange),
+// check the lease (the balancer, through CheckLease), report attempts (the balancer, through OutlierExchange), and
+// propose changes or read the status (the admin endpoint).
 //
-// Lock order: the balancer's lock, then Fleet.mu, then OutlierExchange.mu. The balancer is therefore never called
-// with either of the latter held.
+// Lock order: the balancer's lock, then Fleet.mu, then OutlierExchange.mu. The balancer must therefore never be
+// called with Fleet.mu or OutlierExchange.mu held.
 package fleet
 
 import (
@@ -32,95 +32,97 @@
 	"hollylever/subset"
 )
 
-// Balancer is what the fleet needs of the balancer: what the process acts on goes in, and what it knows comes out.
-// Each method takes the balancer's own lock, so that none is called with a lock of this package held.
+// Balancer is the interface between the fleet and the balancer: the fleet applies the configuration through it and
+// reads the balancer's state from it. Each method acquires the balancer's lock, so none may be called while a lock of
+// this package is held.
 type Balancer interface {
-	// ApplyConfig takes the effective configuration, each time that its revisions change.
+	// ApplyConfig applies the effective configuration. It is called each time the revisions change.
 	ApplyConfig(consensus.EffectiveConfig)
-	// ApplyPeerDrains takes the endpoints that peers' later lists call draining or gone.
+	// ApplyPeerDrains applies the endpoints that are draining or gone in peers' later endpoint lists.
 	ApplyPeerDrains(names []string)
-	// EndpointList returns the index of the endpoint list in use, a digest of it, and the endpoints that it drained
-	// last.
+	// EndpointList returns the index and the digest of the endpoint list in use, and the endpoints that it drained
+	// most recently.
 	EndpointList() (index, digest uint64, drains []membership.DrainedEndpoint)
-	// Endpoints returns the endpoints of that list.
+	// Endpoints returns the endpoints of the endpoint list in use.
 	Endpoints() []subset.Endpoint
-	// SetConnectionSubset sets to which endpoints idle connections are kept: the named ones, or all.
+	// SetConnectionSubset sets the endpoints to which idle connections are kept: those in names, or every endpoint if
+	// all is true.
 	SetConnectionSubset(names map[string]bool, all bool)
-	// ApplyPeerVerdicts takes, for each endpoint that is ejected or was lately, what peers' reports take from its
-	// chance of success, from 0 to 1; under 0: this process has the probe lease of the endpoint, and sends it one
-	// attempt.
+	// ApplyPeerVerdicts sets, for each endpoint that is ejected or was recently, by how much peers' reports reduce its
+	// success probability, 0 to 1. A negative value means that this process holds the probe lease of the endpoint and
+	// sends it one attempt.
 	ApplyPeerVerdicts(penalties map[string]float64)
-	// SetBudgetShare sets this process's share of the fleet's budgets; 0: they are not divided.
+	// SetBudgetShare sets this process's share of the fleet's budgets; 0 means that they are not divided.
 	SetBudgetShare(share float64)
-	// RequestCount returns how many requests have come since the start.
+	// RequestCount returns the number of requests received since the start.
 	RequestCount() int
-	// SetEvacuation sets, for each zone, the share of the keys that is not sent there, and how long its caches may
-	// take to fill when they come back.
+	// SetEvacuation sets, for each zone, the share of the keys that is routed elsewhere, and how long the zone's
+	// caches may take to fill when keys return to it.
 	SetEvacuation(shares map[string]float64, fillTime time.Duration)
-	// SlowStartDuration returns how long a cold endpoint takes until it is warm.
+	// SlowStartDuration returns how long an endpoint with a cold cache takes to warm up.
 	SlowStartDuration() time.Duration
-	// ReadCounts returns how many reads have settled since the start, and how many of these missed the cache.
+	// ReadCounts returns the number of reads completed since the start, and how many of them missed the cache.
 	ReadCounts() (reads, misses int)
-	// SetWidespreadMisses tells whether reads miss at many processes of the fleet at once.
+	// SetWidespreadMisses sets whether reads currently miss at many processes of the fleet.
 	SetWidespreadMisses(widespread bool)
 }
 
-// Fleet is one process's part in the fleet. It is safe for use by several goroutines; the comments below say who may
-// touch what.
+// Fleet is one process's membership in the fleet. It is safe for concurrent use; the comments on the fields state
+// which goroutines may access them.
 type Fleet struct {
-	// Set by Start, constant after it.
+	// Set by Start and immutable afterwards.
 	name, zone     string
 	settingsDigest string
 	incarnation    uint64
 	leaseTiming    consensus.LeaseTiming
-	voters         []string // names of the processes that may have a replica
+	voters         []string // names of the processes that may run a replica
 	balancer       Balancer
 	log            zerolog.Logger
-	trace          *os.File     // nil: decisions are not traced
-	handover       handoverFile // for the next process of this name
+	trace          *os.File     // nil if decisions are not traced
+	handover       handoverFile // read by the next process of this name
 	openExchange   func() (membership.Exchange, error)
 	openReplica    func() error
 
-	// Safe for any goroutine without mu.
+	// Safe for concurrent use without mu.
 	inbox    inbox
 	lease    leaseView
-	outliers *OutlierExchange // nil: outliers are not shared
+	outliers *OutlierExchange // nil if the outlier exchange is disabled
 
-	// Used by the goroutine of Run alone, but for what their own comments say.
+	// Used only by Run's goroutine, except as noted on the types.
 	peerLists   peerLists
 	connections connectionSubset
 	evacuation  evacuationState
 	applied     appliedState
 	load        loadMeter
-	startRetry  *time.Ticker // of the exchange and the replica, while either could not be started
+	startRetry  *time.Ticker // retries the exchange and the replica until both run
 
-	mu              sync.Mutex          // guards what follows; nothing blocks under it but a replica's writes to its log
-	exchange        membership.Exchange // nil: not joined yet; set once, by Start or Run
+	mu              sync.Mutex          // guards the fields below; held for no blocking call but a replica's log writes
+	exchange        membership.Exchange // nil until the fleet is joined; set once, by Start or Run
 	holder          *consensus.LeaseHolder
 	replica         replica
 	effective       consensus.EffectiveConfig // as of the last tick
-	proposals       map[string]chan reply     // for the answers to this process's own proposals, by id
-	stateSeq        uint64                    // of the last MemberState that was published
-	hasZoneProposal bool                      // this process's own proposal of a zone waits for its answer
-	peerDrains      []string                  // endpoints that peers' later lists call draining or gone
-	zoneStatuses    []ZoneStatus              // as of the last look at zones
-	subset          []string                  // endpoints of the connection subset; nil: all
+	proposals       map[string]chan reply     // reply channels of this process's pending proposals, by ID
+	stateSeq        uint64                    // sequence number of the last published MemberState
+	hasZoneProposal bool                      // a zone proposal of this process is pending
+	peerDrains      []string                  // endpoints that are draining or gone in peers' later lists
+	zoneStatuses    []ZoneStatus              // as of the last update of the evacuation
+	subset          []string                  // endpoints of the connection subset; nil means all
 }
 
-// startRetryInterval is how often opening the exchange and the replica is retried while the previous process, during
-// an upgrade, still has the address or the log. It is short against the second or so that the new process serves
-// without a lease.
+// startRetryInterval is how often opening the exchange and the replica is retried during an upgrade, while the
+// previous process still holds the address or the log. It is short compared with the second or so for which the new
+// process serves without a lease.
 const startRetryInterval = 50 * time.Millisecond
 
-// clockRate is 1 but where a test has clocks that are off.
+// clockRate is 1 except in tests that simulate clock rate errors.
 var clockRate = 1.0
 
-// SetClockRate makes the clock of this process run at so many times the true rate. Tests call it before Start;
-// nothing else may.
+// SetClockRate makes the clock of this process run at a multiple of the true rate. It must be called before Start,
+// and only by tests.
 func SetClockRate(rate float64) { clockRate = rate }
 
-// Now is the clock that leases run on, in nanoseconds since the machine's start. It goes on while the process or the
-// machine is suspended, so that a lease cannot outlast its time by that.
+// Now returns the lease clock in nanoseconds since boot. The clock advances while the process or the machine is
+// suspended, so a lease cannot outlive its duration across a suspension.
 func Now() int64 {
 	now := monotime.Now()
 	if clockRate != 1 {
@@ -129,9 +131,9 @@
 	return now
 }
 
-// Start joins the fleet as the own settings say, for the balancer of this name, and resumes from the previous
-// process's handover file. settingsDigest is of the operators' settings file. The caller then calls Run, once. Errors
-// name the setting at fault.
+// Start joins the fleet under the given name, as configured by the process's own settings, and resumes from the
+// handover file of the previous process. settingsDigest is the digest of the operators' settings file. The caller
+// must then call Run once. Errors name the invalid setting.
 func Start(
 	own config.Values, name, zone, settingsDigest string, balancer Balancer, log zerolog.Logger,
 ) (*Fleet, error) {
@@ -163,8 +165,7 @@
 		f.outliers = newOutlierExchange(name, zone, f.incarnation, own.Duration("fleet.signal_delay"), queue)
 	}
 	source := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	// The source is not safe for use by several goroutines: the lease holder and the replica draw from it under mu
-	// alone.
+	// The source is not safe for concurrent use: the lease holder and the replica use it only with mu held.
 	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.leaseTiming, f.voters, f, source.IntN)
 	f.restoreHandover()
 	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
@@ -177,15 +178,15 @@
 	return f, nil
 }
 
-// randomSeed draws the low bits of the incarnation and the seed of the source of random choices.
+// randomSeed returns random bytes for the low bits of the incarnation and for seeding the random number generator.
 func randomSeed() (seed [16]byte) {
-	_, _ = crand.Read(seed[:]) // It does not fail; crypto/rand ends the program instead.
+	_, _ = crand.Read(seed[:]) // Never returns an error: crypto/rand aborts the program instead.
 	return seed
 }
 
-// startOrDefer opens the exchange and the replica as the process starts. During an upgrade the previous process may
-// still have the address and the log: the two are one member, so this one serves without a lease, on the handed-over
-// configuration, until Run can open both.
+// startOrDefer opens the exchange and the replica when the process starts. During an upgrade the previous process may
+// still hold the address and the log. Both processes are the same member, so this one serves without a lease, on the
+// configuration from the handover file, until Run can open both.
 func (f *Fleet) startOrDefer() error {
 	switch err := f.join(); {
 	case errors.Is(err, unix.EADDRINUSE):
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// retryStart tries the exchange and the replica again, until both run.
+// retryStart retries opening the exchange and the replica, and stops the retry ticker once both run.
 func (f *Fleet) retryStart() {
 	if f.join() == nil && f.openReplica() == nil {
 		f.startRetry.Stop()
