--- a/fleet/handover.go
+++ b/fleet/handover.go
@@ -12,22 +12,22 @@
 const (
 	handoverName = "hollylever.fleet"
 
-	maxHandoverBytes   = 4 << 20 // the longest chain of revisions and all ramps; a longer file is not read
+	maxHandoverBytes   = 4 << 20 // holds the longest chain of revisions and all ramps; larger files are ignored
 	handoverPermission = 0o600
 
-	// Up to so many revisions, with so many names in all, are written one by one, as older versions of this program
-	// read them. More would make the file hundreds of megabytes long, and go as a chain: the first revision, and what
-	// each later one changed.
+	// Up to these limits each revision is written in full, in the format that older versions of this program read.
+	// Beyond them the file could reach hundreds of megabytes, so the revisions are written as a chain: the first
+	// revision, followed by the changes of each later one.
 	maxPlainRevisions = 64
 	maxPlainNames     = 4096
 )
 
-// handoverFile is the path of the file with the effective configuration of a process, for the next process of its
-// name. Without the file an endpoint that the fleet ejected would get requests again after an upgrade, until the new
-// process has its first lease. "": there is none.
+// handoverFile is the path of the file in which a process leaves its effective configuration for the next process of
+// the same name; "" means no file. Without it, endpoints that the fleet ejected would get requests again after an
+// upgrade until the new process has its first lease.
 type handoverFile string
 
-// newHandoverFile returns the file in a folder; none where there is no folder.
+// newHandoverFile returns the path of the handover file in folder, or "" if folder is empty.
 func newHandoverFile(folder string) handoverFile {
 	if folder == "" {
 		return ""
@@ -35,23 +35,23 @@
 	return handoverFile(filepath.Join(folder, handoverName))
 }
 
-// handoverState is the content of the file.
+// handoverState is the content of the handover file.
 type handoverState struct {
 	MinRevision uint64               `json:"floor"`
 	Revisions   []consensus.Revision `json:"versions,omitempty"`
-	Chain       []byte               `json:"chain,omitempty"` // the revisions in a shorter form, where they are many
+	Chain       []byte               `json:"chain,omitempty"` // compact form, instead of Revisions if these are many
 	Ramps       []rampState          `json:"ways,omitempty"`
 }
 
-// rampState is the position of a zone's ramp: the share of the keys that did not go there, and when, in nanoseconds
-// since the machine's start.
+// rampState is the position of a zone's ramp: the share of the keys that was routed elsewhere, and when it was so, in
+// nanoseconds since boot.
 type rampState struct {
 	Zone  string  `json:"zone"`
 	Share float64 `json:"part"`
 	At    int64   `json:"at"`
 }
 
-// write replaces the file by a rename, so that a crash leaves either the old content or the new.
+// write replaces the file atomically by a rename, so that a crash leaves either the old or the new content.
 func (h handoverFile) write(state handoverState) error {
 	content, err := json.Marshal(state)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return os.Rename(temporaryPath, string(h))
 }
 
-// read returns what the previous process left; false where the file is missing, too long or malformed: the process
-// then starts as without it.
+// read returns the state that the previous process wrote. ok is false if the file is missing, too large or malformed;
+// the process then starts without it.
 func (h handoverFile) read() (state handoverState, ok bool) {
 	if h == "" {
 		return state, false
@@ -86,7 +86,7 @@
 	return state, state.isConsecutive()
 }
 
-// isConsecutive tells whether the revisions follow each other, from the minimum revision on.
+// isConsecutive reports whether the revision numbers have no gaps and are not below the min revision.
 func (s *handoverState) isConsecutive() bool {
 	for n, revision := range s.Revisions {
 		if n > 0 && revision.Number != s.Revisions[n-1].Number+1 || revision.Number < s.MinRevision {
@@ -96,7 +96,7 @@
 	return true
 }
 
-// shorten turns many revisions into the shorter form.
+// shorten replaces the revisions with their compact encoding if they exceed the limits for the plain format.
 func (s *handoverState) shorten() {
 	names := 0
 	for _, revision := range s.Revisions {
@@ -107,8 +107,8 @@
 	}
 }
 
-// writeHandover writes the effective configuration and the position of each zone's ramp for the next process. Run
-// calls it as either changes.
+// writeHandover writes the effective configuration and the positions of the ramps for the next process. Run calls it
+// when either changes.
 func (f *Fleet) writeHandover() {
 	if f.handover == "" {
 		return
@@ -132,7 +132,8 @@
 	return state
 }
 
-// restoreHandover has the process act on what the previous one left, until it has a lease. Start calls it.
+// restoreHandover applies the state that the previous process left; it is in effect until this process has a lease. It
+// is called by Start.
 func (f *Fleet) restoreHandover() {
 	state, ok := f.handover.read()
 	if !ok {
