--- a/fleet/http.go
+++ b/fleet/http.go
@@ -8,14 +8,14 @@
 	"hollylever/fleetconfig"
 )
 
-// allowedMethods are those that the admin endpoint hands on, and the method of each.
+// allowedMethods maps the path of each call that the admin endpoint forwards to its HTTP method.
 var allowedMethods = map[string]string{
 	"/fleet":         http.MethodGet,
 	"/fleet/history": http.MethodGet,
 	"/fleet/propose": http.MethodPost,
 }
 
-// ServeHTTP answers the operators' calls under /fleet. The admin endpoint bounds the body and the time of each.
+// ServeHTTP serves the calls under /fleet. The admin endpoint limits the body size and the duration of each call.
 func (f *Fleet) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	method, known := allowedMethods[r.URL.Path]
 	switch {
@@ -32,7 +32,7 @@
 	}
 }
 
-// servePropose answers with what became of a proposal, in proposalTimeout at most.
+// servePropose makes a proposal and responds with its result, within proposalTimeout.
 func (f *Fleet) servePropose(w http.ResponseWriter, r *http.Request) {
 	var p fleetconfig.Proposal
 	decoder := json.NewDecoder(r.Body)
@@ -52,7 +52,8 @@
 	})
 }
 
-// writeJSON writes an answer in lines for people. A caller that has gone is owed nothing.
+// writeJSON writes the response as indented JSON, for human readers. It ignores write errors, which occur when the
+// client has disconnected.
 func writeJSON(w http.ResponseWriter, content any) {
 	w.Header().Set("Content-Type", "application/json")
 	encoder := json.NewEncoder(w)
