--- a/fleet/inbox.go
+++ b/fleet/inbox.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	messagesPerMember = 4 // that may wait: a lease request, a proposal and two messages between voters
+	messagesPerMember = 4 // queue slots per member: a lease request, a proposal and two messages between voters
 	minQueue          = 256
 	maxQueue          = messagesPerMember * fleetconfig.MaxMembers
 )
 
-// queueSize returns how many messages may wait for Run: messagesPerMember of each process that the settings name or
-// allow.
+// queueSize returns the capacity of the message queue: messagesPerMember for each process that the settings name or
+// allow, whichever are more, within minQueue and maxQueue.
 func queueSize(peers, maxProcesses int) int {
 	return min(maxQueue, max(minQueue, messagesPerMember*peers, messagesPerMember*maxProcesses))
 }
 
-// inbox holds what the exchange has received and Run has not handled yet. Any goroutine fills it without blocking:
-// one that waited here would stall the exchange for all members. What does not fit is dropped and counted, as if the
-// network had lost it; each message is sent again.
+// inbox queues what the exchange has received until Run handles it. Any goroutine may add to it without blocking, since
+// a blocked receiver would stall the exchange for all members. Messages that do not fit are dropped and counted, as if
+// lost by the network; the protocols send each message again.
 type inbox struct {
 	messages      chan []byte
 	stateReceived chan struct{} // at least one member published its state since the last comparison
@@ -35,8 +35,7 @@
 	return inbox{messages: make(chan []byte, size), stateReceived: make(chan struct{}, 1)}
 }
 
-// openExchange opens the exchange between members that the settings name, gossip or plain. delegate gets what it
-// receives.
+// openExchange opens the kind of exchange that the settings select, gossip or plain. delegate receives its messages.
 func openExchange(
 	own config.Values, name string, peers []membership.Peer, delegate membership.Delegate,
 ) (membership.Exchange, error) {
@@ -47,7 +46,7 @@
 	return membership.OpenPlain(name, listen, peers, rate, delegate)
 }
 
-// join opens the exchange if it is not open yet. It is called by Start and by Run.
+// join opens the exchange if it is not open yet. It is called by Start and Run.
 func (f *Fleet) join() error {
 	if f.exchange != nil {
 		return nil
@@ -62,8 +61,8 @@
 	return nil
 }
 
-// NotifyMessage implements membership.Delegate: it queues a message between lease holders and replicas. It does not
-// block.
+// NotifyMessage implements membership.Delegate. It queues a message between lease holders and replicas without
+// blocking.
 func (f *Fleet) NotifyMessage(message []byte) {
 	select {
 	case f.inbox.messages <- message:
@@ -72,15 +71,15 @@
 	}
 }
 
-// NotifyState implements membership.Delegate: it has the peers' endpoint lists compared soon. It does not block.
+// NotifyState implements membership.Delegate. It schedules a comparison of the peers' endpoint lists without blocking.
 func (f *Fleet) NotifyState(membership.MemberState) {
 	select {
 	case f.inbox.stateReceived <- struct{}{}:
-	default: // A comparison is due already.
+	default: // A comparison is already pending.
 	}
 }
 
-// NotifyBroadcast implements membership.Delegate: it queues a message of outlier detection. It does not block.
+// NotifyBroadcast implements membership.Delegate. It queues a message of the outlier exchange without blocking.
 func (f *Fleet) NotifyBroadcast(message []byte) {
 	if f.outliers == nil {
 		return
@@ -92,9 +91,9 @@
 	}
 }
 
-// Send implements consensus.Sender for the lease holder and the replica, which are called with mu held. A message to
-// this process itself is queued like all others, so that no handler calls another. An error is not reported: the
-// protocols take it for a lost message and send again.
+// Send implements consensus.Sender for the lease holder and the replica, which call it with mu held. A message to this
+// process itself goes through the queue like any other, so that handlers do not call each other. Errors are ignored:
+// the protocols treat them as lost messages and send again.
 func (f *Fleet) Send(to string, m *consensus.Message) {
 	message := m.Marshal()
 	if to == f.name {
@@ -106,8 +105,8 @@
 	}
 }
 
-// handleMessage passes one message to the lease holder, to the proposal that waits for it, or to the replica. Run
-// calls it.
+// handleMessage dispatches a message to the lease holder, to the pending proposal that it answers, or to the replica.
+// It is called by Run.
 func (f *Fleet) handleMessage(message []byte) {
 	m, err := consensus.UnmarshalMessage(message)
 	if err != nil {
