--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -9,19 +9,19 @@
 
 const (
 	incarnationName  = "hollylever.incarnation"
-	incarnationBytes = 8 // of the file: one number, little-endian
+	incarnationBytes = 8 // file size: one little-endian number
 
-	// incarnationRandomBits is how many low bits are drawn, so that no two processes of one millisecond have the same
-	// incarnation. The 42 bits of milliseconds above them last until 2109.
+	// incarnationRandomBits is the number of random low bits, which make the incarnations of processes started in the
+	// same millisecond differ. The 42 bits above them hold milliseconds until the year 2109.
 	incarnationRandomBits = 22
 )
 
-// nextIncarnation numbers a process of a balancer above all before it, also above one that was killed within the same
-// second: by the wall clock, or, where that was stepped back, by the last number, which is kept in folder. Without a
-// folder the clock alone counts. draw gives the low bits.
+// nextIncarnation returns an incarnation above those of all previous processes of a balancer, even of one that was
+// killed within the same second. It is based on the wall clock or, if that was stepped back, on the last incarnation,
+// which is stored in folder. Without a folder only the clock is used. randomBits provides the low bits.
 //
-// Peers take what has a lower incarnation for the past. A process with a number at or under the last one's would be
-// ignored until its clock had passed that.
+// Peers treat messages with a lower incarnation as outdated. A process whose incarnation is not above the previous one
+// would be ignored until its clock had passed that one's time.
 func nextIncarnation(folder string, now time.Time, randomBits uint32) uint64 {
 	millisecond := uint64(now.UnixMilli())
 	if last, ok := readIncarnation(folder); ok {
@@ -43,8 +43,8 @@
 	return binary.LittleEndian.Uint64(content), true
 }
 
-// writeIncarnation keeps the number for the next process. Where it cannot be written the next one goes by its clock,
-// as without a folder.
+// writeIncarnation stores the incarnation for the next process. If it cannot be written, the next process uses only its
+// clock, as without a folder.
 func writeIncarnation(folder string, incarnation uint64) {
 	if folder == "" {
 		return
