--- a/fleet/lease.go
+++ b/fleet/lease.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	minTickInterval = time.Millisecond // between two wake-ups of Run, so that it cannot use up a core
+	minTickInterval = time.Millisecond // least wait between two ticks, so that Run cannot occupy a core
 
-	// minShareChange is the fraction by which the share of the budgets has to grow before the balancer is told, as
-	// each change has it compute its quotas again. One that shrinks is told at once: the sum of all shares must never
-	// be over the whole.
+	// minShareChange is the fraction by which the budget share must grow before it is applied, since the balancer
+	// recomputes its quotas on each change. A smaller share is applied at once: the sum of all shares must never exceed
+	// the whole budget.
 	minShareChange = 0.01
 )
 
-// leaseView is what CheckLease reads and counts, without a lock.
+// leaseView holds the lease expiry and the decision counters, which CheckLease accesses without a lock.
 type leaseView struct {
-	expiry                atomic.Int64 // on Now's clock; 0: no lease yet
-	decisionsUnderLease   atomic.Int64 // under a lease, since the start
+	expiry                atomic.Int64 // on the clock of Now; 0 before the first lease
+	decisionsUnderLease   atomic.Int64 // since the start
 	decisionsWithoutLease atomic.Int64
 }
 
-// appliedState is what the balancer and the log were told last. Run alone uses it.
+// appliedState is the state last applied to the balancer or reported in the log. Only Run uses it.
 type appliedState struct {
 	share                float64 // of the fleet's budgets
 	settingsDiffer       bool
-	conflictingResponses int // of another history, as counted by the lease holder
+	conflictingResponses int // lease responses from another history, as counted by the lease holder
 }
 
-// CheckLease tells whether the process is under a lease, and counts the decision. The balancer calls it before each
-// decision, under its own lock. It allocates nothing and takes no lock, but for mu where decisions are traced.
+// CheckLease reports whether the process has a valid lease, and counts the decision. The balancer calls it before each
+// decision, with its own lock held. It does not allocate, and acquires no lock unless decisions are traced (mu).
 func (f *Fleet) CheckLease() (leased bool) {
 	if leased = Now() < f.lease.expiry.Load(); leased {
 		f.lease.decisionsUnderLease.Add(1)
@@ -44,8 +44,8 @@
 	return leased
 }
 
-// tick has the lease holder and the replica do what is due, tells the balancer what has changed, and returns the time
-// until something is due again.
+// tick runs the due work of the lease holder and the replica, applies and logs what changed, and returns the time until
+// the next tick is due.
 func (f *Fleet) tick() (wait time.Duration) {
 	f.mu.Lock()
 	now := Now()
@@ -67,8 +67,8 @@
 	return max(wait, minTickInterval)
 }
 
-// tickConsensus ticks the lease holder and the replica, and stops a replica whose log has failed. The caller holds
-// mu.
+// tickConsensus ticks the lease holder and the replica, and stops the replica if its log has failed. The caller must
+// hold mu.
 func (f *Fleet) tickConsensus(now int64) (wait time.Duration) {
 	f.holder.Tick(now)
 	wait = f.holder.TimeUntilTick(now)
@@ -83,9 +83,8 @@
 	return wait
 }
 
-// reportConflicts logs lease responses of another history, which the lease holder rejects. They come when the voters'
-// logs were lost and the voters have bootstrapped a new history, which knows nothing of the ejections and limits in
-// effect here.
+// reportConflicts logs lease responses from a conflicting history, which the lease holder rejects. They occur when the
+// voters lost their logs and bootstrapped a new history, which lacks the ejections and limits in effect here.
 func (f *Fleet) reportConflicts(conflicts int) {
 	if conflicts <= f.applied.conflictingResponses {
 		return
@@ -94,7 +93,7 @@
 	f.log.Error().Msg("conflicting history rejected: this process acts on another's")
 }
 
-// applyRevisions has the balancer act on another effective configuration, and writes that to the handover file.
+// applyRevisions applies a changed effective configuration to the balancer and writes it to the handover file.
 func (f *Fleet) applyRevisions(before, after consensus.EffectiveConfig) {
 	if before.MinRevision == after.MinRevision && before.LatestRevision == after.LatestRevision {
 		return
@@ -105,7 +104,7 @@
 	f.writeHandover()
 }
 
-// applyShare sets the balancer's share of the fleet's budgets, if it has changed by enough.
+// applyShare sets the balancer's budget share if it shrank, or grew by more than minShareChange.
 func (f *Fleet) applyShare(share float64) {
 	change := share - f.applied.share
 	if change > minShareChange*f.applied.share || change < 0 {
@@ -114,7 +113,7 @@
 	}
 }
 
-// reportSettings logs when this process's settings begin to differ from those that the fleet agreed on.
+// reportSettings logs when this process's settings start to differ from those that the fleet agreed on.
 func (f *Fleet) reportSettings(now consensus.EffectiveConfig) {
 	differ := now.IsLeased && now.SettingsDigest != "" && now.SettingsDigest != f.settingsDigest
 	if differ && !f.applied.settingsDiffer {
@@ -124,7 +123,7 @@
 	f.applied.settingsDiffer = differ
 }
 
-// reportLease logs when a lease is acquired or lost.
+// reportLease logs when a lease is acquired or expires.
 func (f *Fleet) reportLease(before, after consensus.EffectiveConfig) {
 	switch {
 	case before.IsLeased == after.IsLeased:
@@ -136,14 +135,15 @@
 	}
 }
 
-// loadMeter is the count of requests as it was measured last. Run alone uses it.
+// loadMeter is the last measurement of the request count. Only Run uses it.
 type loadMeter struct {
 	requests int
-	at       int64 // 0: not measured yet
+	at       int64 // on the clock of Now; 0 before the first measurement
 }
 
-// measureLoad updates the rate of requests that goes with the next lease request: the budgets are divided by it. It
-// is an average in which the last second counts for a half, so that one burst does not move the shares of all.
+// measureLoad updates the request rate that is sent with the next lease request and by which the budgets are divided.
+// It is a moving average in which the last second has a weight of one half, so that a single burst does not shift all
+// shares.
 func (f *Fleet) measureLoad() {
 	requests, now := f.balancer.RequestCount(), Now()
 	f.mu.Lock()
