--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// outlierInterval is how often the outlier detector is ticked where no message comes: short against the second
-	// after which an ejected endpoint gets its first probe.
+	// outlierInterval is how often the outlier detector is ticked when no messages arrive. It is short compared with
+	// the second after which an ejected endpoint gets its first probe.
 	outlierInterval = 50 * time.Millisecond
 
-	maxZones = 4096 // that are told apart: as many as endpoints that a balancer knows
+	maxZones = 4096 // zones that get a number of their own; equals the number of endpoints that a balancer knows
 )
 
-// OutlierExchange connects the balancer and the peers with the outlier detector, which knows endpoints and zones by
+// OutlierExchange connects the balancer and the peers to the outlier detector, which identifies endpoints and zones by
 // number.
 //
-// The balancer calls HandleAttemptStarted and HandleAttemptEnded with its own lock held; so the lock here is never
-// held around a call of the balancer, and only for a few steps of computation.
+// The balancer calls HandleAttemptStarted and HandleAttemptEnded with its own lock held. Therefore mu is never held
+// during a call to the balancer, and only for short computations.
 type OutlierExchange struct {
-	messages chan []byte // of peers, not handled by Run yet
+	messages chan []byte // from peers, not yet handled by Run
 	dropped  atomic.Int64
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields below
 	detector         *outlier.Detector
-	idByName         map[string]uint32 // endpoints, by name
-	nameByID         map[uint32]string // and back
+	idByName         map[string]uint32 // endpoint IDs by name
+	nameByID         map[uint32]string // endpoint names by ID
 	zoneNumbers      map[string]uint16
-	zones            []evacuation.ZoneHealth // sorted by name, with the endpoints of the last list
-	zoneIndex        map[uint32]int          // into zones, by endpoint
-	ejected          map[uint32]bool         // as logged last
+	zones            []evacuation.ZoneHealth // sorted by name; endpoint counts of the last endpoint list
+	zoneIndex        map[uint32]int          // index into zones by endpoint ID
+	ejected          map[uint32]bool         // ejected endpoints as last logged
 	malformed        int                     // messages that could not be decoded
-	widespreadMisses bool                    // reads miss at many processes at once
+	widespreadMisses bool                    // reads miss at many processes of the fleet
 }
 
 func newOutlierExchange(name, zone string, incarnation uint64, delay time.Duration, queue int) *OutlierExchange {
@@ -54,8 +54,8 @@
 	return e
 }
 
-// zoneNumber returns a zone's number in this process: UnknownZone for one that is not stated, and for any beyond
-// maxZones. The caller holds mu, but in the constructor.
+// zoneNumber returns the process-local number of a zone. It is UnknownZone for an empty name and for new zones beyond
+// maxZones. The caller must hold mu, except in the constructor.
 func (e *OutlierExchange) zoneNumber(name string) uint16 {
 	number, known := e.zoneNumbers[name]
 	switch {
@@ -65,26 +65,25 @@
 		return outlier.UnknownZone
 	}
 	if number = uint16(len(e.zoneNumbers)); number >= outlier.UnknownZone {
-		number++ // That number is taken.
+		number++ // Skip UnknownZone.
 	}
 	e.zoneNumbers[name] = number
 	return number
 }
 
-// OutlierExchange returns what the balancer reports its attempts to; nil where outliers are not shared.
+// OutlierExchange returns the exchange to which the balancer reports its attempts; nil if it is disabled.
 func (f *Fleet) OutlierExchange() *OutlierExchange { return f.outliers }
 
-// HandleAttemptStarted records that an attempt goes to an endpoint. It returns what peers' reports take from the
-// endpoint's chance of success (see ApplyPeerVerdicts) and whether it is ejected. The balancer calls it under its own
-// lock.
+// HandleAttemptStarted records that an attempt is sent to an endpoint. It returns the penalty of the endpoint (see
+// Balancer.ApplyPeerVerdicts) and whether the endpoint is ejected. The balancer calls it with its own lock held.
 func (e *OutlierExchange) HandleAttemptStarted(endpoint string) (penalty float64, ejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.detector.RecordAttempt(Now(), e.idByName[endpoint])
 }
 
-// HandleAttemptEnded records how an attempt ended, and how long it took and was expected to take, in nanoseconds. The
-// balancer calls it under its own lock.
+// HandleAttemptEnded records the outcome of an attempt and its actual and expected durations in nanoseconds. The
+// balancer calls it with its own lock held.
 func (e *OutlierExchange) HandleAttemptEnded(endpoint string, outcome policy.Outcome, took, expected int64) {
 	observation := outlier.Classify(outcome, took, expected)
 	if observation == outlier.Inconclusive {
@@ -95,7 +94,7 @@
 	e.detector.Observe(Now(), e.idByName[endpoint], observation)
 }
 
-// handleMessage takes a peer's message; false: it could not be decoded.
+// handleMessage processes a peer's message. It returns false if the message could not be decoded.
 func (e *OutlierExchange) handleMessage(message []byte) bool {
 	m, err := outlier.DecodeMessage(message)
 	e.mu.Lock()
@@ -108,7 +107,7 @@
 	return true
 }
 
-// update takes the members that may report, and the endpoints.
+// update sets the members whose reports count, and the endpoints.
 func (e *OutlierExchange) update(live []membership.Member, endpoints []subset.Endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,8 +120,8 @@
 	e.countZones(endpoints)
 }
 
-// numberEndpoints numbers the endpoints by a hash of their names, which is the same at all processes. The caller
-// holds mu.
+// numberEndpoints assigns each endpoint an ID, a hash of its name, which is the same in all processes. The caller must
+// hold mu.
 func (e *OutlierExchange) numberEndpoints(endpoints []subset.Endpoint) []uint32 {
 	clear(e.idByName)
 	clear(e.nameByID)
@@ -134,7 +133,7 @@
 	return numbers
 }
 
-// countZones counts the endpoints of each zone. The caller holds mu.
+// countZones counts the endpoints of each zone. The caller must hold mu.
 func (e *OutlierExchange) countZones(endpoints []subset.Endpoint) {
 	counts := map[string]int{}
 	for _, endpoint := range endpoints {
@@ -154,29 +153,29 @@
 	}
 }
 
-// compareZone orders zones by name, for a search.
+// compareZone compares zones by name for slices.BinarySearchFunc.
 func compareZone(health evacuation.ZoneHealth, zone string) int {
 	return cmp.Compare(health.Zone, zone)
 }
 
-// outlierUpdate is what a tick of the detector has for the balancer, the peers and the log.
+// outlierUpdate is the result of a tick of the detector, for the balancer, the peers and the log.
 type outlierUpdate struct {
-	penalties        map[string]float64 // as for ApplyPeerVerdicts, by endpoint
-	message          []byte             // for the peers; nil: none is due
+	penalties        map[string]float64 // by endpoint, for Balancer.ApplyPeerVerdicts
+	message          []byte             // for the peers; nil if none is due
 	changes          []ejectionChange   // sorted by endpoint
 	missesChanged    bool
 	widespreadMisses bool
 }
 
-// ejectionChange is an endpoint that was ejected, or whose ejection has ended.
+// ejectionChange is an endpoint that was ejected or whose ejection ended.
 type ejectionChange struct {
 	endpoint  string
 	isEjected bool
-	status    outlier.EndpointStatus // of one that was ejected
+	status    outlier.EndpointStatus // set only if isEjected
 }
 
-// updateOutliers ticks the detector, tells the balancer and the peers what follows, and logs what changed. Run calls
-// it.
+// updateOutliers ticks the detector, passes the results to the balancer and the peers, and logs the changes. It is
+// called by Run.
 func (f *Fleet) updateOutliers() {
 	reads, misses := f.balancer.ReadCounts()
 	u := f.outliers.tick(reads, misses)
@@ -206,7 +205,7 @@
 	}
 }
 
-// tick has the detector do what is due. reads and misses are the balancer's counts since the start.
+// tick runs the due work of the detector. reads and misses are the balancer's counts since the start.
 func (e *OutlierExchange) tick(reads, misses int) outlierUpdate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -225,7 +224,7 @@
 	return u
 }
 
-// ejectionChanges returns the ejections that began or ended since it was called last. The caller holds mu.
+// ejectionChanges returns the ejections that began or ended since the last call. The caller must hold mu.
 func (e *OutlierExchange) ejectionChanges(now int64) (changes []ejectionChange) {
 	ejected := map[uint32]bool{}
 	for _, status := range e.detector.Status(now) {
@@ -247,9 +246,9 @@
 	return changes
 }
 
-// zoneHealth returns the zones, sorted by name, with how many endpoints each has and how many of these are ejected on
-// peers' reports too; whether an endpoint of ownZone fails for this process; and whether reads miss at many processes
-// at once.
+// zoneHealth returns the zones, sorted by name, with the number of endpoints in each and how many of them are ejected
+// and have failures currently reported; whether attempts of this process fail at an endpoint of ownZone; and whether
+// reads miss at many processes of the fleet.
 func (e *OutlierExchange) zoneHealth(
 	now int64, ownZone string,
 ) (zones []evacuation.ZoneHealth, ownZoneFailing, widespreadMisses bool) {
@@ -271,7 +270,8 @@
 	return zones, ownZoneFailing, e.widespreadMisses
 }
 
-// OutlierStatus is what the admin endpoint shows of outlier detection. The counts are of messages, since the start.
+// OutlierStatus is the state of the outlier exchange as shown by the admin endpoint. The counts are of messages since
+// the start.
 type OutlierStatus struct {
 	Sent             int                      `json:"told"`
 	Accepted         int                      `json:"taken"`
@@ -282,7 +282,7 @@
 	Endpoints        []outlier.EndpointStatus `json:"hosts,omitempty"`
 }
 
-// status returns the counts, and the endpoints of which any process reports something, sorted by name.
+// status returns the counts and the endpoints for which any process has reports, sorted by name.
 func (e *OutlierExchange) status() *OutlierStatus {
 	e.mu.Lock()
 	defer e.mu.Unlock()
