--- a/fleet/peerlists.go
+++ b/fleet/peerlists.go
@@ -10,33 +10,32 @@
 )
 
 const (
-	// minComparisonInterval is the least time between two comparisons of the members' endpoint lists: in a fleet of a
-	// thousand, a thousand states come in a second, and each comparison reads all of them.
+	// minComparisonInterval is the least time between two comparisons of the members' endpoint lists. A fleet of a
+	// thousand members publishes a thousand states per second, and each comparison reads all of them.
 	minComparisonInterval = 50 * time.Millisecond
 
-	minFullStateInterval = int64(250 * time.Millisecond) // between two requests for full states, which are long
-	maxFullStateRequests = 2                             // at a time: one member tells most of what is missing
-	maxLoggedEndpoints   = 32                            // named in one line of the log
+	minFullStateInterval = int64(250 * time.Millisecond) // between two rounds of requests, as full states are long
+	maxFullStateRequests = 2                             // per round: one member has most of what is missing
+	maxLoggedEndpoints   = 32                            // per log line
 )
 
-// peerLists is what is kept between two comparisons of this process's endpoint list with its peers'. Run alone uses
-// it.
+// peerLists is the state kept between comparisons of this process's endpoint list with its peers'. Only Run uses it.
 type peerLists struct {
-	timer                *time.Timer // of the next comparison
-	comparedAt           int64
-	fullStateRequestedAt int64 // on Now's clock
+	timer                *time.Timer // fires when the next comparison is due
+	comparedAt           int64       // on the clock of Now
+	fullStateRequestedAt int64       // on the clock of Now
 	rollbackGuard        consensus.ListRollbackGuard
-	maxBehind            time.Duration // that this process's list may be behind a peer's before it is logged
+	maxBehind            time.Duration // how long this process's list may be behind a peer's before that is logged
 	behind               consensus.PersistentCondition
-	conflicts            bool // a peer has another list of the same index
+	conflicts            bool // a peer has a different list with the same index
 }
 
-// scheduleComparison has the lists compared as soon as minComparisonInterval allows.
+// scheduleComparison schedules a comparison as soon as minComparisonInterval allows.
 func (p *peerLists) scheduleComparison(now int64) {
 	p.timer.Reset(time.Duration(max(0, p.comparedAt+int64(minComparisonInterval)-now)))
 }
 
-// memberState returns what this process publishes of itself.
+// memberState returns the state that this process publishes to the other members.
 func (f *Fleet) memberState() membership.MemberState {
 	index, digest, drains := f.balancer.EndpointList()
 	f.mu.Lock()
@@ -56,11 +55,11 @@
 	}
 }
 
-// isLeader tells whether this process's replica leads. The caller holds mu.
+// isLeader reports whether this process's replica is the leader. The caller must hold mu.
 func (f *Fleet) isLeader() bool { return f.replica.state != nil && f.replica.state.IsLeader() }
 
-// liveMembers returns the members that were heard within maxSilence; none while the previous process, during an
-// upgrade, still has the address.
+// liveMembers returns the members heard from within maxSilence. During an upgrade there are none while the previous
+// process still holds the address.
 func (f *Fleet) liveMembers() (live []membership.Member) {
 	if f.exchange == nil {
 		return nil
@@ -73,12 +72,12 @@
 	return live
 }
 
-// maxSilence is how long a member that publishes nothing still takes part in outlier detection and in connection
-// subsets: three announcements, so that two lost ones change nothing.
+// maxSilence is how long a silent member still counts for outlier detection and connection subsets: three announcement
+// intervals, so that two lost announcements have no effect.
 const maxSilence = 3 * announceInterval
 
-// requestFullStates asks a few of these members, whose states came with a part of their lists, for the whole. The
-// members are drawn, so that a thousand processes do not ask the same two.
+// requestFullStates requests the full states of a few of the given members, whose published states contained only part
+// of their lists. The members are chosen at random, so that a thousand processes do not all ask the same two.
 func (f *Fleet) requestFullStates(now int64, partial []string) {
 	if len(partial) == 0 || now-f.peerLists.fullStateRequestedAt < minFullStateInterval {
 		return
@@ -89,12 +88,12 @@
 	}
 }
 
-// comparePeerLists takes from the peers' endpoint lists what is stricter than this process's own: endpoints that
-// drain or are gone.
+// comparePeerLists compares the endpoint lists and applies the drains of the peers' lists: endpoints that are draining
+// or gone there.
 //
-// Each process follows discovery by itself, and one whose watch has stalled would go on sending to an endpoint that
-// shuts down, whose requests would then fail. A drain is safe to take from any peer; that an endpoint is ready again
-// is taken from discovery alone.
+// Each process watches discovery independently. If its watch stalls, it would keep sending requests to an endpoint that
+// is shutting down, and they would fail. Drains are safe to accept from any peer; that an endpoint is ready again is
+// accepted only from discovery.
 func (f *Fleet) comparePeerLists() {
 	f.peerLists.comparedAt = Now()
 	index, digest, drains := f.balancer.EndpointList()
@@ -108,8 +107,8 @@
 	f.reportListState(index, result)
 }
 
-// earlierOwnList returns this process's own earlier list where the present one has a lower index: what that one
-// drained stays drained for a while. Otherwise a discovery server that answers from an old state would bring back
+// earlierOwnList returns this process's previous endpoint list if the present one has a lower index, so that the drains
+// of the previous list stay in effect for a while. Otherwise a discovery server with outdated state would bring back
 // endpoints that have shut down.
 func (f *Fleet) earlierOwnList(present consensus.EndpointListState) []consensus.EndpointListState {
 	earlier, wentBack := f.peerLists.rollbackGuard.Observe(Now(), present)
@@ -120,8 +119,9 @@
 	return earlier
 }
 
-// peerEndpointLists returns the lists of the members that are there. Drains come with those that are later than this
-// process's or contradict it; partial names which of these published a part of their drains only.
+// peerEndpointLists returns the endpoint lists of the peers that are not gone. Only lists that are later than this
+// process's or conflict with it include their drains; partial names the peers of those lists that published only part
+// of their drains.
 func (f *Fleet) peerEndpointLists(index, digest uint64) (lists []consensus.EndpointListState, partial []string) {
 	now := time.Now()
 	for _, m := range f.exchange.Members() {
@@ -147,7 +147,8 @@
 	return listed
 }
 
-// applyPeerDrains has the balancer send nothing new to these endpoints. They replace those of the call before.
+// applyPeerDrains sets the endpoints to which the balancer sends no new requests because of peers' lists, replacing
+// those of the previous call.
 func (f *Fleet) applyPeerDrains(drains []string) {
 	f.mu.Lock()
 	haveChanged := !slices.Equal(drains, f.peerDrains)
@@ -160,8 +161,8 @@
 	}
 }
 
-// reportListState logs when this process's list has been behind a peer's for too long, and when one of the same index
-// begins to contradict it.
+// reportListState logs when this process's list has been behind a peer's for too long, and when a peer's list of the
+// same index starts to differ from it.
 func (f *Fleet) reportListState(index uint64, result consensus.ListComparison) {
 	p := &f.peerLists
 	if p.behind.Observe(Now(), result.PeerAhead != "", p.maxBehind) {
