--- a/fleet/proposals.go
+++ b/fleet/proposals.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// proposalTimeout is a little under the 5 s within which an operator is promised an answer.
+	// proposalTimeout is slightly below the 5 s within which operators are guaranteed an answer.
 	proposalTimeout = 4900 * time.Millisecond
 
-	// proposalRetryInterval is between two attempts: a message may be lost, and a new leader is elected within a few
-	// of these.
+	// proposalRetryInterval is the time between two attempts. Messages may be lost, and a new leader is elected within
+	// a few intervals.
 	proposalRetryInterval = 250 * time.Millisecond
 
-	// fallbackEvery is each how many attempts one goes to another voter than the leader that is known, as that may be
-	// gone.
+	// fallbackEvery makes every fallbackEvery-th attempt go to the voters in turn rather than to the known leader,
+	// which may be gone.
 	fallbackEvery = 4
 
-	maxPendingProposals = 64 // at this process; the admin endpoint takes fewer callers at once
-	maxPendingReplies   = 4  // to one proposal; more are repetitions
+	maxPendingProposals = 64 // per process; the admin endpoint accepts fewer concurrent callers
+	maxPendingReplies   = 4  // per proposal; further replies are duplicates
 
-	// noLeaderPrefix begins a replica's answer that it does not lead and knows nobody who does. It is part of the
-	// protocol between processes.
+	// noLeaderPrefix is the prefix of the reason in a replica's answer if it is not the leader and knows of none. It is
+	// part of the protocol between processes.
 	noLeaderPrefix = "nobody leads"
 )
 
-// reply is an answer to a proposal, and whose it is.
+// reply is an answer to a proposal, with its sender.
 type reply struct {
 	consensus.ProposalResult
 	from string
 }
 
-// Propose asks the voters to accept a proposal, and waits for the answer, proposalTimeout at most. A result that is
-// not final is unknown: the proposal may have been accepted or not, and the history tells. The admin endpoint and
-// zone evacuation call it, from goroutines of their own.
+// Propose sends a proposal to the voters and waits up to proposalTimeout for the result. If the result is not final the
+// outcome is unknown: the proposal may have been accepted or not, and only the history shows which. It is called by the
+// admin endpoint and by zone evacuation, from their own goroutines.
 func (f *Fleet) Propose(ctx context.Context, proposal consensus.Proposal) consensus.ProposalResult {
 	if err := proposal.Validate(); err != nil {
 		return consensus.ProposalResult{ID: proposal.ID, Reason: err.Error(), IsFinal: true}
@@ -58,11 +58,11 @@
 			switch {
 			case r.Ticket != nil:
 				p.acceptTicket(r)
-				continue // With its ticket it goes out again at once.
+				continue // Send again at once, with the ticket.
 			case !isNoLeader(r.ProposalResult):
 				return r.ProposalResult
 			}
-			p.ticket = nil // Another replica may be elected soon.
+			p.ticket = nil // Another replica may become the leader soon.
 		case <-retry.C:
 			p.handleRetry()
 			continue
@@ -77,12 +77,12 @@
 	}
 }
 
-// isNoLeader tells whether a result says that no replica was there to decide.
+// isNoLeader reports whether a result says that there was no leader to decide on the proposal.
 func isNoLeader(result consensus.ProposalResult) bool {
 	return result.Revision == 0 && strings.HasPrefix(result.Reason, noLeaderPrefix)
 }
 
-// registerProposal has answers to the proposal put into replies; false: too many wait.
+// registerProposal registers the channel for answers to a proposal. It returns false if too many proposals are pending.
 func (f *Fleet) registerProposal(id string, replies chan reply) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	delete(f.proposals, id)
 }
 
-// deliverReply passes an answer to the proposal that waits for it, if one does. The caller holds mu.
+// deliverReply passes an answer to the pending proposal it belongs to, if any. The caller must hold mu.
 func (f *Fleet) deliverReply(r reply) {
 	replies := f.proposals[r.ID]
 	if replies == nil {
@@ -107,22 +107,22 @@
 	}
 	select {
 	case replies <- r:
-	default: // A repetition.
+	default: // The channel is full: this is a duplicate.
 	}
 }
 
-// proposer sends one proposal until it has an answer.
+// proposer sends one proposal repeatedly until it is answered.
 //
-// A proposal takes two steps: the leader first gives a ticket, which is valid for as long as the answer is waited
-// for, and writes the proposal to its log only with that. Until the proposal has gone out with a ticket no replica
-// can have written it, so a negative result is final.
+// A proposal takes two steps. The leader first issues a ticket, which is valid for as long as the proposer waits for an
+// answer, and writes the proposal to its log only when it arrives with the ticket. Until the proposal has been sent
+// with a ticket, no replica can have written it, so a negative result is final.
 type proposer struct {
 	fleet      *Fleet
 	proposal   *consensus.Proposal
 	attempts   int
-	target     string // whom it is sent to
+	target     string // name of the process that it is sent to
 	ticket     *consensus.ProposalTicket
-	unanswered consensus.ProposalResult // the result if no answer comes any more
+	unanswered consensus.ProposalResult // the result if no further answer arrives
 }
 
 func newProposer(f *Fleet, proposal consensus.Proposal) *proposer {
@@ -135,8 +135,8 @@
 	}
 }
 
-// send sends the proposal once more: with a ticket to the replica that gave it, else to the leader, or to the voters
-// in turn where none is known.
+// send makes one attempt: with a ticket, to the replica that issued it; otherwise to the known leader, or to the voters
+// in turn on fallback attempts and if no leader is known.
 func (p *proposer) send() {
 	f := p.fleet
 	f.mu.Lock()
@@ -151,17 +151,18 @@
 	p.attempts++
 }
 
-// isFallback tells whether the next attempt is one that goes to the voters in turn.
+// isFallback reports whether the next attempt goes to the voters in turn.
 func (p *proposer) isFallback() bool { return p.attempts%fallbackEvery == fallbackEvery-1 }
 
-// acceptTicket has the proposal sent with the ticket from now on. If no answer comes any more, it may have been
-// written: the result is not final.
+// acceptTicket makes the following attempts use the ticket. From now on the proposal may have been written, so without
+// a further answer the result is not final.
 func (p *proposer) acceptTicket(r reply) {
 	p.ticket, p.target = r.Ticket, r.from
 	p.unanswered = consensus.ProposalResult{ID: p.proposal.ID, Reason: "no word of a majority"}
 }
 
-// handleRetry drops the ticket with each fallback attempt: the replica that gave it may be gone, and another lead.
+// handleRetry drops the ticket before each fallback attempt: the replica that issued it may be gone and another one may
+// be the leader.
 func (p *proposer) handleRetry() {
 	if p.isFallback() {
 		p.ticket = nil
