--- a/fleet/replica.go
+++ b/fleet/replica.go
@@ -10,22 +10,22 @@
 	"hollylever/store"
 )
 
-// replicaRestartInterval is how often a replica whose log has failed is started again: a full disk or a lost mount is
-// over within seconds, and until then the fleet has one voter less.
+// replicaRestartInterval is how often a replica whose log failed is restarted. A full disk or a lost mount typically
+// recovers within seconds; until the restart the fleet has one voter less.
 const replicaRestartInterval = 250 * time.Millisecond
 
-// replica is this process's replica and the log that it writes. Start and then Run alone change it; state under
-// Fleet.mu, as other goroutines read that.
+// replica is this process's replica and its log. Only Start, and afterwards Run, modify it. They modify state with
+// Fleet.mu held, since other goroutines read it.
 type replica struct {
-	state *consensus.Replica // nil: this process has none, or it does not run now
-	log   *store.Log         // nil: it has no log, or it does not run now
+	state *consensus.Replica // nil if this process has no replica, or it is not running
+	log   *store.Log         // nil if the replica has no log, or it is not running
 
-	hasFailed  bool // its log has failed, and it has not been started again
-	isDisabled bool // its log was found corrupt after such a failure: only a restart of the process helps
+	hasFailed  bool // the log failed, and the replica has not been restarted since
+	isDisabled bool // the log was corrupt after a failure: the replica stays down until the process restarts
 }
 
-// closeLog closes the log and releases its lock. What it could not write was never acknowledged to anybody, so the
-// error changes nothing.
+// closeLog closes the log and releases its lock. It ignores the error, since records that could not be written were
+// never acknowledged.
 func (r *replica) closeLog() {
 	if r.log != nil {
 		r.log.Close()
@@ -33,8 +33,8 @@
 	}
 }
 
-// volatileStorage is the storage of a replica without a log: its votes last as long as its process, and the
-// incarnation tells the other voters that a later process knows nothing of them.
+// volatileStorage is the storage of a replica without a log. Its votes are lost when the process ends; the incarnation
+// tells the other voters that a later process has no knowledge of them.
 type volatileStorage struct{}
 
 // Append implements consensus.Storage.
@@ -43,9 +43,9 @@
 // Replace implements consensus.Storage.
 func (volatileStorage) Replace([][]byte) error { return nil }
 
-// startReplica starts this process's replica from its log, if it is a voter and the replica does not run. path names
-// the log; "": no log. intN draws below n, under mu. The error is store.ErrLocked while the previous process, during
-// an upgrade, still runs the replica.
+// startReplica starts the replica from its log, if this process is a voter and the replica is not running. path is the
+// path of the log; "" means no log. intN returns a random number in [0, n) and is called with mu held. During an
+// upgrade startReplica returns store.ErrLocked while the previous process still runs the replica.
 func (f *Fleet) startReplica(path string, intN func(n int) int) error {
 	r := &f.replica
 	if r.state != nil || r.isDisabled || !slices.Contains(f.voters, f.name) {
@@ -68,10 +68,10 @@
 
 // openReplicaLog opens the log and returns its records.
 //
-// A corrupt log is put aside and the replica starts empty. At the start of a process that is safe: the process has a
-// new incarnation, and the other voters do not count the votes of the one before. After a failure during the
-// process's life it is not: the replica would vote again under an incarnation whose votes are lost, and two leaders
-// could be elected in one term. It then stays down (isDisabled) until the process is restarted.
+// A corrupt log is moved aside and the replica starts empty. This is safe when the process starts: it has a new
+// incarnation, and the other voters ignore the votes of the previous one. It is not safe after a failure while the
+// process runs: the replica would vote again under an incarnation whose votes are lost, and two leaders could be
+// elected in one term. In that case the replica stays down (isDisabled) until the process is restarted.
 func (f *Fleet) openReplicaLog(path string) (consensus.Storage, [][]byte, error) {
 	if path == "" {
 		return volatileStorage{}, nil, nil
@@ -94,9 +94,9 @@
 	return log, records, nil
 }
 
-// stopReplica stops the replica, whose log has failed with err, and has it started again from what is on the disk, as
-// a restart of the process would. Otherwise disks that are full for a moment would cost the fleet its majority until
-// somebody restarts each voter. The caller holds mu.
+// stopReplica stops the replica after its log failed with err, and schedules a restart from the state on disk, as a
+// restart of the process would do. Without this, disks that are briefly full would cost the fleet its majority until
+// each voter is restarted by hand. The caller must hold mu.
 func (f *Fleet) stopReplica(err error) {
 	r := &f.replica
 	if !r.hasFailed {
@@ -107,7 +107,7 @@
 	f.startRetry.Reset(replicaRestartInterval)
 }
 
-// logReplicaRestarted logs once that a replica that had failed runs again.
+// logReplicaRestarted logs once that a failed replica is running again.
 func (f *Fleet) logReplicaRestarted() {
 	f.mu.Lock()
 	hasRestarted := f.replica.hasFailed && !f.replica.isDisabled
