--- a/fleet/status.go
+++ b/fleet/status.go
@@ -8,41 +8,41 @@
 	"hollylever/membership"
 )
 
-// Status is what the admin endpoint shows of this process's part in the fleet.
+// Status is the state of this process in the fleet, as shown by the admin endpoint.
 type Status struct {
 	Name                  string                    `json:"name"`
 	Zone                  string                    `json:"zone,omitempty"`
-	Leader                string                    `json:"leads,omitempty"` // as this process knows it
+	Leader                string                    `json:"leads,omitempty"` // last known to this process
 	Effective             consensus.EffectiveConfig `json:"acting"`
-	MaxDisagreement       string                    `json:"t"` // for how long two processes under leases can contradict each other
+	MaxDisagreement       string                    `json:"t"` // see fleetconfig.LeaseTiming.MaxDisagreement
 	LeaseLeftMS           int64                     `json:"lease_left_ms"`
-	DecisionsWithoutLease int64                     `json:"decisions_alone"` // without a lease, since the start
+	DecisionsWithoutLease int64                     `json:"decisions_alone"` // since the start
 	DecisionsUnderLease   int64                     `json:"decisions_under_lease"`
-	MessagesDropped       int64                     `json:"messages_lost"` // as too many waited
+	MessagesDropped       int64                     `json:"messages_lost"` // because the queue was full
 	Members               []MemberStatus            `json:"members"`       // this process first
 	PeerDrains            []string                  `json:"drains_by_others,omitempty"`
-	Replica               *ReplicaStatus            `json:"keeper,omitempty"` // nil: this process has none that runs
+	Replica               *ReplicaStatus            `json:"keeper,omitempty"` // nil if no replica runs in this process
 	Revisions             []consensus.Revision      `json:"versions_that_count"`
-	Outliers              *OutlierStatus            `json:"signals,omitempty"` // nil: outliers are not shared
-	Subset                []string                  `json:"tends,omitempty"`   // endpoints of the connection subset; none: all
+	Outliers              *OutlierStatus            `json:"signals,omitempty"` // nil if outliers are not exchanged
+	Subset                []string                  `json:"tends,omitempty"`   // in the connection subset; nil: all endpoints
 	Zones                 []ZoneStatus              `json:"zones,omitempty"`
 }
 
-// MemberStatus is a member as this process heard of it last.
+// MemberStatus is the state of a member as last received by this process.
 type MemberStatus struct {
 	membership.MemberState
 	HeardMSAgo int64 `json:"heard_ms_ago"`
 	IsGone     bool  `json:"gone"`
 }
 
-// ReplicaStatus is the view of this process's own replica.
+// ReplicaStatus is the state of this process's replica.
 type ReplicaStatus struct {
 	IsLeader       bool `json:"leads"`
 	IsBootstrapped bool `json:"founded"`
-	ActiveLeases   int  `json:"holders"` // that this replica granted and that may last
+	ActiveLeases   int  `json:"holders"` // granted by this replica and possibly not expired
 }
 
-// Status returns how things stand now. The admin endpoint calls it.
+// Status returns the current state. It is called by the admin endpoint.
 func (f *Fleet) Status() Status {
 	own := f.memberState()
 	f.mu.Lock()
@@ -71,7 +71,8 @@
 	return s
 }
 
-// memberStatuses returns this process and all members that it has heard. The caller holds mu.
+// memberStatuses returns the state of this process, followed by those of all members that it has heard from. The caller
+// must hold mu.
 func (f *Fleet) memberStatuses(own membership.MemberState) []MemberStatus {
 	all := []MemberStatus{{MemberState: own}}
 	if f.exchange == nil {
@@ -85,7 +86,7 @@
 	return all
 }
 
-// replicaStatus returns nil where this process's replica does not run. The caller holds mu.
+// replicaStatus returns nil if no replica runs in this process. The caller must hold mu.
 func (f *Fleet) replicaStatus(now int64) *ReplicaStatus {
 	state := f.replica.state
 	if state == nil {
@@ -96,8 +97,8 @@
 	}
 }
 
-// History returns the revisions that this process knows, the oldest first: a replica knows more of them than a lease
-// holder.
+// History returns the revisions known to this process, oldest first. It reads them from the replica if one runs, since
+// a replica keeps more of them than a lease holder.
 func (f *Fleet) History() []consensus.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
