--- a/fleet/trace.go
+++ b/fleet/trace.go
@@ -9,8 +9,8 @@
 	"hollylever/budgets"
 )
 
-// openTrace opens the file that each decision is traced to; none where the setting is empty. It is for tests, which
-// merge the traces of all processes and look for two that contradicted each other.
+// openTrace opens the file to which each decision is traced; it returns nil if path is empty. Tests merge the traces of
+// all processes and check that no decisions contradict each other.
 func openTrace(path string) (*os.File, error) {
 	if path == "" {
 		return nil, nil
@@ -22,9 +22,9 @@
 	return file, nil
 }
 
-// writeTrace writes what a decision was made on: the time by the machine's true clock, the name, the revisions,
-// whether under a lease, the share of the budgets and the digest of the latest revision. A line that cannot be
-// written is missed by the test, not by the balancer.
+// writeTrace writes the inputs of a decision: the time by the machine's unscaled clock, the name, the min and latest
+// revisions, whether there is a lease, the budget share and the digest of the latest revision. Write errors are
+// ignored: a missing line is noticed by the test that reads the trace, and must not affect the balancer.
 func (f *Fleet) writeTrace(leased bool) {
 	f.mu.Lock()
 	effective := f.effective
@@ -34,7 +34,7 @@
 	}
 	f.mu.Unlock()
 	var at unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) // It fails for an unknown clock; Now reads this one, too.
+	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) // Fails only for an unknown clock; Now reads the same one.
 	if !leased && f.leaseTiming.MaxMembers > 0 {
 		effective.BudgetShare = budgets.ShareWithoutLease(f.leaseTiming.MaxMembers)
 	}
