--- a/fleetconfig/fleetconfig.go
+++ b/fleetconfig/fleetconfig.go
@@ -1,6 +1,6 @@
-// Package fleetconfig is the configuration of a process that is one of a fleet: the [fleet] table of its own settings,
-// how that is validated, the lease timing that follows from it, and the form in which operators propose changes of the
-// replicated configuration. It depends on no part of the fleet, so that programs without one can read and check the
+// Package fleetconfig defines the configuration of a fleet member: the [fleet] table of a process's own settings, its
+// validation, the lease timing derived from it, and the format of operators' proposals to change the replicated
+// configuration. It does not depend on the fleet implementation, so that programs without it can read and validate the
 // table too.
 package fleetconfig
 
@@ -12,31 +12,32 @@
 )
 
 const (
-	// minSendRate lets a process publish its state and renew its leases in a small fleet.
+	// minSendRate is enough for a process of a small fleet to publish its state and renew its lease.
 	minSendRate = 10_000 // bytes per second
-	// baseSendRate and perMemberSendRate make up the send rate where none is set: with these a leader sends a revision
-	// with a thousand endpoints to each member within a second.
+	// baseSendRate and perMemberSendRate determine the default send rate. It lets a leader send a revision with a
+	// thousand endpoints to each member within a second.
 	baseSendRate      = 1_000_000 // bytes per second
 	perMemberSendRate = 16_000    // bytes per second
 )
 
-// InvalidFieldError says that a field of the [fleet] table is invalid, or does not fit the others.
+// InvalidFieldError reports that a field of the [fleet] table is invalid or inconsistent with other fields.
 type InvalidFieldError struct {
-	Field string // without its table
-	Err   error  // what is wrong with it
+	Field string // without the table name
+	Err   error  // the reason
 }
 
-// Error begins with the field.
+// Error returns the field name followed by the reason.
 func (e *InvalidFieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the field.
+// Unwrap returns the reason without the field name.
 func (e *InvalidFieldError) Unwrap() error { return e.Err }
 
 func invalidField(field, format string, values ...any) error {
 	return &InvalidFieldError{Field: field, Err: fmt.Errorf(format, values...)}
 }
 
-// SendRate returns how many bytes per second a process sends at most, in a fleet of so many configured peers.
+// SendRate returns the maximum number of bytes per second that a process sends in a fleet with the given number of
+// configured peers.
 func SendRate(own config.Values, peers int) int {
 	if rate := int(own.Integer("fleet.rate")); rate > 0 {
 		return rate
@@ -44,10 +45,10 @@
 	return baseSendRate + perMemberSendRate*max(peers, int(own.Integer("fleet.most")))
 }
 
-// Validate checks that the fields of the [fleet] table fit together, for the process of a name; "": for any. It returns
-// nil where the table is not on, and an error that wraps an *InvalidFieldError for the first field that is wrong. Its
-// text begins with the table and the field. It is called before a process starts and by the commands that check its
-// settings.
+// Validate checks that the fields of the [fleet] table are consistent for the process with the given name; "" skips the
+// checks that depend on the name. If the fleet is not enabled it returns nil. Otherwise it returns an error for the
+// first invalid field. The error wraps an *InvalidFieldError, and its text starts with the table and the field.
+// Validate is called before a process starts and by the commands that check its settings.
 func Validate(own config.Values, name string) error {
 	if !own.Boolean("fleet.on") {
 		return nil
@@ -79,16 +80,17 @@
 	return validateReplicas(replicas, peers)
 }
 
-// isValidReplicaCount reports whether there may be so many replicas. An even number survives no more failures than the odd
-// one below it, and with more than seven each revision waits for more disks than the further failures are worth.
+// isValidReplicaCount reports whether a fleet may have n replicas. An even number tolerates no more failures than the
+// odd number below it. With more than seven, each revision waits for more disks than the additional fault tolerance is
+// worth.
 func isValidReplicaCount(n int) bool { return n == 1 || n == 3 || n == 5 || n == 7 }
 
 func isPeer(peers []Peer, name string) bool {
 	return slices.ContainsFunc(peers, func(peer Peer) bool { return peer.Name == name })
 }
 
-// validateReplicas checks that each replica is one of the peers and is named once. One that is named twice could count
-// twice towards a majority, and two leaders could accept different revisions.
+// validateReplicas checks that each replica is one of the peers and is named only once. A replica named twice could be
+// counted twice towards a majority, and two leaders could then accept different revisions.
 func validateReplicas(replicas []string, peers []Peer) error {
 	for n, replica := range replicas {
 		if slices.Contains(replicas[:n], replica) {
