--- a/fleetconfig/leasetiming.go
+++ b/fleetconfig/leasetiming.go
@@ -7,28 +7,30 @@
 )
 
 const (
-	// minLeaseDuration leaves time for a lease to be renewed over a network and a disk that are slow for a moment.
+	// minLeaseDuration leaves enough time to renew a lease while the network or the disk is briefly slow.
 	minLeaseDuration = 100 * time.Millisecond
-	// maxLeaseDuration bounds how long a change of the configuration may take to be binding while a process is
+	// maxLeaseDuration limits how long a configuration change may take to become binding while a process is
 	// unreachable.
 	maxLeaseDuration = time.Minute
-	// maxClockRateError is well beyond what clocks of working machines are off by.
+	// maxClockRateError is well above the clock rate error of any working machine.
 	maxClockRateError = 0.1
 )
 
-// LeaseTiming is what the safety of leases rests on. All processes of a fleet have the same.
+// LeaseTiming holds the parameters on which the safety of leases depends. They must be the same in all processes of a
+// fleet.
 type LeaseTiming struct {
-	// LeaseDuration is how long a lease lasts on its holder's clock, from when it was requested.
+	// LeaseDuration is how long a lease lasts on its holder's clock, counted from the request.
 	LeaseDuration time.Duration
-	// ClockRateError is by what fraction the rate of any clock may be off.
+	// ClockRateError is the maximum error of any clock's rate, as a fraction.
 	ClockRateError float64
-	// MaxPause is how long a process may be held up between checking its lease and acting under it.
+	// MaxPause is the maximum time for which a process may be delayed between checking its lease and acting under it.
 	MaxPause time.Duration
-	// MaxMembers is how many processes the fleet may have, among which budgets are divided; 0: budgets are not divided.
+	// MaxMembers is the maximum number of processes in the fleet, among which budgets are divided. 0 means that budgets
+	// are not divided.
 	MaxMembers int
 }
 
-// ParseLeaseTiming reads the lease timing from the [fleet] table.
+// ParseLeaseTiming returns the lease timing set in the [fleet] table. It does not validate it.
 func ParseLeaseTiming(own config.Values) LeaseTiming {
 	return LeaseTiming{
 		LeaseDuration:  own.Duration("fleet.lease"),
@@ -38,18 +40,18 @@
 	}
 }
 
-// GranterTimeout is how long whoever granted a lease waits on its own clock until it takes the lease for expired: after
-// that the lease is over on the holder's clock too, though the granter's may run fast and the holder's slow. The
-// documentation calls it W.
+// GranterTimeout returns how long the granter of a lease waits, on its own clock, before it considers the lease
+// expired. After that time the lease has also expired on the holder's clock, even if the granter's clock runs fast and
+// the holder's slow. The documentation calls it W.
 func (t LeaseTiming) GranterTimeout() time.Duration {
 	return time.Duration(float64(t.LeaseDuration) * (1 + t.ClockRateError) / (1 - t.ClockRateError))
 }
 
-// MaxDisagreement is the longest time for which two processes under leases can act on configurations that contradict
-// each other. The documentation calls it T.
+// MaxDisagreement returns the longest time for which two processes with leases can act on contradicting configurations.
+// The documentation calls it T.
 func (t LeaseTiming) MaxDisagreement() time.Duration { return t.GranterTimeout() + t.MaxPause }
 
-// Validate checks the bounds. It returns an *InvalidFieldError for the first field that is out of them.
+// Validate returns an *InvalidFieldError for the first field that is out of range, or nil.
 func (t LeaseTiming) Validate() error {
 	switch {
 	case t.LeaseDuration < minLeaseDuration || t.LeaseDuration > maxLeaseDuration:
