--- a/fleetconfig/peers.go
+++ b/fleetconfig/peers.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// MaxMembers is how many processes a fleet may have, and MaxNameBytes how long the name of one may be. They bound what
-// is kept, sent and read of processes.
+// MaxMembers is the maximum number of processes in a fleet, and MaxNameBytes the maximum length of a process name. They
+// bound the per-process data that is stored, sent and received.
 const (
 	MaxMembers   = 4096
 	MaxNameBytes = 128
 )
 
-// Errors of ParsePeers, wrapped with the entry that is wrong.
+// Errors of ParsePeers. All but ErrTooManyPeers are wrapped with the invalid entry.
 var (
 	ErrPeerForm      = errors.New("is not NAME=ADDRESS:PORT")
 	ErrPeerAddress   = errors.New("is not an address and a port")
@@ -22,13 +22,13 @@
 	ErrTooManyPeers  = fmt.Errorf("over %d peers", MaxMembers)
 )
 
-// Peer is a process that is configured beforehand.
+// Peer is a process listed in the settings.
 type Peer struct {
 	Name    string
 	Address string // ADDRESS:PORT
 }
 
-// ParseNames reads names that commas separate; empty ones are left out.
+// ParseNames parses a comma-separated list of names. It trims white space and skips empty names.
 func ParseNames(text string) []string {
 	var names []string
 	for name := range strings.SplitSeq(text, ",") {
@@ -39,7 +39,7 @@
 	return names
 }
 
-// ParsePeers reads a list of names and addresses, as in "b1=127.0.0.1:7001, b2=127.0.0.1:7002".
+// ParsePeers parses a list of names and addresses such as "b1=127.0.0.1:7001, b2=127.0.0.1:7002".
 func ParsePeers(text string) ([]Peer, error) {
 	var peers []Peer
 	seen := map[string]bool{}
