--- a/fleetconfig/section.go
+++ b/fleetconfig/section.go
@@ -8,7 +8,7 @@
 
 const (
 	maxAddressBytes = len("255.255.255.255:65535")
-	// maxPeersBytes is the length of the longest list of peers that a fleet may have.
+	// maxPeersBytes is the length of the longest valid peer list.
 	maxPeersBytes = MaxMembers * (MaxNameBytes + len("=") + maxAddressBytes + len(", "))
 )
 
