--- a/fleet/incarnation_test.go
+++ b/fleet/incarnation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The wall clock was stepped back between two processes, or both started within one millisecond, and peers took the
-// second for the past of the first. Each incarnation has to be above the one before it.
+// Each incarnation must be above the previous one. Otherwise peers treat the new process's messages as outdated, which
+// happened when the wall clock was stepped back between two processes or both started within the same millisecond.
 func TestIncarnationsIncreaseDespiteClockSteps(t *testing.T) {
 	folder, now := t.TempDir(), time.Now()
 	before := nextIncarnation(folder, now, 1)
