--- a/fleet/proposals_test.go
+++ b/fleet/proposals_test.go
@@ -12,13 +12,13 @@
 	"hollylever/membership"
 )
 
-// scriptedVoters is an exchange in which the voters answer as scripted. It notes each attempt.
+// scriptedVoters is a fake exchange whose voters give scripted answers. It records each attempt.
 type scriptedVoters struct {
 	membership.Exchange
 	fleet     *Fleet
 	startedAt time.Time
 	attempts  strings.Builder
-	answer    func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: none
+	answer    func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: no answer
 	count     int
 }
 
@@ -43,9 +43,8 @@
 	return nil
 }
 
-// An operator's proposal has to reach whoever leads, whichever voters are gone, and "rejected" has to mean that it
-// never takes effect: whom each attempt goes to, when, and with which ticket is held against a file of testdata, as
-// is the answer in the end.
+// A proposal must reach the leader whichever voters are gone, and a rejected proposal must never take effect. The test
+// compares the target, time and ticket of each attempt, and the final result, with a golden file.
 func TestProposalAttempts(t *testing.T) {
 	noLeader := &consensus.ProposalResult{Reason: "nobody leads: an election"}
 	ticket := func(term uint64) *consensus.ProposalResult {
@@ -54,7 +53,7 @@
 	var out strings.Builder
 	for _, c := range []struct {
 		name   string
-		leader string // as the process knows it; "": nobody
+		leader string // as known to the process; "" if none
 		answer func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult
 	}{
 		{"no voter answers", "", func(string, int, *consensus.Message) *consensus.ProposalResult { return nil }},
