--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -22,9 +22,9 @@
 	"hollylever/subset"
 )
 
-var update = flag.Bool("update", false, "write testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// golden compares got with a file of testdata.
+// golden compares got with a golden file in testdata.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -39,7 +39,7 @@
 	}
 }
 
-// recordingBalancer notes the configuration that it is given, and does nothing else.
+// recordingBalancer is a fake Balancer that records the applied configuration and does nothing else.
 type recordingBalancer struct {
 	configsApplied int
 	lastConfig     consensus.EffectiveConfig
@@ -66,15 +66,15 @@
 var sampleConfig = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
 	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
 
-// An operator's tools read the answer of /fleet by its keys, some of which came from the names of Go fields: a
-// renamed field emptied them.
+// Operators' tools read the response of /fleet by its JSON keys. Some keys used to come from Go field names, and after
+// a field was renamed the tools found no value.
 func TestStatusJSONKeys(t *testing.T) {
-	card := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
+	member := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, CompleteListsDigest: 12}
-	versions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4}}
+	revisions := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4}}
 	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: sampleConfig}, MaxDisagreement: "1.986s",
-		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: card}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
-		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: versions,
+		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: member}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
+		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: revisions,
 		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
 			OwnConsecutiveFailures: 5, Ejected: true, HoldsProbeLease: true, Penalty: 0.75, EjectedMillis: 66}, {Endpoint: "h2", Ejected: true, Penalty: 0.5, EjectedMillis: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
@@ -86,11 +86,11 @@
 	writeJSON(w, Status{})
 	golden(t, "status_empty.json", w.Body.Bytes())
 	w = httptest.NewRecorder()
-	writeJSON(w, versions)
+	writeJSON(w, revisions)
 	golden(t, "history.json", w.Body.Bytes())
 }
 
-// A call that is none has its code and its words, which scripts look for.
+// Scripts match the status codes and texts of the responses, including those to invalid calls.
 func TestAdminCallResponses(t *testing.T) {
 	f := newUnjoinedFleet(t, "", &recordingBalancer{})
 	var out strings.Builder
@@ -100,11 +100,11 @@
 		{"POST", "/fleet/propose", `{"id":"p","out":["a"],"back":["a"]}`}, {"POST", "/fleet/propose", `{"id":"p","leave":[""]}`}, {"GET", "/fleet/history", ""},
 	} {
 		w := httptest.NewRecorder()
-		f.ServeHTTP(w, httptest.NewRequest(call.method, "http://door"+call.path, strings.NewReader(call.body)))
+		f.ServeHTTP(w, httptest.NewRequest(call.method, "http://admin"+call.path, strings.NewReader(call.body)))
 		fmt.Fprintf(&out, "%s %s %s\n%d %s\n%s\n", call.method, call.path, call.body, w.Code, w.Header().Get("Content-Type"), w.Body)
 	}
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://door/fleet", nil))
+	f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://admin/fleet", nil))
 	var s map[string]any
 	if err := json.Unmarshal(w.Body.Bytes(), &s); err != nil || w.Code != http.StatusOK || s["name"] != "b1" || s["t"] != "1.803s" {
 		t.Errorf("%d, %v, %s", w.Code, err, w.Body)
@@ -112,88 +112,88 @@
 	golden(t, "calls.golden", []byte(out.String()))
 }
 
-// newUnjoinedFleet makes a process's part that has not joined; left is the path of its handover file, "": none.
-func newUnjoinedFleet(t *testing.T, left string, balancer Balancer) *Fleet {
+// newUnjoinedFleet returns a Fleet that has not joined. handover is the path of its handover file; "" means no file.
+func newUnjoinedFleet(t *testing.T, handover string, balancer Balancer) *Fleet {
 	t.Helper()
-	terms := consensus.LeaseTiming{LeaseDuration: 1500 * time.Millisecond, ClockRateError: 0.001, MaxPause: 300 * time.Millisecond}
-	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", leaseTiming: terms, voters: []string{"b1"}, balancer: balancer, log: zerolog.Nop(), handover: handoverFile(left),
+	timing := consensus.LeaseTiming{LeaseDuration: 1500 * time.Millisecond, ClockRateError: 0.001, MaxPause: 300 * time.Millisecond}
+	f := &Fleet{name: "b1", zone: "z1", settingsDigest: "0123456789abcdef", leaseTiming: timing, voters: []string{"b1"}, balancer: balancer, log: zerolog.Nop(), handover: handoverFile(handover),
 		proposals: map[string]chan reply{}, evacuation: evacuationState{ramps: map[string]*evacuation.Ramp{}}}
-	f.holder = consensus.NewLeaseHolder(Now(), f.name, 1, terms, f.voters, f, func(n int) int { return n - 1 })
+	f.holder = consensus.NewLeaseHolder(Now(), f.name, 1, timing, f.voters, f, func(n int) int { return n - 1 })
 	return f
 }
 
-// A process that starts after an upgrade acts on what the one before it left: a form that it can't read would let a
-// ban lapse.
+// After an upgrade a process acts on the handover file of the previous one. If it could not read the format,
+// endpoints that the fleet ejected would get requests again.
 func TestHandoverFileFormat(t *testing.T) {
 	plain := []consensus.Revision{{Number: 3, ProposalID: "p3", Author: "ann", Reason: "disk", Config: sampleConfig}, {Number: 4, ProposalID: "p4", Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1"}}}}
 	var many []consensus.Revision
 	for n := range uint64(maxPlainRevisions + 1) {
 		many = append(many, consensus.Revision{Number: n + 3, ProposalID: fmt.Sprint("p", n), Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{fmt.Sprint("h", n)}, MinListIndex: n}})
 	}
-	for name, versions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
+	for name, revisions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
 			f := newUnjoinedFleet(t, filepath.Join("testdata", name), &recordingBalancer{})
-			f.holder.Restore(3, versions)
+			f.holder.Restore(3, revisions)
 			f.effective = f.holder.EffectiveConfig(Now())
 			f.evacuation.ramps["z2"] = &evacuation.Ramp{}
 			f.evacuation.ramps["z2"].Resume(0.25, 1, 2)
 			f.writeHandover()
 		}
-		text, err := os.ReadFile(filepath.Join("testdata", name))
+		content, err := os.ReadFile(filepath.Join("testdata", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		left, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
-		if err := os.WriteFile(left, text, 0o600); err != nil {
+		path, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f := newUnjoinedFleet(t, left, balancer)
+		f := newUnjoinedFleet(t, path, balancer)
 		f.restoreHandover()
-		latest := versions[len(versions)-1].Number
-		if a := balancer.lastConfig; balancer.configsApplied != 1 || a.MinRevision != 3 || a.LatestRevision != latest || a.IsLeased || len(a.EjectedEndpoints) == 0 {
-			t.Errorf("%s: %d times, %+v", name, balancer.configsApplied, a)
+		latest := revisions[len(revisions)-1].Number
+		if applied := balancer.lastConfig; balancer.configsApplied != 1 || applied.MinRevision != 3 || applied.LatestRevision != latest || applied.IsLeased || len(applied.EjectedEndpoints) == 0 {
+			t.Errorf("%s: applied %d times, last %+v", name, balancer.configsApplied, applied)
 		}
 		for n, v := range f.holder.Revisions() {
-			if v.Digest() != versions[n].Digest() {
-				t.Errorf("%s: version %d is another", name, v.Number)
+			if v.Digest() != revisions[n].Digest() {
+				t.Errorf("%s: revision %d differs", name, v.Number)
 			}
 		}
-		if part, at := f.evacuation.ramps["z2"].Position(); part != 0.25 || at != 1 {
-			t.Errorf("%s: %v of z2 at %d", name, part, at)
+		if share, at := f.evacuation.ramps["z2"].Position(); share != 0.25 || at != 1 {
+			t.Errorf("%s: share of z2 is %v at %d", name, share, at)
 		}
 		f.writeHandover()
-		if again, err := os.ReadFile(left); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s: written again it is another, %v:\n%s", name, err, again)
+		if rewritten, err := os.ReadFile(path); err != nil || !bytes.Equal(rewritten, content) {
+			t.Errorf("%s: rewritten file differs, %v:\n%s", name, err, rewritten)
 		}
 	}
-	for _, spoilt := range []string{"", "{", `{"floor":5,"versions":[{"version":4}]}`, `{"floor":4,"versions":[{"version":4},{"version":6}]}`, `{"floor":1,"chain":"AAAA"}`} {
-		left, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
-		if err := os.WriteFile(left, []byte(spoilt), 0o600); err != nil {
+	for _, malformed := range []string{"", "{", `{"floor":5,"versions":[{"version":4}]}`, `{"floor":4,"versions":[{"version":4},{"version":6}]}`, `{"floor":1,"chain":"AAAA"}`} {
+		path, balancer := filepath.Join(t.TempDir(), "hollylever.fleet"), &recordingBalancer{}
+		if err := os.WriteFile(path, []byte(malformed), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if f := newUnjoinedFleet(t, left, balancer); true {
+		if f := newUnjoinedFleet(t, path, balancer); true {
 			if f.restoreHandover(); balancer.configsApplied != 0 || f.effective.LatestRevision != 0 {
-				t.Errorf("%q is acted on", spoilt)
+				t.Errorf("malformed file %q was applied", malformed)
 			}
 		}
 	}
 }
 
-// A process that took a number at or below that of the one before it would be taken for that one's past: the file's
-// form has to stay readable.
+// The file format must stay readable: a process whose incarnation is not above the previous one's would be ignored by
+// its peers as outdated.
 func TestIncarnationFileFormat(t *testing.T) {
 	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	first := nextIncarnation(folder, now, 12345)
-	text, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
+	content, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
 	if err != nil || first != 7130316800000012345 {
 		t.Errorf("%d, %v", first, err)
 	}
-	golden(t, "hollylever.incarnation", text)
+	golden(t, "hollylever.incarnation", content)
 	fixture, _ := os.ReadFile("testdata/hollylever.incarnation")
 	if err := os.WriteFile(filepath.Join(folder, "hollylever.incarnation"), fixture, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if next := nextIncarnation(folder, now.Add(-time.Hour), 3); next != 7130316800004194307 {
-		t.Errorf("after a step back of the clock: %d", next)
+		t.Errorf("after the clock was stepped back: %d", next)
 	}
 }
