--- a/fleet/lease_test.go
+++ b/fleet/lease_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkCheckLease measures what each decision of the balancer pays for the look at its lease.
+// BenchmarkCheckLease measures the cost that the lease check adds to each decision of the balancer.
 func BenchmarkCheckLease(b *testing.B) {
 	f := &Fleet{}
 	f.lease.expiry.Store(1 << 62)
@@ -12,9 +12,8 @@
 	}
 }
 
-// The lease is looked at in each decision, some ten thousand a second: an allocation there would be paid as often.
-// And a decision after the lease's end that counted as one under it would be made on a configuration that the fleet
-// has changed.
+// CheckLease runs for each decision, about ten thousand times per second, so it must not allocate. It must also not
+// accept an expired lease: the decision would use a configuration that the fleet may have changed.
 func TestCheckLeaseAllocatesNothing(t *testing.T) {
 	f := &Fleet{}
 	f.lease.expiry.Store(1 << 62)
@@ -25,6 +24,6 @@
 	}
 	f.lease.expiry.Store(1)
 	if f.CheckLease() || f.lease.decisionsWithoutLease.Load() != 1 {
-		t.Error("an expired lease counts")
+		t.Error("an expired lease is accepted, or its decision is not counted")
 	}
 }
