--- a/fleetconfig/fleetconfig_test.go
+++ b/fleetconfig/fleetconfig_test.go
@@ -10,11 +10,11 @@
 	"hollylever/config"
 )
 
-// largeFleet is how many processes the tests of size have.
+// largeFleet is the number of processes in the tests of a large fleet.
 const largeFleet = 1024
 
-// A fleet that has grown to the largest size must still start from its settings: as many peers as may be, with the
-// longest names and addresses, are read, and one more is refused.
+// A fleet of the maximum size must be able to start from its settings: the maximum number of peers, with names of the
+// maximum length and long addresses, is accepted, and one more is rejected.
 func TestLargestFleetConfig(t *testing.T) {
 	readSettings := func(peers int) (config.Values, []config.FieldError) {
 		var entries []string
@@ -32,12 +32,12 @@
 		return config.Read(file, []config.Section{ConfigSection})
 	}
 	for _, count := range []int{largeFleet, MaxMembers} {
-		values, mistakes := readSettings(count)
-		if len(mistakes) > 0 {
-			t.Fatalf("%d peers: %.200s", count, mistakes[0])
+		values, errs := readSettings(count)
+		if len(errs) > 0 {
+			t.Fatalf("%d peers: %.200s", count, errs[0])
 		}
 		if peers, err := ParsePeers(values.Text("fleet.peers")); err != nil || len(peers) != count {
-			t.Errorf("%d peers of %d, %v", len(peers), count, err)
+			t.Errorf("parsed %d of %d peers, %v", len(peers), count, err)
 		}
 		if err := Validate(values, ""); err != nil {
 			t.Error(err)
@@ -45,13 +45,13 @@
 	}
 	values, _ := readSettings(largeFleet)
 	if rate := SendRate(values, largeFleet); rate < 16_000_000 {
-		t.Errorf("%d bytes a second among %d", rate, largeFleet)
+		t.Errorf("send rate is %d bytes per second with %d members", rate, largeFleet)
 	}
 	if rate := SendRate(config.Defaults([]config.Section{ConfigSection}), 3); rate > 1_100_000 {
-		t.Errorf("%d bytes a second among 3", rate)
+		t.Errorf("send rate is %d bytes per second with 3 members", rate)
 	}
-	values, mistakes := readSettings(MaxMembers + 1)
-	if err := Validate(values, ""); len(mistakes) == 0 && err == nil {
-		t.Error("one more than MaxMembers is taken")
+	values, errs := readSettings(MaxMembers + 1)
+	if err := Validate(values, ""); len(errs) == 0 && err == nil {
+		t.Error("MaxMembers+1 peers are accepted")
 	}
 }
