--- a/fleetconfig/peers_test.go
+++ b/fleetconfig/peers_test.go
@@ -8,8 +8,8 @@
 	"hollylever/config"
 )
 
-// A peer that is listed wrongly or twice would be unreachable, or counted twice, without a word; a start is refused
-// instead.
+// Malformed and duplicate peers must be rejected. Otherwise a peer would be unreachable or counted twice without any
+// error being reported.
 func TestParsePeers(t *testing.T) {
 	peers, err := ParsePeers(" a=127.0.0.1:1 , b=127.0.0.1:2,")
 	if err != nil || len(peers) != 2 || peers[1] != (Peer{"b", "127.0.0.1:2"}) {
@@ -23,13 +23,13 @@
 		strings.Repeat("n", 200) + "=127.0.0.1:1": ErrPeerForm,
 	} {
 		if _, err := ParsePeers(text); !errors.Is(err, want) {
-			t.Errorf("%.30q: %v, not %v", text, err, want)
+			t.Errorf("%.30q: got error %v, want %v", text, err, want)
 		}
 	}
 }
 
-// What is wrong in a table is looked for by its field and its kind, in code as in logs: an operator who sees neither
-// searches a file of a thousand peers.
+// Validation errors must identify the field and the kind of error, for callers and in logs. Without these, operators
+// have to search through settings with a thousand peers.
 func TestValidateNamesTheField(t *testing.T) {
 	const common = "[fleet]\non = true\nlisten = \"127.0.0.1:1\"\n"
 	for text, want := range map[string]InvalidFieldError{
@@ -37,9 +37,9 @@
 		common + "peers = \"a=127.0.0.1:1, a=127.0.0.1:1\"\n": {Field: "peers", Err: ErrDuplicatePeer},
 		common + "lease = \"1s\"\npause = \"2s\"\n":           {Field: "pause"},
 	} {
-		own, mistakes := config.Parse("own.toml", []byte(text), []config.Section{ConfigSection})
-		if len(mistakes) > 0 {
-			t.Fatal(mistakes)
+		own, errs := config.Parse("own.toml", []byte(text), []config.Section{ConfigSection})
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
 		var invalid *InvalidFieldError
 		err := Validate(own, "")
