--- a/fleetconfig/proposal_test.go
+++ b/fleetconfig/proposal_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// An operator in an incident mistypes a field of a proposal. Were the field ignored, the proposal would be accepted and
-// do something else; it is refused with its file, line and field before anybody votes.
+// A proposal with a misspelled field must be rejected, with its file, line and field, before it is sent to the voters.
+// If the field were ignored, the proposal would be accepted but have a different effect than intended.
 func TestProposalErrorsNamePosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"why = \"w\"\nouts = [\"h\"]\n":       "f:2:1: outs: no such field",
@@ -17,13 +17,13 @@
 		"made_for = -1\n":                     "f:1:",
 		"out = [\"h\"]\n[limits]\nheld = 5\n": "",
 	} {
-		proposal, mistakes := ParseProposal("f", []byte(text))
+		proposal, errs := ParseProposal("f", []byte(text))
 		got := ""
-		for _, mistake := range mistakes {
-			got += fmt.Sprintln(mistake)
+		for _, err := range errs {
+			got += fmt.Sprintln(err)
 		}
 		if !strings.HasPrefix(got, want) {
-			t.Errorf("%q: %q, not %q", text, got, want)
+			t.Errorf("%q: got %q, want %q", text, got, want)
 		}
 		if want == "" && (got != "" || len(proposal.EjectEndpoints) != 1 || proposal.Limits["held"] != 5) {
 			t.Errorf("%q: %q, %+v", text, got, proposal)
