--- a/fleet/proposals_test.go
+++ b/fleet/proposals_test.go
@@ -12,14 +12,14 @@
 	"hollylever/membership"
 )
 
-// scriptedVoters is an exchange in which the voters answer as scripted. It notes each attempt.
+// scriptedVoters is a fake exchange whose voters give scripted answers. It records each attempt.
 type scriptedVoters struct {
 	membership.Exchange
-	fleet    *Fleet
-	began    time.Time
-	attempts strings.Builder
-	answer   func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: none
-	count    int
+	fleet     *Fleet
+	startedAt time.Time
+	attempts  strings.Builder
+	answer    func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult // nil: no answer
+	count     int
 }
 
 func (s *scriptedVoters) Send(to string, message []byte) error {
@@ -31,7 +31,7 @@
 	if m.Ticket != nil {
 		ticket = fmt.Sprint("of term ", m.Ticket.Term)
 	}
-	fmt.Fprintf(&s.attempts, "  %v to %s, ticket %s\n", time.Since(s.began), to, ticket)
+	fmt.Fprintf(&s.attempts, "  %v to %s, ticket %s\n", time.Since(s.startedAt), to, ticket)
 	result := s.answer(to, s.count, m)
 	s.count++
 	if result == nil {
@@ -43,9 +43,8 @@
 	return nil
 }
 
-// An operator's proposal has to reach whoever leads, whichever voters are gone, and "rejected" has to mean that it
-// never takes effect: whom each attempt goes to, when, and with which ticket is held against a file of testdata, as
-// is the answer in the end.
+// A proposal must reach the leader whichever voters are gone, and a rejected proposal must never take effect. The test
+// compares the target, time and ticket of each attempt, and the final result, with a golden file.
 func TestProposalAttempts(t *testing.T) {
 	noLeader := &consensus.ProposalResult{Reason: "nobody leads: an election"}
 	ticket := func(term uint64) *consensus.ProposalResult {
@@ -54,7 +53,7 @@
 	var out strings.Builder
 	for _, c := range []struct {
 		name   string
-		leader string // as the process knows it; "": nobody
+		leader string // as known to the process; "" if none
 		answer func(to string, attempt int, m *consensus.Message) *consensus.ProposalResult
 	}{
 		{"no voter answers", "", func(string, int, *consensus.Message) *consensus.ProposalResult { return nil }},
@@ -94,11 +93,11 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newUnjoinedFleet(t, "", &recordingBalancer{})
 			f.voters = []string{"b2", "b3", "b4"}
-			voters := &scriptedVoters{fleet: f, began: time.Now(), answer: c.answer}
+			voters := &scriptedVoters{fleet: f, startedAt: time.Now(), answer: c.answer}
 			f.exchange = voters
 			f.holder.HandleLeaseResponse(Now(), &consensus.LeaseResponse{Leader: c.leader})
 			result := f.Propose(context.Background(), consensus.Proposal{ID: "p", EjectEndpoints: []string{"h"}})
-			fmt.Fprintf(&out, "%s\n%s  result after %v: revision %d, %q, final %t\n", c.name, voters.attempts.String(), time.Since(voters.began),
+			fmt.Fprintf(&out, "%s\n%s  result after %v: revision %d, %q, final %t\n", c.name, voters.attempts.String(), time.Since(voters.startedAt),
 				result.Revision, result.Reason, result.IsFinal)
 			synctest.Wait()
 		})
