--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -181,7 +181,7 @@
 			key:            request.key,
 			endpoint:       noEndpoint,
 			failedEndpoint: result.Endpoint,
-			failureLogOdds: failureLogOdds(poorRatio),
+			failureLogOdds: logOddsOfFailure(poorRatio),
 		}
 		return
 	}
@@ -189,7 +189,7 @@
 		return
 	}
 	record.failedEndpoint = result.Endpoint
-	record.failureLogOdds += failureLogOdds(poorRatio)
+	record.failureLogOdds += logOddsOfFailure(poorRatio)
 	id := keyQueueID{key: request.key}
 	if record.failureLogOdds >= throttleLogOdds && b.keyQueues[id] == nil {
 		record.failureLogOdds = 0
@@ -197,9 +197,9 @@
 	}
 }
 
-// failureLogOdds returns what one failure of a key adds to its odds, as a natural logarithm. poorRatio is the part of
+// logOddsOfFailure returns what one failure of a key adds to its odds, as a natural logarithm. poorRatio is the part of
 // all attempts that fail or are answered late.
-func failureLogOdds(poorRatio float64) float64 {
+func logOddsOfFailure(poorRatio float64) float64 {
 	return min(maxFailureLogOdds, math.Log(throttledFailureRatio/poorRatio))
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -39,8 +39,9 @@
 	// maxOverdueRatio is the part of the requests up to which attempts may be overdue while requests are still hedged.
 	maxOverdueRatio = 0.08
 
-	// maxHedgingShedRatio is the part of the requests that may be rejected for overload while others are still hedged.
-	maxHedgingShedRatio = maxOverdueRatio / 4
+	// maxHedgingRejectedRatio is the part of the requests that may be rejected for overload while others are still
+	// hedged.
+	maxHedgingRejectedRatio = maxOverdueRatio / 4
 )
 
 // retryBudget is a token bucket that successes fill and retries drain.
@@ -116,7 +117,7 @@
 // for overload. Then single endpoints or connections are slow, and not all endpoints or the origin.
 func (b *Balancer) isOverdueRatioLow(arrivals float64) bool {
 	return b.overdue.Value < maxOverdueRatio*arrivals &&
-		b.admission.rejectedOverload.ValueAt(b.clock.activityTime) < maxHedgingShedRatio*arrivals
+		b.admission.rejectedOverload.ValueAt(b.clock.activityTime) < maxHedgingRejectedRatio*arrivals
 }
 
 // mayHedge reports whether a request may have two attempts in flight. For a throttled key both would wait for the same
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -51,7 +51,7 @@
 	Now, StartedAt, ActivityTime                                    int64
 	ActivityRate                                                    float64
 	InFlight, Successes, Failures, WarmAnswers                      Sum
-	Reads, ReadsMissed, ReadsFailed, Timely, Late                   Sum
+	Reads, ReadsMissed, ReadsFailed, Timely, LateOrFailed           Sum
 	Arrivals, RejectedOverload, CacheMisses, Answers, AnswerTime    Sum
 	ConnectFailures, Overdue                                        Sum
 	RetryTokens, BaseLatency, Admitted, OriginLimit, PeakThroughput float64
@@ -78,7 +78,7 @@
 func (s *State) sums() [15]*Sum {
 	return [15]*Sum{
 		&s.Successes, &s.Failures, &s.WarmAnswers,
-		&s.Reads, &s.ReadsMissed, &s.ReadsFailed, &s.Timely, &s.Late,
+		&s.Reads, &s.ReadsMissed, &s.ReadsFailed, &s.Timely, &s.LateOrFailed,
 		&s.Arrivals, &s.RejectedOverload, &s.CacheMisses, &s.Answers, &s.AnswerTime,
 		&s.ConnectFailures, &s.Overdue,
 	}
--- a/snapshot/golden_test.go
+++ b/snapshot/golden_test.go
@@ -31,7 +31,7 @@
 	return &Snapshot{BalancerName: "n1", SettingsFingerprint: 0x1122334455667788, WrittenAt: now.UnixNano(),
 		BootID: "another start", SinceBoot: 77, DiscoveryServer: "127.0.0.1:7000", ListIndex: 99, EndpointList: []byte(`{"index":99}`),
 		BalancerState: policy.State{Now: 5_000_000_000, StartedAt: 1_000_000_001, ActivityTime: 3_000_000_002, ActivityRate: 0.75, InFlight: sum(), Successes: sum(), Failures: sum(),
-			WarmAnswers: sum(), Reads: sum(), ReadsMissed: sum(), ReadsFailed: sum(), Timely: sum(), Late: sum(), Arrivals: sum(), RejectedOverload: sum(), CacheMisses: sum(),
+			WarmAnswers: sum(), Reads: sum(), ReadsMissed: sum(), ReadsFailed: sum(), Timely: sum(), LateOrFailed: sum(), Arrivals: sum(), RejectedOverload: sum(), CacheMisses: sum(),
 			Answers: sum(), AnswerTime: sum(), ConnectFailures: sum(), Overdue: sum(), RetryTokens: 3.5, BaseLatency: 2e8, Admitted: 0.625, OriginLimit: 12.5, PeakThroughput: 33.25,
 			PeakAt: 4_000_000_003, Fleetwide: kind(1.5), MachineTypes: []policy.MachineTypeState{kind(2.5), kind(3.5)}, Tenants: []policy.Sum{sum(), sum()},
 			Endpoints: []policy.EndpointState{server(1000), server(2000)}, Keys: []uint64{11, 12, 13}, KeyEndpoints: []uint32{1, 0, 1}}}
