--- a/consensus/config.go
+++ b/consensus/config.go
@@ -37,7 +37,7 @@
 	return len(c.EjectedEndpoints) + len(c.EvacuatedZones) + len(c.Limits)
 }
 
-func (c *ReplicatedConfig) hasCountsWithinBounds() bool {
+func (c *ReplicatedConfig) isWithinCountLimits() bool {
 	return len(c.EjectedEndpoints) <= maxNames && len(c.EvacuatedZones) <= maxNames && len(c.Limits) <= maxLimits
 }
 
--- a/consensus/golden_answers_test.go
+++ b/consensus/golden_answers_test.go
@@ -12,17 +12,17 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// outbox records the messages that are sent, other than raft's, as readable lines.
-type outbox struct{ lines []string }
+// recordingSender records the messages that are sent, other than raft's, as readable lines.
+type recordingSender struct{ lines []string }
 
-func (o *outbox) Send(to string, m *Message) {
+func (s *recordingSender) Send(to string, m *Message) {
 	if m.Raft == nil {
-		o.lines = append(o.lines, fmt.Sprintf("to %s: %q", to, m.Marshal()))
+		s.lines = append(s.lines, fmt.Sprintf("to %s: %q", to, m.Marshal()))
 	}
 }
 
-func (o *outbox) note(format string, args ...any) {
-	o.lines = append(o.lines, "# "+fmt.Sprintf(format, args...))
+func (s *recordingSender) note(format string, args ...any) {
+	s.lines = append(s.lines, "# "+fmt.Sprintf(format, args...))
 }
 
 // Guards against an operator who receives a wrong or no answer to a proposal, and acts on it. Produces each answer and
@@ -34,7 +34,7 @@
 		sim.advance()
 	}
 	at := slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })
-	p, out := sim.processes[at], &outbox{}
+	p, out := sim.processes[at], &recordingSender{}
 	r, now := p.replica, p.clock()
 	r.sender = out
 	propose := func(what string, c Proposal) {
@@ -122,7 +122,7 @@
 // Guards against unintended changes of the bounds of proposals and messages, and of the texts with which a proposer is
 // told about them.
 func TestGoldenBounds(t *testing.T) {
-	out := &outbox{}
+	out := &recordingSender{}
 	long, both := strings.Repeat("n", maxNameBytes+1), []string{"h"}
 	many := make([]string, maxNames+1)
 	for n := range many {
@@ -147,7 +147,7 @@
 	}
 	for _, bytes := range [][]byte{nil, {0xff}, encode(revisionChain{}),
 		encode(revisionChain{First: Revision{Number: 1}, Deltas: make([]Proposal,
-			maxShownRevisions+maxActiveRevisions+1)}),
+			maxRetainedRevisions+maxActiveRevisions+1)}),
 		encode(revisionChain{First: Revision{Number: 1}, Deltas: slices.Repeat([]Proposal{big}, 400)})} {
 		revisions, err := UnmarshalRevisions(bytes)
 		out.note("%d versions, refused %t", len(revisions), err != nil)
--- a/consensus/golden_longrun_test.go
+++ b/consensus/golden_longrun_test.go
@@ -14,7 +14,7 @@
 	sim := newSimulation(t, 7, 3, 2, true)
 	sim.trace = newTraceHash()
 	for _, p := range sim.processes[:3] {
-		p.disk.trace = sim.trace
+		p.storage.trace = sim.trace
 	}
 	for end := sim.now + int64(5*time.Second); sim.now < end; {
 		sim.advance()
@@ -28,7 +28,7 @@
 		}
 	}
 	line := fmt.Sprintf("revisions=%d sent=%d records=%d sha256=%s\n", len(sim.digests), sim.sent,
-		len(sim.processes[0].disk.records), sim.trace.sum())
+		len(sim.processes[0].storage.records), sim.trace.sum())
 	if sim.violation != "" || len(sim.accepted) != 300 {
 		t.Errorf("%d proposals accepted, want 300; violated invariant: %q", len(sim.accepted), sim.violation)
 	}
@@ -44,7 +44,7 @@
 		sim.advance()
 	}
 	p := sim.processes[slices.IndexFunc(sim.processes, func(p *process) bool { return p.replica.IsLeader() })]
-	r, out, start := p.replica, &outbox{}, p.clock()
+	r, out, start := p.replica, &recordingSender{}, p.clock()
 	r.sender = out
 	ticket := &ProposalTicket{r.term, start}
 	for _, after := range []time.Duration{0, 5 * time.Second, 10 * time.Second, 10*time.Second + 1} {
--- a/consensus/golden_test.go
+++ b/consensus/golden_test.go
@@ -73,7 +73,7 @@
 			sim := runSimulation(t, seed, replicas, 25_000, func(sim *simulation) {
 				sim.trace = tr
 				for _, p := range sim.processes[:replicas] {
-					p.disk.trace = tr // These disks were created before the trace was set.
+					p.storage.trace = tr // This storage was created before the trace was set.
 				}
 			})
 			if sim.healAndCheck(replicas); sim.violation != "" {
--- a/consensus/invariants_test.go
+++ b/consensus/invariants_test.go
@@ -91,7 +91,7 @@
 				heap.Pop(&sim.queue)
 			}
 			for n, p := range sim.processes[:3] {
-				p.disk = nil
+				p.storage = nil
 				sim.startProcess(n, true, 3)
 			}
 		}, "two histories|refused proposal in force|loosening too early"},
--- a/consensus/leases.go
+++ b/consensus/leases.go
@@ -92,9 +92,9 @@
 	r.node.ReadIndex(strconv.AppendUint(nil, leases.requestCount, 10))
 }
 
-// requestNumber decodes the request number that confirmLeadership passed to raft as the context of the round. It
+// decodeRequestNumber decodes the request number that confirmLeadership passed to raft as the context of the round. It
 // returns 0 for any other context.
-func requestNumber(context []byte) uint64 {
+func decodeRequestNumber(context []byte) uint64 {
 	number, err := strconv.ParseUint(string(context), 10, 64)
 	if err != nil {
 		return 0
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -140,7 +140,7 @@
 	switch {
 	case bytes.Equal(encoded, encode(before.Config)):
 		return before, ErrNoChange
-	case len(encoded) > maxConfigBytes || !config.hasCountsWithinBounds():
+	case len(encoded) > maxConfigBytes || !config.isWithinCountLimits():
 		return before, fmt.Errorf("the document would be too large: %d bytes, %d hosts, %d limits", len(encoded),
 			len(config.EjectedEndpoints), len(config.Limits))
 	}
--- a/consensus/proposals.go
+++ b/consensus/proposals.go
@@ -171,17 +171,17 @@
 
 // applyProposal applies a committed Propose command. The leader that wrote it proposes its acceptance, unless the
 // deadline has passed.
-func (r *Replica) applyProposal(now int64, proposal *Proposal, term uint64, isOwn bool) {
+func (r *Replica) applyProposal(now int64, proposal *Proposal, term uint64, isOwnEntry bool) {
 	r.state.Unaccepted = append(r.state.Unaccepted, unacceptedProposal{*proposal, term})
 	table := &r.leader.proposals
-	if i := table.indexOf(proposal.ID); isOwn && i >= 0 && now < table.pending[i].deadline {
+	if i := table.indexOf(proposal.ID); isOwnEntry && i >= 0 && now < table.pending[i].deadline {
 		table.pending[i].isAccepted = r.proposeCommand(command{Accept: proposal.ID})
 	}
 }
 
 // applyAcceptance applies a committed Accept command: it makes the proposal the next revision and answers its
 // proposer.
-func (r *Replica) applyAcceptance(id string, isOwn bool) {
+func (r *Replica) applyAcceptance(id string, isOwnEntry bool) {
 	revision, err := r.state.accept(id)
 	table := &r.leader.proposals
 	if i := table.indexOf(id); i >= 0 {
@@ -192,7 +192,7 @@
 		r.answerProposal(table.pending[i], result)
 		table.pending = slices.Delete(table.pending, i, i+1)
 	}
-	if isOwn && err == nil {
+	if isOwnEntry && err == nil {
 		r.notifyHolders()
 	}
 }
--- a/consensus/recorded_test.go
+++ b/consensus/recorded_test.go
@@ -184,7 +184,7 @@
 		Limits: map[string]int64{"held": 7}})
 	propose(Proposal{Author: "op", EvacuateZones: []string{"z1"}, SettingsDigest: &digest})
 	lost := 1 + leaderIndex()%2 // Another replica than b0 loses its state; a new incarnation replaces it.
-	sim.processes[lost].disk = nil
+	sim.processes[lost].storage = nil
 	sim.startProcess(lost, true, 3)
 	run(15 * time.Second)
 	propose(Proposal{Author: "op", UnejectEndpoints: []string{"h1"}, EjectEndpoints: []string{"h3"}})
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	records := sim.processes[0].disk.records
+	records := sim.processes[0].storage.records
 	if err := log.Replace(records[:2]); err != nil {
 		t.Fatal(err)
 	}
--- a/consensus/replica.go
+++ b/consensus/replica.go
@@ -269,7 +269,7 @@
 			r.applyEntry(now, e)
 		}
 		for _, read := range ready.ReadStates {
-			r.grantConfirmedLeases(now, requestNumber(read.RequestCtx), read.Index)
+			r.grantConfirmedLeases(now, decodeRequestNumber(read.RequestCtx), read.Index)
 		}
 		r.node.Advance(ready)
 		if r.err == nil {
--- a/consensus/revisions.go
+++ b/consensus/revisions.go
@@ -62,9 +62,9 @@
 // applyDeltas applies deltas to a revision one after the other and returns the resulting revisions. It bounds the
 // number of deltas and of names: without that, a small message could expand to gigabytes of configurations.
 func applyDeltas(before Revision, deltas []Proposal) ([]Revision, error) {
-	if len(deltas) > maxShownRevisions+maxActiveRevisions {
+	if len(deltas) > maxRetainedRevisions+maxActiveRevisions {
 		return nil, fmt.Errorf("%w: %d deltas, at most %d allowed", errInvalidRevisions, len(deltas),
-			maxShownRevisions+maxActiveRevisions)
+			maxRetainedRevisions+maxActiveRevisions)
 	}
 	revisions := make([]Revision, 0, len(deltas))
 	names := 0
--- a/consensus/revisions_test.go
+++ b/consensus/revisions_test.go
@@ -160,7 +160,7 @@
 		}
 	}
 	lost := (leaderIndex() + 1) % 3
-	sim.processes[lost].disk = nil
+	sim.processes[lost].storage = nil
 	sim.startProcess(lost, true, 3)
 	advanceUntil("the replica that lost its state has all revisions", func() bool {
 		r := sim.processes[lost].replica
--- a/consensus/simulation_test.go
+++ b/consensus/simulation_test.go
@@ -62,7 +62,7 @@
 	clockBase, clockBaseAt int64 // the process's clock showed clockBase at true time clockBaseAt
 	replica                *Replica
 	holder                 *LeaseHolder
-	disk                   *memoryStorage
+	storage                *memoryStorage
 	hasDisk                bool // the replica's state survives a crash
 	isDown                 bool
 	isPaused               bool
@@ -107,22 +107,22 @@
 	trace      *traceHash
 }
 
-func (d *memoryStorage) Append(records [][]byte) error {
-	d.trace.add(1, records)
+func (s *memoryStorage) Append(records [][]byte) error {
+	s.trace.add(1, records)
 	for _, r := range records {
 		var as record
-		if d.dropsVotes && strictDecoding.Unmarshal(r, &as) == nil && as.HardState != nil {
+		if s.dropsVotes && strictDecoding.Unmarshal(r, &as) == nil && as.HardState != nil {
 			continue
 		}
-		d.records = append(d.records, slices.Clone(r))
+		s.records = append(s.records, slices.Clone(r))
 	}
 	return nil
 }
 
-func (d *memoryStorage) Replace(records [][]byte) error {
-	d.trace.add(2)
-	d.records = nil
-	return d.Append(records)
+func (s *memoryStorage) Replace(records [][]byte) error {
+	s.trace.add(2)
+	s.records = nil
+	return s.Append(records)
 }
 
 // discardSender discards all messages.
@@ -149,7 +149,7 @@
 	return sim
 }
 
-// startProcess starts or restarts a process, with the state on its disk.
+// startProcess starts or restarts a process, with the state in its storage.
 func (sim *simulation) startProcess(n int, hasReplica bool, replicas int) {
 	p := sim.processes[n]
 	p.clockBaseAt, p.clockBase = sim.now, p.clockBase+sim.random.Int64N(1e9)
@@ -161,11 +161,11 @@
 	}
 	p.holder = NewLeaseHolder(p.clock(), p.name, incarnation, testTiming, names, p, sim.random.IntN)
 	if hasReplica {
-		if p.disk == nil || !p.hasDisk {
-			p.disk = &memoryStorage{dropsVotes: sim.dropsVotes}
+		if p.storage == nil || !p.hasDisk {
+			p.storage = &memoryStorage{dropsVotes: sim.dropsVotes}
 		}
-		p.disk.trace = sim.trace
-		r, err := NewReplica(p.clock(), p.name, incarnation, testTiming, names, p.disk.records, p.disk, p,
+		p.storage.trace = sim.trace
+		r, err := NewReplica(p.clock(), p.name, incarnation, testTiming, names, p.storage.records, p.storage, p,
 			sim.random.IntN)
 		if err != nil {
 			sim.t.Fatalf("step %d: %v", sim.step, err)
--- a/consensus/statemachine.go
+++ b/consensus/statemachine.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxShownRevisions is how many revisions are kept for operators to look at. More are kept only while they are
+	// maxRetainedRevisions is how many revisions are kept for operators to look at. More are kept only while they are
 	// active.
-	maxShownRevisions = 256
+	maxRetainedRevisions = 256
 	// maxActiveRevisions, maxActiveBytes and maxActiveNames bound the active revisions, because a lease response to a
 	// new holder carries all of them in one message. The bytes are the encoded size of the first revision and of the
 	// delta of each later one. The names are counted over all configurations, as memory use depends on them.
@@ -175,11 +175,11 @@
 	return nil
 }
 
-// dropOldRevisions drops the oldest inactive revisions beyond maxShownRevisions, half of maxActiveBytes or
+// dropOldRevisions drops the oldest inactive revisions beyond maxRetainedRevisions, half of maxActiveBytes or
 // maxActiveNames. Active revisions are never dropped.
 func (s *replicatedState) dropOldRevisions() {
 	bytes, names, from := 0, 0, len(s.History)-1
-	for ; from > 0 && len(s.History)-from < maxShownRevisions; from-- {
+	for ; from > 0 && len(s.History)-from < maxRetainedRevisions; from-- {
 		bytes, names = bytes+s.History[from].deltaBytes, names+s.History[from].Config.nameCount()
 		if bytes > maxActiveBytes/2 || names > maxActiveNames {
 			break
