--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -75,7 +75,7 @@
 	full := Status{Name: "b1", Zone: "z1", Leader: "b2", Effective: consensus.EffectiveConfig{MinRevision: 3, LatestRevision: 4, IsLeased: true, BudgetShare: 0.25, ReplicatedConfig: sampleConfig}, MaxDisagreement: "1.986s",
 		LeaseLeftMS: 321, DecisionsWithoutLease: 1, DecisionsUnderLease: 2, MessagesDropped: 3, Members: []MemberStatus{{MemberState: member}, {MemberState: membership.MemberState{Name: "b2"}, HeardMSAgo: 44, IsGone: true}}, PeerDrains: []string{"h9"},
 		Replica: &ReplicaStatus{IsLeader: true, IsBootstrapped: true, ActiveLeases: 6}, Revisions: revisions,
-		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Witnesses: 2, Zones: 3, ConsecutiveFailures: 4,
+		Outliers: &OutlierStatus{Sent: 1, Accepted: 2, Stale: 3, Invalid: 4, Dropped: 5, WidespreadMisses: true, Endpoints: []outlier.EndpointStatus{{ID: 1, Endpoint: "h1", Reporters: 2, ReporterZones: 3, ConsecutiveFailures: 4,
 			OwnConsecutiveFailures: 5, Ejected: true, HoldsProbeLease: true, Penalty: 0.75, EjectedMillis: 66}, {Endpoint: "h2", Ejected: true, Penalty: 0.5, EjectedMillis: 7}, {Endpoint: "h4", Ejected: true}, {Endpoint: "h5"}}},
 		Subset: []string{"h1", "h2"}, Zones: []ZoneStatus{{Zone: "z1", Endpoints: 4, Failing: 1, IsOwn: true, EvacuatedByOperator: true, Share: 0.5},
 			{Zone: "z2", Endpoints: 4, Failing: 4, EvacuatedAutomatically: true, Share: 1}, {Zone: "z3", Endpoints: 5, Share: 0.25}, {Zone: "z4", Endpoints: 2, EvacuatedByOperator: true, EvacuatedAutomatically: true, Share: 1}}}
--- a/fleet/outliers.go
+++ b/fleet/outliers.go
@@ -196,8 +196,8 @@
 func (f *Fleet) logEjections(changes []ejectionChange) {
 	for _, c := range changes {
 		if c.isEjected {
-			f.log.Info().Str("endpoint", c.endpoint).Int("reporters", c.status.Witnesses).
-				Int("reporter_zones", c.status.Zones).Int("consecutive_failures", c.status.ConsecutiveFailures).
+			f.log.Info().Str("endpoint", c.endpoint).Int("reporters", c.status.Reporters).
+				Int("reporter_zones", c.status.ReporterZones).Int("consecutive_failures", c.status.ConsecutiveFailures).
 				Int("own_consecutive_failures", c.status.OwnConsecutiveFailures).Msg("outlier ejected")
 			continue
 		}
@@ -260,7 +260,7 @@
 		if !known {
 			continue
 		}
-		if status.Ejected && status.Witnesses > 0 {
+		if status.Ejected && status.Reporters > 0 {
 			zones[at].Failing++
 		}
 		if status.OwnConsecutiveFailures > 0 && zones[at].Zone == ownZone {
--- a/outlier/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		members, endpoints, reporters int
 		attempts, failures            int // observed before
-		want                          int // failures of each witness that it takes, or more than maxFailuresPerWitness
+		want                          int // failures required of each reporter, or more than maxFailuresPerReporter
 	}{
 		{12, 24, 1, 0, 0, 5}, // A single reporter is never enough.
 		{12, 24, 2, 0, 0, 2},
--- a/outlier/status.go
+++ b/outlier/status.go
@@ -6,8 +6,8 @@
 type EndpointStatus struct {
 	ID                     uint32  `json:"-"`
 	Endpoint               string  `json:"host"`      // filled in by the caller
-	Witnesses              int     `json:"witnesses"` // balancers that observed failures, this one included
-	Zones                  int     `json:"zones"`     // distinct zones of the balancers counted in Witnesses
+	Reporters              int     `json:"witnesses"` // balancers that observed failures, this one included
+	ReporterZones          int     `json:"zones"`     // distinct zones of the reporters
 	ConsecutiveFailures    int     `json:"failures_in_a_row"`
 	OwnConsecutiveFailures int     `json:"own_failures_in_a_row"`
 	Ejected                bool    `json:"heeded"`
@@ -25,8 +25,8 @@
 		}
 		status := EndpointStatus{
 			ID:                     id,
-			Witnesses:              known.reporters,
-			Zones:                  known.zones,
+			Reporters:              known.reporters,
+			ReporterZones:          known.zones,
 			ConsecutiveFailures:    known.failures,
 			OwnConsecutiveFailures: endpoint.consecutiveFailures,
 			Ejected:                endpoint.isEjected(),
