--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -47,10 +47,10 @@
 func OpenGossip(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Gossip, error) {
 	g := &Gossip{
 		exchangeBase: exchangeBase{
-			name:     name,
-			delegate: delegate,
-			limiter:  newRateLimiter(bytesPerSecond),
-			oversize: largeMessageLimiter{maxInFlight: MaxMembers},
+			name:          name,
+			delegate:      delegate,
+			limiter:       newRateLimiter(bytesPerSecond),
+			largeMessages: largeMessageLimiter{maxInFlight: MaxMembers},
 		},
 		peers: map[string]string{},
 		nodes: map[string]*memberlist.Node{},
@@ -130,11 +130,11 @@
 		return ErrUnknownPeer
 	case len(frame) <= maxDatagramBytes:
 		return g.list.SendBestEffort(node, frame)
-	case !g.oversize.acquire(len(frame)):
+	case !g.largeMessages.acquire(len(frame)):
 		return ErrTooManyLargeMessages
 	}
 	go func() {
-		defer g.oversize.release(len(frame))
+		defer g.largeMessages.release(len(frame))
 		_ = g.list.SendReliable(node, frame) // It is lost, as a datagram may be.
 	}()
 	return nil
--- a/membership/messages.go
+++ b/membership/messages.go
@@ -23,13 +23,13 @@
 // exchangeBase is what both exchanges do alike: it handles the frames that come, keeps the member table and answers
 // requests for this process's state. An exchange embeds it and sets send and relay before the first frame can come.
 type exchangeBase struct {
-	name     string // of this process
-	delegate Delegate
-	members  memberTable
-	send     func(to string, kind frameKind, payload []byte) error
-	relay    func(state MemberState, frame []byte) // passes a state that was news on to others; nil: nobody needs it
-	limiter  rateLimiter
-	oversize largeMessageLimiter // of frames that go over connections
+	name          string // of this process
+	delegate      Delegate
+	members       memberTable
+	send          func(to string, kind frameKind, payload []byte) error
+	relay         func(state MemberState, frame []byte) // passes a state that was news on to others; nil: nobody needs it
+	limiter       rateLimiter
+	largeMessages largeMessageLimiter // of frames that go over connections
 
 	ownMu sync.Mutex
 	own   MemberState // as last published, with complete lists; guarded by ownMu
--- a/membership/plain.go
+++ b/membership/plain.go
@@ -40,10 +40,10 @@
 func OpenPlain(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Plain, error) {
 	p := &Plain{
 		exchangeBase: exchangeBase{
-			name:     name,
-			delegate: delegate,
-			limiter:  newRateLimiter(bytesPerSecond),
-			oversize: largeMessageLimiter{maxInFlight: max(minLargeInFlight, len(peers))},
+			name:          name,
+			delegate:      delegate,
+			limiter:       newRateLimiter(bytesPerSecond),
+			largeMessages: largeMessageLimiter{maxInFlight: max(minLargeInFlight, len(peers))},
 		},
 		peers: map[string]*net.UDPAddr{},
 		done:  make(chan struct{}),
@@ -85,11 +85,11 @@
 		_, err := p.datagrams.WriteToUDP(frame, address)
 		return err
 	}
-	if !p.oversize.acquire(len(frame)) {
+	if !p.largeMessages.acquire(len(frame)) {
 		return ErrTooManyLargeMessages
 	}
 	go func() {
-		defer p.oversize.release(len(frame))
+		defer p.largeMessages.release(len(frame))
 		_ = sendOverConnection(address.String(), frame) // It is lost, as a datagram may be.
 	}()
 	return nil
--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -27,7 +27,7 @@
 	if r == memory {
 		return total.MemoryBytes / initialMemoryDivisor
 	}
-	return total.of(r) / initialConnectionsDivisor
+	return total.get(r) / initialConnectionsDivisor
 }
 
 // drainingNeed returns what a process that drains still needs of a resource.
@@ -74,7 +74,7 @@
 func targetClaim(total Resources, own processState, others []processState) Resources {
 	all := takeCensus(own, others)
 	target := forEachResource(func(r resource) int64 {
-		available := max(0, total.of(r)-all.drainingClaims.of(r))
+		available := max(0, total.get(r)-all.drainingClaims.get(r))
 		switch {
 		case own.Phase == Draining:
 			return drainingNeed(total, own.Usage, r)
@@ -87,7 +87,7 @@
 		if r == memory { // Its usage changes slowly, and comes down to what is allowed: it is divided evenly.
 			return max(0, available-forStarting) / all.serving
 		}
-		return own.Usage.of(r) + max(0, available-forStarting-all.servingUsage.of(r))/all.serving
+		return own.Usage.get(r) + max(0, available-forStarting-all.servingUsage.get(r))/all.serving
 	})
 	if len(others) == 0 && own.Phase != Draining {
 		// Guards against a new process that starts while this one holds all memory: it maps its first part before it
@@ -101,16 +101,16 @@
 func nextClaim(total Resources, own processState, others []processState, mayRaise bool) Resources {
 	target := targetClaim(total, own, others)
 	return forEachResource(func(r resource) int64 {
-		claim, wanted := own.Claim.of(r), target.of(r)
+		claim, wanted := own.Claim.get(r), target.get(r)
 		if wanted <= claim {
-			return min(claim, max(wanted, own.Usage.of(r)))
+			return min(claim, max(wanted, own.Usage.get(r)))
 		}
 		if !mayRaise {
 			return claim
 		}
-		unclaimed := total.of(r)
+		unclaimed := total.get(r)
 		for _, other := range others {
-			unclaimed -= other.Claim.of(r)
+			unclaimed -= other.Claim.get(r)
 		}
 		return max(claim, min(wanted, unclaimed))
 	})
@@ -119,7 +119,7 @@
 // allowance returns what a process may come to use now: less than it claims while it comes down to its target.
 func allowance(total Resources, own processState, others []processState) Resources {
 	target := targetClaim(total, own, others)
-	return forEachResource(func(r resource) int64 { return min(own.Claim.of(r), target.of(r)) })
+	return forEachResource(func(r resource) int64 { return min(own.Claim.get(r), target.get(r)) })
 }
 
 // attemptShare returns the process's part of the attempts that all processes send, from 0 to 1. What all processes
--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -23,7 +23,7 @@
 	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
 	randomState := func() processState {
 		amount := func(most Resources) Resources {
-			return forEachResource(func(r resource) int64 { return random.Int64N(most.of(r) + 1) })
+			return forEachResource(func(r resource) int64 { return random.Int64N(most.get(r) + 1) })
 		}
 		state := processState{PID: 1, StartedAt: random.Int64N(4),
 			Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
--- a/siblings/group.go
+++ b/siblings/group.go
@@ -25,8 +25,8 @@
 	raiseLockFile   = "hollylever.kin.turn"
 )
 
-// ErrTooMany says that the balancer has maxProcesses processes already.
-var ErrTooMany = fmt.Errorf("%d processes of this balancer run already", maxProcesses)
+// ErrTooManyProcesses says that the balancer has maxProcesses processes already.
+var ErrTooManyProcesses = fmt.Errorf("%d processes of this balancer run already", maxProcesses)
 
 // Group is this process's place among the processes of its balancer. Its methods may be called concurrently.
 //
@@ -47,7 +47,7 @@
 }
 
 // Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns
-// ErrTooMany if no slot is free. If only publishing the state fails it returns the group with the error: Update
+// ErrTooManyProcesses if no slot is free. If only publishing the state fails it returns the group with the error: Update
 // publishes again.
 func Join(directory string, total Resources) (*Group, error) {
 	raiseLock, err := openFile(filepath.Join(directory, raiseLockFile), os.O_CREATE)
@@ -70,7 +70,7 @@
 		return g, g.publish()
 	}
 	raiseLock.Close()
-	return nil, ErrTooMany
+	return nil, ErrTooManyProcesses
 }
 
 // openFile opens a file to read and write. A link is not followed, as the directory may be writable for other users.
--- a/siblings/group_test.go
+++ b/siblings/group_test.go
@@ -150,8 +150,8 @@
 				g := running[random.IntN(len(running))]
 				allowed := allowance(g.total, g.own, g.others)
 				usage := forEachResource(func(r resource) int64 {
-					used := g.own.Usage.of(r)
-					if most := allowed.of(r); g.own.Phase != Draining && most > used {
+					used := g.own.Usage.get(r)
+					if most := allowed.get(r); g.own.Phase != Draining && most > used {
 						return used + random.Int64N(most-used+1)
 					} else if random.IntN(2) == 0 {
 						return used - random.Int64N(used+1)
@@ -166,13 +166,13 @@
 			for _, g := range running {
 				claims = claims.plus(g.own.Claim)
 				for _, r := range resources {
-					if g.own.Usage.of(r) > g.own.Claim.of(r) {
+					if g.own.Usage.get(r) > g.own.Claim.get(r) {
 						t.Fatalf("seed %d, step %d: a process uses %+v of %+v", seed, step, g.own.Usage, g.own.Claim)
 					}
 				}
 			}
 			for _, r := range resources {
-				if claims.of(r) > limits.of(r) {
+				if claims.get(r) > limits.get(r) {
 					t.Fatalf("seed %d, step %d: %+v is claimed of %+v", seed, step, claims, limits)
 				}
 			}
@@ -191,7 +191,7 @@
 	for range maxProcesses {
 		running = append(running, join(t, directory))
 	}
-	if _, err := Join(directory, limits); !errors.Is(err, ErrTooMany) {
+	if _, err := Join(directory, limits); !errors.Is(err, ErrTooManyProcesses) {
 		t.Errorf("one process too many: %v", err)
 	}
 	running[3].Close()
--- a/siblings/state.go
+++ b/siblings/state.go
@@ -34,8 +34,8 @@
 
 var resources = [...]resource{clientConnections, endpointConnections, memory}
 
-// of returns the amount of one resource.
-func (a Resources) of(r resource) int64 {
+// get returns the amount of one resource.
+func (a Resources) get(r resource) int64 {
 	switch r {
 	case clientConnections:
 		return a.ClientConnections
@@ -48,7 +48,7 @@
 
 // plus returns the sum of two amounts.
 func (a Resources) plus(b Resources) Resources {
-	return forEachResource(func(r resource) int64 { return a.of(r) + b.of(r) })
+	return forEachResource(func(r resource) int64 { return a.get(r) + b.get(r) })
 }
 
 // forEachResource returns the Resources that compute gives resource by resource.
@@ -110,7 +110,7 @@
 // ours.
 func (s *processState) isValid(total Resources) bool {
 	for _, r := range resources {
-		if claim := s.Claim.of(r); claim < 0 || claim > total.of(r) {
+		if claim := s.Claim.get(r); claim < 0 || claim > total.get(r) {
 			return false
 		}
 	}
