--- a/membership/largemessages.go
+++ b/membership/largemessages.go
@@ -2,21 +2,21 @@
 
 import "sync"
 
-// maxLargeBytesInFlight bounds the memory of large messages that wait for slow receivers.
+// maxLargeBytesInFlight limits the memory held by large messages that wait for slow receivers.
 const maxLargeBytesInFlight = 4 * maxMessageBytes
 
-// largeMessageLimiter bounds the frames in flight that are too long for a datagram, in number and in bytes. There may
-// be as many as there are peers: were there fewer, peers that do not answer would take all places until they time out,
-// and a peer that does answer would get nothing.
+// largeMessageLimiter limits the number and total size of in-flight frames that are too long for a datagram.
+// maxInFlight is at least the number of peers: with a lower limit, sends to unresponsive peers could occupy all slots
+// until they time out, and responsive peers would receive nothing.
 type largeMessageLimiter struct {
 	maxInFlight int
 
-	mu            sync.Mutex // guards all below
+	mu            sync.Mutex // guards the fields below
 	inFlight      int
 	bytesInFlight int
 }
 
-// acquire takes a place for a frame and reports whether there was one. A place that was taken is given back by release.
+// acquire reserves a slot for a frame and reports whether one was free. The caller must release a reserved slot.
 func (l *largeMessageLimiter) acquire(bytes int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -28,7 +28,7 @@
 	return true
 }
 
-// release gives the place of a frame back once it has been sent or has failed.
+// release frees the slot of a frame that has been sent or has failed.
 func (l *largeMessageLimiter) release(bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
