--- a/membership/messages.go
+++ b/membership/messages.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// frameKind is the first byte of each frame: it says what the rest is. The numbers are on the wire.
+// frameKind is the first byte of each frame and determines the format of its payload. The values are part of the wire
+// format.
 type frameKind byte
 
 const (
 	frameMessage      frameKind = 1
-	frameState        frameKind = 2 // a CBOR MemberState
+	frameState        frameKind = 2 // a MemberState in CBOR
 	frameBroadcast    frameKind = 3
-	frameStateRequest frameKind = 4 // the name of the member that asks; processes of earlier versions ignore it
+	frameStateRequest frameKind = 4 // the name of the requesting member; ignored by processes of earlier versions
 )
 
-// encodeFrame returns the frame of a payload.
 func encodeFrame(kind frameKind, payload []byte) []byte {
 	return append([]byte{byte(kind)}, payload...)
 }
 
-// exchangeBase is what both exchanges do alike: it handles the frames that come, keeps the member table and answers
-// requests for this process's state. An exchange embeds it and sets send and relay before the first frame can come.
+// exchangeBase implements what Plain and Gossip have in common: it handles received frames, maintains the member table
+// and answers requests for this process's state. An exchange that embeds it must set send and relay before the first
+// frame can be received.
 type exchangeBase struct {
-	name          string // of this process
+	name          string // name of this process
 	delegate      Delegate
 	members       memberTable
 	send          func(to string, kind frameKind, payload []byte) error
-	relay         func(state MemberState, frame []byte) // passes a state that was news on to others; nil: nobody needs it
+	relay         func(state MemberState, frame []byte) // relays a new state; nil if the exchange does not relay
 	limiter       rateLimiter
-	largeMessages largeMessageLimiter // of frames that go over connections
+	largeMessages largeMessageLimiter // limits frames sent over connections
 
-	ownMu sync.Mutex
-	own   MemberState // as last published, with complete lists; guarded by ownMu
+	ownStateMu sync.Mutex
+	ownState   MemberState // last published state with complete lists; guarded by ownStateMu
 }
 
-// Send implements Exchange: a frame of at most maxDatagramBytes goes as a datagram, a longer one over a connection.
+// Send implements Exchange. A frame of at most maxDatagramBytes is sent as a datagram, a longer one over a connection.
 func (b *exchangeBase) Send(to string, message []byte) error {
 	return b.send(to, frameMessage, message)
 }
 
 // RequestFullState implements Exchange.
 func (b *exchangeBase) RequestFullState(name string) {
-	// One that is not sent is asked for again: the caller does so for as long as the member's lists are cut.
+	// Errors need no handling: the caller repeats the request for as long as the member's lists are truncated.
 	_ = b.send(name, frameStateRequest, []byte(b.name))
 }
 
 // Members implements Exchange.
 func (b *exchangeBase) Members() []Member { return b.members.list(time.Now()) }
 
-// setOwnState keeps the state that answers to requests carry.
+// setOwnState stores the state that is sent in response to frameStateRequest.
 func (b *exchangeBase) setOwnState(state MemberState) {
-	b.ownMu.Lock()
-	defer b.ownMu.Unlock()
-	b.own = state
+	b.ownStateMu.Lock()
+	defer b.ownStateMu.Unlock()
+	b.ownState = state
 }
 
-// handleFrame handles a frame, which it keeps. Anybody on the network can send one: what is no frame is dropped.
+// handleFrame dispatches a received frame and takes ownership of its memory. Any host on the network can send one, so
+// malformed frames are dropped.
 func (b *exchangeBase) handleFrame(frame []byte) {
 	if len(frame) < 2 || len(frame) > maxMessageBytes+1 {
 		return
@@ -74,19 +76,19 @@
 	}
 }
 
-// handleStateRequest answers a member with this process's state and its complete lists.
+// handleStateRequest sends this process's complete state to the requesting member.
 func (b *exchangeBase) handleStateRequest(from string) {
-	b.ownMu.Lock()
-	own := b.own
-	b.ownMu.Unlock()
+	b.ownStateMu.Lock()
+	own := b.ownState
+	b.ownStateMu.Unlock()
 	if own.Name != "" {
-		// A member that gets no answer asks again.
+		// Errors need no handling: a member that gets no response repeats its request.
 		_ = b.send(from, frameState, marshalState(own.truncate(maxMessageBytes, false)))
 	}
 }
 
-// handleState takes a member's state into the table. One that is no news goes no further, so that relayed states die
-// out.
+// handleState adds a member's state to the table. A state that is not new is neither relayed nor passed to the
+// delegate, so that relaying comes to an end.
 func (b *exchangeBase) handleState(frame []byte) {
 	state, err := unmarshalState(frame[1:])
 	if err != nil || state.Name == b.name || !b.members.update(state, time.Now()) {
