--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// maxPacketOverheadBytes is room for what memberlist adds to a datagram.
+	// maxPacketOverheadBytes allows for the headers that memberlist adds to a datagram.
 	maxPacketOverheadBytes = 200
-	// pushPullInterval is how often a member exchanges its full state with another over a connection: what gossip lost
-	// is known by then.
+	// pushPullInterval is the interval between push/pull syncs with another member over a connection. They bound how
+	// long a state lost by gossip stays unknown.
 	pushPullInterval = 10 * time.Second
 	// joinMinInterval and joinMaxInterval bound the backoff between attempts to join the configured peers.
 	joinMinInterval = time.Second
 	joinMaxInterval = 30 * time.Second
-	// leaveTimeout is how long Close waits for the others to hear of it.
+	// leaveTimeout is how long Close waits for the leave message to spread.
 	leaveTimeout = 200 * time.Millisecond
 )
 
-// Gossip is the exchange among processes that find each other through hashicorp/memberlist. A member's state goes to
-// each member it knows as a datagram, is relayed by those for whom it is news, and is part of memberlist's push/pull.
+// Gossip is the exchange for processes that discover each other through hashicorp/memberlist. A member sends its state
+// as a datagram to each member it knows. Receivers relay states that are new to them, and memberlist's push/pull syncs
+// carry them as well.
 type Gossip struct {
 	exchangeBase
-	list       *memberlist.Memberlist
+	memberlist *memberlist.Memberlist
 	broadcasts *memberlist.TransmitLimitedQueue
-	peers      map[string]string // addresses of configured peers by name, without this process; not changed once it is open
+	peers      map[string]string // addresses by name, excluding this process; read-only after OpenGossip
 	done       chan struct{}     // closed by Close
 
-	mu         sync.Mutex                  // guards all below
-	stateFrame []byte                      // this process's state as all get it
-	nodes      map[string]*memberlist.Node // reachable members by name; copies, as memberlist changes its own
+	mu         sync.Mutex                  // guards the fields below
+	stateFrame []byte                      // this process's state as sent to all members
+	nodes      map[string]*memberlist.Node // reachable members by name; copies, because memberlist modifies its own
 }
 
-// OpenGossip listens at an address for datagrams and connections, calls delegate with what comes, and joins the peers
-// in the background. bytesPerSecond limits what it sends; 0: no limit. An error says that the address is malformed or
-// cannot be listened at.
+// OpenGossip listens on an address for datagrams and connections, passes what it receives to delegate, and joins the
+// peers in the background. bytesPerSecond is the send rate limit; 0 means unlimited. It returns an error if the address
+// is malformed or cannot be listened on.
 func OpenGossip(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Gossip, error) {
 	g := &Gossip{
 		exchangeBase: exchangeBase{
@@ -57,14 +58,14 @@
 		done:  make(chan struct{}),
 	}
 	g.send, g.relay = g.sendFrame, g.relayState
-	config, err := g.listConfig(listen)
+	config, err := g.memberlistConfig(listen)
 	if err != nil {
 		return nil, err
 	}
-	if g.list, err = memberlist.Create(config); err != nil {
+	if g.memberlist, err = memberlist.Create(config); err != nil {
 		return nil, fmt.Errorf("start gossip: %w", err)
 	}
-	g.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: g.list.NumMembers, RetransmitMult: config.RetransmitMult}
+	g.broadcasts = &memberlist.TransmitLimitedQueue{NumNodes: g.memberlist.NumMembers, RetransmitMult: config.RetransmitMult}
 	var addresses []string
 	for _, peer := range peers {
 		if peer.Name != name {
@@ -78,7 +79,7 @@
 	return g, nil
 }
 
-func (g *Gossip) listConfig(listen string) (*memberlist.Config, error) {
+func (g *Gossip) memberlistConfig(listen string) (*memberlist.Config, error) {
 	host, portText, err := net.SplitHostPort(listen)
 	if err != nil {
 		return nil, fmt.Errorf("parse listen address: %w", err)
@@ -97,13 +98,13 @@
 	return config, nil
 }
 
-// joinPeers joins the configured peers until Close, as long as there may be some that are not known. Guards a fleet
-// whose parts were cut off from each other for long enough that memberlist gave the others up: no part would ever look
-// for the others again.
+// joinPeers keeps trying to join the configured peers until Close, whenever the member list is too short to hold them
+// all. Without it, a network partition that lasts until memberlist gives up on the unreachable members would be
+// permanent, as neither side would contact the other again.
 func (g *Gossip) joinPeers(addresses []string) {
 	for interval := joinMinInterval; ; interval = min(interval*2, joinMaxInterval) {
-		if g.list.NumMembers() <= len(addresses) {
-			_, _ = g.list.Join(addresses) // Peers that are down now are tried again.
+		if g.memberlist.NumMembers() <= len(addresses) {
+			_, _ = g.memberlist.Join(addresses) // Unreachable peers are retried in the next iteration.
 		}
 		select {
 		case <-g.done:
@@ -123,19 +124,19 @@
 	g.mu.Unlock()
 	switch {
 	case node == nil && g.peers[to] != "" && len(frame) <= maxDatagramBytes:
-		// A configured peer that memberlist calls dead may be back: it takes seconds until that is known, and a lease
-		// may not wait.
-		return g.list.SendToAddress(memberlist.Address{Addr: g.peers[to]}, frame)
+		// A configured peer that memberlist considers dead may be back up. memberlist takes seconds to notice, which
+		// is too long for lease messages.
+		return g.memberlist.SendToAddress(memberlist.Address{Addr: g.peers[to]}, frame)
 	case node == nil:
 		return ErrUnknownPeer
 	case len(frame) <= maxDatagramBytes:
-		return g.list.SendBestEffort(node, frame)
+		return g.memberlist.SendBestEffort(node, frame)
 	case !g.largeMessages.acquire(len(frame)):
 		return ErrTooManyLargeMessages
 	}
 	go func() {
 		defer g.largeMessages.release(len(frame))
-		_ = g.list.SendReliable(node, frame) // It is lost, as a datagram may be.
+		_ = g.memberlist.SendReliable(node, frame) // A lost message is acceptable, as with datagrams.
 	}()
 	return nil
 }
@@ -143,12 +144,12 @@
 // PublishState implements Exchange.
 func (g *Gossip) PublishState(state MemberState) {
 	g.setOwnState(state)
-	frame := encodeFrame(frameState, marshalState(state.truncate(g.limiter.maxStateBytes(g.list.NumMembers()), true)))
+	frame := encodeFrame(frameState, marshalState(state.truncate(g.limiter.maxStateBytes(g.memberlist.NumMembers()), true)))
 	g.mu.Lock()
 	g.stateFrame = frame
 	g.mu.Unlock()
-	// It goes to each member at once, as among hundreds of members only a few states a second spread by relays; these
-	// reach the members that this one does not.
+	// With hundreds of members, relaying spreads only a few states per second, so the state is also sent directly to
+	// each member. Relaying reaches the members that this process cannot.
 	g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
 	g.sendToAll(frameState, frame)
 }
@@ -158,30 +159,30 @@
 	g.sendToAll(frameBroadcast, encodeFrame(frameBroadcast, message))
 }
 
-// sendToAll sends a frame to each other member as a datagram. What cannot be sent is lost: a newer state follows within
-// a second, and an outlier report is worth nothing later.
+// sendToAll sends a frame to each other member as a datagram. Frames that cannot be sent are dropped: a newer state
+// follows within a second, and an outlier report is useless if it arrives late.
 func (g *Gossip) sendToAll(kind frameKind, frame []byte) {
 	g.mu.Lock()
 	nodes := slices.Collect(maps.Values(g.nodes))
 	g.mu.Unlock()
 	for _, node := range nodes {
 		if node.Name != g.name && g.limiter.take(len(frame), kind, time.Now()) {
-			_ = g.list.SendBestEffort(node, frame)
+			_ = g.memberlist.SendBestEffort(node, frame)
 		}
 	}
 }
 
-// relayState has memberlist pass a state on. One that came over a connection is left out: its complete lists are for
-// this process alone.
+// relayState queues a state for relaying by memberlist. A state that was received over a connection is not relayed: it
+// is a complete state that only this process requested.
 func (g *Gossip) relayState(state MemberState, frame []byte) {
 	if len(frame) <= maxDatagramBytes {
 		g.broadcasts.QueueBroadcast(&stateBroadcast{state.Name, frame})
 	}
 }
 
-// Close implements Exchange. It tells the others first, so that they need not find out.
+// Close implements Exchange. It announces the leave first, so that the other members need not detect a failure.
 func (g *Gossip) Close() {
 	close(g.done)
-	_ = g.list.Leave(leaveTimeout) // Those that do not hear of it find out.
-	_ = g.list.Shutdown()
+	_ = g.memberlist.Leave(leaveTimeout) // Members that miss the announcement detect the failure themselves.
+	_ = g.memberlist.Shutdown()
 }
