--- a/membership/gossipdelegate.go
+++ b/membership/gossipdelegate.go
@@ -6,18 +6,19 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memberlistDelegate is what memberlist calls. Its methods must not wait, as they hold up all that memberlist receives.
+// memberlistDelegate receives memberlist's callbacks. Its methods must not block, as that would stall everything
+// memberlist receives.
 type memberlistDelegate struct{ gossip *Gossip }
 
-// NodeMeta implements memberlist.Delegate: what a member has to say is in its state.
+// NodeMeta implements memberlist.Delegate. Metadata is not used, as the member state carries everything.
 func (d *memberlistDelegate) NodeMeta(int) []byte { return nil }
 
-// NotifyMsg implements memberlist.Delegate. It copies the frame, whose memory memberlist uses again.
+// NotifyMsg implements memberlist.Delegate. It copies the frame because memberlist reuses the buffer.
 func (d *memberlistDelegate) NotifyMsg(frame []byte) {
 	d.gossip.handleFrame(slices.Clone(frame))
 }
 
-// GetBroadcasts implements memberlist.Delegate. memberlist may ask before OpenGossip has made the queue.
+// GetBroadcasts implements memberlist.Delegate. memberlist may call it before OpenGossip has created the queue.
 func (d *memberlistDelegate) GetBroadcasts(overhead, limit int) [][]byte {
 	if d.gossip.broadcasts == nil {
 		return nil
@@ -25,15 +26,15 @@
 	return d.gossip.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState implements memberlist.Delegate: it is this process's part of a push/pull.
+// LocalState implements memberlist.Delegate. It returns the state that this process sends in a push/pull sync.
 func (d *memberlistDelegate) LocalState(bool) []byte {
 	d.gossip.mu.Lock()
 	defer d.gossip.mu.Unlock()
 	return d.gossip.stateFrame
 }
 
-// MergeRemoteState implements memberlist.Delegate: it takes the other's part of a push/pull, which is a state or
-// nothing.
+// MergeRemoteState implements memberlist.Delegate. It handles what the other member sent in a push/pull sync: a state
+// frame, or nothing if that member has not published a state yet.
 func (d *memberlistDelegate) MergeRemoteState(frame []byte, _ bool) {
 	if len(frame) > 1 && frameKind(frame[0]) == frameState {
 		d.gossip.handleState(slices.Clone(frame))
@@ -41,10 +42,10 @@
 }
 
 // NotifyJoin implements memberlist.EventDelegate.
-func (d *memberlistDelegate) NotifyJoin(node *memberlist.Node) { d.keepNode(node) }
+func (d *memberlistDelegate) NotifyJoin(node *memberlist.Node) { d.storeNode(node) }
 
 // NotifyUpdate implements memberlist.EventDelegate.
-func (d *memberlistDelegate) NotifyUpdate(node *memberlist.Node) { d.keepNode(node) }
+func (d *memberlistDelegate) NotifyUpdate(node *memberlist.Node) { d.storeNode(node) }
 
 // NotifyLeave implements memberlist.EventDelegate.
 func (d *memberlistDelegate) NotifyLeave(node *memberlist.Node) {
@@ -54,8 +55,8 @@
 	d.gossip.members.remove(node.Name)
 }
 
-// keepNode keeps where a member is reached, of MaxMembers at most.
-func (d *memberlistDelegate) keepNode(node *memberlist.Node) {
+// storeNode stores the address of a member, for at most MaxMembers members.
+func (d *memberlistDelegate) storeNode(node *memberlist.Node) {
 	d.gossip.mu.Lock()
 	defer d.gossip.mu.Unlock()
 	if d.gossip.nodes[node.Name] == nil && len(d.gossip.nodes) >= MaxMembers {
@@ -65,7 +66,7 @@
 		PMin: node.PMin, PMax: node.PMax, PCur: node.PCur}
 }
 
-// stateBroadcast is a member's state on its way through memberlist; a newer one of the same member takes its place.
+// stateBroadcast is a member state queued in memberlist. A newer state of the same member replaces it.
 type stateBroadcast struct {
 	member string
 	frame  []byte
