--- a/membership/members.go
+++ b/membership/members.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// goneTimeout is how long a member may be silent before it counts as gone: five states in a row are lost by then.
+	// goneTimeout is how long a member may be silent before it counts as gone. By then five consecutive states were
+	// missed.
 	goneTimeout = 5 * time.Second
-	// forgetTimeout is how long a member that is gone is shown to operators.
+	// forgetTimeout is how long a silent member stays in the table, so that operators can still see it.
 	forgetTimeout = 60 * goneTimeout
-	// maxCompleteLists is of how many members complete lists are kept where these do not fit into one state, so that a
-	// fleet of thousands with long lists does not fill the memory. Few are enough: the lists of most members agree.
+	// maxCompleteLists is the number of members whose complete lists are kept when they do not fit into a published
+	// state. It bounds memory in a fleet of thousands with long lists. A few are enough, as most members have the same
+	// lists.
 	maxCompleteLists = 8
 )
 
-// Member is a process of the fleet as this one heard of it.
+// Member is another process of the fleet, as known to this process.
 type Member struct {
 	MemberState
-	LastSeen time.Time // when its newest state came
+	LastSeen time.Time // when its newest state was received
 
-	completeDigest uint64 // digest of the complete lists that are kept here; 0: it sent none
+	completeDigest uint64 // digest of the complete lists stored in MemberState; 0 if none were received separately
 }
 
-// IsPartial reports whether the member has longer lists than are known here.
+// IsPartial reports whether the lists of the member are known only in truncated form.
 func (m Member) IsPartial() bool {
 	return m.CompleteListsDigest != 0 && m.CompleteListsDigest != m.completeDigest
 }
@@ -33,16 +35,17 @@
 // IsGone reports whether the member has been silent for goneTimeout.
 func (m Member) IsGone(now time.Time) bool { return now.Sub(m.LastSeen) > goneTimeout }
 
-// memberTable keeps the newest state of each member, of MaxMembers at most. Its zero value is empty and ready for use.
+// memberTable holds the newest state of each member, for at most MaxMembers members. The zero value is ready to use.
 type memberTable struct {
-	mu       sync.Mutex // guards all below
-	members  map[string]Member
-	complete []string // names of members whose complete lists are kept, the latest last
+	mu                sync.Mutex // guards the fields below
+	members           map[string]Member
+	withCompleteLists []string // names of the members whose complete lists are kept, oldest first
 }
 
-// update takes a state and reports whether it was news. States may come late and out of order, as any of them may be
-// relayed: one of an earlier incarnation, or of this one with a lower number, changes nothing unless the member is
-// gone. The state of a member that is gone is always taken, as its numbers may begin anew after a loss of its files.
+// update stores a state and reports whether it was new. Relayed states may arrive late and out of order, so a state of
+// an earlier incarnation, or of the same incarnation without a higher Seq, is ignored unless the member is gone. The
+// state of a member that is gone is always accepted, because its incarnation may restart at a lower number if it lost
+// its files.
 func (t *memberTable) update(state MemberState, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,59 +70,59 @@
 	return true
 }
 
-// hasCompleteListsOf reports whether the complete lists that a state was cut from are kept here already.
+// hasCompleteListsOf reports whether the complete lists of a truncated state are already stored.
 func (m Member) hasCompleteListsOf(state MemberState) bool {
 	return state.Incarnation == m.Incarnation && state.CompleteListsDigest != 0 && state.CompleteListsDigest == m.completeDigest
 }
 
-// isCompletedBy reports whether a state holds the complete lists that the member's newest state was cut from.
+// isCompletedBy reports whether a state contains the complete lists of the member's newest, truncated state.
 func (m Member) isCompletedBy(state MemberState) bool {
 	return state.Incarnation == m.Incarnation && state.CompleteListsDigest == 0 &&
 		m.IsPartial() && state.listsDigest() == m.CompleteListsDigest
 }
 
-// isAtLeastAsNewAs reports whether the member's newest state is no older than another.
+// isAtLeastAsNewAs reports whether the stored state is at least as new as another state of the same member.
 func (m Member) isAtLeastAsNewAs(state MemberState) bool {
 	return state.Incarnation < m.Incarnation || state.Incarnation == m.Incarnation && state.Seq <= m.Seq
 }
 
-// addCompleteLists adds the lists of a state to a member's newest state, and drops those of the member that were added
-// first where there are too many.
+// addCompleteLists stores the complete lists of a state with the member's newest state. If this exceeds
+// maxCompleteLists, it drops the complete lists that were added first.
 func (t *memberTable) addCompleteLists(member Member, state MemberState) {
 	member.Drains, member.Evacuations, member.completeDigest = state.Drains, state.Evacuations, member.CompleteListsDigest
 	t.members[member.Name] = member
-	t.complete = slices.DeleteFunc(t.complete, func(name string) bool { return name == member.Name })
-	t.complete = append(t.complete, member.Name)
-	if len(t.complete) <= maxCompleteLists {
+	t.withCompleteLists = slices.DeleteFunc(t.withCompleteLists, func(name string) bool { return name == member.Name })
+	t.withCompleteLists = append(t.withCompleteLists, member.Name)
+	if len(t.withCompleteLists) <= maxCompleteLists {
 		return
 	}
-	if first, isKnown := t.members[t.complete[0]]; isKnown && first.completeDigest != 0 {
+	if first, isKnown := t.members[t.withCompleteLists[0]]; isKnown && first.completeDigest != 0 {
 		first.Drains, first.Evacuations, first.completeDigest = nil, nil, 0
-		t.members[t.complete[0]] = first
+		t.members[t.withCompleteLists[0]] = first
 	}
-	t.complete = t.complete[1:]
+	t.withCompleteLists = t.withCompleteLists[1:]
 }
 
-// evictLongestGone removes the member that has been gone for longest, and reports whether one was gone.
+// evictLongestGone removes the member that has been gone for the longest time and reports whether there was one.
 func (t *memberTable) evictLongestGone(now time.Time) bool {
-	longest := ""
+	longestGone := ""
 	for name, member := range t.members {
-		if member.IsGone(now) && (longest == "" || member.LastSeen.Before(t.members[longest].LastSeen)) {
-			longest = name
+		if member.IsGone(now) && (longestGone == "" || member.LastSeen.Before(t.members[longestGone].LastSeen)) {
+			longestGone = name
 		}
 	}
-	delete(t.members, longest)
-	return longest != ""
+	delete(t.members, longestGone)
+	return longestGone != ""
 }
 
-// remove forgets a member that has left.
+// remove deletes a member that has left.
 func (t *memberTable) remove(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.members, name)
 }
 
-// list forgets members that have been silent for forgetTimeout and returns the others, sorted by name.
+// list deletes the members that have been silent for longer than forgetTimeout and returns the others sorted by name.
 func (t *memberTable) list(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
