--- a/membership/plain.go
+++ b/membership/plain.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxIncomingConnections bounds the memory of frames that come over connections. A connection beyond it is closed,
-	// and its message is lost, which senders expect.
+	// maxIncomingConnections limits the memory held by frames received over connections. Further connections are closed
+	// and their messages lost, which senders tolerate.
 	maxIncomingConnections = 16
-	// minLargeInFlight lets a fleet of few processes send several long messages to one of them.
+	// minLargeInFlight allows several large messages in flight to the same peer even if the fleet is small.
 	minLargeInFlight = maxIncomingConnections
-	// largeMessageTimeout bounds dialing, and sending or receiving one frame over a connection. A lease does not
-	// outlast many of them, so a later message is worth more than a slow one.
+	// largeMessageTimeout limits dialing, and sending or receiving one frame over a connection. A lease lasts for only
+	// a few such timeouts, so it is better to give up on a slow message and send a newer one.
 	largeMessageTimeout = 2 * time.Second
 
-	datagramRetryInterval = time.Millisecond      // after an ICMP error that an earlier datagram caused
-	acceptRetryInterval   = 10 * time.Millisecond // after a failed accept, as when file descriptors run out
+	datagramRetryInterval = time.Millisecond      // after a read error, for example an ICMP error
+	acceptRetryInterval   = 10 * time.Millisecond // after a failed accept, for example when file descriptors run out
 )
 
-// Plain is the exchange among peers that are all configured: a datagram for each frame, and a connection for each that
-// is too long for one.
+// Plain is the exchange for a fixed list of configured peers. It sends each frame as a datagram, or over a connection
+// of its own if the frame is too long for a datagram.
 type Plain struct {
 	exchangeBase
 	datagrams *net.UDPConn
 	listener  net.Listener
-	peers     map[string]*net.UDPAddr // by name, this process among them; not changed once it is open
+	peers     map[string]*net.UDPAddr // by name, including this process; read-only after OpenPlain
 	done      chan struct{}           // closed by Close
 	closeOnce sync.Once
 }
 
-// OpenPlain listens at an address for datagrams and connections and calls delegate with what comes. bytesPerSecond
-// limits what it sends; 0: no limit. An error says that an address is malformed or cannot be listened at.
+// OpenPlain listens on an address for datagrams and connections and passes what it receives to delegate. bytesPerSecond
+// is the send rate limit; 0 means unlimited. It returns an error if an address is malformed or cannot be listened on.
 func OpenPlain(name, listen string, peers []Peer, bytesPerSecond int, delegate Delegate) (*Plain, error) {
 	p := &Plain{
 		exchangeBase: exchangeBase{
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("listen for datagrams: %w", err)
 	}
 	if p.listener, err = net.Listen("tcp", p.datagrams.LocalAddr().String()); err != nil {
-		_ = p.datagrams.Close() // Nothing has used it.
+		_ = p.datagrams.Close() // The socket has not been used yet.
 		return nil, fmt.Errorf("listen for connections: %w", err)
 	}
 	go p.readDatagrams()
@@ -90,12 +90,12 @@
 	}
 	go func() {
 		defer p.largeMessages.release(len(frame))
-		_ = sendOverConnection(address.String(), frame) // It is lost, as a datagram may be.
+		_ = sendOverConnection(address.String(), frame) // A lost message is acceptable, as with datagrams.
 	}()
 	return nil
 }
 
-// sendOverConnection sends a frame and its length, of four bytes in little-endian order, over a connection of its own.
+// sendOverConnection opens a connection and sends the length of a frame as a little-endian uint32, then the frame.
 func sendOverConnection(address string, frame []byte) error {
 	connection, err := net.DialTimeout("tcp", address, largeMessageTimeout)
 	if err != nil {
@@ -117,8 +117,8 @@
 // Broadcast implements Exchange.
 func (p *Plain) Broadcast(message []byte) { p.sendToAll(frameBroadcast, message) }
 
-// sendToAll sends a frame to each other peer. What cannot be sent is lost: a newer state follows within a second, and
-// an outlier report is worth nothing later.
+// sendToAll sends a frame to each other peer. Frames that cannot be sent are dropped: a newer state follows within a
+// second, and an outlier report is useless if it arrives late.
 func (p *Plain) sendToAll(kind frameKind, payload []byte) {
 	for name := range p.peers {
 		if name != p.name {
@@ -127,16 +127,16 @@
 	}
 }
 
-// Close implements Exchange. It may be called again.
+// Close implements Exchange. Further calls have no effect.
 func (p *Plain) Close() {
 	p.closeOnce.Do(func() {
 		close(p.done)
-		_ = p.datagrams.Close() // Nothing more is sent on it.
+		_ = p.datagrams.Close() // Nothing is sent on it any more.
 		p.listener.Close()
 	})
 }
 
-// isClosedWithin waits for so long and reports whether the exchange was closed by then.
+// isClosedWithin waits until the exchange is closed or the wait time has passed, and reports whether it was closed.
 func (p *Plain) isClosedWithin(wait time.Duration) bool {
 	select {
 	case <-p.done:
@@ -146,10 +146,10 @@
 	}
 }
 
-// readDatagrams handles datagrams until Close. A read fails, too, when the network answers an earlier datagram with an
-// error, as for a peer that is down; the peers that are up must be heard all the same.
+// readDatagrams handles datagrams until Close. It continues after read errors, because an ICMP error for an earlier
+// datagram, for example to a peer that is down, also makes a read fail.
 func (p *Plain) readDatagrams() {
-	buffer := make([]byte, maxDatagramBytes+1) // A longer datagram is no peer's: what is left of it is no message.
+	buffer := make([]byte, maxDatagramBytes+1) // Peers send nothing longer; other datagrams may be truncated.
 	for {
 		n, _, err := p.datagrams.ReadFromUDP(buffer)
 		if err == nil {
@@ -160,9 +160,9 @@
 	}
 }
 
-// acceptConnections receives one frame from each connection until Close.
+// acceptConnections accepts connections until Close and reads one frame from each.
 func (p *Plain) acceptConnections() {
-	places := make(chan struct{}, maxIncomingConnections)
+	slots := make(chan struct{}, maxIncomingConnections)
 	for {
 		connection, err := p.listener.Accept()
 		if err != nil {
@@ -172,13 +172,13 @@
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			connection.Close()
 			continue
 		}
 		go func() {
-			defer func() { connection.Close(); <-places }()
+			defer func() { connection.Close(); <-slots }()
 			if frame, err := readFrame(connection); err == nil {
 				p.handleFrame(frame)
 			}
@@ -186,14 +186,14 @@
 	}
 }
 
-var errFrameTooLong = errors.New("frame too long")
+var errFrameTooLong = errors.New("frame exceeds the maximum message size")
 
-// readFrame reads a frame as sendOverConnection sends it.
+// readFrame reads a frame in the format of sendOverConnection.
 func readFrame(connection net.Conn) ([]byte, error) {
 	connection.SetDeadline(time.Now().Add(largeMessageTimeout))
 	var length [4]byte
 	if _, err := io.ReadFull(connection, length[:]); err != nil {
-		return nil, fmt.Errorf("read length of frame: %w", err)
+		return nil, fmt.Errorf("read frame length: %w", err)
 	}
 	n := binary.LittleEndian.Uint32(length[:])
 	if n > maxMessageBytes+1 {
