--- a/membership/ratelimit.go
+++ b/membership/ratelimit.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// rateLimiter is a token bucket of bytes: it fills at a rate and holds what falls due in one second. Guards the
-// network, and the leases that share it, against the traffic of a large fleet in an incident, when each member has a
-// lot to tell.
+// rateLimiter is a token bucket that counts bytes and holds at most one second's worth. It keeps the traffic of a large
+// fleet from overloading the network during an incident, when every member has much to send, which would also delay
+// lease messages.
 type rateLimiter struct {
-	bytesPerSecond float64 // 0: no limit
+	bytesPerSecond float64 // 0 means unlimited
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	available float64    // bytes
-	updatedAt time.Time  // zero: never, and the bucket is full
+	updatedAt time.Time  // time of the last refill; zero before the first, when the bucket counts as full
 }
 
 func newRateLimiter(bytesPerSecond int) rateLimiter {
 	return rateLimiter{bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// reservedFraction is the fraction of the bucket that a kind of frame may not use: without it, a burst of broadcasts
-// would delay lease renewals until leases expire. Leases and revisions go first, then member states, then outlier
-// reports.
+// reservedFraction returns the fraction of the bucket that is reserved for frames of higher priority than kind. Without
+// the reserve, a burst of broadcasts could delay lease renewals until leases expire. Messages with leases and revisions
+// have the highest priority, then member states, then broadcasts with outlier reports.
 func reservedFraction(kind frameKind) float64 {
 	switch kind {
 	case frameState:
@@ -34,7 +34,8 @@
 	}
 }
 
-// take takes so many bytes for a frame of a kind and reports whether they were available; if not, nothing is taken.
+// take reports whether the given number of bytes may be sent now for a frame of the given kind, and if so, takes them
+// from the bucket.
 func (l *rateLimiter) take(bytes int, kind frameKind, now time.Time) bool {
 	if l.bytesPerSecond <= 0 {
 		return true
@@ -49,23 +50,23 @@
 	return true
 }
 
-// refill adds what has fallen due since the last call. It is called under the lock.
+// refill adds the bytes accrued since the last call. The caller must hold l.mu.
 func (l *rateLimiter) refill(now time.Time) {
 	if l.updatedAt.IsZero() {
 		l.available = l.bytesPerSecond
 	} else {
-		due := now.Sub(l.updatedAt).Seconds() * l.bytesPerSecond
-		l.available = min(l.bytesPerSecond, l.available+due)
+		accrued := now.Sub(l.updatedAt).Seconds() * l.bytesPerSecond
+		l.available = min(l.bytesPerSecond, l.available+accrued)
 	}
 	l.updatedAt = now
 }
 
-// maxStateBytes is how long the state that goes to each of so many receivers may be: a datagram, and all of them
-// together half of what may be sent in a second.
+// maxStateBytes returns the maximum size of a published state: it must fit into a datagram, and sending it to all
+// receivers may take at most half of the bytes allowed per second. It is never less than minStateBytes.
 func (l *rateLimiter) maxStateBytes(receivers int) int {
-	const datagram = maxDatagramBytes - 1 // without the byte of the frame's kind
+	const maxPayload = maxDatagramBytes - 1 // one byte is the frame kind
 	if l.bytesPerSecond <= 0 {
-		return datagram
+		return maxPayload
 	}
-	return min(datagram, max(minStateBytes, int(l.bytesPerSecond/2)/max(1, receivers)))
+	return min(maxPayload, max(minStateBytes, int(l.bytesPerSecond/2)/max(1, receivers)))
 }
