--- a/membership/exchange_test.go
+++ b/membership/exchange_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recordingDelegate keeps what it is notified of.
+// recordingDelegate records the messages, broadcasts and states it is notified of.
 type recordingDelegate struct {
 	mu       sync.Mutex
 	messages [][]byte
@@ -36,7 +36,8 @@
 	d.mu.Unlock()
 }
 
-// hasReceived reports whether a message has come; one that was broadcast begins with "signal ".
+// hasReceived reports whether a message was received. Broadcasts are recorded with the prefix "signal ", which is part
+// of the golden values in gossip.golden.
 func (d *recordingDelegate) hasReceived(want []byte) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,24 +49,24 @@
 	return false
 }
 
-// waitFor polls until something has happened, for 20 s at most.
+// waitFor polls until done returns true and fails the test after 20 s.
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited 20 s for %s", what)
+			t.Fatalf("timed out after 20 s waiting for %s", what)
 		}
 	}
 }
 
-// freeAddress returns an address on 127.0.0.1 whose port is free for datagrams and connections.
+// freeAddress returns an address on 127.0.0.1 whose port is free for both UDP and TCP.
 func freeAddress(t *testing.T) string { return freeAddressOn(t, "127.0.0.1") }
 
-// freeAddressOn returns an address whose port is free for datagrams and connections. A host address of its own keeps a
-// process from the ports of all others.
-func freeAddressOn(t *testing.T, address string) string {
+// freeAddressOn returns an address on a host whose port is free for both UDP and TCP. A separate loopback host for each
+// process avoids port conflicts between processes.
+func freeAddressOn(t *testing.T, host string) string {
 	for {
-		listener, err := net.Listen("tcp", address+":0")
+		listener, err := net.Listen("tcp", host+":0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,7 +79,7 @@
 	}
 }
 
-// openExchange opens an exchange of a kind for one of the peers, without a limit on its rate.
+// openExchange opens an exchange of the given kind for one of the peers, without a rate limit.
 func openExchange(t *testing.T, kind string, self Peer, peers []Peer, delegate Delegate) Exchange {
 	t.Helper()
 	var exchange Exchange
@@ -94,7 +95,7 @@
 	return exchange
 }
 
-// latestRevisionOf returns the newest revision that a member knows, as the exchange heard of it; 0: it heard nothing.
+// latestRevisionOf returns the LatestRevision that an exchange received from a member, or 0 if it received none.
 func latestRevisionOf(exchange Exchange, name string) uint64 {
 	for _, member := range exchange.Members() {
 		if member.Name == name {
@@ -104,8 +105,8 @@
 	return 0
 }
 
-// A fleet of three exchanges messages of any size, broadcasts and states, whichever exchange is configured; were a long
-// message or the state of one member lost for good, leases or drains would not reach it.
+// Three processes send each other small and large messages, broadcasts and states over each kind of exchange. Guards
+// against messages or states that are never delivered, which would keep leases or drains from a member.
 func TestExchangesDeliverMessagesAndStates(t *testing.T) {
 	for _, kind := range []string{"plain", "gossip"} {
 		t.Run(kind, func(t *testing.T) {
@@ -126,27 +127,27 @@
 				exchanges[1].Send("p0", []byte("small"))
 				return delegates[0].hasReceived([]byte("small"))
 			})
-			waitFor(t, "a broadcast everywhere", func() bool {
+			waitFor(t, "the broadcast on both other members", func() bool {
 				exchanges[0].Broadcast([]byte("all"))
 				return delegates[1].hasReceived([]byte("signal all")) && delegates[2].hasReceived([]byte("signal all"))
 			})
 			state := MemberState{Name: "p1", Incarnation: 5, Seq: 0, LatestRevision: 9}
-			waitFor(t, "a state everywhere", func() bool {
+			waitFor(t, "the state on both other members", func() bool {
 				state.Seq++
 				exchanges[1].PublishState(state)
 				time.Sleep(20 * time.Millisecond)
 				return latestRevisionOf(exchanges[0], "p1") == 9 && latestRevisionOf(exchanges[2], "p1") == 9
 			})
 			if err := exchanges[0].Send("nobody", []byte("x")); err == nil {
-				t.Error("a message to a member that does not exist is sent")
+				t.Error("Send to an unknown member returned no error")
 			}
 		})
 	}
 }
 
-// Among forty processes with 1,024 drains each, states that did not fit would leave members unknown to each other. All
-// hear of all through both exchanges, and who asks for complete lists gets them.
-func TestAllHearOfAllWithLongLists(t *testing.T) {
+// Forty processes publish states with 1,024 drains each. Guards against states that are too long to be sent, which
+// would leave members unknown to each other. A member that requests complete lists receives them.
+func TestMembersDiscoverEachOtherWithLongLists(t *testing.T) {
 	for _, kind := range []string{"plain", "gossip"} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
@@ -159,21 +160,21 @@
 				exchanges[n] = openExchange(t, kind, p, peers, &recordingDelegate{})
 			}
 			t.Cleanup(func() {
-				var ends sync.WaitGroup
+				var closing sync.WaitGroup
 				for _, x := range exchanges {
-					ends.Go(x.Close) // Each waits until the others have heard of it.
+					closing.Go(x.Close) // Concurrently, as each Close waits until the leave has spread.
 				}
-				ends.Wait()
+				closing.Wait()
 			})
 			seq := uint64(0)
-			waitFor(t, "each state everywhere", func() bool {
+			waitFor(t, "all members to be known to each other", func() bool {
 				seq++
 				for n, p := range peers {
 					state := stateWithLongLists(p.Name, 20, 8)
 					state.Seq = seq
 					exchanges[n].PublishState(state)
 				}
-				time.Sleep(50 * time.Millisecond) // A process publishes its state every second; this is only sooner.
+				time.Sleep(50 * time.Millisecond) // Shorter than the usual second between states, to speed the test up.
 				return !slices.ContainsFunc(exchanges, func(x Exchange) bool { return len(x.Members()) < len(peers)-1 })
 			})
 			waitFor(t, "a state with complete lists", func() bool {
@@ -184,14 +185,14 @@
 				})
 			})
 			if m := exchanges[0].Members()[0]; !m.IsPartial() {
-				t.Errorf("%s has complete lists, and nobody asked for them", m.Name)
+				t.Errorf("%s has complete lists although none were requested", m.Name)
 			}
 		})
 	}
 }
 
-// Anybody on the network can send a frame. One that is malformed, or says that it comes from this process itself, must
-// not reach the member table or crash the process.
+// Any host on the network can send frames. Malformed frames, and states that carry the name of this process, must
+// neither reach the member table nor crash the process.
 func FuzzHandleFrame(f *testing.F) {
 	f.Add(append([]byte{byte(frameState)}, marshalState(MemberState{Name: "p1", Incarnation: 1, Drains: []DrainedEndpoint{{"h", 3}},
 		Evacuations: []ZoneEvacuation{{"z", 0.5}}})...))
@@ -203,7 +204,7 @@
 		for _, state := range delegate.states {
 			if state.Name == "" || len(state.Name) > maxNameBytes || len(state.Drains) > maxDrains ||
 				len(state.Evacuations) > maxEvacuations || state.Name == "p0" {
-				t.Fatalf("%+v is taken", state)
+				t.Fatalf("invalid state accepted: %+v", state)
 			}
 		}
 	})
