--- a/membership/golden_test.go
+++ b/membership/golden_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the files of testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// checkGolden compares what a run gave with the file of testdata that an earlier run of the same wrote.
+// checkGolden compares the output of a test with a golden file in testdata. With -update it rewrites the file first.
 func checkGolden(t *testing.T, file string, got []byte) {
 	t.Helper()
 	file = "testdata/" + file
@@ -44,24 +44,25 @@
 	stateWithLongLists("few zones", 30, 1),
 }
 
-// Members of two versions talk to each other during an upgrade. Were a state's keys, their order or what is cut from
-// its lists to change, the older ones would take other lists for complete, or no state at all.
+// Members of different versions exchange states during an upgrade. Guards against changes to the keys of a state, their
+// order or the truncation of lists, which would make older members reject states or take wrong lists for complete.
 func TestStateBytesGolden(t *testing.T) {
 	var lines bytes.Buffer
+	// The names of the forms are part of the golden values, as is the word "cards" in other tests.
 	for _, complete := range goldenStates {
 		for _, form := range []struct {
-			name  string
-			room  int
-			paged bool
+			name       string
+			maxBytes   int
+			forPublish bool
 		}{{"whole", maxMessageBytes, false}, {"paged", maxMessageBytes, true}, {"one datagram", maxDatagramBytes - 1, true}, {"within 400", 400, true}, {"within 256", minStateBytes, false}} {
-			short := complete.truncate(form.room, form.paged)
-			text, err := json.Marshal(short)
+			truncated := complete.truncate(form.maxBytes, form.forPublish)
+			text, err := json.Marshal(truncated)
 			if err != nil {
 				t.Fatal(err)
 			}
-			packed := marshalState(short)
-			fmt.Fprintf(&lines, "%.10s, %s: %d bytes, %d drains, %d zones, cbor %x, json %x\n", complete.Name, form.name, len(packed), len(short.Drains),
-				len(short.Evacuations), sha256.Sum256(packed), sha256.Sum256(text))
+			encoded := marshalState(truncated)
+			fmt.Fprintf(&lines, "%.10s, %s: %d bytes, %d drains, %d zones, cbor %x, json %x\n", complete.Name, form.name, len(encoded), len(truncated.Drains),
+				len(truncated.Evacuations), sha256.Sum256(encoded), sha256.Sum256(text))
 		}
 	}
 	fmt.Fprintf(&lines, "%x\n", marshalState(goldenStates[1]))
@@ -72,8 +73,8 @@
 	checkGolden(t, "cards.golden", lines.Bytes())
 }
 
-// A member that frames its messages in another way is not understood by those of the version before: a lease is
-// requested and never granted, though both are up.
+// Guards against changes to the frame format. Members of the previous version could not read the frames, so that lease
+// requests would go unanswered although both processes are up.
 func TestFramesGolden(t *testing.T) {
 	address := freeAddressOn(t, "127.106.0.1")
 	datagrams, err := net.ListenPacket("udp", address)
@@ -81,22 +82,22 @@
 		t.Fatal(err)
 	}
 	defer datagrams.Close()
-	stream, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stream.Close()
+	defer listener.Close()
 	exchange, err := OpenPlain("p0", freeAddressOn(t, "127.106.0.3"), []Peer{{Name: "p1", Address: address}}, 0, &recordingDelegate{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer exchange.Close()
 	var lines bytes.Buffer
-	for _, act := range []func(){
+	for _, send := range []func(){
 		func() { exchange.PublishState(goldenStates[1]) }, func() { exchange.PublishState(goldenStates[2]) }, func() { exchange.RequestFullState("p1") }, func() { exchange.Broadcast([]byte("signal")) },
 		func() { exchange.Send("p1", []byte("message")) }, func() { exchange.Send("p1", bytes.Repeat([]byte("m"), maxDatagramBytes-1)) },
 	} {
-		act()
+		send()
 		datagrams.SetReadDeadline(time.Now().Add(10 * time.Second))
 		frame := make([]byte, 2*maxDatagramBytes)
 		n, _, err := datagrams.ReadFrom(frame)
@@ -105,14 +106,14 @@
 		}
 		fmt.Fprintf(&lines, "datagram: %d bytes, begins %x, %x\n", n, frame[:min(n, 8)], sha256.Sum256(frame[:n]))
 	}
-	for _, act := range []func(){func() { exchange.Send("p1", bytes.Repeat([]byte("m"), maxDatagramBytes)) }, func() { exchange.handleFrame([]byte("\x04p1")) }} {
-		act() // The second is a peer that asks for the state published last, with complete lists.
-		c, err := stream.Accept()
+	for _, send := range []func(){func() { exchange.Send("p1", bytes.Repeat([]byte("m"), maxDatagramBytes)) }, func() { exchange.handleFrame([]byte("\x04p1")) }} {
+		send() // The second is a peer's request for the complete last published state.
+		connection, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		frame, err := io.ReadAll(c)
-		c.Close()
+		frame, err := io.ReadAll(connection)
+		connection.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,46 +122,47 @@
 	checkGolden(t, "frames.golden", lines.Bytes())
 }
 
-// Which of two states counts, whose complete lists stay and who is forgotten decides which hosts drain for this
-// process. A change of that shows only where members come, go and restart together.
+// The member table decides which of two states is newer, whose complete lists are kept and which members are removed,
+// and thus which endpoints this process considers draining. Guards against changes that show only when members join,
+// leave and restart at the same time.
 func TestMemberTableGolden(t *testing.T) {
-	chances, sum, now := rand.New(rand.NewPCG(1, 2)), sha256.New(), time.Unix(1_700_000_000, 0)
+	random, sum, now := rand.New(rand.NewPCG(1, 2)), sha256.New(), time.Unix(1_700_000_000, 0)
 	var table memberTable
 	updated, listed, partial, gone := 0, 0, 0, 0
-	number := func(numbers ...int) {
+	writeNumbers := func(numbers ...int) {
 		for _, n := range numbers {
 			sum.Write(binary.LittleEndian.AppendUint64(nil, uint64(n)))
 		}
 	}
 	for step := range 1500 {
-		now = now.Add(time.Duration(chances.IntN(60)) * time.Millisecond)
+		now = now.Add(time.Duration(random.IntN(60)) * time.Millisecond)
 		if step%400 == 399 {
 			now = now.Add([]time.Duration{goneTimeout, 61 * goneTimeout}[step/400%2])
 		}
-		state := stateWithLongLists(fmt.Sprint("p", chances.IntN(14)), 20, 8)
-		state.Incarnation, state.Seq = uint64(1+step/600-chances.IntN(2)), uint64(step-chances.IntN(30))
-		if state.Drains = state.Drains[step/250:]; chances.IntN(3) > 0 {
+		state := stateWithLongLists(fmt.Sprint("p", random.IntN(14)), 20, 8)
+		state.Incarnation, state.Seq = uint64(1+step/600-random.IntN(2)), uint64(step-random.IntN(30))
+		if state.Drains = state.Drains[step/250:]; random.IntN(3) > 0 {
 			state = state.truncate(maxDatagramBytes-1, true)
 		}
 		if table.update(state, now) {
-			number(step)
+			writeNumbers(step)
 			updated++
 		}
-		if chances.IntN(200) == 0 {
-			table.remove(fmt.Sprint("p", chances.IntN(14)))
+		if random.IntN(200) == 0 {
+			table.remove(fmt.Sprint("p", random.IntN(14)))
 		}
 		if step%5 > 0 {
 			continue
 		}
 		for _, m := range table.list(now) {
 			listed++
-			number(int(m.Incarnation), int(m.Seq), int(m.LastSeen.UnixNano()), len(m.Drains), len(m.Evacuations))
+			writeNumbers(int(m.Incarnation), int(m.Seq), int(m.LastSeen.UnixNano()), len(m.Drains), len(m.Evacuations))
 			if m.IsPartial() {
-				number(-1)
+				writeNumbers(-1)
 				partial++
 			}
 			if m.IsGone(now) {
-				number(-2)
+				writeNumbers(-2)
 				gone++
 			}
 		}
@@ -168,16 +170,16 @@
 	checkGolden(t, "members.golden", fmt.Appendf(nil, "%x: %d cards taken; of %d listed, %d partial, %d gone\n", sum.Sum(nil), updated, listed, partial, gone))
 }
 
-// Leases go before states and states before broadcasts, however much there is to send; a change of what is reserved for
-// which shows only in an incident, when leases expire.
-func TestLimitsGolden(t *testing.T) {
+// Under load, messages with leases take precedence over states, and states over broadcasts. Guards against changes to
+// the reserved fractions, which would show only in an incident, as expired leases.
+func TestSendLimitsGolden(t *testing.T) {
 	var lines bytes.Buffer
 	for _, rate := range []float64{0, 900, 20_000, 1e6} {
-		chances, sum, now := rand.New(rand.NewPCG(3, 4)), sha256.New(), time.Unix(1_700_000_000, 0)
+		random, sum, now := rand.New(rand.NewPCG(3, 4)), sha256.New(), time.Unix(1_700_000_000, 0)
 		limiter, sent, refused := rateLimiter{bytesPerSecond: rate}, map[byte]int{}, 0
 		for range 5000 {
-			now = now.Add(time.Duration(chances.IntN(5000)) * time.Microsecond)
-			bytes, kind := chances.IntN(1300), byte(1+chances.IntN(4))
+			now = now.Add(time.Duration(random.IntN(5000)) * time.Microsecond)
+			bytes, kind := random.IntN(1300), byte(1+random.IntN(4))
 			if limiter.take(bytes, frameKind(kind), now) {
 				sent[kind] += bytes
 				sum.Write([]byte{kind})
@@ -188,49 +190,49 @@
 		}
 		fmt.Fprintf(&lines, "at %v: %x, sent %v, not sent %d\n", rate, sum.Sum(nil), sent, refused)
 	}
-	places, out := largeMessageLimiter{maxInFlight: 3}, 0
+	largeMessages, acquiredCount := largeMessageLimiter{maxInFlight: 3}, 0
 	for _, bytes := range []int{1, maxLargeBytesInFlight, maxLargeBytesInFlight - 1, 1, 0, 0, 0} {
-		begun := places.acquire(bytes)
-		if begun {
-			out++
+		acquired := largeMessages.acquire(bytes)
+		if acquired {
+			acquiredCount++
 		}
-		fmt.Fprintf(&lines, "large, %d bytes: %t\n", bytes, begun)
+		fmt.Fprintf(&lines, "large, %d bytes: %t\n", bytes, acquired)
 	}
-	places.release(maxLargeBytesInFlight - 1)
-	fmt.Fprintf(&lines, "%d out; again: %t %t %t\n", out, places.acquire(2), places.acquire(maxLargeBytesInFlight), places.acquire(1))
+	largeMessages.release(maxLargeBytesInFlight - 1)
+	fmt.Fprintf(&lines, "%d out; again: %t %t %t\n", acquiredCount, largeMessages.acquire(2), largeMessages.acquire(maxLargeBytesInFlight), largeMessages.acquire(1))
 	checkGolden(t, "rate.golden", lines.Bytes())
 }
 
-// Bytes of a stranger, or of a peer whose memory is damaged, are no state; which of them are taken may not change
-// unseen.
+// Corrupted states may come from unrelated senders or from peers with faulty memory. Guards against unnoticed changes
+// to which of them are accepted.
 func TestDamagedStatesGolden(t *testing.T) {
-	chances, sum, taken := rand.New(rand.NewPCG(5, 6)), sha256.New(), 0
+	random, sum, accepted := rand.New(rand.NewPCG(5, 6)), sha256.New(), 0
 	long := MemberState{Name: string(bytes.Repeat([]byte("n"), maxNameBytes+1))}
 	many := MemberState{Name: "p", Drains: make([]DrainedEndpoint, maxDrains+1)}
-	for _, packed := range [][]byte{nil, {0xa0}, marshalState(long), marshalState(many), {0x9f, 0xff}} {
-		if c, err := unmarshalState(packed); err == nil {
-			t.Errorf("%.20x is taken as %.20s", packed, c.Name)
+	for _, encoded := range [][]byte{nil, {0xa0}, marshalState(long), marshalState(many), {0x9f, 0xff}} {
+		if c, err := unmarshalState(encoded); err == nil {
+			t.Errorf("invalid input %.20x accepted as state of %.20q", encoded, c.Name)
 		}
 	}
 	valid := marshalState(goldenStates[1])
 	for range 20_000 {
-		packed := bytes.Clone(valid)
-		for range 1 + chances.IntN(3) {
-			packed[chances.IntN(len(packed))] ^= byte(1 << chances.IntN(8))
+		encoded := bytes.Clone(valid)
+		for range 1 + random.IntN(3) {
+			encoded[random.IntN(len(encoded))] ^= byte(1 << random.IntN(8))
 		}
-		c, err := unmarshalState(packed[:len(packed)-chances.IntN(2)*chances.IntN(4)])
+		state, err := unmarshalState(encoded[:len(encoded)-random.IntN(2)*random.IntN(4)])
 		if err != nil {
 			sum.Write([]byte{0})
 			continue
 		}
-		taken++
-		sum.Write(marshalState(c))
+		accepted++
+		sum.Write(marshalState(state))
 	}
-	checkGolden(t, "damaged.golden", fmt.Appendf(nil, "%x: %d taken of 20000\n", sum.Sum(nil), taken))
+	checkGolden(t, "damaged.golden", fmt.Appendf(nil, "%x: %d taken of 20000\n", sum.Sum(nil), accepted))
 }
 
-// Gossip carries a member's state in its broadcasts and in the push/pull of two members; a member of the version before
-// reads both. A frame leads to the same calls whichever exchange received it.
+// Gossip sends states in broadcasts and in push/pull syncs, and members of the previous version must be able to read
+// both. A received frame must cause the same delegate calls in Gossip and Plain.
 func TestGossipFramesGolden(t *testing.T) {
 	gossiped := &recordingDelegate{}
 	g, err := OpenGossip("p0", freeAddressOn(t, "127.106.0.2"), nil, 0, gossiped)
