--- a/membership/members_test.go
+++ b/membership/members_test.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// Relayed states come late and out of order. Were an old one taken, a member that has restarted would seem to be what
-// it was before, and its drains would come and go.
+// Relayed states arrive late and out of order. Guards against accepting an outdated state, which would show a restarted
+// member as it was before and make its drains appear and disappear.
 func TestOutdatedStatesAreIgnored(t *testing.T) {
 	var table memberTable
 	now := time.Now()
 	for _, test := range []struct {
 		incarnation, seq uint64
 		after            time.Duration
-		isNews           bool
+		isNew            bool
 	}{
 		{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, false}, {4, 9, 0, false}, {6, 1, 0, true},
-		{5, 99, 2 * goneTimeout, true}, // It was gone, and may have lost its files.
+		{5, 99, 2 * goneTimeout, true}, // Accepted, as the member was gone and may have lost its files.
 	} {
-		if table.update(MemberState{Name: "p", Incarnation: test.incarnation, Seq: test.seq}, now.Add(test.after)) != test.isNews {
-			t.Errorf("%+v", test)
+		if table.update(MemberState{Name: "p", Incarnation: test.incarnation, Seq: test.seq}, now.Add(test.after)) != test.isNew {
+			t.Errorf("update did not return %t for %+v", test.isNew, test)
 		}
 	}
 	for n := range 2 * MaxMembers {
 		table.update(MemberState{Name: fmt.Sprint("m", n), Incarnation: 1}, now)
 	}
 	if len(table.members) != MaxMembers {
-		t.Errorf("%d members are kept", len(table.members))
+		t.Errorf("table holds %d members, want %d", len(table.members), MaxMembers)
 	}
 }
 
-// Complete lists stay with a member while its states have the same ones, or they would be asked for every second; they
-// are kept of few members, or those of a large fleet would fill the memory.
-func TestCompleteListsAreKeptOfFewMembers(t *testing.T) {
+// The complete lists of a member are kept while its states have the same lists; otherwise they would be requested every
+// second. They are kept for only a few members, so that a large fleet does not exhaust memory.
+func TestCompleteListsAreKeptForFewMembers(t *testing.T) {
 	var table memberTable
 	now := time.Now()
 	memberNamed := func(name string) Member {
@@ -48,47 +48,47 @@
 		state := stateWithLongLists(fmt.Sprint("p", n), 20, 8)
 		table.update(state.truncate(maxDatagramBytes-1, true), now)
 		if m := memberNamed(state.Name); !m.IsPartial() {
-			t.Fatalf("%s has complete lists before they came", state.Name)
+			t.Fatalf("%s: not partial before its complete lists were received", state.Name)
 		}
-		isNews := table.update(state, now)
-		if m := memberNamed(state.Name); !isNews || m.IsPartial() || len(m.Drains) != longListLength {
-			t.Fatalf("%s: %d drains, partial %t, news %t", state.Name, len(m.Drains), m.IsPartial(), isNews)
+		isNew := table.update(state, now)
+		if m := memberNamed(state.Name); !isNew || m.IsPartial() || len(m.Drains) != longListLength {
+			t.Fatalf("%s: %d drains, partial %t, update returned %t", state.Name, len(m.Drains), m.IsPartial(), isNew)
 		}
 	}
 	last := fmt.Sprint("p", maxCompleteLists+1)
 	if m := memberNamed("p0"); !m.IsPartial() || len(m.Drains) != 0 {
-		t.Errorf("%d drains are kept of the first", len(m.Drains))
+		t.Errorf("%d drains of the first member are still kept", len(m.Drains))
 	}
 	state := stateWithLongLists(last, 20, 8)
 	state.Seq = 2
 	table.update(state.truncate(maxDatagramBytes-1, true), now)
 	if m := memberNamed(last); m.IsPartial() || len(m.Drains) != longListLength {
-		t.Error("complete lists are lost with the next state")
+		t.Error("complete lists were dropped by the next state with the same lists")
 	}
 	state.Seq, state.Drains = 3, state.Drains[1:]
 	if table.update(state.truncate(maxDatagramBytes-1, true), now); !memberNamed(last).IsPartial() {
-		t.Error("the lists of an older state are taken for complete")
+		t.Error("member with changed lists is not partial")
 	}
 }
 
-// A fleet whose processes get new names at each start fills the member table with names that are gone. A new member
-// takes the place of the one gone longest, and of none that is there.
+// If processes get a new name at each start, members that are gone fill the table. A new member must replace the one
+// that has been gone for the longest time, and never one that is still present.
 func TestNewMemberReplacesTheOneGoneLongest(t *testing.T) {
 	var table memberTable
 	now := time.Now()
 	for n := range MaxMembers {
 		if !table.update(MemberState{Name: fmt.Sprint("p", n), Incarnation: 1}, now.Add(time.Duration(n)*time.Millisecond)) {
-			t.Fatalf("member %d is not taken", n)
+			t.Fatalf("member %d was not accepted", n)
 		}
 	}
 	if table.update(MemberState{Name: "new", Incarnation: 1}, now) {
-		t.Error("a member more than the bound is taken while all are there")
+		t.Error("accepted a member beyond MaxMembers while no other was gone")
 	}
 	now = now.Add(goneTimeout + 10*time.Millisecond)
 	if !table.update(MemberState{Name: "new", Incarnation: 1}, now) || len(table.members) != MaxMembers {
-		t.Error("a new member is not taken though others are gone")
+		t.Error("new member was not accepted although others were gone")
 	}
-	if _, stays := table.members["p0"]; stays {
-		t.Error("the one gone longest stays")
+	if _, isKept := table.members["p0"]; isKept {
+		t.Error("the member gone for the longest time was not replaced")
 	}
 }
