--- a/membership/ratelimit_test.go
+++ b/membership/ratelimit_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A process that sends more than its rate delays the traffic that it shares a network with. In two seconds it sends a
-// full bucket and two seconds' worth, not more, and hardly less.
+// A process that exceeds its rate limit delays other traffic on the same network. In two seconds it may send a full
+// bucket plus two seconds' worth of bytes, and must be able to send nearly that much.
 func TestRateLimit(t *testing.T) {
 	limiter, now, sent := newRateLimiter(1000), time.Now(), 0
 	for n := range 100 {
@@ -15,17 +15,17 @@
 			sent += 100
 		}
 	}
-	if sent < 2800 || sent > 3000 { // The bucket was full, and two seconds passed.
-		t.Errorf("%d bytes in two seconds, at 1000 a second", sent)
+	if sent < 2800 || sent > 3000 { // One full bucket plus two seconds.
+		t.Errorf("sent %d bytes in two seconds at 1000 bytes per second", sent)
 	}
 }
 
-// In an incident 1,023 peers get more broadcasts and states than may be sent. Lease responses must go all the same, or
-// all leases expire together.
+// In an incident, the broadcasts and states for 1,023 peers exceed the rate limit. Guards against lease responses that
+// are dropped because of them, which would let all leases expire together.
 func TestMessagesAreSentBeforeStatesAndBroadcasts(t *testing.T) {
 	var peers []Peer
 	for n := range longListLength {
-		peers = append(peers, Peer{Name: fmt.Sprint("p", n), Address: fmt.Sprintf("127.105.%d.%d:9", n/200, 1+n%200)}) // Nothing listens there.
+		peers = append(peers, Peer{Name: fmt.Sprint("p", n), Address: fmt.Sprintf("127.105.%d.%d:9", n/200, 1+n%200)}) // Nothing listens on these addresses.
 	}
 	peers[0].Address = freeAddress(t)
 	exchange, err := OpenPlain("p0", peers[0].Address, peers, 1_000_000, &recordingDelegate{})
@@ -39,7 +39,7 @@
 		exchange.PublishState(state)
 		exchange.Broadcast(make([]byte, 256))
 	}
-	for n := range 1000 { // As many lease responses as a leader sends when all renew at once.
+	for n := range 1000 { // The lease responses of a leader when all members renew at the same time.
 		if err := exchange.Send(fmt.Sprint("p", 1+n), make([]byte, 200)); err != nil {
 			t.Fatalf("message %d: %v", n, err)
 		}
