--- a/siblings/doc.go
+++ b/siblings/doc.go
@@ -1,10 +1,12 @@
-// Package siblings divides what one balancer may use among its processes: over an upgrade there are two of them, at
-// times three, and descriptors, memory and attempts to cold servers count for all together.
+// Package siblings divides the resource limits of one balancer among its processes. During an upgrade there are two
+// processes, sometimes three, and the limits on file descriptors, memory and attempts to endpoints that are warming up
+// apply to all of them together.
 //
-// Each process publishes its state in a file of its own that all of them read (group.go, state.go). How the limits are
-// divided is decided by pure functions of these states, without I/O or clock (divide.go), so that all processes come to
-// the same result.
+// Each process publishes its state in its own file, which the other processes read (group.go, state.go). Pure functions
+// of these states, without I/O or clock access, divide the limits (divide.go), so that all processes compute the same
+// result.
 //
-// One rule keeps the sum of all claims within the limits, whatever is late, lost or dead: a claim is lowered only to
-// what is in use or above, and raised only into what the others' claims leave, by one process at a time.
+// One rule keeps the sum of all claims within the limits even if processes are slow or crash or state is lost: a claim
+// is never lowered below the current usage, and it is raised only into what the other claims leave free, by one process
+// at a time.
 package siblings
