--- a/siblings/divide.go
+++ b/siblings/divide.go
@@ -3,26 +3,26 @@
 import "math"
 
 const (
-	// initialConnectionsDivisor and initialMemoryDivisor are which part of the limits a process gets to start with: an
-	// eighth of the connections, enough to serve the first clients that move over, and a quarter of the memory, as the
-	// runtime maps some before the process can publish a claim.
+	// initialConnectionsDivisor and initialMemoryDivisor set the part of the limits that a starting process gets: one
+	// eighth of the connections, which is enough for the first clients that move over, and one quarter of the memory,
+	// because the runtime maps memory before the process can publish a claim.
 	initialConnectionsDivisor = 8
 	initialMemoryDivisor      = 4
 
-	// A process that drains may open a connection to a cache host for every clientsPerDrainingConnection clients, and
-	// minDrainingConnections more: each client may send one more request, but few do at the same time.
+	// A draining process may open one more endpoint connection for every clientsPerDrainingConnection clients, plus
+	// minDrainingConnections. Each client may send one more request, but few do so at the same time.
 	clientsPerDrainingConnection = 4
 	minDrainingConnections       = 8
 
-	// minAttemptShare is the least part of the attempts that a process counts as its own, so that one that has sent
-	// none can begin.
+	// minAttemptShare is the minimum share of the attempts for each process, so that a process that has not sent any
+	// can start sending.
 	minAttemptShare = 0.1
-	// successorAttemptShare is that beside a process that drains: its clients move over at once, and their attempts
-	// with them.
+	// successorAttemptShare is the minimum share for a serving process while another one drains, because the clients of
+	// the draining process, and thus their attempts, move over immediately.
 	successorAttemptShare = 0.5
 )
 
-// initialNeed returns what a process needs of a resource when it starts.
+// initialNeed returns the amount of a resource that a starting process needs.
 func initialNeed(total Resources, r resource) int64 {
 	if r == memory {
 		return total.MemoryBytes / initialMemoryDivisor
@@ -30,7 +30,7 @@
 	return total.get(r) / initialConnectionsDivisor
 }
 
-// drainingNeed returns what a process that drains still needs of a resource.
+// drainingNeed returns the amount of a resource that a draining process still needs.
 func drainingNeed(total, usage Resources, r resource) int64 {
 	switch r {
 	case clientConnections:
@@ -42,62 +42,62 @@
 	}
 }
 
-// census is what the states of all processes add up to.
-type census struct {
-	serving, starting int64     // processes
-	drainingClaims    Resources // of the processes that drain
-	servingUsage      Resources // of the processes that serve
+// stateTotals aggregates the states of all processes of a balancer.
+type stateTotals struct {
+	serving, starting int64     // number of processes
+	drainingClaims    Resources // sum over draining processes
+	servingUsage      Resources // sum over serving processes
 }
 
-func takeCensus(own processState, others []processState) (all census) {
+func sumStates(own processState, others []processState) (totals stateTotals) {
 	count := func(state processState) {
 		switch state.Phase {
 		case Serving:
-			all.serving++
-			all.servingUsage = all.servingUsage.plus(state.Usage)
+			totals.serving++
+			totals.servingUsage = totals.servingUsage.plus(state.Usage)
 		case Starting:
-			all.starting++
+			totals.starting++
 		case Draining:
-			all.drainingClaims = all.drainingClaims.plus(state.Claim)
+			totals.drainingClaims = totals.drainingClaims.plus(state.Claim)
 		}
 	}
 	count(own)
 	for _, other := range others {
 		count(other)
 	}
-	return all
+	return totals
 }
 
-// targetClaim returns what a process should come to claim. Processes that serve have what they use and divide evenly
-// what nobody uses: so no client is asked to go for a process that has none yet, and the division follows the clients
-// as they move over.
+// targetClaim returns the claim that a process should converge to. Each serving process gets what it uses plus an equal
+// part of what no process uses. So no client has to be disconnected in favor of a process that has no clients yet, and
+// the division follows the clients as they move over.
 func targetClaim(total Resources, own processState, others []processState) Resources {
-	all := takeCensus(own, others)
+	totals := sumStates(own, others)
 	target := forEachResource(func(r resource) int64 {
-		available := max(0, total.get(r)-all.drainingClaims.get(r))
+		available := max(0, total.get(r)-totals.drainingClaims.get(r))
 		switch {
 		case own.Phase == Draining:
 			return drainingNeed(total, own.Usage, r)
-		case own.Phase == Starting && all.serving+all.starting > 1:
+		case own.Phase == Starting && totals.serving+totals.starting > 1:
 			return min(available, initialNeed(total, r))
 		case own.Phase == Starting:
 			return available
 		}
-		forStarting := all.starting * initialNeed(total, r)
-		if r == memory { // Its usage changes slowly, and comes down to what is allowed: it is divided evenly.
-			return max(0, available-forStarting) / all.serving
+		forStarting := totals.starting * initialNeed(total, r)
+		if r == memory { // Divided evenly, as memory usage changes slowly and shrinks to the allowance.
+			return max(0, available-forStarting) / totals.serving
 		}
-		return own.Usage.get(r) + max(0, available-forStarting-all.servingUsage.get(r))/all.serving
+		return own.Usage.get(r) + max(0, available-forStarting-totals.servingUsage.get(r))/totals.serving
 	})
 	if len(others) == 0 && own.Phase != Draining {
-		// Guards against a new process that starts while this one holds all memory: it maps its first part before it
-		// can claim it.
+		// Leave memory for a process that may start later, because it maps its initial memory before it can publish a
+		// claim.
 		target.MemoryBytes -= initialNeed(total, memory)
 	}
 	return target
 }
 
-// nextClaim returns what a process claims next. mayRaise: no other process raises a claim at this time.
+// nextClaim returns the next claim of a process. mayRaise says that no other process can raise its claim concurrently.
 func nextClaim(total Resources, own processState, others []processState, mayRaise bool) Resources {
 	target := targetClaim(total, own, others)
 	return forEachResource(func(r resource) int64 {
@@ -116,15 +116,16 @@
 	})
 }
 
-// allowance returns what a process may come to use now: less than it claims while it comes down to its target.
+// allowance returns the amounts that a process may use now. They are below its claim while the claim is being lowered
+// to its target.
 func allowance(total Resources, own processState, others []processState) Resources {
 	target := targetClaim(total, own, others)
 	return forEachResource(func(r resource) int64 { return min(own.Claim.get(r), target.get(r)) })
 }
 
-// attemptShare returns the process's part of the attempts that all processes send, from 0 to 1. What all processes
-// together may send to cold servers is divided by it. The parts may add up to more than 1 for a moment, as each is at
-// least minAttemptShare.
+// attemptShare returns the process's share of the attempts of all processes, from 0 to 1. It divides the limit on
+// attempts to endpoints that are warming up. The shares may temporarily add up to more than 1, because each is at least
+// minAttemptShare.
 func attemptShare(own processState, others []processState) float64 {
 	if len(others) == 0 {
 		return 1
@@ -142,13 +143,13 @@
 	return max(minShare, own.Attempts/attempts)
 }
 
-// isSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned: the one that has
-// served longest, or the last one that drains. Two writers would take turns to replace what the other has learned.
+// isSnapshotWriter reports whether this process writes the snapshot of learned state: the oldest serving process does,
+// or draining processes if no others are left. With two writers, each would overwrite the other's learned state.
 func isSnapshotWriter(own processState, others []processState) bool {
 	for _, other := range others {
 		isOlder := own.Phase == Serving && other.Phase == Serving && other.StartedAt < own.StartedAt
-		isStaying := own.Phase == Draining && other.Phase != Draining
-		if isOlder || isStaying {
+		isReplaced := own.Phase == Draining && other.Phase != Draining
+		if isOlder || isReplaced {
 			return false
 		}
 	}
