--- a/siblings/group.go
+++ b/siblings/group.go
@@ -15,40 +15,42 @@
 )
 
 const (
-	// maxProcesses bounds the processes of one balancer. An upgrade takes two, and one that is started amid another
-	// three.
+	// maxProcesses is the maximum number of processes of one balancer. An upgrade needs two, and an upgrade that is
+	// started during another one needs three.
 	maxProcesses = 8
-	// attemptDecay is the time in which counted attempts decay to 1/e. Clients move over to a new process that quickly.
+	// attemptDecay is the time constant with which counted attempts decay, to 1/e. It matches how quickly clients move
+	// over to a new process.
 	attemptDecay = 300 * time.Millisecond
 
-	stateFilePrefix = "hollylever.kin." // and the number of the slot
+	stateFilePrefix = "hollylever.kin." // followed by the slot number
 	raiseLockFile   = "hollylever.kin.turn"
 )
 
-// ErrTooManyProcesses says that the balancer has maxProcesses processes already.
-var ErrTooManyProcesses = fmt.Errorf("%d processes of this balancer run already", maxProcesses)
+// ErrTooManyProcesses is returned by Join if the balancer already has maxProcesses processes.
+var ErrTooManyProcesses = fmt.Errorf("already %d processes of this balancer running", maxProcesses)
 
-// Group is this process's place among the processes of its balancer. Its methods may be called concurrently.
+// Group is this process's membership in the group of processes of its balancer. Its methods are safe for concurrent
+// use.
 //
-// Each process has a slot: a file that it holds locked while it runs, and writes its state to. The kernel releases the
-// lock however the process ends, which frees its claim.
+// Each process has a slot: a file that it keeps locked while it runs and writes its state to. The kernel releases the
+// lock however the process ends, which also frees its claim.
 type Group struct {
-	total     Resources // what all processes may use together
+	total     Resources // limits of all processes together
 	directory string
 	slot      int
-	stateFile *os.File // of the slot, under an exclusive flock
-	raiseLock *os.File // locked by whichever process raises its claim
+	stateFile *os.File // state file of the slot, held under an exclusive flock
+	raiseLock *os.File // locked by the process that may raise its claim
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	own          processState
 	others       []processState // as last read
-	attemptsSeen int            // at the last Update
-	updatedAt    time.Time      // of the last Update
+	lastAttempts int            // attempts counted at the last Update
+	lastUpdate   time.Time      // time of the last Update
 }
 
-// Join takes a slot among the processes that share a directory. total is what all of them may use together. It returns
-// ErrTooManyProcesses if no slot is free. If only publishing the state fails it returns the group with the error: Update
-// publishes again.
+// Join takes a free slot among the processes that share a directory. total is the limit for all of them together. Join
+// returns ErrTooManyProcesses if no slot is free. If only publishing the state fails, it returns both the group and the
+// error; the next Update publishes again.
 func Join(directory string, total Resources) (*Group, error) {
 	raiseLock, err := openFile(filepath.Join(directory, raiseLockFile), os.O_CREATE)
 	if err != nil {
@@ -73,12 +75,13 @@
 	return nil, ErrTooManyProcesses
 }
 
-// openFile opens a file to read and write. A link is not followed, as the directory may be writable for other users.
+// openFile opens a file for reading and writing. It does not follow symbolic links, as other users may be able to write
+// to the directory.
 func openFile(path string, flags int) (*os.File, error) {
 	return os.OpenFile(path, flags|os.O_RDWR|unix.O_NOFOLLOW, 0o600)
 }
 
-// tryLock takes the file's lock unless another process has one that excludes it.
+// tryLock takes an flock of a file without blocking and reports whether it succeeded.
 func tryLock(file *os.File, kind int) bool {
 	return unix.Flock(int(file.Fd()), kind|unix.LOCK_NB) == nil
 }
@@ -87,7 +90,7 @@
 	return filepath.Join(g.directory, fmt.Sprint(stateFilePrefix, slot))
 }
 
-// publish writes this process's state for the others to read. The caller holds g.mu, or is Join.
+// publish writes this process's state to its file. The caller must hold g.mu, except in Join.
 func (g *Group) publish() error {
 	content, err := encodeState(g.own)
 	if err != nil {
@@ -99,7 +102,7 @@
 	return nil
 }
 
-// readOthers reads the states of the other processes. The caller holds g.mu.
+// readOthers reads the states of the other processes. The caller must hold g.mu.
 func (g *Group) readOthers() {
 	g.others = g.others[:0]
 	for slot := range maxProcesses {
@@ -112,8 +115,8 @@
 	}
 }
 
-// readState returns what the process of a slot has published. A slot without a file was never taken; one whose lock is
-// free belonged to a process that has ended, and what it claimed is free too.
+// readState returns what the process of a slot has published and whether that process is running. Without a file the
+// slot was never taken. If the lock is free, the process has ended and its claim no longer counts.
 func readState(path string) (content []byte, isRunning bool) {
 	file, err := openFile(path, 0)
 	if err != nil {
@@ -124,13 +127,14 @@
 		return nil, false
 	}
 	content = make([]byte, stateSize)
-	n, _ := file.ReadAt(content, 0) // What can't be read counts as not published yet.
+	n, _ := file.ReadAt(content, 0) // Unreadable content counts as not published yet.
 	return content[:n], true
 }
 
-// Update publishes what this process uses and how many attempts it has handed over since its start, and adjusts its
-// claim. It returns what the process may use from now on, its part of the attempts to cold servers, and how many other
-// processes run. After an error these are right, but the others have not been told.
+// Update publishes this process's resource usage and the number of attempts it has sent since its start, and adjusts
+// its claim. It returns the amounts that the process may use from now on, its share of the attempts to endpoints that
+// are warming up, and the number of other running processes. These results are valid even if Update returns an error,
+// which means that the state was not published.
 func (g *Group) Update(usage Resources, attempts int) (allowed Resources, share float64, others int, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,19 +144,19 @@
 	return allowance(g.total, g.own, g.others), attemptShare(g.own, g.others), len(g.others), err
 }
 
-// countAttempts adds the attempts since the last call to the decaying count.
+// countAttempts adds the attempts since the last call to the exponentially decaying count.
 func (g *Group) countAttempts(attempts int, now time.Time) {
-	remaining := math.Exp(-float64(now.Sub(g.updatedAt)) / float64(attemptDecay))
-	g.own.Attempts = g.own.Attempts*remaining + float64(max(0, attempts-g.attemptsSeen))
-	g.updatedAt, g.attemptsSeen = now, attempts
+	remaining := math.Exp(-float64(now.Sub(g.lastUpdate)) / float64(attemptDecay))
+	g.own.Attempts = g.own.Attempts*remaining + float64(max(0, attempts-g.lastAttempts))
+	g.lastUpdate, g.lastAttempts = now, attempts
 }
 
 // adjustClaim reads the others' states, then changes and publishes this process's claim.
 //
-// The lock guards against two processes that raise their claims into the same unclaimed rest, which would add up to
-// more than there is. It is held from before the others are read until the claim is published, and never waited for: a
-// process that stands still with it must not stop the others. Whoever does not get it only lowers its claim, and may
-// raise it at the next Update.
+// raiseLock prevents two processes from raising their claims into the same unclaimed amount, which would exceed the
+// limits. It is held from before the others' states are read until the claim is published. Processes never wait for it,
+// so that one that hangs while holding it does not block the others. A process that does not get it can only lower its
+// claim, and tries again at the next Update.
 func (g *Group) adjustClaim() error {
 	mayRaise := tryLock(g.raiseLock, unix.LOCK_EX)
 	g.readOthers()
@@ -164,22 +168,21 @@
 	return err
 }
 
-// SetPhase sets the phase of this process; the others see it after the next Update.
+// SetPhase sets the phase of this process. The next Update publishes it.
 func (g *Group) SetPhase(phase Phase) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.own.Phase = phase
 }
 
-// IsSnapshotWriter tells whether this process is the one that writes the snapshot of what was learned, as of the last
-// Update.
+// IsSnapshotWriter reports whether this process writes the snapshot of learned state, according to the last Update.
 func (g *Group) IsSnapshotWriter() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return isSnapshotWriter(g.own, g.others)
 }
 
-// Close gives up the slot and the claim, as the end of the process does. The group must not be used after it.
+// Close releases the slot and the claim, as the end of the process would. The group must not be used afterwards.
 func (g *Group) Close() {
 	g.stateFile.Close()
 	g.raiseLock.Close()
