--- a/siblings/golden_test.go
+++ b/siblings/golden_test.go
@@ -14,16 +14,16 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden values in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// During an upgrade both versions divide the limits by the same rule, each from the other's state. Were one to aim for
-// other figures than the other expects, both would wait for room or close connections that need not go. Over seeded
-// plans each figure stays as version 860147b computed it.
+// During an upgrade, processes of two versions divide the limits, each using the other's published state. If they
+// computed different target claims, both would wait for free resources or close connections needlessly. Checks for
+// seeded random states that all results equal those of version 860147b.
 func TestGoldenDivision(t *testing.T) {
-	trace, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
+	digest, random := sha256.New(), rand.New(rand.NewPCG(5, 5))
 	randomState := func() processState {
-		amount := func(most Resources) Resources {
-			return forEachResource(func(r resource) int64 { return random.Int64N(most.get(r) + 1) })
+		amount := func(upper Resources) Resources {
+			return forEachResource(func(r resource) int64 { return random.Int64N(upper.get(r) + 1) })
 		}
 		state := processState{PID: 1, StartedAt: random.Int64N(4),
 			Phase: []Phase{Starting, Serving, Draining, ""}[min(random.IntN(7), 3)], Claim: amount(limits)}
@@ -48,17 +48,17 @@
 		for _, mayRaise := range []bool{false, true} {
 			target, claim := targetClaim(limits, own, others), nextClaim(limits, own, others, mayRaise)
 			for _, a := range []Resources{target, claim, allowance(limits, own, others)} {
-				fmt.Fprintln(trace, a.ClientConnections, a.EndpointConnections, a.MemoryBytes)
+				fmt.Fprintln(digest, a.ClientConnections, a.EndpointConnections, a.MemoryBytes)
 			}
 		}
 		share := attemptShare(own, others)
 		if math.IsNaN(share) {
-			share = -1 // One NaN has many forms.
+			share = -1 // NaN has several bit patterns.
 		}
 		lowerLimits := Resources{ClientConnections: 100, EndpointConnections: 100, MemoryBytes: 50 << 20}
-		fmt.Fprintln(trace, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(lowerLimits))
+		fmt.Fprintln(digest, math.Float64bits(share), isSnapshotWriter(own, others), own.isValid(lowerLimits))
 	}
-	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "division.golden")
+	got, path := hex.EncodeToString(digest.Sum(nil)), filepath.Join("testdata", "division.golden")
 	if *update {
 		if err := os.WriteFile(path, []byte(got+"\n"), 0o600); err != nil {
 			t.Fatal(err)
@@ -66,13 +66,13 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || strings.TrimSpace(string(want)) != got {
-		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+		t.Errorf("digest of results is %s, want %s (%v)", got, want, err)
 	}
 }
 
-// A new version that can't read the old one's state takes it for half written, and is given nothing while it starts.
-// The fixtures are states that version 860147b published; each is written the same to the byte and read by the process
-// beside it with the same content.
+// A new version that cannot decode the old version's state treats it as partially written and gets no resources while
+// it starts. The fixtures are states published by version 860147b. Each state must be written byte for byte like its
+// fixture and must be decoded to the same state by another process.
 func TestPublishedStatesStayReadable(t *testing.T) {
 	for name, state := range map[string]processState{
 		"starting": {PID: 4711, StartedAt: startedAtBase + 12, Phase: Starting,
