--- a/store/log.go
+++ b/store/log.go
@@ -1,13 +1,13 @@
-// Package store keeps records on disk through a crash. A replica (package consensus) stores its votes, log entries and
-// snapshots in it.
+// Package store implements a crash-safe log of records on disk. A replica (package consensus) stores its votes, log
+// entries and snapshots in it.
 //
-// A Log is one file: a magic, then each record with its length and checksum (record.go). Append is durable when it
-// returns. Replace writes another file and renames it over the first, so that either all old or all new records are
-// there.
+// A Log is one file: a magic string, then the records, each with its length and checksum (record.go). Append returns
+// once its records are durable. Replace writes a new file and renames it over the old one, so that a crash leaves
+// either all old or all new records.
 //
-// A file that ends amid a record lost the end of an Append that never returned, and is truncated there. Anything else
-// that does not fit is ErrCorrupt, and nothing of the file is used: a replica that forgot a vote it has cast could cast
-// it twice.
+// A file that ends in an incomplete record is the result of an Append that was interrupted before it returned; the
+// incomplete record is truncated. Any other deviation from the format is reported as ErrCorrupt, and none of the file's
+// records are used: a replica that lost a vote it has cast could vote again in the same term.
 package store
 
 import (
@@ -19,14 +19,14 @@
 	"syscall"
 )
 
-// ErrCorrupt says that a file is not as this package writes it. The file has been renamed to PATH.damaged.
+// ErrCorrupt reports that a file does not conform to the log format. The file has been renamed to PATH.damaged.
 var ErrCorrupt = errors.New("log is corrupt")
 
-// ErrLocked says that another process has the file open. Over an upgrade the caller tries again once that process has
-// ended.
+// ErrLocked reports that another process has the log open. During an upgrade the caller retries once that process has
+// exited.
 var ErrLocked = errors.New("log is locked by another process")
 
-// file is what Log needs of an os.File. Tests put a failing one in its place.
+// file is the part of os.File that Log uses. Tests replace it with an implementation that injects faults.
 type file interface {
 	io.WriteSeeker
 	io.Closer
@@ -34,24 +34,23 @@
 	Sync() error
 }
 
-// Log is an open file of records. Its methods must not be called concurrently. Another process can't open the file
-// before Close.
+// Log is an open log file. Its methods must not be called concurrently. No other process can open the log until Close.
 type Log struct {
 	path string
 	file file
-	lock *os.File // PATH.lock, under an exclusive flock until Close
+	lock *os.File // PATH.lock, held under an exclusive flock until Close
 
-	endOffset     int64 // where the last durable record ends, in bytes
-	hasTail       bool  // bytes may stand behind endOffset, left by a failed write or sync or by a crash
-	isNameUnsure  bool  // the file's name in its directory may not be durable yet
-	syncDirectory func(path string) error
+	endOffset          int64 // end of the last durable record, in bytes
+	mayHaveTail        bool  // a failed write or sync, or a crash, may have left bytes after endOffset
+	needsDirectorySync bool  // the directory entry of the file may not be durable yet
+	syncDirectory      func(path string) error
 }
 
-// Open opens the file at path, or creates it, and returns the records in it.
+// Open opens the log at path, or creates it, and returns its records.
 //
-// It returns ErrLocked where another process has the file. With ErrCorrupt it returns an empty log all the same, and
-// what was there remains as PATH.damaged; the caller either goes on with the empty log or closes it. Other errors come
-// from the file system.
+// It returns ErrLocked if another process has the log open. Together with ErrCorrupt it returns a usable, empty log and
+// preserves the corrupt file as PATH.damaged; the caller either continues with the empty log or closes it. Other errors
+// come from the file system.
 func Open(path string) (*Log, [][]byte, error) {
 	lock, err := lockFile(path + ".lock")
 	if err != nil {
@@ -66,12 +65,13 @@
 	return l, records, err
 }
 
-// lockFile opens or creates a file and takes an exclusive lock on it, which the kernel releases when the file is closed
-// or the process ends, however it ends. It does not wait: a lock that another process has is ErrLocked.
+// lockFile opens or creates a file and takes an exclusive lock on it. The kernel releases the lock when the file is
+// closed or the process ends, even if it crashes. lockFile does not block: it returns ErrLocked if another process
+// holds the lock.
 func lockFile(path string) (*os.File, error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("open lock of log: %w", err)
+		return nil, fmt.Errorf("open log's lock file: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
@@ -80,16 +80,17 @@
 	return lock, nil
 }
 
-// load reads the records and makes the file ready to be appended to. After ErrCorrupt it is ready too, and empty.
+// load reads the records and prepares the file for appending. If it returns ErrCorrupt, the log is empty and ready for
+// use.
 func (l *Log) load() ([][]byte, error) {
 	content, err := os.ReadFile(l.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("read log: %w", err)
 	}
-	records, validSize, damage := parseFile(content)
-	if damage != nil {
+	records, validSize, corruptErr := parseFile(content)
+	if corruptErr != nil {
 		if err := os.Rename(l.path, l.path+".damaged"); err != nil {
-			return nil, fmt.Errorf("put damaged log aside: %w", err)
+			return nil, fmt.Errorf("rename corrupt log: %w", err)
 		}
 	}
 	opened, err := os.OpenFile(l.path, os.O_CREATE|os.O_RDWR|syscall.O_CLOEXEC, 0o600)
@@ -97,26 +98,26 @@
 		return nil, fmt.Errorf("open log: %w", err)
 	}
 	l.file = opened
-	if validSize == 0 { // Damaged, or created just now, or its creation was interrupted.
+	if validSize == 0 { // Corrupt, new, or left incomplete by an interrupted creation.
 		if err := l.Replace(nil); err != nil {
 			return nil, err
 		}
-		return nil, damage
+		return nil, corruptErr
 	}
-	l.endOffset, l.hasTail = int64(validSize), true
-	if err := l.dropTail(); err != nil {
+	l.endOffset, l.mayHaveTail = int64(validSize), true
+	if err := l.truncateTail(); err != nil {
 		return nil, err
 	}
-	// Guards against a crash of the process before this one between its write and its sync: the records that were read
-	// may be in the system's memory alone, and the caller will act on them.
+	// The previous process may have crashed between write and sync. The records would then be only in the page cache,
+	// and they must be durable before the caller acts on them.
 	if err := l.file.Sync(); err != nil {
 		return nil, fmt.Errorf("sync log: %w", err)
 	}
 	return records, nil
 }
 
-// Append adds records in one write and waits until they are on the disk. After an error none of them counts, and Append
-// may be called again. A record must have 1 byte to 4 MiB.
+// Append writes records in a single write and waits until they are on disk. After an error none of them is part of the
+// log, and Append may be called again. Each record must be 1 byte to 4 MiB long.
 func (l *Log) Append(records [][]byte) error {
 	content, err := appendRecords(nil, records)
 	if err != nil {
@@ -125,51 +126,52 @@
 	if err := l.prepareAppend(); err != nil {
 		return err
 	}
-	l.hasTail = true
+	l.mayHaveTail = true
 	if _, err := l.file.Write(content); err != nil {
 		return fmt.Errorf("append to log: %w", err)
 	}
-	// Guards against a sync that fails once: the system may then take the unwritten pages for written, and a second
-	// sync succeeds without them. The tail is marked, so the next Append truncates it and writes its own records,
-	// instead of syncing again.
+	// After a failed sync the kernel may mark the unwritten pages clean, so that a second sync succeeds without writing
+	// them. Therefore the sync is not retried: mayHaveTail stays set, and the next Append truncates these records
+	// before it writes its own.
 	if err := l.file.Sync(); err != nil {
 		return fmt.Errorf("sync log: %w", err)
 	}
 	l.endOffset += int64(len(content))
-	l.hasTail = false
+	l.mayHaveTail = false
 	return nil
 }
 
-// prepareAppend makes the file's name durable and drops what a failed Append left, where either is needed. Until both
-// have succeeded nothing new may be acknowledged: it would stand behind a torn record, or in a file whose rename a
-// crash can undo.
+// prepareAppend syncs the directory after a rename and truncates what a failed Append left, if needed. No record may be
+// acknowledged until both have succeeded: it would follow an incomplete record, or be in a file whose rename a crash
+// can undo.
 func (l *Log) prepareAppend() error {
-	if l.isNameUnsure {
+	if l.needsDirectorySync {
 		if err := l.syncDirectory(filepath.Dir(l.path)); err != nil {
-			return fmt.Errorf("sync directory of log: %w", err)
+			return fmt.Errorf("sync log's directory: %w", err)
 		}
-		l.isNameUnsure = false
+		l.needsDirectorySync = false
 	}
-	return l.dropTail()
+	return l.truncateTail()
 }
 
-// dropTail truncates the file at the end of the last durable record and goes there, if anything may stand behind it.
-func (l *Log) dropTail() error {
-	if !l.hasTail {
+// truncateTail removes any bytes after the last durable record and seeks to its end.
+func (l *Log) truncateTail() error {
+	if !l.mayHaveTail {
 		return nil
 	}
 	if err := l.file.Truncate(l.endOffset); err != nil {
 		return fmt.Errorf("truncate log: %w", err)
 	}
 	if _, err := l.file.Seek(l.endOffset, io.SeekStart); err != nil {
-		return fmt.Errorf("seek end of log: %w", err)
+		return fmt.Errorf("seek to end of log: %w", err)
 	}
-	l.hasTail = false
+	l.mayHaveTail = false
 	return nil
 }
 
-// Replace puts records in the place of all that are there, and waits until that is on the disk. After an error either
-// the old or the new records are there; nothing is acknowledged by a later Append before it is sure which.
+// Replace atomically replaces all records of the log and waits until the change is on disk. After an error the log
+// holds either the old or the new records; a later Append acknowledges nothing until it is certain which of them a
+// crash would leave.
 func (l *Log) Replace(records [][]byte) error {
 	content, err := appendRecords([]byte(fileMagic), records)
 	if err != nil {
@@ -181,16 +183,16 @@
 	}
 	if err := os.Rename(l.path+".new", l.path); err != nil {
 		replacement.Close()
-		return fmt.Errorf("put new log in place: %w", err)
+		return fmt.Errorf("rename new log over old log: %w", err)
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.file, l.endOffset, l.hasTail, l.isNameUnsure = replacement, int64(len(content)), false, true
+	l.file, l.endOffset, l.mayHaveTail, l.needsDirectorySync = replacement, int64(len(content)), false, true
 	return l.prepareAppend()
 }
 
-// writeFile writes content to a file, syncs it, and returns it open at its end.
+// writeFile creates or overwrites a file with content, syncs it, and returns it open and positioned at its end.
 func writeFile(path string, content []byte) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR|os.O_TRUNC|syscall.O_CLOEXEC, 0o600)
 	if err != nil {
@@ -207,7 +209,7 @@
 	return f, nil
 }
 
-// syncDirectory makes the names of the files in a directory durable.
+// syncDirectory makes a directory's entries durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
@@ -217,8 +219,7 @@
 	return directory.Sync()
 }
 
-// Close closes the file and lets another process open it. All acknowledged records are on the disk already, so there is
-// no error to return.
+// Close closes the log and releases its lock. It returns no error, as all acknowledged records are already on disk.
 func (l *Log) Close() {
 	if l.file != nil {
 		l.file.Close()
