--- a/store/record.go
+++ b/store/record.go
@@ -7,32 +7,32 @@
 	"hash/crc32"
 )
 
-// fileMagic opens each file. Its digit is the version of the format.
+// fileMagic is the first bytes of each file. Its digit is the version of the format.
 const fileMagic = "hlkeep1\n"
 
-// recordHeaderSize is the size of what stands before each record, in bytes: its length and its checksum, both 32 bits,
-// little-endian.
+// recordHeaderSize is the size in bytes of the header of each record: the record's length and its CRC-32C checksum,
+// both as 32-bit little-endian numbers.
 const recordHeaderSize = 8
 
-// maxRecordSize bounds one record, in bytes. The largest one is a replica's snapshot of the fleet's configuration; a
-// greater length can only be damage, and is not followed.
+// maxRecordSize is the largest size of one record, in bytes. The largest records are a replica's snapshots of the
+// fleet's configuration; a greater length in a header can only be corruption.
 const maxRecordSize = 4 << 20
 
-// maxFileSize bounds a file, in bytes. A replica replaces its log by a snapshot long before; a larger file is not this
-// program's.
+// maxFileSize is the largest size of a file, in bytes. A replica replaces its log with a snapshot long before the log
+// is that large, so a larger file was not written by this program.
 const maxFileSize = 256 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// parseFile returns the records in a file's content and the length of the part that holds them, magic included: 0 where
-// not even the magic is complete. A record that the content ends in is no error, as a crash during Append leaves that;
-// what can't come from such a crash is ErrCorrupt. The records share the content's memory.
+// parseFile returns the records in a file's content and the length of the part that holds them, including the magic.
+// The length is 0 if the magic is incomplete. An incomplete record at the end is not an error, as a crash during Append
+// can leave one; anything that such a crash can't leave is ErrCorrupt. The records share the content's memory.
 func parseFile(content []byte) (records [][]byte, validSize int, err error) {
 	if len(content) < len(fileMagic) {
 		if string(content) != fileMagic[:len(content)] {
 			return nil, 0, ErrCorrupt
 		}
-		return nil, 0, nil // The process ended while it created the file.
+		return nil, 0, nil // The process ended while creating the file.
 	}
 	if string(content[:len(fileMagic)]) != fileMagic || len(content) > maxFileSize {
 		return nil, 0, ErrCorrupt
@@ -51,7 +51,7 @@
 	}
 }
 
-// parseRecord returns the record that content begins with. It is incomplete where content ends before the record does.
+// parseRecord returns the record at the start of content. isComplete is false if content ends before the record does.
 func parseRecord(content []byte) (record []byte, isComplete bool, err error) {
 	if len(content) < recordHeaderSize {
 		return nil, false, nil
@@ -60,9 +60,9 @@
 	checksum := binary.LittleEndian.Uint32(content[4:])
 	switch body := content[recordHeaderSize:]; {
 	case size == 0:
-		// Guards against a crash after which the file has its new length and none of the new bytes: it ends in zeros.
-		// No record is empty, so a length of zero with only zeros behind it is such an end, and anything else behind it
-		// is damage.
+		// After a crash a file can have its new length without the new bytes, and then ends in zeros. Records are never
+		// empty, so a zero length followed only by zeros marks such an end; followed by anything else, it is
+		// corruption.
 		if len(bytes.Trim(content, "\x00")) > 0 {
 			return nil, false, ErrCorrupt
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// appendRecords appends the records with their headers to content. A record that is empty or over maxRecordSize is an
-// error, as parseFile would not return it.
+// appendRecords appends the records with their headers to content. It returns an error for a record that is empty or
+// larger than maxRecordSize, as parseFile would not return it.
 func appendRecords(content []byte, records [][]byte) ([]byte, error) {
 	for _, record := range records {
 		if len(record) == 0 || len(record) > maxRecordSize {
