--- a/store/log_test.go
+++ b/store/log_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// The machine loses power amid an append, and the file ends anywhere. A replica that then refused its log would need a
-// person to come back, and one that took half a record would act on what nobody wrote: all complete records are there,
-// and appending goes on.
+// After a power loss during an append the file can end at any byte. All complete records must be read and appending
+// must work: a replica that refused its log would need an operator to recover it, and one that used an incomplete
+// record would act on data that was never written.
 func TestLogTruncatedAtAnyByteKeepsCompleteRecords(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "log")
@@ -37,46 +37,47 @@
 		}
 		l, records, err := Open(path)
 		if err != nil || len(records) != want {
-			t.Fatalf("cut at %d: %d records, not %d, %v", cut, len(records), want, err)
+			t.Fatalf("truncated at byte %d: %d records, want %d; error %v", cut, len(records), want, err)
 		}
 		if err := l.Append([][]byte{[]byte("more")}); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
 		if l, records, err = Open(path); err != nil || len(records) != want+1 || string(records[want]) != "more" {
-			t.Fatalf("cut at %d, then one more: %d records, %v", cut, len(records), err)
+			t.Fatalf("truncated at byte %d, then one record appended: %d records, error %v", cut, len(records), err)
 		}
 		l.Close()
 	}
 }
 
-// A disk returns another byte than was written. A replica that went on with what is left could vote twice in a term:
-// nothing of the file is used, the caller is told so, and the file stays for whoever looks into it.
-func TestDamagedLogIsReportedAndPutAside(t *testing.T) {
+// A disk can return a byte that differs from the one written. A replica that used the remaining records could vote
+// twice in a term, so no record of the file may be used. Open must report the corruption and preserve the file for
+// inspection.
+func TestCorruptLogIsReportedAndRenamed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	l, _, _ := Open(path)
 	l.Replace([][]byte{[]byte("one"), []byte("two"), []byte("three")})
 	if _, _, err := Open(path); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process: %v", err)
+		t.Errorf("opened while locked: error %v, want ErrLocked", err)
 	}
 	l.Close()
 	content, _ := os.ReadFile(path)
 	for offset := range content {
-		damaged := bytes.Clone(content)
-		damaged[offset] ^= 0x40
-		os.WriteFile(path, damaged, 0o600)
+		corrupted := bytes.Clone(content)
+		corrupted[offset] ^= 0x40
+		os.WriteFile(path, corrupted, 0o600)
 		l, records, err := Open(path)
 		if err == nil && len(records) == 3 {
-			t.Fatalf("byte %d is changed, and all three records are returned", offset)
+			t.Fatalf("byte %d changed: all three records are returned", offset)
 		}
-		for n, record := range records { // A length that grew looks like a torn tail: the records before it are complete.
+		for n, record := range records { // An increased length looks like an incomplete last record: those before it are complete.
 			if string(record) != []string{"one", "two", "three"}[n] {
-				t.Fatalf("byte %d is changed: record %d is %q", offset, n, record)
+				t.Fatalf("byte %d changed: record %d is %q", offset, n, record)
 			}
 		}
 		if errors.Is(err, ErrCorrupt) {
-			if aside, err := os.ReadFile(path + ".damaged"); err != nil || len(aside) != len(content) {
-				t.Fatalf("byte %d: the damaged file is not kept", offset)
+			if renamed, err := os.ReadFile(path + ".damaged"); err != nil || len(renamed) != len(content) {
+				t.Fatalf("byte %d changed: the corrupt file is not preserved", offset)
 			}
 		}
 		l.Close()
