--- a/snapshot/config.go
+++ b/snapshot/config.go
@@ -2,7 +2,7 @@
 
 import "hollylever/config"
 
-// ConfigSection describes this package's table in the program's settings file.
+// ConfigSection describes this package's table in the program's own settings file.
 var ConfigSection = config.Section{Table: "learnt", Help: "What goes along to the process that comes after, in a file under $TMPDIR.",
 	Fields: []config.Field{
 		{Name: "on", Kind: config.Boolean, Default: "true", TakesEffect: config.OnRestart, Help: "Whether it is written and read."},
--- a/snapshot/file.go
+++ b/snapshot/file.go
@@ -12,27 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocked says that another process is writing the file just now. Nothing is wrong: that process's snapshot is as
-// good.
+// ErrLocked reports that another process is writing the snapshot. This is not a fault: the other process's snapshot
+// serves as well.
 var ErrLocked = errors.New("another process is writing the snapshot")
 
-// Errors of files that others put in the directory, which may be writable for all.
+// Errors for files that other users put in the directory, which may be world-writable.
 var (
 	errNotRegular = errors.New("not a regular file")
-	errOtherOwner = errors.New("file of another user")
+	errWrongOwner = errors.New("file is owned by another user")
 )
 
-// File is where snapshots are kept. Its methods must not be called concurrently; any number of processes may use the
-// same path.
+// File is a file that holds one snapshot. Its methods must not be called concurrently, but any number of processes may
+// use the same path.
 type File struct {
 	Path string
 
-	buffer []byte // used again by each Write
+	buffer []byte // reused by each Write
 }
 
-// Write puts a snapshot in place of what the file holds, and returns its size in bytes. It writes PATH.new and renames
-// it, so that a process that dies meanwhile leaves the old snapshot. It does not sync: Read refuses a snapshot that is
-// some seconds old, and a power loss outlasts that.
+// Write replaces the file's content with a snapshot and returns its size in bytes. It writes PATH.new and renames it,
+// so that a process that dies during the write leaves the old snapshot intact. It does not sync: Read refuses a
+// snapshot that is some seconds old, and a restart after a power loss takes longer than that.
 func (f *File) Write(s *Snapshot) (size int, err error) {
 	if f.buffer, err = encode(f.buffer[:0], s); err != nil {
 		return 0, fmt.Errorf("encode snapshot: %w", err)
@@ -46,17 +46,17 @@
 		return 0, fmt.Errorf("truncate snapshot: %w", err)
 	}
 	if _, err := replacement.Write(f.buffer); err != nil {
-		// Half of a snapshot is of no use, and the disk may be full.
+		// Frees the space of the incomplete snapshot, as the disk may be full.
 		return 0, fmt.Errorf("write snapshot: %w", errors.Join(err, replacement.Truncate(0)))
 	}
 	if err := os.Rename(replacement.Name(), f.Path); err != nil {
-		return 0, fmt.Errorf("put new snapshot in place: %w", err)
+		return 0, fmt.Errorf("rename new snapshot over old snapshot: %w", err)
 	}
 	return len(f.buffer), nil
 }
 
-// openLocked opens or creates a file for writing and locks it, until it is closed. It returns ErrLocked if another
-// process has the lock.
+// openLocked opens or creates a file for writing and locks it until it is closed. It returns ErrLocked if another
+// process holds the lock.
 func openLocked(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|unix.O_NOFOLLOW, 0o600)
 	if err != nil {
@@ -69,16 +69,17 @@
 	return file, nil
 }
 
-// lock takes the lock of a file, if it is this user's and still has its name.
+// lock locks a file without blocking, and checks that it belongs to this user and has not been renamed since it was
+// opened.
 func lock(file *os.File) error {
-	if err := checkOwned(file); err != nil {
+	if err := checkOwnership(file); err != nil {
 		return fmt.Errorf("new snapshot %s: %w", file.Name(), err)
 	}
 	if err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return ErrLocked
 	}
-	// Guards against a writer that renamed the file between the open and the lock: what is open here would be the
-	// snapshot itself, and truncating it would leave none.
+	// Another writer may have renamed the file between open and lock. The open file would then be the current snapshot,
+	// which must not be truncated.
 	opened, err := file.Stat()
 	if err != nil {
 		return fmt.Errorf("new snapshot: %w", err)
@@ -89,9 +90,10 @@
 	return nil
 }
 
-// checkOwned guards against files that another user put there: what is read would steer this process, and what is
-// written might go into a file of theirs. Links are refused when the file is opened.
-func checkOwned(file *os.File) error {
+// checkOwnership returns an error unless the file is a regular file owned by this user. Reading another user's file
+// would let that user influence this process, and what is written could end up in a file of that user. Symbolic links
+// are refused when the file is opened.
+func checkOwnership(file *os.File) error {
 	info, err := file.Stat()
 	if err != nil {
 		return err
@@ -100,16 +102,17 @@
 		return errNotRegular
 	}
 	if status, ok := info.Sys().(*syscall.Stat_t); !ok || status.Uid != uint32(os.Geteuid()) {
-		return errOtherOwner
+		return errWrongOwner
 	}
 	return nil
 }
 
-// Read returns the snapshot in the file if it is of this balancer, under these settings, and no older than maxAge; its
-// Age is then set. Without a file it returns nil and no error. ErrInvalid and ErrNotApplicable tell of a snapshot that
-// is refused; other errors come from the file system.
+// Read returns the snapshot in the file, with its Age set, if it was written by this balancer under the same settings
+// and is no older than maxAge. If the file does not exist it returns nil and no error. ErrInvalid and ErrNotApplicable
+// report a snapshot that is refused; other errors come from the file system or a file that is not regular or not this
+// user's.
 func (f *File) Read(balancerName string, settingsFingerprint uint64, now time.Time, maxAge time.Duration) (*Snapshot, error) {
-	content, err := f.readOwned()
+	content, err := f.readFile()
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -128,15 +131,15 @@
 	return s, nil
 }
 
-// readOwned returns what the file holds, but no more than one byte over maxFileSize. A pipe in its place does not block
+// readFile returns the file's content, limited to one byte more than maxFileSize. A pipe in its place does not block
 // the open, and is refused.
-func (f *File) readOwned() ([]byte, error) {
+func (f *File) readFile() ([]byte, error) {
 	file, err := os.OpenFile(f.Path, os.O_RDONLY|unix.O_NOFOLLOW|unix.O_NONBLOCK, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	if err := checkOwned(file); err != nil {
+	if err := checkOwnership(file); err != nil {
 		return nil, err
 	}
 	return io.ReadAll(io.LimitReader(file, maxFileSize+1))
