--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,11 +1,11 @@
-// Package snapshot keeps what a balancer has learned in one bounded file, so that the process that follows it in an
-// upgrade or a restart goes on with it instead of starting cold.
+// Package snapshot stores what a balancer has learned in one file of limited size, so that the next process after an
+// upgrade or a restart continues from it instead of starting cold.
 //
-// Package routing fills a Snapshot and restores from one. This package writes it to a File, completely or not at all
-// (file.go), and reads it back only if it is complete, recent, of the same balancer and under the same settings.
-// Whatever else is found there is refused with an error, and the process starts as if there were no file.
+// Package routing fills a Snapshot and restores its state from one. This package writes it to a File atomically
+// (file.go), and reads it back only if it is complete, recent, and written by the same balancer under the same
+// settings. Anything else is refused with an error, and the process starts as if there were no file.
 //
-// The file is a header of fixed size, then the snapshot in CBOR (format.go).
+// The file consists of a header of fixed size and the snapshot in CBOR (format.go).
 package snapshot
 
 import (
@@ -17,41 +17,41 @@
 	"hollylever/policy"
 )
 
-// Errors of a snapshot that is refused. Read wraps them with the reason; the caller logs it and starts without a
-// snapshot.
+// Errors for snapshots that are refused. Read wraps them with the reason; the caller logs the error and starts without
+// a snapshot.
 var (
-	// ErrInvalid says that the file is not a complete snapshot as this version writes it.
+	// ErrInvalid reports that the file is not a complete, consistent snapshot in this version's format.
 	ErrInvalid = errors.New("invalid snapshot")
-	// ErrNotApplicable says that the snapshot is complete, but belongs to another balancer, to other settings or to
-	// another time.
+	// ErrNotApplicable reports that the snapshot is complete, but was written by another balancer, under other
+	// settings, or at a time that is too long ago or in the future.
 	ErrNotApplicable = errors.New("snapshot does not apply")
 )
 
-// Snapshot is what one process leaves for the next. Its keys in the file are pinned by the tags: a file that is there
-// at an upgrade was written by the version before.
+// Snapshot is the state that one process hands on to the next. The tags fix its keys in the file, as after an upgrade
+// the file was written by the previous version.
 type Snapshot struct {
 	BalancerName string `cbor:"Name"`
-	// SettingsFingerprint identifies the operators' settings: BalancerState's indices of workloads, tenants and kinds
-	// depend on them.
+	// SettingsFingerprint identifies the operators' settings, which determine what the indices of workloads, tenants
+	// and machine types in BalancerState refer to.
 	SettingsFingerprint uint64 `cbor:"Settings"`
 
-	// When it was taken, by both clocks: see age.
+	// The time at which the snapshot was taken, by two clocks: see age.
 	WrittenAt int64  `cbor:"At"`     // wall clock, Unix nanoseconds
-	BootID    string `cbor:"Boot"`   // of the machine's boot; "" if unknown
+	BootID    string `cbor:"Boot"`   // ID of the machine's boot; "" if unknown
 	SinceBoot int64  `cbor:"BootAt"` // nanoseconds since that boot
 
-	DiscoveryServer string `cbor:"Discovery"` // address of the server that counted ListIndex
+	DiscoveryServer string `cbor:"Discovery"` // address of the discovery server that assigned ListIndex
 	ListIndex       uint64 `cbor:"Index"`     // revision of the endpoint list
-	EndpointList    []byte `cbor:"List"`      // in discovery's JSON
+	EndpointList    []byte `cbor:"List"`      // in the JSON format of the discovery server
 
-	BalancerState policy.State `cbor:"State"` // what the decision module has learned
+	BalancerState policy.State `cbor:"State"` // what package policy has learned
 
-	Age time.Duration `cbor:"-"` // when it was read; Read sets it, Write ignores it
+	Age time.Duration `cbor:"-"` // age at the time of reading; set by Read, ignored by Write
 }
 
-// age returns how old the snapshot is. Guards against a wall clock that was stepped between the two processes: under
-// the same boot of the machine the clock since the boot tells the age, which nobody steps. It may be negative where
-// only the wall clock can tell.
+// age returns the age of the snapshot. As the wall clock may have been stepped since the snapshot was written, the age
+// is measured by the monotonic clock if the machine has not rebooted since. Otherwise it is measured by the wall clock
+// and may be negative.
 func (s *Snapshot) age(now time.Time) time.Duration {
 	if s.BootID != "" && s.BootID == monotime.BootID() {
 		return time.Duration(monotime.Now() - s.SinceBoot)
@@ -59,8 +59,9 @@
 	return time.Duration(now.UnixNano() - s.WrittenAt)
 }
 
-// checkApplies returns ErrNotApplicable if the snapshot is not for this balancer, these settings and this time. An age
-// under zero counts as zero down to -maxAge; a wall clock that went back further leaves nothing to tell the age by.
+// checkApplies returns ErrNotApplicable if the snapshot is from another balancer, from other settings, or too old. A
+// negative age is accepted down to -maxAge and counts as zero; if the wall clock was set back further, the real age
+// can't be determined.
 func (s *Snapshot) checkApplies(balancerName string, settingsFingerprint uint64, maxAge time.Duration) error {
 	switch {
 	case s.BalancerName != balancerName:
