--- a/stallwatch/diagnose.go
+++ b/stallwatch/diagnose.go
@@ -2,57 +2,56 @@
 
 import "time"
 
-// DefaultThreshold is the threshold where nothing else is set: the least time that counts as a stall.
+// DefaultThreshold is the default of the shortest delay that counts as a stall.
 const DefaultThreshold = 100 * time.Millisecond
 
-// Observation is what was measured over one gap, from the last wake-up of the Detector to this one.
+// Observation holds the measurements of one gap: the time between two wake-ups of the Detector.
 type Observation struct {
-	WakeupDelay     time.Duration // how late the Detector woke up
+	WakeupDelay     time.Duration // how much later than scheduled the Detector woke up
 	CPU             time.Duration // CPU time that the process used
-	RunDelay        time.Duration // for which its threads were ready to run and did not, all together
-	IsRunDelayKnown bool          // this kernel counts RunDelay
-	Steal           time.Duration // for which a hypervisor ran something else than this machine, over all cores
+	RunDelay        time.Duration // total time for which the process's threads were runnable but not running
+	IsRunDelayKnown bool          // whether the kernel provides RunDelay
+	Steal           time.Duration // time for which the hypervisor did not run this virtual machine, over all cores
 	GCPause         time.Duration // longest pause of the garbage collector
-	ResumeSignals   int           // SIGCONTs received: times that the process was told to go on after a stop
+	ResumeSignals   int           // number of SIGCONT signals received, which resume a stopped process
 
-	Lock   time.Duration // for which the decision module's lock could not be had
-	Accept time.Duration // for which an accepted connection waited for room
-	Log    time.Duration // for which a write of the log did not return
+	Lock   time.Duration // longest wait for the lock of package policy
+	Accept time.Duration // longest time that an accepted connection waited for a free slot
+	Log    time.Duration // longest time that a write to the log took
 }
 
-// Cause is why the program stalled, as the log spells it.
+// Cause is the cause of a stall, as it is written to the log.
 type Cause string
 
-// The causes of a stall of the whole process, then those of a part of it.
+// The first group are causes that stall the whole process, the second those that stall one part of it.
 const (
-	CauseStopped Cause = "stopped"   // stopped by a signal and told to go on: a limit on its CPU time, or somebody
-	CauseFrozen  Cause = "frozen"    // it did not run, was not ready to, and was not told to go on: the machine under it stood still
-	CauseStarved Cause = "starved"   // it was ready to run, and other processes ran
-	CauseNotRun  Cause = "not run"   // starved or frozen; this kernel does not tell which
+	CauseStopped Cause = "stopped"   // stopped by a signal and resumed, by a CPU limiter or a person
+	CauseFrozen  Cause = "frozen"    // not running, not runnable and not resumed by a signal: the machine itself was paused
+	CauseStarved Cause = "starved"   // runnable, but other processes had the CPU
+	CauseNotRun  Cause = "not run"   // starved or frozen; the kernel does not provide the run delay that would distinguish them
 	CauseGCPause Cause = "collector" // a pause of the garbage collector
-	CauseRuntime Cause = "runtime"   // it ran, but the runtime's scheduler had something else to run
+	CauseRuntime Cause = "runtime"   // running, but the Go scheduler ran other goroutines
 
-	CauseLock   Cause = "lock"   // the decision module's lock was held
-	CauseAccept Cause = "accept" // an accepted connection found no room
-	CauseLog    Cause = "log"    // nobody took what the log writes
+	CauseLock   Cause = "lock"   // the lock of package policy was held for too long
+	CauseAccept Cause = "accept" // an accepted connection found no free slot
+	CauseLog    Cause = "log"    // the reader of the log did not read
 )
 
-// Stall is a cause and for how long it held the program up.
+// Stall is the cause and the duration of a stall.
 type Stall struct {
 	Cause    Cause
 	Duration time.Duration
 }
 
-// Diagnose names what stalled the program over a gap, if anything did: at most one cause of the whole process, and each
-// part of it that was held up on top of that. threshold is the least time that counts as a stall. It has no clock and
-// does no I/O.
+// Diagnose returns the stalls of a gap: at most one of the whole process, and one for each part that was delayed
+// considerably longer than the process. threshold is the shortest delay that counts as a stall. Diagnose reads no clock
+// and does no I/O.
 func Diagnose(o Observation, threshold time.Duration) (stalls []Stall) {
 	if o.WakeupDelay >= threshold {
 		stalls = append(stalls, Stall{processCause(o), o.WakeupDelay})
 	}
 	for _, part := range []Stall{{CauseLock, o.Lock}, {CauseAccept, o.Accept}, {CauseLog, o.Log}} {
-		// A process that did not run explains what else was late for as long: a part is named only where it was held up
-		// for longer.
+		// A stall of the process delays all its parts for as long, so a part is reported only if its delay is longer.
 		if part.Duration >= DefaultThreshold && part.Duration-o.WakeupDelay >= threshold/2 {
 			stalls = append(stalls, part)
 		}
@@ -60,9 +59,9 @@
 	return stalls
 }
 
-// processCause names why the whole process was late. The order counts: what the kernel says goes before what can be
-// guessed from the CPU time, and a pause of the collector during which the process was not run is no fault of the
-// collector.
+// processCause returns the cause of a stall of the whole process. The order of the cases matters: what the kernel
+// reports takes precedence over what can be inferred from the CPU time, and a garbage collector pause that was long
+// only because the process did not run is not attributed to the garbage collector.
 func processCause(o Observation) Cause {
 	switch {
 	case o.ResumeSignals > 0 && o.CPU <= o.WakeupDelay/2:
