--- a/stallwatch/counters.go
+++ b/stallwatch/counters.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The runtime's metrics that are read, and their places in metricNames.
+// Indices of the Go runtime's metrics in metricNames.
 const (
 	gcPauseMetric = iota
 	schedulingLatencyMetric
@@ -22,7 +22,7 @@
 	gcCyclesMetric:          "/gc/cycles/total:gc-cycles",
 }
 
-// counters are counts of the kernel and the runtime since the process began.
+// counters holds counters of the kernel and the Go runtime, each cumulative since the process or the machine started.
 type counters struct {
 	cpu             time.Duration
 	runDelay        time.Duration
@@ -30,11 +30,11 @@
 	steal           time.Duration
 
 	metrics             [len(metricNames)]metrics.Sample
-	gcPauses            []uint64 // by bucket of the metric's histogram
-	schedulingLatencies []uint64 // the same
+	gcPauses            []uint64 // counts by bucket of the metric's histogram
+	schedulingLatencies []uint64 // counts by bucket of the metric's histogram
 }
 
-// read updates all counters. It uses their memory again.
+// read updates all counters, reusing their memory.
 func (c *counters) read(proc *procReader) {
 	c.cpu = cpuTime(c.cpu)
 	c.runDelay, c.isRunDelayKnown = proc.runDelay(time.Now())
@@ -47,22 +47,23 @@
 	c.schedulingLatencies = appendBuckets(c.schedulingLatencies[:0], c.metrics[schedulingLatencyMetric])
 }
 
-// longestGCPause returns the longest pause of the garbage collector since before.
+// longestGCPause returns the longest pause of the garbage collector since before was read.
 func (c *counters) longestGCPause(before *counters) time.Duration {
 	return longestSince(c.gcPauses, before.gcPauses, c.metrics[gcPauseMetric])
 }
 
-// longestSchedulingLatency returns the longest time since before that a goroutine was ready to run and did not.
+// longestSchedulingLatency returns the longest time that a goroutine was runnable but not running since before was
+// read.
 func (c *counters) longestSchedulingLatency(before *counters) time.Duration {
 	return longestSince(c.schedulingLatencies, before.schedulingLatencies, c.metrics[schedulingLatencyMetric])
 }
 
-// gcCycles returns how often the garbage collector ran since before.
+// gcCycles returns the number of garbage collector cycles since before was read.
 func (c *counters) gcCycles(before *counters) uint64 {
 	return c.metrics[gcCyclesMetric].Value.Uint64() - before.metrics[gcCyclesMetric].Value.Uint64()
 }
 
-// appendBuckets appends a histogram's counts; nothing where this version of the runtime does not have the metric.
+// appendBuckets appends a histogram's counts to counts, or nothing if this version of the runtime lacks the metric.
 func appendBuckets(counts []uint64, sample metrics.Sample) []uint64 {
 	if sample.Value.Kind() != metrics.KindFloat64Histogram {
 		return counts
@@ -70,7 +71,7 @@
 	return append(counts, sample.Value.Float64Histogram().Counts...)
 }
 
-// longestSince returns the lower bound of the largest bucket in which more was counted than before.
+// longestSince returns the lower bound of the highest bucket whose count has increased.
 func longestSince(now, before []uint64, sample metrics.Sample) time.Duration {
 	if len(now) != len(before) {
 		return 0
@@ -84,17 +85,17 @@
 }
 
 const (
-	// threadListInterval is how often the process's threads are listed anew. Listing allocates; reading their counts
-	// does not.
+	// threadListInterval is how often the list of the process's threads is refreshed. Listing them allocates memory;
+	// reading their counters does not.
 	threadListInterval = time.Second
-	// statTick is the unit of the times in /proc/stat.
+	// statTick is the unit of time in /proc/stat.
 	statTick = 10 * time.Millisecond
-	// stealField is the place of the stolen time in the first line of /proc/stat, which begins with "cpu".
+	// stealField is the index of the steal time in the first line of /proc/stat, where field 0 is "cpu".
 	stealField = 8
 )
 
-// procReader reads the kernel's counts from /proc. It keeps its buffers, as it reads often and should leave nothing to
-// collect.
+// procReader reads the kernel's counters from /proc. It reuses its buffers, so that frequent reads create no work for
+// the garbage collector.
 type procReader struct {
 	schedstatFiles []string // of the process's threads
 	listedAt       time.Time
@@ -103,8 +104,8 @@
 	statBuffer      [256]byte
 }
 
-// steal returns for how long a hypervisor ran something else than this machine, over all cores; 0 where the kernel does
-// not tell.
+// steal returns the time for which the hypervisor did not run this virtual machine, over all cores, or 0 if the kernel
+// does not provide it.
 func (p *procReader) steal() time.Duration {
 	content, err := readInto("/proc/stat", p.statBuffer[:])
 	if err != nil {
@@ -115,11 +116,11 @@
 	if len(fields) <= stealField {
 		return 0
 	}
-	ticks, _ := strconv.ParseInt(string(fields[stealField]), 10, 64) // 0 if it is no number.
+	ticks, _ := strconv.ParseInt(string(fields[stealField]), 10, 64) // 0 if it is not a number.
 	return time.Duration(ticks) * statTick
 }
 
-// runDelay returns for how long the process's threads were ready to run and did not, all together.
+// runDelay returns the total time for which the process's threads were runnable but not running.
 func (p *procReader) runDelay(now time.Time) (sum time.Duration, isKnown bool) {
 	if now.Sub(p.listedAt) > threadListInterval {
 		p.listThreads(now)
@@ -136,16 +137,17 @@
 	return sum, isKnown
 }
 
-// listThreads finds the threads that the process has now.
+// listThreads refreshes the list of the process's threads.
 func (p *procReader) listThreads(now time.Time) {
 	p.listedAt, p.schedstatFiles = now, p.schedstatFiles[:0]
-	threads, _ := os.ReadDir("/proc/self/task") // Without it the run delay is not known.
+	threads, _ := os.ReadDir("/proc/self/task") // On an error the list is empty and the run delay unknown.
 	for _, thread := range threads {
 		p.schedstatFiles = append(p.schedstatFiles, "/proc/self/task/"+thread.Name()+"/schedstat")
 	}
 }
 
-// parseRunDelay returns the second number of a thread's schedstat, in nanoseconds, without allocating.
+// parseRunDelay returns the run delay in a thread's schedstat, which is the second number, in nanoseconds. It does not
+// allocate.
 func parseRunDelay(content []byte) (delay time.Duration, isKnown bool) {
 	field := 0
 	for _, c := range content {
@@ -158,14 +160,14 @@
 	return delay, isKnown
 }
 
-// readInto returns the beginning of a file, as much as fits into buffer, without allocating.
+// readInto reads the start of a file into buffer, as much as fits, without allocating.
 func readInto(path string, buffer []byte) ([]byte, error) {
 	fd, err := syscall.Open(path, syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
 	if err != nil {
 		return nil, err
 	}
 	n, err := syscall.Read(fd, buffer)
-	_ = syscall.Close(fd) // It was only read.
+	_ = syscall.Close(fd) // Closing a file that was only read loses no data.
 	if err != nil {
 		return nil, err
 	}
