--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -132,7 +132,7 @@
 		o.ResumeSignals = d.takeResumeSignals(resumeSignalTimeout)
 	}
 	for _, stall := range Diagnose(o, threshold) {
-		if !d.reporter.isDue(stall.Cause, now) {
+		if !d.reporter.shouldLog(stall.Cause, now) {
 			continue
 		}
 		functions := ""
--- a/stallwatch/report.go
+++ b/stallwatch/report.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// reportInterval is how often a cause is logged that lasts; what is found in between is counted.
+	// reportInterval is the shortest time between two log lines for the same cause. Stalls in between are only counted.
 	reportInterval = 2 * time.Second
-	// maxQueuedReports bounds the lines that wait for a log that takes nothing.
+	// maxQueuedReports limits the reports that are queued while writing to the log blocks.
 	maxQueuedReports = 16
-	// maxStackBytes bounds the stacks that are searched for the holder of the lock, and with them the time for which
-	// the runtime stops the program to write them down.
+	// maxStackBytes limits the size of the stack dump that is searched for the holder of the lock, and thereby the time
+	// for which the runtime stops the program to produce it.
 	maxStackBytes = 64 << 10
-	// maxFunctions is how many functions are named that may hold the lock.
+	// maxFunctions is the largest number of functions reported as possible holders of the lock.
 	maxFunctions = 3
 )
 
-// report is what one line of the log tells of a stall.
+// report is the content of one log line about a stall.
 type report struct {
 	Stall
 	Observation
-	schedulingLatency time.Duration // longest over the gap
-	gcCycles          uint64        // over the gap
-	cpuBefore         time.Duration // CPU time used in the second before the gap
-	functions         string        // that may hold the lock
-	suppressed        int           // times that the cause was found since it was last logged
+	schedulingLatency time.Duration // longest during the gap
+	gcCycles          uint64        // during the gap
+	cpuBefore         time.Duration // CPU time used in about the second before the gap
+	functions         string        // possible holders of the lock
+	suppressed        int           // stalls of the same cause that were not logged since the last log line
 }
 
-// reporter logs stalls. Its methods must not be called concurrently, but for run.
+// reporter logs stalls. Its methods must not be called concurrently, except run.
 type reporter struct {
 	log            zerolog.Logger
 	queue          chan report
@@ -44,8 +44,8 @@
 	return &reporter{log: log, queue: make(chan report, maxQueuedReports), lastReportedAt: map[Cause]time.Time{}, suppressed: map[Cause]int{}}
 }
 
-// isDue counts a stall of this cause, and tells whether to log it now.
-func (r *reporter) isDue(cause Cause, now time.Time) bool {
+// shouldLog reports whether to log a stall of this cause now. If not, it counts the stall as suppressed.
+func (r *reporter) shouldLog(cause Cause, now time.Time) bool {
 	if last, ok := r.lastReportedAt[cause]; ok && now.Sub(last) < reportInterval {
 		r.suppressed[cause]++
 		return false
@@ -53,7 +53,7 @@
 	return true
 }
 
-// enqueue has a stall logged by run. It does not wait: where the log takes nothing, the stall counts as suppressed.
+// enqueue queues a stall to be logged by run. It does not block: if the queue is full, the stall counts as suppressed.
 func (r *reporter) enqueue(stall report, now time.Time) {
 	stall.suppressed = r.suppressed[stall.Cause]
 	r.lastReportedAt[stall.Cause], r.suppressed[stall.Cause] = now, 0
@@ -64,8 +64,8 @@
 	}
 }
 
-// run logs what is queued, until the context ends. It guards against a log whose reader stands still: only this
-// goroutine waits for it, and the Detector goes on measuring.
+// run logs queued stalls until the context ends. If the log's reader stops reading, only this goroutine blocks, and the
+// Detector continues to measure.
 func (r *reporter) run(ctx context.Context) {
 	for {
 		select {
@@ -88,17 +88,16 @@
 		Str("functions", s.functions).Msg("stall detected")
 }
 
-// modulePath begins the name of each function of this program in a stack.
+// modulePath is the prefix of the names of this program's functions in a stack dump.
 const modulePath = "hollylever/"
 
-// runningFunctions names functions of the program in which goroutines are that wait for nothing, or at least not for
-// the network, a channel or a lock: one of them holds the lock that can't be had. It stops the program while the stacks
-// are written down.
+// runningFunctions returns the names of functions that may hold the lock: those in which goroutines are that are not
+// waiting for the network, a channel or a lock. It stops the program while the runtime dumps the stacks.
 func runningFunctions() string {
 	buffer := make([]byte, maxStackBytes)
 	stacks := strings.Split(string(buffer[:runtime.Stack(buffer, true)]), "\n\n")
 	var functions []string
-	for _, stack := range stacks[1:] { // The first is this goroutine's own.
+	for _, stack := range stacks[1:] { // The first stack is this goroutine's own.
 		header, frames, _ := strings.Cut(stack, "\n")
 		if isWaiting(header) {
 			continue
@@ -110,8 +109,8 @@
 	return strings.Join(functions[:min(len(functions), maxFunctions)], " ")
 }
 
-// isWaiting tells by the first line of a goroutine's stack whether it waits for something that a holder of the lock
-// does not wait for.
+// isWaiting reports, from the first line of a goroutine's stack, whether it waits for something that a holder of the
+// lock never waits for.
 func isWaiting(header string) bool {
 	for _, state := range []string{"IO wait", "chan ", "select", "Mutex.Lock", "semacquire"} {
 		if strings.Contains(header, state) {
@@ -121,8 +120,8 @@
 	return false
 }
 
-// firstOwnFunction returns the innermost function of this program in a stack's frames, without module path and
-// arguments.
+// firstOwnFunction returns the innermost function of this program among a stack's frames, without the module path and
+// the arguments.
 func firstOwnFunction(frames string) (string, bool) {
 	for _, line := range strings.Split(frames, "\n") {
 		if call, ok := strings.CutPrefix(line, modulePath); ok {
