--- a/stallwatch/detector_test.go
+++ b/stallwatch/detector_test.go
@@ -131,7 +131,7 @@
 	go log.Info().Str("cause", "a line").Msg("")
 	for len(d.reporter.queue) == 0 {
 		time.Sleep(ms)
-		if logWrite.enteredAt.Load() > 0 && clock()-logWrite.enteredAt.Load() > int64(10*time.Second) {
+		if logWrite.startedAt.Load() > 0 && nanosSinceStart()-logWrite.startedAt.Load() > int64(10*time.Second) {
 			t.Fatal("a log that takes nothing is not detected")
 		}
 	}
--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// clockStart is the zero of clock, which counts in int64 so that it fits an atomic.
-var clockStart = time.Now()
+// startTime is the zero of clock, which counts in int64 so that it fits an atomic.
+var startTime = time.Now()
 
-// clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
-func clock() int64 { return int64(time.Since(clockStart)) + 1 }
+// nanosSinceStart returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
+func nanosSinceStart() int64 { return int64(time.Since(startTime)) + 1 }
 
 // Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be
 // inside; of several the newest is measured. Any goroutine may call its methods, and none waits.
-type Timer struct{ enteredAt, longest atomic.Int64 }
+type Timer struct{ startedAt, longest atomic.Int64 }
 
 // Begin enters the section.
-func (t *Timer) Begin() { t.enteredAt.Store(clock()) }
+func (t *Timer) Begin() { t.startedAt.Store(nanosSinceStart()) }
 
 // End leaves the section.
 func (t *Timer) End() {
-	if enteredAt := t.enteredAt.Swap(0); enteredAt > 0 {
-		if took := clock() - enteredAt; took > t.longest.Load() {
+	if enteredAt := t.startedAt.Swap(0); enteredAt > 0 {
+		if took := nanosSinceStart() - enteredAt; took > t.longest.Load() {
 			t.longest.Store(took)
 		}
 	}
@@ -30,10 +30,10 @@
 
 // takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with
 // its time so far; isInside tells that this is the longest.
-func (t *Timer) takeLongest() (longest time.Duration, isInside bool) {
+func (t *Timer) takeLongest() (longest time.Duration, isRunning bool) {
 	longest = time.Duration(t.longest.Swap(0))
-	if enteredAt := t.enteredAt.Load(); enteredAt > 0 {
-		if elapsed := time.Duration(clock() - enteredAt); elapsed > longest {
+	if startedAt := t.startedAt.Load(); startedAt > 0 {
+		if elapsed := time.Duration(nanosSinceStart() - startedAt); elapsed > longest {
 			return elapsed, true
 		}
 	}
