--- a/stallwatch/usage.go
+++ b/stallwatch/usage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// cpuTime returns the CPU time that the process has used, or before where the kernel does not tell.
+// cpuTime returns the CPU time that the process has used, or before if the kernel does not provide it.
 func cpuTime(before time.Duration) time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -15,15 +15,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// UsageMeter measures what the process uses from call to call. The zero value is ready; it must not be used
+// UsageMeter measures the process's resource usage between calls. The zero value is ready for use. It must not be used
 // concurrently.
 type UsageMeter struct {
 	cpu      time.Duration
 	gcCycles uint64
 }
 
-// SinceLast returns the CPU time that the process used, and how often the garbage collector ran, since the last call;
-// at first since the process began.
+// SinceLast returns the CPU time that the process used and the number of garbage collector cycles since the last call,
+// or since the process started for the first call.
 func (m *UsageMeter) SinceLast() (cpu time.Duration, gcCycles uint64) {
 	sample := []metrics.Sample{{Name: metricNames[gcCyclesMetric]}}
 	metrics.Read(sample)
