--- a/stallwatch/report.go
+++ b/stallwatch/report.go
@@ -27,7 +27,7 @@
 	Observation
 	schedulingLatency time.Duration // longest during the gap
 	gcCycles          uint64        // during the gap
-	cpuBefore         time.Duration // CPU time used in about the second before the gap
+	cpuBefore         time.Duration // CPU time used in the second before the gap
 	functions         string        // possible holders of the lock
 	suppressed        int           // stalls of the same cause that were not logged since the last log line
 }
--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// startTime is the zero of clock, which counts in int64 so that it fits an atomic.
+// startTime is the zero point of nanosSinceStart.
 var startTime = time.Now()
 
-// nanosSinceStart returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
+// nanosSinceStart returns the nanoseconds since startTime, as an int64 that a Timer can store atomically. It is never
+// 0, which in a Timer means that no measurement is running.
 func nanosSinceStart() int64 { return int64(time.Since(startTime)) + 1 }
 
 // Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be
@@ -21,8 +22,8 @@
 
 // End leaves the section.
 func (t *Timer) End() {
-	if enteredAt := t.startedAt.Swap(0); enteredAt > 0 {
-		if took := nanosSinceStart() - enteredAt; took > t.longest.Load() {
+	if startedAt := t.startedAt.Swap(0); startedAt > 0 {
+		if took := nanosSinceStart() - startedAt; took > t.longest.Load() {
 			t.longest.Store(took)
 		}
 	}
