--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -1,11 +1,11 @@
-// Package stallwatch detects that the program stalled, and logs why.
+// Package stallwatch detects stalls of the program and logs their causes.
 //
-// A Detector is a goroutine that should wake up every 25 ms; how late it does tells how long the whole process did not
-// run. Beside that it takes the decision module's lock as a request would, and reads the timers (timer.go) around
-// accepted connections and writes of the log. Where anything took too long, it reads the counts of the kernel and the
-// runtime (counters.go), diagnoses the cause (diagnose.go, which has no clock and does no I/O) and logs it (report.go).
+// A Detector is scheduled to wake up every 25 ms; its wakeup delay shows for how long the whole process did not run. It
+// also takes the lock of package policy, as a request would, and reads the timers (timer.go) around accepted
+// connections and writes to the log. If anything took too long, it reads the counters of the kernel and the Go runtime
+// (counters.go), diagnoses the cause (diagnose.go, which reads no clock and does no I/O) and logs it (report.go).
 //
-// While nothing stalls that costs two wake-ups every 25 ms and some readings of counts every 100 ms, and nothing per
+// Without stalls this costs two wake-ups every 25 ms and a reading of the counters every 100 ms, and nothing per
 // request.
 package stallwatch
 
@@ -22,38 +22,39 @@
 )
 
 const (
-	// wakeupInterval is how often the Detector wakes up, and how often it takes the lock: a quarter of the default
-	// threshold.
+	// wakeupInterval is how often the Detector wakes up, and how often it takes the lock. It is a quarter of the
+	// default threshold.
 	wakeupInterval = 25 * time.Millisecond
-	// wakeupsPerReading is after how many wake-ups the counters are read: a stall is measured against counts that are
-	// 100 ms old at most.
+	// wakeupsPerReading is the number of wake-ups between two readings of the counters, so that a stall is measured
+	// against counters that are at most 100 ms old.
 	wakeupsPerReading = 4
-	// cpuHistoryReadings is how many readings of the CPU time are remembered: those of one second.
+	// cpuHistoryReadings is how many readings of the CPU time are remembered; they cover one second.
 	cpuHistoryReadings = 10
-	// resumeSignalTimeout is how long a late wake-up waits for the SIGCONT that may have ended a stop.
+	// resumeSignalTimeout is how long the Detector, after a late wake-up, waits for the SIGCONT that may have resumed
+	// the process.
 	resumeSignalTimeout = 5 * time.Millisecond
-	// maxResumeSignals bounds the signals that are queued between two wake-ups.
+	// maxResumeSignals limits the signals that are queued between two wake-ups.
 	maxResumeSignals = 16
 )
 
-// Detector detects stalls. Run owns all but the timers and the threshold, which any goroutine may use.
+// Detector detects stalls. Only the timers and the threshold are safe for concurrent use; Run owns the other fields.
 type Detector struct {
-	Accept Timer // around the time for which an accepted connection waits for room
+	Accept Timer // measures how long an accepted connection waits for a free slot
 
 	threshold atomic.Int64 // nanoseconds
 	logWrite  *Timer
-	lockWait  Timer // around taking the decision module's lock
+	lockWait  Timer // measures how long it takes to acquire lock
 	lock      sync.Locker
 
 	resumeSignals chan os.Signal
 	proc          procReader
-	previous      counters // as of the last reading
-	current       counters // as of the gap that is diagnosed; kept for its memory
+	previous      counters // at the last regular reading
+	current       counters // at the end of the gap that is diagnosed; a field so that its memory is reused
 	cpuHistory    cpuHistory
 	reporter      *reporter
 }
 
-// cpuHistory is the process's CPU time at the last readings, in a ring.
+// cpuHistory is a ring buffer of the process's CPU time at the last readings.
 type cpuHistory struct {
 	readings [cpuHistoryReadings]time.Duration
 	count    int
@@ -64,18 +65,19 @@
 	h.count++
 }
 
-// oldest returns the CPU time at the oldest reading; 0, as at the start of the process, until the ring is full.
+// oldest returns the CPU time at the oldest reading. Until the ring buffer is full it returns 0, the CPU time at the
+// start of the process.
 func (h *cpuHistory) oldest() time.Duration { return h.readings[h.count%cpuHistoryReadings] }
 
-// New returns a detector of stalls of the process, of the lock, and of what the timers measure: its Accept, and
-// logWrite around writes of the log. It reports to log.
+// New returns a Detector for stalls of the process, waits for lock, and the sections measured by the timers: its
+// Accept, and logWrite, which measures writes to the log. Stalls are reported to log.
 func New(lock sync.Locker, log zerolog.Logger, logWrite *Timer) *Detector {
 	d := &Detector{lock: lock, logWrite: logWrite, reporter: newReporter(log)}
 	d.SetThreshold(DefaultThreshold)
 	return d
 }
 
-// SetThreshold sets the least time that counts as a stall.
+// SetThreshold sets the shortest delay that counts as a stall.
 func (d *Detector) SetThreshold(threshold time.Duration) { d.threshold.Store(int64(threshold)) }
 
 // Run detects stalls until the context ends.
@@ -100,7 +102,7 @@
 	}
 }
 
-// probeLock takes the decision module's lock now and then, as a request would, and measures how long it waits.
+// probeLock periodically takes the lock of package policy, as a request would, and measures how long it waits for it.
 func (d *Detector) probeLock(ctx context.Context) {
 	ticker := time.NewTicker(wakeupInterval)
 	defer ticker.Stop()
@@ -112,15 +114,15 @@
 	}
 }
 
-// check diagnoses and reports the gap since the last wake-up, if anything took longer than the threshold.
+// check diagnoses the gap since the last wake-up and reports its stalls, if anything reached the threshold.
 func (d *Detector) check(wakeupDelay time.Duration, now time.Time) {
 	threshold := time.Duration(d.threshold.Load())
 	if wakeupDelay < threshold {
-		d.takeResumeSignals(0) // Of a stop that was too short to count.
+		d.takeResumeSignals(0) // Discards signals of a stop that was too short to count as a stall.
 	}
 	o := Observation{WakeupDelay: wakeupDelay}
-	var isLockHeldNow bool
-	o.Lock, isLockHeldNow = d.lockWait.takeLongest()
+	var isLockHeld bool
+	o.Lock, isLockHeld = d.lockWait.takeLongest()
 	o.Accept, _ = d.Accept.takeLongest()
 	o.Log, _ = d.logWrite.takeLongest()
 	if max(o.WakeupDelay, o.Lock, o.Accept, o.Log) < threshold {
@@ -136,7 +138,7 @@
 			continue
 		}
 		functions := ""
-		if stall.Cause == CauseLock && isLockHeldNow {
+		if stall.Cause == CauseLock && isLockHeld {
 			functions = runningFunctions()
 		}
 		d.reporter.enqueue(report{Stall: stall, Observation: o, functions: functions,
@@ -145,7 +147,7 @@
 	}
 }
 
-// observeCounters adds what the counters tell of the gap.
+// observeCounters adds to o how much the counters changed during the gap.
 func (d *Detector) observeCounters(o *Observation) {
 	o.CPU = d.current.cpu - d.previous.cpu
 	o.RunDelay, o.IsRunDelayKnown = d.current.runDelay-d.previous.runDelay, d.current.isRunDelayKnown
@@ -153,11 +155,11 @@
 	o.GCPause = d.current.longestGCPause(&d.previous)
 }
 
-// takeResumeSignals returns how many SIGCONTs came since the last call.
+// takeResumeSignals returns the number of SIGCONT signals received since the last call. If there is none, it waits up
+// to timeout for one.
 //
-// timeout guards against a wake-up that goes before the signal which ended a stop: the kernel runs the process again,
-// and the signal has to come through the runtime first. Without waiting for it a moment, the stop would be reported as
-// a frozen machine.
+// The wait is needed because after a stop the Detector can wake up before the Go runtime has delivered the SIGCONT.
+// Without it the stop would be reported as a frozen machine.
 func (d *Detector) takeResumeSignals(timeout time.Duration) (count int) {
 	if len(d.resumeSignals) == 0 && timeout > 0 {
 		select {
