--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -121,8 +121,8 @@
 		d.takeResumeSignals(0) // Discards signals of a stop that was too short to count as a stall.
 	}
 	o := Observation{WakeupDelay: wakeupDelay}
-	var isLockHeld bool
-	o.Lock, isLockHeld = d.lockWait.takeLongest()
+	var isLockStillHeld bool
+	o.Lock, isLockStillHeld = d.lockWait.takeLongest()
 	o.Accept, _ = d.Accept.takeLongest()
 	o.Log, _ = d.logWrite.takeLongest()
 	if max(o.WakeupDelay, o.Lock, o.Accept, o.Log) < threshold {
@@ -138,7 +138,7 @@
 			continue
 		}
 		functions := ""
-		if stall.Cause == CauseLock && isLockHeld {
+		if stall.Cause == CauseLock && isLockStillHeld {
 			functions = runningFunctions()
 		}
 		d.reporter.enqueue(report{Stall: stall, Observation: o, functions: functions,
--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -13,14 +13,15 @@
 // 0, which in a Timer means that no measurement is running.
 func nanosSinceStart() int64 { return int64(time.Since(startTime)) + 1 }
 
-// Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be
-// inside; of several the newest is measured. Any goroutine may call its methods, and none waits.
+// Timer measures how long a section of code takes that should be short. It is meant for sections that one goroutine at
+// a time executes; if several do, the latest to begin is measured. Its methods are safe for concurrent use and don't
+// block.
 type Timer struct{ startedAt, longest atomic.Int64 }
 
-// Begin enters the section.
+// Begin marks the start of the section.
 func (t *Timer) Begin() { t.startedAt.Store(nanosSinceStart()) }
 
-// End leaves the section.
+// End marks the end of the section.
 func (t *Timer) End() {
 	if startedAt := t.startedAt.Swap(0); startedAt > 0 {
 		if took := nanosSinceStart() - startedAt; took > t.longest.Load() {
@@ -29,8 +30,8 @@
 	}
 }
 
-// takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with
-// its time so far; isInside tells that this is the longest.
+// takeLongest returns the longest time that the section took since the last call, and resets it. A section that has not
+// ended counts with its time so far; isRunning reports whether that is the longest.
 func (t *Timer) takeLongest() (longest time.Duration, isRunning bool) {
 	longest = time.Duration(t.longest.Swap(0))
 	if startedAt := t.startedAt.Load(); startedAt > 0 {
@@ -41,13 +42,13 @@
 	return longest, false
 }
 
-// TimedWriter measures each write with its Timer.
+// TimedWriter is an io.Writer that measures each write with its Timer.
 type TimedWriter struct {
 	io.Writer
 	*Timer
 }
 
-// Write writes through to the wrapped writer.
+// Write passes content to the wrapped writer.
 func (w TimedWriter) Write(content []byte) (int, error) {
 	w.Begin()
 	defer w.End()
