--- a/stallwatch/detector_test.go
+++ b/stallwatch/detector_test.go
@@ -16,9 +16,9 @@
 
 const ms = time.Millisecond
 
-// Whoever is on call looks for the cause that the log names. A machine that did not run, a collector, a lock and a log
-// that nobody reads need different people: each observation gets its cause, and what was late because the whole process
-// was is not named beside it.
+// Engineers on call act on the cause in the log: a paused machine, the garbage collector, a lock and a log that nobody
+// reads each need a different response. Each observation must yield its cause, and parts that were delayed only because
+// the whole process was must not be reported as well.
 func TestEachObservationGetsItsCause(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -28,17 +28,17 @@
 		{"nothing", Observation{WakeupDelay: 99 * ms, Lock: 99 * ms}, nil},
 		{"stopped by a signal",
 			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, ResumeSignals: 1}, []Cause{CauseStopped}},
-		{"the machine stood still",
+		{"the machine was paused",
 			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms, RunDelay: 20 * ms, IsRunDelayKnown: true, Steal: 890 * ms}, []Cause{CauseFrozen}},
 		{"other processes ran",
 			Observation{WakeupDelay: 900 * ms, CPU: 300 * ms, RunDelay: 600 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
 		{"a kernel that does not count run delay",
 			Observation{WakeupDelay: 900 * ms, CPU: 5 * ms}, []Cause{CauseNotRun}},
-		{"work of its own",
+		{"CPU used by the process itself",
 			Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, IsRunDelayKnown: true}, []Cause{CauseRuntime}},
-		{"a collector that ran",
+		{"a garbage collector pause with CPU time used",
 			Observation{WakeupDelay: 300 * ms, CPU: 290 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseGCPause}},
-		{"a collector that did not run",
+		{"a garbage collector pause while other processes ran",
 			Observation{WakeupDelay: 300 * ms, CPU: 9 * ms, RunDelay: 280 * ms, GCPause: 262 * ms, IsRunDelayKnown: true}, []Cause{CauseStarved}},
 		{"the lock is held",
 			Observation{WakeupDelay: 2 * ms, Lock: 400 * ms}, []Cause{CauseLock}},
@@ -60,21 +60,21 @@
 	}
 }
 
-// blockableLog is a log that takes nothing while its lock is held.
-type blockableLog struct {
+// blockingLog is a log whose writes block while its mutex is held.
+type blockingLog struct {
 	mu    sync.Mutex
 	lines chan []byte
 }
 
-func (l *blockableLog) Write(line []byte) (int, error) {
+func (l *blockingLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines <- bytes.Clone(line)
 	return len(line), nil
 }
 
-// nextStall returns the next line's cause, and the functions that it names.
-func (l *blockableLog) nextStall(t *testing.T) (cause, functions string) {
+// nextStall waits for the next line and returns its cause and functions.
+func (l *blockingLog) nextStall(t *testing.T) (cause, functions string) {
 	t.Helper()
 	select {
 	case line := <-l.lines:
@@ -84,12 +84,13 @@
 		}
 		return logged.Cause, logged.Functions
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing is logged")
+		t.Fatal("nothing was logged within 10 s")
 		panic("unreachable")
 	}
 }
 
-// holdLock holds a lock until it is told to release it, without waiting for a channel.
+// holdLock holds a lock until release is closed. It polls the channel, as the detector does not report functions of
+// goroutines that wait for a channel.
 func holdLock(lock *sync.Mutex, release <-chan struct{}, held chan<- struct{}) {
 	lock.Lock()
 	close(held)
@@ -104,35 +105,35 @@
 	lock.Unlock()
 }
 
-// A part of the program is held up while the rest runs: a lock, an accepted connection, a log that nobody reads. Each
-// is caused here, and has to be logged with its cause; the last one once the log is read again.
+// One part of the program can stall while the rest runs: at a lock, an accepted connection, or a log that nobody reads.
+// Each such stall must be logged with its cause, that of the log once the log is read again.
 func TestStallsOfPartsAreLogged(t *testing.T) {
-	out, lock := &blockableLog{lines: make(chan []byte, 100)}, &sync.Mutex{}
+	out, lock := &blockingLog{lines: make(chan []byte, 100)}, &sync.Mutex{}
 	var logWrite Timer
 	log := zerolog.New(TimedWriter{out, &logWrite})
 	d := New(lock, log, &logWrite)
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	go d.Run(ctx)
 
 	release, held := make(chan struct{}), make(chan struct{})
 	go holdLock(lock, release, held)
 	<-held
 	if cause, functions := out.nextStall(t); cause != "lock" || functions == "" {
-		t.Errorf("a lock that is held: %q in %q", cause, functions)
+		t.Errorf("a held lock is reported as cause %q in functions %q", cause, functions)
 	}
 	close(release)
 	d.Accept.Begin()
 	if cause, _ := out.nextStall(t); cause != "accept" {
-		t.Errorf("an accept in hand: %q", cause)
+		t.Errorf("a waiting accepted connection is reported as cause %q", cause)
 	}
 	d.Accept.End()
-	out.mu.Lock() // The log takes nothing; the detector goes on, and reports it afterwards.
+	out.mu.Lock() // Writes to the log block; the detector continues, and reports the stall afterwards.
 	go log.Info().Str("cause", "a line").Msg("")
 	for len(d.reporter.queue) == 0 {
 		time.Sleep(ms)
 		if logWrite.startedAt.Load() > 0 && nanosSinceStart()-logWrite.startedAt.Load() > int64(10*time.Second) {
-			t.Fatal("a log that takes nothing is not detected")
+			t.Fatal("a blocked log is not detected")
 		}
 	}
 	out.mu.Unlock()
@@ -141,17 +142,17 @@
 	}
 }
 
-// stoppedEnv makes the test binary the process that is stopped.
+// stoppedEnv is the environment variable that makes the test binary run as the process to be stopped.
 const stoppedEnv = "HOLLYLEVER_WATCH_TEST"
 
-// A limit on CPU time, or a person, stops the process by a signal. Requests expire meanwhile, and without its cause
-// they would look like a defect of the balancer: the process reports the stop once it goes on.
+// A CPU limiter or a person can stop the process by a signal. Requests that expire meanwhile would look like a defect
+// of the balancer, so the process must report the stop when it resumes.
 func TestStopBySignalIsReported(t *testing.T) {
 	if os.Getenv(stoppedEnv) != "" {
 		var logWrite Timer
 		d := New(&sync.Mutex{}, zerolog.New(os.Stderr), &logWrite)
-		ctx, end := context.WithTimeout(context.Background(), 20*time.Second)
-		defer end()
+		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+		defer cancel()
 		go func() { time.Sleep(4 * wakeupInterval); os.Stderr.WriteString("{}\n") }()
 		d.Run(ctx)
 		return
@@ -167,23 +168,23 @@
 	}
 	defer cmd.Wait()
 	defer cmd.Process.Kill()
-	read := json.NewDecoder(output)
+	decoder := json.NewDecoder(output)
 	var line struct {
 		Cause      string
 		DurationMS int `json:"duration_ms"`
 	}
-	if err := read.Decode(&line); err != nil {
+	if err := decoder.Decode(&line); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(400 * ms) // The stop itself.
 	cmd.Process.Signal(syscall.SIGCONT)
 	for line.Cause == "" || line.DurationMS < 200 {
-		if err := read.Decode(&line); err != nil {
+		if err := decoder.Decode(&line); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if line.Cause != string(CauseStopped) {
-		t.Errorf("it reports %+v", line)
+		t.Errorf("the stop is reported as %+v", line)
 	}
 }
