--- a/stallwatch/golden_test.go
+++ b/stallwatch/golden_test.go
@@ -14,25 +14,25 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden values in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden values in testdata")
 
-// A stall that is named after the wrong cause sends whoever is on call to the wrong machine. Over a grid of
-// observations, each cause and its duration stay as version 860147b found them.
+// A stall reported with the wrong cause sends the engineer on call to the wrong machine. Over a grid of observations,
+// all causes and durations must stay as in version 860147b.
 func TestGoldenCauses(t *testing.T) {
 	trace, seen := sha256.New(), map[Cause]int{}
 	for _, threshold := range []time.Duration{50 * ms, DefaultThreshold, 400 * ms} {
 		for _, delay := range []time.Duration{0, 49 * ms, 50 * ms, 100 * ms, 399 * ms, 400 * ms, 900 * ms} {
 			for n := range 4 * 4 * 4 * 2 * 2 * 4 {
-				of := func(choices int) int {
+				choose := func(choices int) int {
 					choice := n % choices
 					n /= choices
 					return choice
 				}
-				part := func() time.Duration { return []time.Duration{0, delay / 4, delay / 2, delay}[of(4)] }
-				o := Observation{WakeupDelay: delay, CPU: part(), RunDelay: part(), GCPause: part(), IsRunDelayKnown: of(2) == 1,
-					ResumeSignals: of(2), Steal: delay}
-				late := []time.Duration{0, threshold/2 - 1, threshold / 2, threshold}[of(4)]
-				o.Lock, o.Accept, o.Log = delay+late, late, delay+2*late
+				part := func() time.Duration { return []time.Duration{0, delay / 4, delay / 2, delay}[choose(4)] }
+				o := Observation{WakeupDelay: delay, CPU: part(), RunDelay: part(), GCPause: part(), IsRunDelayKnown: choose(2) == 1,
+					ResumeSignals: choose(2), Steal: delay}
+				excess := []time.Duration{0, threshold/2 - 1, threshold / 2, threshold}[choose(4)]
+				o.Lock, o.Accept, o.Log = delay+excess, excess, delay+2*excess
 				for _, stall := range Diagnose(o, threshold) {
 					fmt.Fprintln(trace, string(stall.Cause), int64(stall.Duration))
 					seen[stall.Cause]++
@@ -44,20 +44,20 @@
 	if len(seen) != 9 {
 		t.Errorf("the grid reaches %d of 9 causes: %v", len(seen), seen)
 	}
-	got, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "causes.golden")
+	hash, path := hex.EncodeToString(trace.Sum(nil)), filepath.Join("testdata", "causes.golden")
 	if *update {
-		if err := os.WriteFile(path, []byte(got+"\n"), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(hash+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	want, err := os.ReadFile(path)
-	if err != nil || strings.TrimSpace(string(want)) != got {
-		t.Errorf("the trace is %s, want %s (%v)", got, want, err)
+	if err != nil || strings.TrimSpace(string(want)) != hash {
+		t.Errorf("hash of the causes is %s, want %s (error %v)", hash, want, err)
 	}
 }
 
-// The kernel gives its counts as text. Read from another column, they would have a starved process reported as a frozen
-// machine.
+// The kernel provides its counters as text. If the wrong column were parsed, a starved process would be reported as a
+// frozen machine.
 func TestKernelCountsAreParsed(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	proc := procReader{listedAt: now}
@@ -74,13 +74,13 @@
 	}
 	proc.schedstatFiles = proc.schedstatFiles[len(proc.schedstatFiles)-1:]
 	if sum, known := proc.runDelay(now); sum != 0 || known {
-		t.Errorf("of no thread: run delay %v, known: %t", sum, known)
+		t.Errorf("without threads: run delay %v, known: %t", sum, known)
 	}
 	proc.runDelay(now.Add(threadListInterval + 1))
 	if len(proc.schedstatFiles) == 0 || !strings.HasPrefix(proc.schedstatFiles[0], "/proc/self/task/") {
 		t.Errorf("after %v the threads are %q", threadListInterval, proc.schedstatFiles)
 	}
-	steal := func() time.Duration {
+	readSteal := func() time.Duration {
 		text, err := os.ReadFile("/proc/stat")
 		if err != nil {
 			t.Fatal(err)
@@ -88,32 +88,32 @@
 		ticks, _ := strconv.Atoi(strings.Fields(string(text))[8])
 		return time.Duration(ticks) * 10 * ms
 	}
-	if before, got, after := steal(), proc.steal(), steal(); got < before || got > after {
-		t.Errorf("steal %v, between %v and %v", got, before, after)
+	if before, got, after := readSteal(), proc.steal(), readSteal(); got < before || got > after {
+		t.Errorf("steal %v, want a value from %v to %v", got, before, after)
 	}
 }
 
-// A pause that is read from the wrong bucket is reported as another cause, or not at all. The longest one is the lower
-// bound of the last bucket that grew; counts that can't be compared tell of none.
-func TestLongestSinceIsTheLastBucketThatGrew(t *testing.T) {
+// A pause read from the wrong bucket would be reported with the wrong cause, or not at all. The longest pause is the
+// lower bound of the highest bucket whose count increased; it is 0 if the numbers of buckets differ.
+func TestLongestSinceIsTheHighestIncreasedBucket(t *testing.T) {
 	sample := []metrics.Sample{{Name: metricNames[schedulingLatencyMetric]}}
 	metrics.Read(sample)
 	now := appendBuckets(nil, sample[0])
 	before := append([]uint64(nil), now...)
 	if got := longestSince(now, before, sample[0]); got != 0 {
-		t.Errorf("nothing grew: %v", got)
+		t.Errorf("no count increased: %v, want 0", got)
 	}
 	edges := sample[0].Value.Float64Histogram().Buckets
 	for n := range now {
 		now[n]++
 		if got, want := longestSince(now, before, sample[0]), time.Duration(max(0, edges[n])*1e9); got != want {
-			t.Errorf("bucket %d grew: %v, want %v", n, got, want)
+			t.Errorf("count of bucket %d increased: %v, want %v", n, got, want)
 		}
 	}
 	if got := longestSince(now, before[1:], sample[0]); got != 0 {
-		t.Errorf("another number of buckets: %v", got)
+		t.Errorf("different number of buckets: %v, want 0", got)
 	}
 	if got := appendBuckets(before[:0], metrics.Sample{}); len(got) != 0 {
-		t.Errorf("no histogram: %d buckets", len(got))
+		t.Errorf("metric without a histogram: %d buckets, want 0", len(got))
 	}
 }
