--- a/snapshot/file_test.go
+++ b/snapshot/file_test.go
@@ -90,7 +90,7 @@
 		modify func(s *Snapshot)
 		want   error
 	}{
-		"a place that is no endpoint":        {func(s *Snapshot) { s.BalancerState.Places[3] = 2 }, ErrInvalid},
+		"an endpoint index out of range":     {func(s *Snapshot) { s.BalancerState.Places[3] = 2 }, ErrInvalid},
 		"fewer places than keys":             {func(s *Snapshot) { s.BalancerState.Places = s.BalancerState.Places[:4] }, ErrInvalid},
 		"a sum below zero":                   {func(s *Snapshot) { s.BalancerState.Endpoints[1].Rejected.Value = -1 }, ErrInvalid},
 		"an age below zero":                  {func(s *Snapshot) { s.BalancerState.Reads.Age = -1 }, ErrInvalid},
