--- a/store/log.go
+++ b/store/log.go
@@ -154,7 +154,8 @@
 	return l.truncateTail()
 }
 
-// truncateTail removes any bytes after the last durable record and seeks to its end.
+// truncateTail removes any bytes after the last durable record and seeks to its end. It does nothing unless
+// mayHaveTail.
 func (l *Log) truncateTail() error {
 	if !l.mayHaveTail {
 		return nil
