--- a/stallwatch/detector.go
+++ b/stallwatch/detector.go
@@ -1,7 +1,7 @@
 // Package stallwatch detects stalls of the program and logs their causes.
 //
 // A Detector is scheduled to wake up every 25 ms; its wakeup delay shows for how long the whole process did not run. It
-// also takes the lock of package policy, as a request would, and reads the timers (timer.go) around accepted
+// also takes the lock that guards the policy, as a request does, and reads the timers (timer.go) around accepted
 // connections and writes to the log. If anything took too long, it reads the counters of the kernel and the Go runtime
 // (counters.go), diagnoses the cause (diagnose.go, which reads no clock and does no I/O) and logs it (report.go).
 //
@@ -102,7 +102,8 @@
 	}
 }
 
-// probeLock periodically takes the lock of package policy, as a request would, and measures how long it waits for it.
+// probeLock periodically takes the lock that guards the policy, as a request does, and measures how long it waits for
+// it.
 func (d *Detector) probeLock(ctx context.Context) {
 	ticker := time.NewTicker(wakeupInterval)
 	defer ticker.Stop()
--- a/stallwatch/diagnose.go
+++ b/stallwatch/diagnose.go
@@ -15,7 +15,7 @@
 	GCPause         time.Duration // longest pause of the garbage collector
 	ResumeSignals   int           // number of SIGCONT signals received, which resume a stopped process
 
-	Lock   time.Duration // longest wait for the lock of package policy
+	Lock   time.Duration // longest wait for the lock that guards the policy
 	Accept time.Duration // longest time that an accepted connection waited for a free slot
 	Log    time.Duration // longest time that a write to the log took
 }
@@ -32,7 +32,7 @@
 	CauseGCPause Cause = "collector" // a pause of the garbage collector
 	CauseRuntime Cause = "runtime"   // running, but the Go scheduler ran other goroutines
 
-	CauseLock   Cause = "lock"   // the lock of package policy was held for too long
+	CauseLock   Cause = "lock"   // the lock that guards the policy was held for too long
 	CauseAccept Cause = "accept" // an accepted connection found no free slot
 	CauseLog    Cause = "log"    // the reader of the log did not read
 )
