--- a/stallwatch/timer.go
+++ b/stallwatch/timer.go
@@ -6,47 +6,49 @@
 	"time"
 )
 
-// clockStart is the zero of clock, which counts in int64 so that it fits an atomic.
-var clockStart = time.Now()
+// startTime is the zero point of nanosSinceStart.
+var startTime = time.Now()
 
-// clock returns nanoseconds since clockStart. It is never 0, which stands for "not inside" in a Timer.
-func clock() int64 { return int64(time.Since(clockStart)) + 1 }
+// nanosSinceStart returns the nanoseconds since startTime, as an int64 that a Timer can store atomically. It is never
+// 0, which in a Timer means that no measurement is running.
+func nanosSinceStart() int64 { return int64(time.Since(startTime)) + 1 }
 
-// Timer measures how long a section of the program takes that should be short. One goroutine at a time is meant to be
-// inside; of several the newest is measured. Any goroutine may call its methods, and none waits.
-type Timer struct{ enteredAt, longest atomic.Int64 }
+// Timer measures how long a section of code takes that should be short. It is meant for sections that one goroutine at
+// a time executes; if several do, the latest to begin is measured. Its methods are safe for concurrent use and don't
+// block.
+type Timer struct{ startedAt, longest atomic.Int64 }
 
-// Begin enters the section.
-func (t *Timer) Begin() { t.enteredAt.Store(clock()) }
+// Begin marks the start of the section.
+func (t *Timer) Begin() { t.startedAt.Store(nanosSinceStart()) }
 
-// End leaves the section.
+// End marks the end of the section.
 func (t *Timer) End() {
-	if enteredAt := t.enteredAt.Swap(0); enteredAt > 0 {
-		if took := clock() - enteredAt; took > t.longest.Load() {
+	if startedAt := t.startedAt.Swap(0); startedAt > 0 {
+		if took := nanosSinceStart() - startedAt; took > t.longest.Load() {
 			t.longest.Store(took)
 		}
 	}
 }
 
-// takeLongest returns the longest time inside since the last call, and starts anew. What is still inside counts with
-// its time so far; isInside tells that this is the longest.
-func (t *Timer) takeLongest() (longest time.Duration, isInside bool) {
+// takeLongest returns the longest time that the section took since the last call, and resets it. A section that has not
+// ended counts with its time so far; isRunning reports whether that is the longest.
+func (t *Timer) takeLongest() (longest time.Duration, isRunning bool) {
 	longest = time.Duration(t.longest.Swap(0))
-	if enteredAt := t.enteredAt.Load(); enteredAt > 0 {
-		if elapsed := time.Duration(clock() - enteredAt); elapsed > longest {
+	if startedAt := t.startedAt.Load(); startedAt > 0 {
+		if elapsed := time.Duration(nanosSinceStart() - startedAt); elapsed > longest {
 			return elapsed, true
 		}
 	}
 	return longest, false
 }
 
-// TimedWriter measures each write with its Timer.
+// TimedWriter is an io.Writer that measures each write with its Timer.
 type TimedWriter struct {
 	io.Writer
 	*Timer
 }
 
-// Write writes through to the wrapped writer.
+// Write passes content to the wrapped writer.
 func (w TimedWriter) Write(content []byte) (int, error) {
 	w.Begin()
 	defer w.End()
