--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -14,27 +14,27 @@
 	"hollylever/transport"
 )
 
-// Balancer routes requests of one process. Its methods may be called from any goroutine unless they say otherwise.
+// Balancer routes the requests of one process. Its methods are safe for concurrent use unless documented otherwise.
 type Balancer struct {
-	// Set by New and not changed afterwards.
+	// Immutable after New.
 	log            zerolog.Logger
 	settings       map[string]any
-	startedAt      time.Time // where the policy's clock starts
+	startedAt      time.Time // start of the policy's clock
 	pool           *transport.Pool
 	catalog        catalog
-	deadlineDrift  int64         // how much longer than its timeout a client may be kept waiting, in ns
-	watchRequested chan struct{} // the policy wants the endpoint list to be watched
+	deadlineDrift  int64         // how long after its timeout a client may still be waiting, in ns
+	watchRequested chan struct{} // signals that the policy requests a watch on the endpoint list
 	watchTimeouts  watchTimeouts
 	wallClock      func() time.Time // may be stepped while the process runs
 	dialDiscovery  func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Each with its own synchronization.
+	// Synchronized independently of mu.
 	isServing    atomic.Bool
-	answerBy     atomic.Int64 // by the policy's clock: shutdown has all requests answered by then; 0: no shutdown
+	answerBy     atomic.Int64 // shutdown deadline for all final answers, by the policy's clock; 0: no shutdown
 	ejectionFile ejectionFile
 	warnings     warnings
 
-	mu              sync.Mutex // guards all that follows, and the policy
+	mu              sync.Mutex // guards the fields below and the policy's state
 	policy          *policy.Balancer
 	requests        requestTable
 	endpoints       endpointTable
@@ -42,16 +42,16 @@
 	list            listState
 	drains          drainLog
 	counters        counters
-	leaseCheck      func()          // called before each decision; nil outside of a fleet
-	outlierExchange OutlierExchange // nil outside of a fleet
+	leaseCheck      func()          // called before each decision; nil without a fleet
+	outlierExchange OutlierExchange // nil without a fleet
 }
 
-// New makes a balancer that knows an endpoint list from before, in discovery's form. It holds at most maxBytes of
-// requests at once, and keeps manual ejections in a file, if one is named. before is what a process before it has
-// saved, if any; where that cannot be restored the balancer starts without it. New fails where the known list cannot
-// be read.
+// New returns a balancer that starts with the endpoint list in known, encoded as discovery sends it. It holds at most
+// maxBytes of requests at once, and persists manual ejections at ejectionPath unless that is empty. previous is the
+// snapshot of an earlier process, or nil; if it cannot be restored, the balancer starts without it. New fails if known
+// cannot be parsed.
 func New(settings map[string]any, known []byte, discovery string, seed uint64, pool *transport.Pool, maxBytes int64, ejectionPath string,
-	before *snapshot.Snapshot, log zerolog.Logger) (*Balancer, error) {
+	previous *snapshot.Snapshot, log zerolog.Logger) (*Balancer, error) {
 	b := &Balancer{
 		log:            log,
 		settings:       settings,
@@ -71,55 +71,56 @@
 	}
 	b.policy = policy.New(b.now(), seed, settings, b)
 	if settings["registryMode"] != "subscribe" {
-		b.WatchEndpoints() // The settings ask for changes to be polled; a watch brings them as well.
+		b.WatchEndpoints() // The settings ask for polling; a watch delivers the changes too.
 	}
 	b.reloadEjections()
-	if err := b.applyList(context.Background(), known, true); err != nil || before == nil {
+	if err := b.applyList(context.Background(), known, true); err != nil || previous == nil {
 		return b, err
 	}
-	if endpoints, err := b.restoreSnapshot(before, known); err != nil {
-		log.Warn().Err(err).Msg("snapshot not restored") // The start is as without it.
+	if endpoints, err := b.restoreSnapshot(previous, known); err != nil {
+		log.Warn().Err(err).Msg("snapshot not restored") // Starts without it.
 	} else {
-		log.Info().Int("endpoints", endpoints).Int("keys", len(before.BalancerState.Keys)).Int64("age_ms", before.Age.Milliseconds()).Msg("snapshot restored")
+		log.Info().Int("endpoints", endpoints).Int("keys", len(previous.BalancerState.Keys)).Int64("age_ms", previous.Age.Milliseconds()).Msg("snapshot restored")
 	}
 	return b, nil
 }
 
-// now is the policy's clock: Unix time at the start, and what has passed since by the monotonic clock.
+// now returns the time by the policy's clock: the Unix time at which the balancer started plus the monotonic time
+// elapsed since.
 func (b *Balancer) now() int64 { return b.startedAt.UnixNano() + int64(time.Since(b.startedAt)) }
 
-// timeAt turns a time of the policy's clock into one to wait for.
+// timeAt converts a time of the policy's clock to a time.Time.
 func (b *Balancer) timeAt(clock int64) time.Time {
 	return b.startedAt.Add(time.Duration(clock - b.startedAt.UnixNano()))
 }
 
-// fromWallClock turns a wall time, as the endpoint list states it, into the policy's clock, which does not follow
-// steps of the wall clock. Where that was stepped back since this process began, a stamp may be from before the step
-// or after it; the later reading counts: an endpoint that is taken to have started too late only gets less traffic
+// fromWallClock converts a wall-clock timestamp of the endpoint list to the policy's clock, which ignores steps of the
+// wall clock. If the wall clock was stepped back since this process started, the timestamp may be from before or after
+// the step; the later interpretation is used, as an endpoint whose start is assumed too late only gets less traffic
 // for a while. The result is never later than now.
-func (b *Balancer) fromWallClock(stated int64) int64 {
-	if stated <= 0 {
-		return stated
+func (b *Balancer) fromWallClock(timestamp int64) int64 {
+	if timestamp <= 0 {
+		return timestamp
 	}
 	now := b.now()
-	return min(now, stated+max(0, now-b.wallClock().UnixNano()))
+	return min(now, timestamp+max(0, now-b.wallClock().UnixNano()))
 }
 
-// SetReady sets whether this process takes clients, as Ready reports it.
+// SetReady sets whether this process accepts clients, for Ready.
 func (b *Balancer) SetReady(isReady bool) { b.isServing.Store(isReady) }
 
-// Ready reports whether this process takes clients and has known an endpoint.
+// Ready reports whether this process accepts clients and any list so far had an endpoint.
 func (b *Balancer) Ready() bool { return b.isServing.Load() && b.hasListedEndpoints() }
 
-// ExpireAt sets by when each request has its final answer, as the process shuts down then. A request that arrives too
-// late for its latency objective before that is rejected at once; one that was admitted before and has a later
-// deadline fails at that time.
+// ExpireAt sets the shutdown deadline, by which every request gets its final answer. A request that arrives too late
+// to meet its latency objective before the deadline is rejected at once; an admitted request whose own deadline is
+// later fails at the shutdown deadline.
 func (b *Balancer) ExpireAt(at time.Time) {
 	b.answerBy.Store(b.startedAt.UnixNano() + int64(at.Sub(b.startedAt)))
 	time.AfterFunc(time.Until(at), b.expireAll)
 }
 
-// expireAll gives each request that has none its final answer.
+// expireAll expires each request that has no final answer yet.
 func (b *Balancer) expireAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,8 +132,8 @@
 	}
 }
 
-// SetLimits sets how many bytes of requests may be held from now on, and this process's share of the attempts where
-// several processes serve as one balancer.
+// SetLimits sets how many bytes of requests may be held, and this process's share of the attempts while several
+// processes act as one balancer.
 func (b *Balancer) SetLimits(maxBytes int64, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,5 +141,5 @@
 	b.policy.SetProcessShare(share)
 }
 
-// Lock returns the lock around the policy, for a watchdog that measures how long it takes to get it.
+// Lock returns the lock that guards the policy, for a watchdog that measures how long acquiring it takes.
 func (b *Balancer) Lock() sync.Locker { return &b.mu }
