--- a/routing/catalog.go
+++ b/routing/catalog.go
@@ -6,22 +6,21 @@
 	"hollylever/settings"
 )
 
-// catalog holds what the settings name, and the index by which the policy knows each name. It does not change after
-// New.
+// catalog maps the names in the settings to the indices that the policy uses for them. It is immutable after New.
 type catalog struct {
 	workloads         map[string]int
 	expectedTimes     []int64      // latency objectives in ns, by workload
-	isSingleShot      map[int]bool // workloads that must not run twice
+	isSingleShot      map[int]bool // workloads whose requests must not run twice
 	tenants           map[string]int
 	machineTypes      map[string]int
 	machineTypeNames  []string // by index
 	zones             map[string]int
 	zoneNames         []string       // by index
 	reportFields      map[string]int // of load reports
-	onlyDrainingBinds bool           // an endpoint that the list removed without a drain is kept for removedRetention
+	onlyDrainingBinds bool           // an endpoint removed without draining is used for removedRetention
 }
 
-// newCatalog reads the names from the settings.
+// newCatalog builds the catalog from the settings.
 func newCatalog(values map[string]any) catalog {
 	c := catalog{
 		workloads:    settings.NameIndices(values, "workloads", ".name"),
@@ -42,7 +41,7 @@
 	return c
 }
 
-// machineType returns the index of a machine type. All types that the settings do not name share one index more.
+// machineType returns the index of a machine type. All types that are not in the settings share the next index.
 func (c *catalog) machineType(name string) int {
 	if index, isNamed := c.machineTypes[name]; isNamed {
 		return index
@@ -50,10 +49,10 @@
 	return len(c.machineTypes)
 }
 
-// zone returns the index of a zone, -1 where the settings do not name it.
+// zone returns the index of a zone, or -1 if the settings do not have it.
 func (c *catalog) zone(name string) int { return indexOrUnknown(c.zones, name) }
 
-// tenant returns the index of a tenant, -1 where the settings do not name it.
+// tenant returns the index of a tenant, or -1 if the settings do not have it.
 func (c *catalog) tenant(name string) int { return indexOrUnknown(c.tenants, name) }
 
 func indexOrUnknown(indices map[string]int, name string) int {
@@ -63,14 +62,14 @@
 	return -1
 }
 
-// settingNumber returns a number of the settings, 0 where there is none.
+// settingNumber returns a numeric setting, or 0 if it is missing.
 func settingNumber(settings map[string]any, name string) float64 {
 	number, _ := settings[name].(float64)
 	return number
 }
 
-// namesByIndex reverses a table of the settings. It is made once: a search for each of as many names as there are
-// endpoints takes long under the lock.
+// namesByIndex inverts a name table of the settings. It is computed once, as a search for the name of each endpoint
+// would hold the lock for long.
 func namesByIndex(indices map[string]int) []string {
 	size := 0
 	for _, index := range indices {
@@ -83,7 +82,7 @@
 	return names
 }
 
-// nameAt returns the name at an index of one of the settings' tables; "" where the settings do not have it.
+// nameAt returns the name at an index, or "" if the settings have none there.
 func nameAt(names []string, index int) string {
 	if index < 0 || index >= len(names) {
 		return ""
