--- a/routing/counters.go
+++ b/routing/counters.go
@@ -11,28 +11,28 @@
 	"hollylever/transport"
 )
 
-// The names of counters, as the log's summary has them. Operators' figures (Figures) read the same counters.
+// Names of counters in the log's summary. Figures reads the same counters.
 const (
 	counterRequests            = "retrievals"          // admitted
 	counterAttempts            = "trips"               // started
-	counterAttemptsSent        = "handed"              // attempts whose last byte was sent
-	counterAttemptPrefix       = "trip_"               // attempts without an answer, by how their connection ended
-	counterDisconnected        = "left"                // requests whose client went before the final answer
-	counterDisconnectedWaiting = "left_waiting"        // of these, the ones that had no attempt under way
-	counterSentAfterDisconnect = "sent_after_left"     // attempts sent well after that: a fault of this program
-	counterWatchesFailed       = "lists_failed"        // watches on the endpoint list that broke or were silent
+	counterAttemptsSent        = "handed"              // attempts sent completely
+	counterAttemptPrefix       = "trip_"               // attempts without a reply, by how their connection ended
+	counterDisconnected        = "left"                // requests whose client disconnected before the final answer
+	counterDisconnectedWaiting = "left_waiting"        // of these, the ones with no attempt in flight
+	counterSentAfterDisconnect = "sent_after_left"     // attempts sent well after the client disconnected: a bug
+	counterWatchesFailed       = "lists_failed"        // watches on the endpoint list that broke or fell silent
 	counterNotAdmitted         = "sent_back"           // requests rejected at admission, by workload
 	counterMalformed           = "sent_back_wrong"     // requests answered with an error at admission
-	counterLate                = "requests_late"       // the final answer went out after the client's timeout
-	counterUnanswered          = "requests_unanswered" // the client stayed and did not read its final answer
-	counterExpired             = "requests_expired"    // ended before their deadline, as the process ends
-	counterWithheld            = "attempts_withheld"   // not sent, as a look at the connection showed that the client had gone
+	counterLate                = "requests_late"       // the final answer was sent after the client's timeout
+	counterUnanswered          = "requests_unanswered" // the client stayed connected, but did not read its final answer
+	counterExpired             = "requests_expired"    // ended before their deadline by the shutdown of the process
+	counterWithheld            = "attempts_withheld"   // not sent, as a check found the client disconnected
 	counterClosedPrefix        = "closed_"             // client connections, by how they ended
-	counterRejectedMemory      = "rejected_memory"     // at admission: as much is held as may be
-	counterRejectedStop        = "rejected_stop"       // at admission: no answer would come before the process ends
+	counterRejectedMemory      = "rejected_memory"     // at admission: the memory limit for requests is reached
+	counterRejectedStop        = "rejected_stop"       // at admission: no answer would come before the shutdown
 )
 
-// How a request ended, as the log has it. The first three count the final answers, by workload.
+// How a request ended, by its name in the log. The first three also name counters of final answers, by workload.
 const (
 	outcomeAnswered     = "settled"
 	outcomeRejected     = "dismissed"
@@ -54,15 +54,15 @@
 	return names
 }
 
-// counters count what happened since the start. Balancer.mu guards them.
+// counters holds the counts since the start. Balancer.mu guards it.
 type counters struct {
 	sinceStart    map[counterKey]int
 	atLastSummary map[counterKey]int
 	reads         int // answered
-	misses        int // of these, the ones that no cache had
+	misses        int // of these, the ones that no cache could answer
 }
 
-// counterKey names a counter of one workload, or of none.
+// counterKey identifies a counter, of one workload or of none (noWorkload).
 type counterKey struct {
 	name     string
 	workload int
@@ -79,8 +79,8 @@
 	return c.sinceStart[counterKey{name, workload}]
 }
 
-// sinceSummary returns what has been counted since it was last called, summed over the workloads; only what happened
-// is named. An error at admission counts as a request that was not admitted.
+// sinceSummary returns the counts since its last call, summed over the workloads, without those that are 0. Errors at
+// admission (counterMalformed) are included in counterNotAdmitted.
 func (c *counters) sinceSummary() map[string]int {
 	since := map[string]int{}
 	for key, n := range c.sinceStart {
@@ -93,7 +93,7 @@
 	return since
 }
 
-// logCounters adds the counters of a summary to its line, in the order of their names.
+// logCounters adds the counts of a summary to a log event, sorted by name.
 func logCounters(event *zerolog.Event, since map[string]int) *zerolog.Event {
 	for _, name := range slices.Sorted(maps.Keys(since)) {
 		event = event.Int(name, since[name])
@@ -101,7 +101,7 @@
 	return event
 }
 
-// rejections lists the requests that were rejected, by reason.
+// rejections returns the numbers of rejected requests by reason.
 func (c *counters) rejections() []RejectionCount {
 	var all []RejectionCount
 	for _, reason := range policy.Reasons() {
@@ -110,7 +110,7 @@
 	return append(all, RejectionCount{"memory", c.total(counterRejectedMemory)}, RejectionCount{"stop", c.total(counterRejectedStop)})
 }
 
-// closes lists the ways in which client connections ended.
+// closes returns the numbers of closed client connections by how they ended.
 func (c *counters) closes() []CloseCount {
 	var all []CloseCount
 	for _, end := range transport.ClientEnds {
@@ -119,10 +119,10 @@
 	return all
 }
 
-// maxCachedResult is the highest cache result of a read that a cache answered by itself; over it the read was a miss.
+// maxCachedResult is the highest cache result that means a read was answered from the cache. Higher ones are misses.
 const maxCachedResult = 1
 
-// countRead counts a read that was answered, by the cache result that the server states.
+// countRead counts an answered read by the cache result that the server reports.
 func (c *counters) countRead(cacheResult int) {
 	c.reads++
 	if cacheResult > maxCachedResult {
