--- a/routing/drains.go
+++ b/routing/drains.go
@@ -2,20 +2,20 @@
 
 import "container/list"
 
-// Drain is an endpoint that the list called draining or removed, and under which index.
+// Drain is an endpoint that a list marked as draining or removed, and the index of that list.
 type Drain struct {
 	Host  string
 	Index uint64
 }
 
-// drainLog keeps the last drain of each endpoint, the oldest first, for maxEndpoints endpoints at most. Balancer.mu
-// guards it.
+// drainLog keeps the last drain of each endpoint, oldest first, for at most maxEndpoints endpoints. Balancer.mu guards
+// it.
 type drainLog struct {
 	byHost map[string]*list.Element
 	order  list.List // of Drain
 }
 
-// add records a drain, in place of an earlier one of the same endpoint. Beyond the bound the oldest is dropped.
+// add records a drain and replaces an earlier one of the same endpoint. Beyond the bound the oldest is dropped.
 func (l *drainLog) add(host string, index uint64) {
 	if l.byHost == nil {
 		l.byHost = map[string]*list.Element{}
@@ -29,7 +29,7 @@
 	}
 }
 
-// each calls f for each drain, the oldest first.
+// each calls f for each drain, oldest first.
 func (l *drainLog) each(f func(Drain)) {
 	for e := l.order.Front(); e != nil; e = e.Next() {
 		f(e.Value.(Drain))
