--- a/routing/ejectionfile.go
+++ b/routing/ejectionfile.go
@@ -13,23 +13,23 @@
 	"time"
 )
 
-// lockTimeout is how long a change of manual ejections may wait for the other process's.
+// lockTimeout is how long a change of the manual ejections may wait for the other process to release the file.
 const lockTimeout = 300 * time.Millisecond
 
-// errUnchanged says that the file is as it was when it was last read or written.
+// errUnchanged is returned if the file is the same as when it was last read or written.
 var errUnchanged = errors.New("not changed")
 
-// ejectionFile is the file of manual ejections, which both processes of an upgrade read and write. Without a path
-// they are held in memory alone.
+// ejectionFile is the file of manual ejections, which both processes of an upgrade read and write. With an empty path
+// the ejections are held in memory only.
 type ejectionFile struct {
 	path      string
-	mu        sync.Mutex  // guards the fields below and the file, within this process; it is taken before Balancer.mu
-	lastSeen  fs.FileInfo // when it was last read or written; nil: never
-	isDamaged bool        // it could not be read
+	mu        sync.Mutex  // guards the fields below, and the file within this process; acquired before Balancer.mu
+	lastSeen  fs.FileInfo // as of the last read or write; nil: none yet
+	isDamaged bool        // the last poll could not read it
 }
 
-// poll reads the file if it is there and has changed. isNew: names are to be applied. It returns an error for the
-// first of several failures in a row only.
+// poll reads the file if it exists and has changed. isNew reports that names are to be applied. Of several consecutive
+// failures, only the first is returned as an error.
 func (f *ejectionFile) poll() (names []string, isNew bool, err error) {
 	info, err := os.Stat(f.path)
 	if err != nil || f.isLastSeen(info) {
@@ -48,7 +48,7 @@
 	return f.lastSeen != nil && os.SameFile(f.lastSeen, info) && f.lastSeen.ModTime().Equal(info.ModTime()) && f.lastSeen.Size() == info.Size()
 }
 
-// lock keeps the other process from changing the file at the same time.
+// lock prevents the other process from changing the file concurrently.
 func (f *ejectionFile) lock() (unlock func(), err error) {
 	if f.path == "" {
 		return func() {}, nil
@@ -61,15 +61,15 @@
 		if err = syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			return func() { lockFile.Close() }, nil
 		}
-		if time.Now().After(deadline) { // Guards the call against a stopped process that has the lock.
+		if time.Now().After(deadline) { // A stopped process may hold the lock.
 			lockFile.Close()
 			return nil, err
 		}
 	}
 }
 
-// readIfChanged returns the names in the file if another process has written it, and errUnchanged if not: many
-// ejections in a row do not read it each time.
+// readIfChanged returns the names in the file if another process has changed it, and errUnchanged otherwise, so that
+// many consecutive ejections do not read the file each time.
 func (f *ejectionFile) readIfChanged() ([]string, error) {
 	if info, err := os.Stat(f.path); err == nil && f.isLastSeen(info) && !f.isDamaged {
 		return nil, errUnchanged
@@ -77,7 +77,7 @@
 	return f.read()
 }
 
-// read returns the names in the file; none where there is no file yet.
+// read returns the names in the file, or none if the file does not exist yet.
 func (f *ejectionFile) read() ([]string, error) {
 	file, err := os.Open(f.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -98,12 +98,12 @@
 		return nil, fmt.Errorf("%s: %w", f.path, err)
 	}
 	if len(names) > maxEjections {
-		return nil, fmt.Errorf("%s: over %d names", f.path, maxEjections)
+		return nil, fmt.Errorf("%s: more than %d names", f.path, maxEjections)
 	}
 	return names, nil
 }
 
-// write replaces the file's names atomically. It sorts them.
+// write atomically replaces the names in the file. It sorts names in place.
 func (f *ejectionFile) write(names []string) error {
 	if f.path == "" {
 		return nil
@@ -113,8 +113,8 @@
 	if err != nil {
 		return err
 	}
-	if len(text) > maxEjectionsFile { // A longer one could not be read again.
-		return fmt.Errorf("%s: over %d bytes", f.path, maxEjectionsFile)
+	if len(text) > maxEjectionsFile { // read would truncate a longer file.
+		return fmt.Errorf("%s: more than %d bytes", f.path, maxEjectionsFile)
 	}
 	temporary := f.path + ".new"
 	if err := os.WriteFile(temporary, text, 0o600); err != nil {
