--- a/routing/ejections.go
+++ b/routing/ejections.go
@@ -12,19 +12,19 @@
 	"hollylever/transport"
 )
 
-// ejectionsInterval is how often the file of manual ejections is checked for what the other process of an upgrade
-// wrote.
+// ejectionsInterval is how often the file of manual ejections is checked for changes. During an upgrade, the other
+// process writes it too.
 const ejectionsInterval = 50 * time.Millisecond
 
-// ErrNeverListed says that no list ever had an endpoint of this name.
+// ErrNeverListed is returned for a name that no list had and that is not ejected by hand.
 var ErrNeverListed = errors.New("never listed")
 
-// ejections are the names of endpoints that get no traffic, whatever the list says. Balancer.mu guards them.
+// ejections holds the names of endpoints that get no traffic, whatever the list says. Balancer.mu guards it.
 type ejections struct {
-	all        map[string]bool // from any of the sources below
+	all        map[string]bool // union of the sources below
 	manual     map[string]bool // by an operator
 	fleet      map[string]bool // by the fleet's configuration
-	peerDrains map[string]bool // draining or removed by later lists of other members of the fleet
+	peerDrains map[string]bool // draining or removed in later lists of other members of the fleet
 }
 
 // ejectionSource is one of the sources of ejections.
@@ -36,7 +36,7 @@
 	peerDrainEjections
 )
 
-// replace sets the names from one source.
+// replace replaces the names of one source.
 func (e *ejections) replace(source ejectionSource, names []string) {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -56,10 +56,10 @@
 	}
 }
 
-// Ban ejects an endpoint by hand, or ends that. Once it has returned the change is in the file and in force. It fails
-// with ErrNeverListed for an unknown name, and where the file cannot be locked or written.
+// Ban ejects an endpoint by hand, or ends its ejection. When it returns without an error, the change is in the file and
+// in effect. It fails with ErrNeverListed for an unknown name, and if the file cannot be locked or written.
 func (b *Balancer) Ban(name string, isEjected bool) error {
-	if !b.wasListed(name) {
+	if !b.isEjectable(name) {
 		return ErrNeverListed
 	}
 	b.ejectionFile.mu.Lock()
@@ -70,7 +70,7 @@
 	}
 	defer unlock()
 	names, err := b.ejectionFile.readIfChanged()
-	if err != nil || b.ejectionFile.path == "" { // Nothing new; a damaged file is replaced by what is in force.
+	if err != nil || b.ejectionFile.path == "" { // Unchanged, or damaged and to be overwritten.
 		b.mu.Lock()
 		names = slices.Collect(maps.Keys(b.ejections.manual))
 		b.mu.Unlock()
@@ -80,7 +80,7 @@
 		names = append(names, name)
 	}
 	if len(names) > maxEjections {
-		return fmt.Errorf("%d servers are out by hand already", maxEjections)
+		return fmt.Errorf("%d endpoints are already ejected by hand", maxEjections)
 	}
 	if err := b.ejectionFile.write(names); err != nil {
 		return err
@@ -89,23 +89,24 @@
 	return nil
 }
 
-// wasListed reports whether a name may be ejected: a list has or had it, or it is ejected already.
-func (b *Balancer) wasListed(name string) bool {
+// isEjectable reports whether a name may be ejected: a list has or had it, or it is already ejected by hand.
+func (b *Balancer) isEjectable(name string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, isListed := b.endpoints.byName[name]
 	return isListed || b.endpoints.everListed.names[name] || b.ejections.manual[name]
 }
 
-// WatchEjectionFile applies what another process writes to the file of manual ejections, and closes connections to
-// ejected endpoints as they become idle. It returns some time after the context ends.
+// WatchEjectionFile applies changes that another process makes to the file of manual ejections, and closes connections
+// to ejected endpoints as they become idle. It returns shortly after the context ends.
 func (b *Balancer) WatchEjectionFile(ctx context.Context) {
 	for tick := time.NewTicker(ejectionsInterval); ctx.Err() == nil; <-tick.C {
 		b.reloadEjections()
 	}
 }
 
-// reloadEjections applies the file if it has changed, and closes idle connections to ejected endpoints.
+// reloadEjections applies the file of manual ejections if it has changed, and closes idle connections to ejected
+// endpoints.
 func (b *Balancer) reloadEjections() {
 	b.ejectionFile.mu.Lock()
 	names, isNew, err := b.ejectionFile.poll()
@@ -113,7 +114,7 @@
 		b.setEjections(manualEjections, names)
 	}
 	if err != nil {
-		b.log.Warn().Err(err).Msg("ejections not read") // What is in force stays.
+		b.log.Warn().Err(err).Msg("ejections not read") // The ejections in effect stay.
 	}
 	b.ejectionFile.mu.Unlock()
 	b.mu.Lock()
@@ -125,10 +126,10 @@
 	}
 }
 
-// ApplyPeerDrains ejects the endpoints that later lists of other members call draining or removed.
+// ApplyPeerDrains ejects the endpoints that are draining or removed in later lists of other members.
 func (b *Balancer) ApplyPeerDrains(names []string) { b.setEjections(peerDrainEjections, names) }
 
-// setEjections replaces the ejections of one source. The policy is told what changed as if the list had changed.
+// setEjections replaces the ejections of one source and passes the changes to the policy as an endpoint update.
 func (b *Balancer) setEjections(source ejectionSource, names []string) {
 	var changed []string
 	b.mu.Lock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// logEjection logs a change; not under the lock, as whoever reads the log may be slow.
+// logEjection logs a change. It must be called without b.mu held, as writing the log may block on a slow reader.
 func (b *Balancer) logEjection(source ejectionSource, name string, isEjected bool) {
 	switch source {
 	case manualEjections:
