--- a/routing/endpointlist.go
+++ b/routing/endpointlist.go
@@ -10,33 +10,33 @@
 	"hollylever/transport"
 )
 
-// listState is what is known of the endpoint list as a whole, and of the watches on it. Balancer.mu guards it.
+// listState is the state of the endpoint list as a whole and of the watches on it. Balancer.mu guards it.
 type listState struct {
 	discovery         string       // address of the discovery service
-	index             uint64       // of the list last applied
-	updates           int          // lists applied so far
-	watches           []*listWatch // open ones, oldest first; maxWatches at most
-	isFailing         bool         // the list cannot be followed
-	heardAt           time.Time    // when a watch was last heard, or broke off; zero after a change of discovery
-	requiredDiscovery string       // by the fleet's configuration; "": each process's own counts
-	minIndex          uint64       // of lists that count in full, by the fleet's configuration
+	index             uint64       // of the last list applied
+	updates           int          // number of lists applied
+	watches           []*listWatch // open watches, oldest first; at most maxWatches
+	isFailing         bool         // a watch was lost, and none has delivered a valid list or empty line since
+	heardAt           time.Time    // when a watch last delivered data or broke; zero after a change of discovery
+	requiredDiscovery string       // from the fleet's configuration; "": each process uses its own
+	minIndex          uint64       // minimum index of a list that is applied in full, from the fleet's configuration
 }
 
-// counts reports whether a list counts in full by the fleet's configuration.
-func (s *listState) counts(index uint64) bool {
+// appliesInFull reports whether the fleet's configuration allows a list to be applied in full.
+func (s *listState) appliesInFull(index uint64) bool {
 	return index >= s.minIndex && (s.requiredDiscovery == "" || s.requiredDiscovery == s.discovery)
 }
 
-// applyList applies a list to the endpoints and the policy. isSaved: it is from before the start. It fails where the
-// list cannot be read, or where its watch was cancelled. It takes the lock.
+// applyList applies a list to the endpoints and the policy. isSaved is set for a list from before the start of the
+// process. applyList fails if the list cannot be parsed or its watch was cancelled. It acquires b.mu.
 func (b *Balancer) applyList(watch context.Context, text []byte, isSaved bool) error {
-	// A list of thousands of endpoints takes as long to read as many requests do: it is read before the lock is taken.
+	// Parsing thousands of endpoints takes as long as handling many requests, so it is done before locking.
 	list, err := protocol.ParseEndpointList(text)
 	if err != nil {
 		return err
 	}
 	update := listUpdate{balancer: b, list: list, isSaved: isSaved}
-	defer func() { update.changes.log(b.log) }() // Not under the lock: whoever reads the log may be slow.
+	defer func() { update.changes.log(b.log) }() // Without the lock held: writing the log may block on a slow reader.
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err := watch.Err(); err != nil {
@@ -47,18 +47,18 @@
 	return nil
 }
 
-// listUpdate is a list while it is applied, under the lock.
+// listUpdate is the application of one list. Balancer.mu is held throughout.
 type listUpdate struct {
 	balancer *Balancer
 	list     protocol.EndpointList
-	isSaved  bool  // the list is from before the start
+	isSaved  bool  // the list is from before the start of the process
 	now      int64 // by the policy's clock
 	changes  listChanges
 }
 
 func (u *listUpdate) apply() {
 	b := u.balancer
-	if !u.isSaved && !b.list.counts(u.list.Index) {
+	if !u.isSaved && !b.list.appliesInFull(u.list.Index) {
 		u.keepDrainsOnly()
 	}
 	b.list.index, u.changes.index = u.list.Index, u.list.Index
@@ -75,8 +75,9 @@
 	b.releaseRemovedEndpoints(u.now)
 }
 
-// keepDrainsOnly reduces a list that the fleet does not follow, or one before the index that it has agreed on, to its
-// drains: an endpoint that is about to stop must not get requests, whichever list says so.
+// keepDrainsOnly reduces a list from a discovery service that the fleet does not use, or with an index below the
+// agreed minimum, to its draining and removed endpoints: an endpoint that is about to stop must not get requests,
+// whichever list says so.
 func (u *listUpdate) keepDrainsOnly() {
 	isReady := func(e protocol.Endpoint) bool { return healthByStatus[e.Status] == policy.Ready }
 	u.list.Endpoints, u.list.IsSnapshot = slices.DeleteFunc(u.list.Endpoints, isReady), false
@@ -92,7 +93,7 @@
 	return policy.IncrementalList
 }
 
-// applyEntry takes over one endpoint of the list.
+// applyEntry applies one endpoint of the list.
 func (u *listUpdate) applyEntry(entry protocol.Endpoint) {
 	b := u.balancer
 	health := healthByStatus[entry.Status]
@@ -133,8 +134,8 @@
 	u.setHealth(i, previousStatus, health)
 }
 
-// removeUnlistedAndDisplaced removes the endpoints that a full list does not have, and those whose address belongs to
-// another by now.
+// removeUnlistedAndDisplaced removes the endpoints that are missing from a full list, and those whose address now
+// belongs to another endpoint.
 func (u *listUpdate) removeUnlistedAndDisplaced() {
 	b := u.balancer
 	removesUnlisted := u.isSaved || u.list.IsSnapshot
@@ -148,8 +149,8 @@
 			u.remove(i)
 			continue
 		}
-		// Guards a new endpoint against requests that are meant for the one that had its address: the list is late,
-		// and that one has gone. Whichever started last has the address.
+		// If a list is late, it may still have an endpoint that has gone and whose address a new one has taken over.
+		// The address belongs to the endpoint that started last, so that it gets no requests meant for the other.
 		owner, isShared := ownerByAddress[e.address]
 		switch {
 		case !isShared:
@@ -163,7 +164,7 @@
 	}
 }
 
-// displace removes an endpoint whose address is another's.
+// displace removes an endpoint whose address now belongs to another.
 func (u *listUpdate) displace(i int) {
 	u.balancer.endpoints.all[i].isRetired = true
 	u.remove(i)
@@ -173,8 +174,8 @@
 	u.setHealth(i, statusByHealth[u.balancer.endpoints.all[i].health], policy.Removed)
 }
 
-// setHealth sets an endpoint's health by the list, records what changed, and passes it to the policy. previousStatus
-// is "" for an endpoint that was not known.
+// setHealth sets an endpoint's health as given by the list, records the change, and passes it to the policy.
+// previousStatus is "" for an endpoint that was not in the table.
 func (u *listUpdate) setHealth(i int, previousStatus string, health policy.Health) {
 	b := u.balancer
 	e := &b.endpoints.all[i]
