--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -9,11 +9,11 @@
 	"hollylever/transport"
 )
 
-// removedRetention is how long an endpoint that the list removed without a drain is kept in use where only draining
-// binds: such a list may be wrong, and an endpoint that has really gone shows it by failed connections.
+// removedRetention is how long an endpoint that the list removed without draining it stays in use if
+// invariants.onlyDrainingBinds is set: the list may be wrong, and connections to an endpoint that has really gone fail.
 const removedRetention = int64(time.Minute)
 
-// healthByStatus has the list's statuses, statusByHealth the reverse.
+// healthByStatus maps the list's statuses to the policy's health values; statusByHealth is the inverse.
 var (
 	healthByStatus = map[protocol.EndpointStatus]policy.Health{
 		protocol.EndpointReady:    policy.Ready,
@@ -27,37 +27,37 @@
 	}
 )
 
-// endpointTable holds the endpoints by the index that the policy knows them by. Balancer.mu guards it.
+// endpointTable holds the endpoints, indexed as in the policy. Balancer.mu guards it.
 type endpointTable struct {
-	all        []endpoint // one without a name is a free place
+	all        []endpoint // an entry without a name is free
 	indices    settings.IndexAllocator
 	byName     map[string]int
 	everListed nameHistory
 }
 
-// endpoint is a cache server as the list has it.
+// endpoint is a cache server of the endpoint list.
 type endpoint struct {
 	name, address             string
 	health                    policy.Health
-	statedStart               int64 // as the list states it, by the wall clock
-	startedAt                 int64 // the same by the policy's clock
+	statedStart               int64 // as given in the list, by the wall clock
+	startedAt                 int64 // statedStart converted to the policy's clock
 	machineType, replicaGroup int
-	zone                      int // -1: the settings do not name it
+	zone                      int // -1: not in the settings
 	weight                    float64
-	isListed                  bool  // by the list that is being applied
-	attempts                  int   // of requests that have not been released
-	removedAt                 int64 // when the list last changed its health, by the policy's clock
-	isRetired                 bool  // it drained, or its address is another's: it is not used again until it is ready
+	isListed                  bool  // in the list being applied
+	attempts                  int   // attempts held here, of requests that are not released yet
+	removedAt                 int64 // time of the last health update from a list, by the policy's clock
+	isRetired                 bool  // it drained or lost its address to another; not used until a list has it as ready
 }
 
 func newEndpointTable() endpointTable {
 	return endpointTable{byName: map[string]int{}, everListed: nameHistory{names: map[string]bool{}}}
 }
 
-// isPresent reports whether the list has the endpoint, ready or draining.
+// isPresent reports whether the endpoint is in the list as ready or draining.
 func (e *endpoint) isPresent() bool { return e.name != "" && e.health != policy.Removed }
 
-// allocate returns the index of a free place.
+// allocate returns a free index.
 func (t *endpointTable) allocate() int {
 	i := t.indices.Allocate()
 	if i == len(t.all) {
@@ -66,15 +66,15 @@
 	return i
 }
 
-// nameHistory holds the last maxEndpoints names of endpoints that a list had, so that an operator may eject one
-// before it is listed again.
+// nameHistory holds the last maxEndpoints endpoint names that appeared in a list, so that an operator can eject an
+// endpoint before it is listed again.
 type nameHistory struct {
 	names  map[string]bool
-	ring   []string // the same, in the order in which they were first listed
-	oldest int      // its index in a ring that is full
+	ring   []string // the same names, in the order in which they were added
+	oldest int      // index of the oldest name once the ring is full
 }
 
-// add remembers a name, in place of the oldest where there are too many.
+// add records a name. If the history is full, it replaces the oldest.
 func (h *nameHistory) add(name string) {
 	if h.names[name] {
 		return
@@ -89,46 +89,46 @@
 	h.names[name] = true
 }
 
-// hasListedEndpoints reports whether any list has had an endpoint.
+// hasListedEndpoints reports whether any list so far had an endpoint.
 func (b *Balancer) hasListedEndpoints() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.endpoints.everListed.names) > 0
 }
 
-// updatePolicyEndpoint passes an endpoint to the policy, within an endpoint update; under the lock.
+// updatePolicyEndpoint passes an endpoint to the policy. It must be called within an endpoint update, with b.mu held.
 func (b *Balancer) updatePolicyEndpoint(now int64, i int) {
 	e := &b.endpoints.all[i]
 	b.policy.UpdateEndpoint(now, i, policy.EndpointInfo{Address: e.name, Health: b.effectiveHealth(e), StartedAt: e.startedAt,
 		MachineType: e.machineType, Zone: e.zone, ReplicaGroup: e.replicaGroup, Weight: e.weight})
 }
 
-// effectiveHealth is an endpoint's health by the list and by ejections; under the lock.
+// effectiveHealth returns an endpoint's health according to the list and the ejections. b.mu must be held.
 func (b *Balancer) effectiveHealth(e *endpoint) policy.Health {
 	isEjected := b.ejections.all[e.name]
 	switch {
 	case e.health == policy.Ready && isEjected:
 		return policy.Draining
 	case b.catalog.onlyDrainingBinds && e.health == policy.Removed && (isEjected || e.isRetired):
-		return policy.Draining // Guards against use of it: where only draining binds the policy uses a removed endpoint.
+		return policy.Draining // With onlyDrainingBinds the policy would still use an endpoint with health Removed.
 	}
 	return e.health
 }
 
-// isDraining reports whether an endpoint drains, whatever the policy decided before it was told so.
+// isDraining reports whether an endpoint is draining now, even if the policy selected it before learning of that.
 func (b *Balancer) isDraining(i int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.effectiveHealth(&b.endpoints.all[i]) == policy.Draining
 }
 
-// isAvoided reports whether an endpoint gets no traffic now, ejected or as an outlier; under the lock.
+// isAvoided reports whether an endpoint currently gets no traffic, as ejected or as an outlier. b.mu must be held.
 func (b *Balancer) isAvoided(i int) bool {
 	e := &b.endpoints.all[i]
 	return b.ejections.all[e.name] || e.health == policy.Ready && b.policy.IsLikelyOutlier(i)
 }
 
-// releaseRemovedEndpoints frees the places of endpoints that are gone for good; under the lock.
+// releaseRemovedEndpoints frees the indices of removed endpoints that are not retained. b.mu must be held.
 func (b *Balancer) releaseRemovedEndpoints(now int64) {
 	retained := 0
 	for i := range b.endpoints.all {
@@ -140,15 +140,15 @@
 	}
 }
 
-// retainsRemoved reports whether an endpoint that the list removed stays in use, beside so many others of its kind;
-// under the lock.
+// retainsRemoved reports whether an endpoint that the list removed stays in use, given the number of other removed
+// endpoints that do. b.mu must be held.
 func (b *Balancer) retainsRemoved(now int64, e *endpoint, retained int) bool {
 	return e.name != "" && e.health == policy.Removed && b.catalog.onlyDrainingBinds && !e.isRetired &&
 		now < e.removedAt+removedRetention && retained < maxEndpoints
 }
 
-// releaseIfRemoved frees the place of an endpoint that the list removed once no attempt is held there; under the
-// lock. Guards memory over long days, on which new endpoints keep coming.
+// releaseIfRemoved frees the index of an endpoint that the list removed, once no attempt is held there. It bounds
+// memory in a process that runs for long while new endpoints keep appearing. b.mu must be held.
 func (b *Balancer) releaseIfRemoved(i int) {
 	e := &b.endpoints.all[i]
 	if e.name == "" || e.health != policy.Removed || e.attempts > 0 {
@@ -161,7 +161,7 @@
 	b.endpoints.indices.Free(i)
 }
 
-// releaseAttempt notes that an attempt is no longer held against an endpoint; under the lock.
+// releaseAttempt records that an endpoint holds one attempt less. b.mu must be held.
 func (b *Balancer) releaseAttempt(i int) {
 	e := &b.endpoints.all[i]
 	e.attempts--
