--- a/routing/figures.go
+++ b/routing/figures.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Figures are what operators read: counts since the start, and the present state.
+// Figures holds the values that the admin endpoint prints: counts since the start, and the current state.
 type Figures struct {
 	Replies []Replies
-	Handed  int // attempts whose last byte was sent
-	Open    int // admitted requests that have no final answer yet
-	Servers int // endpoints that the list has
-	Avoided int // of those, the ones that get no traffic now, ejected or as outliers
+	Handed  int // attempts sent completely
+	Open    int // admitted requests without a final answer yet
+	Servers int // endpoints in the list
+	Avoided int // of these, the ones that currently get no traffic, as ejected or as outliers
 
 	Rejections []RejectionCount
-	Late       int // requests whose final answer went out after their client's timeout
-	Unanswered int // requests whose client stayed and did not read the final answer within writeTimeout
+	Late       int // requests whose final answer was sent after the client's timeout
+	Unanswered int // requests whose client stayed connected, but did not read the final answer within writeTimeout
 	Closed     []CloseCount
 }
 
-// Replies are the final answers that went out to requests of one workload.
+// Replies counts the final answers to requests of one workload: successes (Settled), rejections (Dismissed) and errors
+// (GivenUp).
 type Replies struct {
 	Workload                    string
 	Settled, Dismissed, GivenUp int
 }
 
-// RejectionCount is how many requests were rejected, safe to try again, for one reason since the start.
+// RejectionCount is the number of requests rejected for one reason since the start. They are safe to retry.
 type RejectionCount struct {
 	Reason string
 	Count  int
 }
 
-// CloseCount is how many client connections ended in one way since the start.
+// CloseCount is the number of client connections that ended in one way since the start.
 type CloseCount struct {
 	End   string
 	Count int
 }
 
-// Figures returns the figures; they come from the counters that the log's summary reads too.
+// Figures returns the current figures, from the same counters as the log's summary.
 func (b *Balancer) Figures() Figures {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,20 +72,20 @@
 	return f
 }
 
-// EndpointStatus is the state of an endpoint with this balancer.
+// EndpointStatus is the state of an endpoint at this balancer.
 type EndpointStatus struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	Kind    string `json:"kind"`
 	Zone    string `json:"zone"`
-	Listed  string `json:"listed"`  // its status in the list
-	ByHand  bool   `json:"by_hand"` // it is ejected
-	Avoided bool   `json:"avoided"` // it gets no traffic now, ejected or as an outlier
-	Trips   int    `json:"trips"`   // attempts held there
+	Listed  string `json:"listed"`  // status in the list
+	ByHand  bool   `json:"by_hand"` // ejected, by whichever source
+	Avoided bool   `json:"avoided"` // currently gets no traffic, as ejected or as an outlier
+	Trips   int    `json:"trips"`   // attempts that it holds
 	Started int64  `json:"since_ms"`
 }
 
-// Hosts returns the endpoints that the list has and those that are ejected, in the order of their IDs.
+// Hosts returns the endpoints that are in the list or ejected, sorted by ID.
 func (b *Balancer) Hosts() []EndpointStatus {
 	b.mu.Lock()
 	all := make([]EndpointStatus, 0, len(b.endpoints.byName))
@@ -116,8 +117,8 @@
 	return all
 }
 
-// Summary logs what has been counted since the last one, and the present state. clients is the number of client
-// connections, cpu and collections what the process has used.
+// Summary logs the counts since the last summary, and the current state. clients is the number of client connections,
+// cpu the CPU time and collections the garbage collections of the process.
 func (b *Balancer) Summary(clients int, cpu time.Duration, collections uint64) {
 	b.mu.Lock()
 	line := b.log.Info().Int("clients", clients).Int("hosts_open", b.pool.Count()).
@@ -142,17 +143,17 @@
 	return b.counters.total(counterRequests)
 }
 
-// ReadCounts returns how many reads were answered since the start, and how many of these no cache had.
+// ReadCounts returns how many reads were answered since the start, and how many of these were cache misses.
 func (b *Balancer) ReadCounts() (reads, misses int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.counters.reads, b.counters.misses
 }
 
-// maxOpenNamed bounds the IDs in a line of the log.
+// maxOpenNamed bounds the request IDs in a log line.
 const maxOpenNamed = 16
 
-// OpenRequests returns how many requests have no final answer, and the IDs of some of them.
+// OpenRequests returns how many requests have no final answer yet, and up to maxOpenNamed of their IDs.
 func (b *Balancer) OpenRequests() (open int, ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
