--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -8,25 +8,26 @@
 	"hollylever/policy"
 )
 
-// The methods in this file are called by a fleet's member. Without a fleet none of them is.
+// The methods in this file are called by the member of a fleet, and not at all by a balancer without a fleet.
 
-// OutlierExchange is the fleet's shared outlier detection. It is called under Balancer.mu, and may not call back.
+// OutlierExchange is the fleet's shared outlier detection. It is called with Balancer.mu held and must not call back.
 type OutlierExchange interface {
-	// HandleAttemptStarted is told of an attempt. It returns by which part the endpoint's chance of success is to be
-	// reduced from now on, if isSuppressed.
+	// HandleAttemptStarted is called for each attempt. If isSuppressed, part is the fraction by which the endpoint's
+	// probability of success is to be reduced from now on.
 	HandleAttemptStarted(endpoint string) (part float64, isSuppressed bool)
-	// HandleAttemptEnded is told of an attempt's outcome, its latency and the latency objective, both in ns.
+	// HandleAttemptEnded is called with an attempt's outcome, its latency and the latency objective, both in ns.
 	HandleAttemptEnded(endpoint string, outcome policy.Outcome, latency, objective int64)
 }
 
-// SetOutlierExchange has a fleet told of attempts from now on.
+// SetOutlierExchange sets the exchange that is notified of attempts.
 func (b *Balancer) SetOutlierExchange(exchange OutlierExchange) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.outlierExchange = exchange
 }
 
-// ApplyPeerVerdicts passes on by which part other members' reports reduce endpoints' chances of success.
+// ApplyPeerVerdicts passes to the policy the fractions by which reports of other members reduce endpoints' probability
+// of success. For negative values see policy.Balancer.UpdatePeerVerdict.
 func (b *Balancer) ApplyPeerVerdicts(parts map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,7 +38,7 @@
 	}
 }
 
-// SetLeaseCheck has check called before each decision, under Balancer.mu.
+// SetLeaseCheck sets a function to be called before each decision, with Balancer.mu held.
 func (b *Balancer) SetLeaseCheck(check func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,14 +48,15 @@
 	b.leaseCheck = check
 }
 
-// checkLease calls the lease check, if there is one; under the lock.
+// checkLease calls the lease check, if there is one. b.mu must be held.
 func (b *Balancer) checkLease() {
 	if b.leaseCheck != nil {
 		b.leaseCheck()
 	}
 }
 
-// SetBudgetShare sets which part of what all balancers may do is this one's; 0: as the settings state.
+// SetBudgetShare sets this balancer's share of the budgets of all balancers. 0 or less means an equal share, by the
+// number of balancers in the settings.
 func (b *Balancer) SetBudgetShare(share float64) {
 	if share <= 0 {
 		share = 1 / max(1, settingNumber(b.settings, "balancers"))
@@ -64,15 +66,15 @@
 	b.policy.SetFleetShare(share)
 }
 
-// SetWidespreadMisses sets whether reads miss for all balancers.
+// SetWidespreadMisses sets whether reads miss the cache at all balancers.
 func (b *Balancer) SetWidespreadMisses(isWidespread bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.policy.SetWidespreadMisses(isWidespread)
 }
 
-// SetEvacuation sets which part of the keys does not go to each zone's endpoints now. For the time of refill after
-// that the zone's endpoints are not passed over as slow.
+// SetEvacuation sets, by zone, the fraction of the keys that is not routed to the zone's endpoints. For the duration
+// refill after that, the zone's endpoints are not avoided as slow.
 func (b *Balancer) SetEvacuation(parts map[string]float64, refill time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,18 +85,18 @@
 	}
 }
 
-// SlowStartDuration returns how long an endpoint takes until it is warm.
+// SlowStartDuration returns how long an endpoint takes to warm up.
 func (b *Balancer) SlowStartDuration() time.Duration {
 	return time.Duration(settingNumber(b.settings, "invariants.warmUp") * 1e6)
 }
 
-// ListedEndpoint is an endpoint that the list has.
+// ListedEndpoint is an endpoint of the list.
 type ListedEndpoint struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// Servers returns the endpoints that the list has, ready or draining.
+// Servers returns the endpoints that the list has as ready or draining.
 func (b *Balancer) Servers() (all []ListedEndpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,8 +108,8 @@
 	return all
 }
 
-// SetConnectionSubset sets to which endpoints this balancer keeps idle connections; those to others end soon. isAll:
-// to all.
+// SetConnectionSubset sets the endpoints to which this balancer keeps idle connections: all of them if isAll is set.
+// Idle connections to other endpoints are closed after a short time.
 func (b *Balancer) SetConnectionSubset(names map[string]bool, isAll bool) {
 	others := map[int]bool{}
 	b.mu.Lock()
@@ -120,18 +122,18 @@
 	b.pool.SetBriefServers(others)
 }
 
-// The limits of the fleet's configuration.
+// Names of limits in the fleet's configuration.
 const (
-	limitHeld        = "held"   // requests held at most
-	limitQuotaPrefix = "quota." // and a tenant's name: the tenant's requests a second, over all balancers
+	limitHeld        = "held"   // maximum number of requests held
+	limitQuotaPrefix = "quota." // followed by a tenant's name: the tenant's requests per second over all balancers
 )
 
-// minQuota stands for a quota of none at all, as a quota of 0 would mean that there is no limit; in requests a second.
+// minQuota, in requests per second, stands for a quota of zero, as the policy takes 0 for no limit.
 const minQuota = 1e-9
 
-// ApplyFleetConfig applies the fleet's configuration: ejected endpoints, and limits by name. Where the settings have
-// a smaller limit, that counts. Of a list that is another discovery's, or of an index under minListIndex, only drains
-// are applied; "" as discovery: each process's own counts.
+// ApplyFleetConfig applies the fleet's configuration: ejected endpoints, and limits by name. A smaller limit in the
+// settings takes precedence. Of a list with an index below minListIndex, or from a discovery address other than
+// discovery, only drains are applied. With an empty discovery each process uses its own.
 func (b *Balancer) ApplyFleetConfig(ejected []string, limits map[string]int64, discovery string, minListIndex uint64) {
 	b.mu.Lock()
 	b.list.requiredDiscovery, b.list.minIndex = discovery, minListIndex
@@ -150,8 +152,8 @@
 	b.setEjections(fleetEjections, ejected)
 }
 
-// ListState returns the index of the list that is in force, a digest that differs for another list of the same index,
-// and its last drains, without those of endpoints that are ready again.
+// ListState returns the index of the list in effect, a digest that tells apart different lists of the same index, and
+// the last drains, without those of endpoints that are ready again.
 func (b *Balancer) ListState() (index, digest uint64, drains []Drain) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
