--- a/routing/follow.go
+++ b/routing/follow.go
@@ -13,59 +13,59 @@
 	"hollylever/policy"
 )
 
-// What discovery's protocol says of a watch on the endpoint list.
+// Times that discovery's protocol specifies for a watch on the endpoint list.
 const (
-	emptyLineInterval = 2 * time.Second // of a watch while nothing changes
-	notifiedTimeout   = 6 * time.Second // until a balancer acts on a change that discovery has
+	emptyLineInterval = 2 * time.Second // between empty lines while nothing changes
+	notifiedTimeout   = 6 * time.Second // within which a balancer must act on a change that discovery has
 )
 
-// notifiedTimeout is divided for the worst case, a watch that falls silent and a call after it that is never answered:
+// notifiedTimeout is divided for the worst case, in which a watch falls silent and the next call is never answered:
 // lineTimeout, callSpread, answerTimeout, callSpread and answerReserve add up to it.
 const (
-	lineTolerance   = emptyLineInterval / 4  // an empty line may be so late: the scheduling of a busy machine
-	callSpread      = 500 * time.Millisecond // balancers whose watches break at the same moment call again over this time
-	answerReserve   = time.Second            // for the last call's wait in discovery's queue, and its answer
+	lineTolerance   = emptyLineInterval / 4  // how late an empty line may be, because of scheduling on a busy machine
+	callSpread      = 500 * time.Millisecond // over which balancers whose watches break at once spread their calls
+	answerReserve   = time.Second            // for the last call to wait in discovery's queue and be answered
 	lineTimeout     = emptyLineInterval + lineTolerance
-	lastCallTimeout = notifiedTimeout - answerReserve - callSpread // since a watch was last heard
+	lastCallTimeout = notifiedTimeout - answerReserve - callSpread // since a watch last delivered data
 	answerTimeout   = lastCallTimeout - lineTimeout - callSpread   // 1.5 s
-	giveUpTimeout   = notifiedTimeout - lineTimeout                // a later answer comes too late for a silent watch
-	maxWatches      = 2                                            // open at once: discovery's capacity is limited
+	giveUpTimeout   = notifiedTimeout - lineTimeout                // a later answer would miss notifiedTimeout
+	maxWatches      = 2                                            // open at once, as discovery's capacity is limited
 )
 
-// watchTimeouts bound how long a watch may bring nothing.
+// watchTimeouts bound how long a watch may deliver nothing.
 type watchTimeouts struct {
-	line     time.Duration // after the last complete list or empty line: a further call is made beside the watch
-	answer   time.Duration // the same after the start of a call that has brought nothing complete
-	lastCall time.Duration // after a watch was last heard or broke off, if that is later: a call may be queued
-	spread   time.Duration // the further call is delayed by a random part of this
-	giveUp   time.Duration // a watch on which nothing begins or ends for so long is closed
+	line     time.Duration // after the last complete list or empty line an additional call is made beside the watch
+	answer   time.Duration // the same after the start of a call that has delivered nothing complete
+	lastCall time.Duration // since a watch last delivered data or broke; extends answer, as a call may be queued
+	spread   time.Duration // the additional call is delayed by a random part of this
+	giveUp   time.Duration // a watch on which no list begins or ends and no empty line arrives for so long is closed
 }
 
 var protocolTimeouts = watchTimeouts{line: lineTimeout, answer: answerTimeout, lastCall: lastCallTimeout, spread: callSpread, giveUp: giveUpTimeout}
 
 var (
-	errMoved    = errors.New("discovery has moved")
-	errReplaced = errors.New("another watch was heard first")
+	errMoved    = errors.New("discovery address changed")
+	errReplaced = errors.New("another watch delivered data first")
 	errSilent   = errors.New("discovery is silent")
 )
 
-// follower opens the watches on the endpoint list. While nothing complete is heard it opens a further one beside the
-// one that is open: a call that waits in discovery's queue must not lose its place. The first watch to be heard stays
-// and the others are closed. After a refusal, with no watch open, the policy says when to call again
-// (WatchEndpoints). Soon after a watch was heard a call is given more time before a further one is made: when all
-// balancers call at once, that spares discovery calls that nobody needs.
+// follower opens the watches on the endpoint list. If the open watch delivers nothing complete in time, follower opens
+// an additional one and keeps the first, as a call that waits in discovery's queue must not lose its place. The first
+// watch that delivers a list or an empty line stays, and the others are closed. After a refusal, with no watch open,
+// the policy decides when to call again (WatchEndpoints). Shortly after a watch delivered data, a call is given more
+// time before an additional one is made: when all balancers call at once, that saves discovery needless calls.
 //
-// One goroutine, that of Follow, uses it.
+// Only the goroutine of Follow uses it.
 type follower struct {
 	balancer *Balancer
 	client   *http.Client
 	ended    chan *listWatch // watches that have ended
 	running  sync.WaitGroup  // a goroutine for each watch
 	lastCall time.Time
-	delay    time.Duration // of a further call: a random part of watchTimeouts.spread, drawn with each call
+	delay    time.Duration // of the next additional call: a random part of watchTimeouts.spread, drawn on each call
 }
 
-// Follow keeps a watch on the endpoint list at discovery until the context ends. It is called once.
+// Follow watches the endpoint list at discovery until the context ends. It must be called only once.
 func (b *Balancer) Follow(ctx context.Context) {
 	f := &follower{balancer: b, ended: make(chan *listWatch)}
 	f.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: f.dial}}
@@ -91,14 +91,14 @@
 	}
 }
 
-// dial opens a connection to discovery. It has a time limit of its own, as net/http does not end it with its request.
+// dial opens a connection to discovery. It has its own timeout, as net/http does not end a dial with its request.
 func (f *follower) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.balancer.watchTimeouts.giveUp)
 	defer cancel()
 	return f.balancer.dialDiscovery(ctx, network, address)
 }
 
-// openFirst opens a watch, if none is open.
+// openFirst opens a watch unless one is open.
 func (f *follower) openFirst(ctx context.Context) {
 	f.balancer.mu.Lock()
 	defer f.balancer.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// openFurther opens a further watch, if one is still due.
+// openFurther opens an additional watch if one is still due.
 func (f *follower) openFurther(ctx context.Context) {
 	b := f.balancer
 	b.mu.Lock()
@@ -124,12 +124,13 @@
 	}
 }
 
-// open starts a watch; under the lock.
+// open starts a watch. b.mu must be held.
 func (f *follower) open(ctx context.Context) {
 	b := f.balancer
 	select {
 	case <-b.watchRequested:
-		// Requested meanwhile, as by SetDiscovery: this is the watch. Later it would follow a refusal without backoff.
+		// A request made in the meantime, as by SetDiscovery, is met by this watch. Left pending, it would cause a call
+		// without backoff after a refusal.
 	default:
 	}
 	watching, cancel := context.WithCancelCause(ctx)
@@ -146,14 +147,14 @@
 	})
 }
 
-// nextCall returns in how long a further watch is due beside those that are open, if one is.
+// nextCall returns the time until an additional watch is due. isPlanned is false if none is.
 func (f *follower) nextCall() (wait time.Duration, isPlanned bool) {
 	f.balancer.mu.Lock()
 	defer f.balancer.mu.Unlock()
 	return f.untilNextCall()
 }
 
-// untilNextCall is nextCall under the lock.
+// untilNextCall is nextCall for callers that hold b.mu.
 func (f *follower) untilNextCall() (wait time.Duration, isPlanned bool) {
 	b := f.balancer
 	if len(b.list.watches) == 0 || len(b.list.watches) >= maxWatches {
@@ -168,8 +169,8 @@
 	return time.Until(due.Add(f.delay)), true
 }
 
-// watchEnded records the end of a watch, unless it was cancelled on purpose. If it was the last, the policy plans the
-// next call.
+// watchEnded records the end of a watch, unless it was cancelled on purpose. If it was the last open one, the policy
+// plans the next call.
 func (f *follower) watchEnded(watch *listWatch) {
 	b := f.balancer
 	b.mu.Lock()
@@ -178,7 +179,7 @@
 	if i >= 0 {
 		b.list.watches = slices.Delete(b.list.watches, i, i+1)
 		if watch.isEstablished && !errors.Is(context.Cause(watch.ctx), errSilent) {
-			b.list.heardAt = time.Now() // It ended openly: until then it brought all changes.
+			b.list.heardAt = time.Now() // The connection was closed, not silent: until then the watch delivered all changes.
 		}
 		b.list.isFailing = true
 		b.counters.increment(counterWatchesFailed)
@@ -193,8 +194,8 @@
 	}
 }
 
-// watchHeard records that a watch brought something complete, and cancels all others: from now on this one alone
-// brings the list.
+// watchHeard records that a watch delivered a complete list or empty line, and cancels all others: from now on only
+// this one delivers lists.
 func (b *Balancer) watchHeard(watch *listWatch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,7 +218,7 @@
 	b.list.watches = append(b.list.watches[:0], watch)
 }
 
-// watchRecovered records that what a watch brought was good: the policy's backoff starts again from its beginning.
+// watchRecovered records that a watch delivered a valid list or an empty line, and resets the policy's backoff.
 func (b *Balancer) watchRecovered(watch *listWatch) {
 	b.mu.Lock()
 	isRecovered := b.list.isFailing && watch.ctx.Err() == nil
@@ -231,26 +232,25 @@
 	}
 }
 
-// resetBackoff has the policy apply an empty update, so that its backoff starts again from its beginning; under the
-// lock.
+// resetBackoff has the policy apply an empty update, which resets its backoff. b.mu must be held.
 func (b *Balancer) resetBackoff() {
 	b.policy.BeginEndpointUpdate(policy.IncrementalList)
 	b.policy.CommitEndpointUpdate(b.now())
 }
 
-// SetDiscovery follows the list at another address from now on. The old watches are cancelled at once: they may stay
-// open for a while, and nothing more that they bring is applied.
+// SetDiscovery switches to another discovery address. The old watches are cancelled at once. They may take a while to
+// close, but nothing that they still deliver is applied.
 func (b *Balancer) SetDiscovery(discovery string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.list.discovery, b.list.index = discovery, 0 // Another discovery may count its lists in its own way.
+	b.list.discovery, b.list.index = discovery, 0 // Another discovery service may number its lists differently.
 	for _, watch := range b.list.watches {
 		watch.cancel(errMoved)
 	}
 	b.list.watches, b.list.heardAt = nil, time.Time{}
-	b.resetBackoff() // Failures at the old address must not delay the new one.
+	b.resetBackoff() // Failures at the old address must not delay calls to the new one.
 	b.WatchEndpoints()
 }
 
-// dialDiscovery connects without TCP keep-alive: the watch has timeouts of its own.
+// dialDiscovery connects without TCP keep-alive, as watches have timeouts of their own.
 var dialDiscovery = (&net.Dialer{KeepAlive: -1}).DialContext
