--- a/routing/listchanges.go
+++ b/routing/listchanges.go
@@ -8,11 +8,10 @@
 	"hollylever/policy"
 )
 
-// changesPerLine bounds the endpoints that one line of the log names, so that a line stays readable with the longest
-// names.
+// changesPerLine bounds the endpoints named in one log line, so that the line stays readable with the longest names.
 const changesPerLine = 64
 
-// listChanges are the endpoints whose health a list changed, in its order.
+// listChanges holds the endpoints whose health a list changed, in list order.
 type listChanges struct {
 	index   uint64
 	changes []listChange
@@ -27,8 +26,8 @@
 	c.changes = append(c.changes, listChange{name, to})
 }
 
-// log names all of them, many in a line. A rollout changes many endpoints at once: a line for each would push
-// everything else out of what is kept of a log.
+// log logs the changes, many per line. A rollout changes many endpoints at once, and a line for each would crowd
+// everything else out of the retained log.
 func (c *listChanges) log(log zerolog.Logger) {
 	for part := range slices.Chunk(c.changes, changesPerLine) {
 		var names [policy.Removed + 1][]string
