--- a/routing/listwatch.go
+++ b/routing/listwatch.go
@@ -11,40 +11,41 @@
 	"time"
 )
 
-// errListTooLong says that a list has more than maxListBytes.
+// errListTooLong is returned for a list of more than maxListBytes.
 var errListTooLong = errors.New("a list that is too long")
 
-// listWatch is one call to discovery: a chunked answer that stays open and holds lists, with empty lines between
-// while nothing changes.
+// listWatch is one long-lived HTTP request to discovery. Its chunked response carries lists, and empty lines while
+// nothing changes.
 type listWatch struct {
 	balancer  *Balancer
-	ctx       context.Context // its end cancels the watch; what the watch brings after that is not applied
+	ctx       context.Context // once it is done, nothing that the watch still delivers is applied
 	cancel    context.CancelCauseFunc
 	discovery string
-	index     uint64 // changes after this one are asked for
-	err       error  // why it ended; set before it is sent on follower.ended
+	index     uint64 // the watch requests the changes after this index
+	err       error  // why the watch ended; set before the watch is sent on follower.ended
 
 	// Guarded by Balancer.mu.
-	heardAt       time.Time // when it began, or brought the last complete list or empty line
-	isEstablished bool      // it has brought one
+	heardAt       time.Time // when it last delivered a complete list or empty line; at first, when it was opened
+	isEstablished bool      // it has delivered a complete list or empty line
 }
 
-// overdueAt is when it should have brought something complete; listHeardAt: when any watch last did, or broke off.
+// overdueAt returns the time by which the watch should have delivered a complete list or empty line. listHeardAt is
+// when any watch last did, or broke.
 func (w *listWatch) overdueAt(timeouts watchTimeouts, listHeardAt time.Time) time.Time {
 	if w.isEstablished {
 		return w.heardAt.Add(timeouts.line)
 	}
-	due, queueTimeout := w.heardAt.Add(timeouts.answer), listHeardAt.Add(timeouts.lastCall)
-	if end := w.heardAt.Add(timeouts.giveUp - timeouts.spread); queueTimeout.After(end) {
-		queueTimeout = end
+	due, queuedDue := w.heardAt.Add(timeouts.answer), listHeardAt.Add(timeouts.lastCall)
+	if end := w.heardAt.Add(timeouts.giveUp - timeouts.spread); queuedDue.After(end) {
+		queuedDue = end
 	}
-	if queueTimeout.After(due) {
-		return queueTimeout
+	if queuedDue.After(due) {
+		return queuedDue
 	}
 	return due
 }
 
-// run makes the call and applies the lists that come until the watch breaks or is cancelled, and returns why it did.
+// run calls discovery and applies the lists it delivers until the watch breaks or is cancelled. It returns the cause.
 func (w *listWatch) run(client *http.Client) error {
 	giveUp := time.AfterFunc(w.balancer.watchTimeouts.giveUp, func() { w.cancel(errSilent) })
 	defer giveUp.Stop()
@@ -81,17 +82,17 @@
 	}
 }
 
-// listStream is the body of a watch's answer: JSON values, over lines as they like, with empty lines between while
-// nothing changes.
+// listStream is the response body of a watch: JSON values, which may span several lines, and empty lines while nothing
+// changes.
 type listStream struct {
 	body      io.Reader
-	progress  func() // is called when a list has begun or ended, or an empty line has come between two
-	emptyLine func() // is called when an empty line has come between two
-	isInList  bool   // a list has begun
-	size      int    // of it, so far
+	progress  func() // called when a list begins or ends, and on empty lines between lists
+	emptyLine func() // called on empty lines between lists
+	isInList  bool   // a list has begun and not ended
+	size      int    // bytes of that list read so far
 }
 
-// Read reads from the body. While a list has begun and not ended nothing counts as progress, however slowly it arrives.
+// Read reads from the body. Bytes within a list do not count as progress, so that a list that trickles in times out.
 func (s *listStream) Read(into []byte) (int, error) {
 	n, err := s.body.Read(into)
 	if n > 0 && !s.isInList {
@@ -110,7 +111,7 @@
 	return n, err
 }
 
-// listEnded records that a list is complete; the rest of what was read may be the beginning of the next.
+// listEnded records that a list is complete. rest is what was read beyond it, possibly the beginning of the next list.
 func (s *listStream) listEnded(rest io.Reader) {
 	text, _ := io.ReadAll(rest)
 	s.isInList, s.size = len(bytes.TrimSpace(text)) > 0, len(text)
