--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -15,14 +15,14 @@
 	"hollylever/snapshot"
 )
 
-// snapshotList is the endpoint list in discovery's form, as a snapshot has it.
+// snapshotList is the endpoint list of a snapshot, encoded as discovery sends it.
 type snapshotList struct {
 	Index     uint64          `json:"index"`
 	IsFull    bool            `json:"snapshot"`
 	Endpoints []snapshotEntry `json:"endpoints"`
 }
 
-// snapshotEntry is one endpoint of it.
+// snapshotEntry is one endpoint of a snapshotList.
 type snapshotEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -34,7 +34,8 @@
 	SinceMS int64   `json:"since_ms"`
 }
 
-// Fingerprint tells settings apart: under other settings the indices in a snapshot mean something else.
+// Fingerprint returns a checksum of the settings. A snapshot fits only the settings that it was taken with, as its
+// indices refer to them.
 func Fingerprint(settings map[string]any) uint64 {
 	sum := crc64.New(crc64.MakeTable(crc64.ECMA))
 	for _, name := range slices.Sorted(maps.Keys(settings)) {
@@ -43,17 +44,18 @@
 	return binary.BigEndian.Uint64(sum.Sum(nil))
 }
 
-// SnapshotWriter writes what a balancer has learnt to a file while it serves. One goroutine uses it.
+// SnapshotWriter writes a balancer's learned state to a file while the balancer serves. It is not safe for concurrent
+// use.
 type SnapshotWriter struct {
 	balancer     *Balancer
 	file         snapshot.File
-	snapshot     snapshot.Snapshot // its memory is used again for the next one
+	snapshot     snapshot.Snapshot // reused, to avoid allocations
 	requestCount int               // as of the last snapshot
-	listUpdates  int               // as of the last snapshot's list
-	LockHeld     time.Duration     // how long the last snapshot held the balancer's lock
+	listUpdates  int               // as of the list in the last snapshot
+	LockHeld     time.Duration     // how long the last snapshot held Balancer.mu
 }
 
-// NewSnapshotWriter makes a writer to a file. name is the balancer's.
+// NewSnapshotWriter returns a writer to the file at path. name is the balancer's name.
 func (b *Balancer) NewSnapshotWriter(path, name string) *SnapshotWriter {
 	return &SnapshotWriter{
 		balancer:    b,
@@ -63,8 +65,8 @@
 	}
 }
 
-// Write writes what is known now, if any request has been admitted since the last time. State is copied under the
-// lock; it is encoded and written outside of it.
+// Write writes a snapshot if any request has been admitted since the last one. It copies the state with Balancer.mu
+// held, and encodes and writes it without.
 func (w *SnapshotWriter) Write() error {
 	list, isListNew, isDue := w.copyState()
 	if !isDue {
@@ -80,8 +82,8 @@
 	return err
 }
 
-// copyState copies the balancer's state into the snapshot, but for the list, which it returns if that has changed.
-// isDue: a request has been admitted since the last time.
+// copyState copies the balancer's state into the snapshot, except for the list, which it returns if the list has
+// changed. isDue reports whether a request has been admitted since the last snapshot.
 func (w *SnapshotWriter) copyState() (list snapshotList, isListNew, isDue bool) {
 	b, s := w.balancer, &w.snapshot
 	began := time.Now()
@@ -107,7 +109,7 @@
 	return list, isListNew, true
 }
 
-// snapshotList copies the endpoint list; under the lock.
+// snapshotList copies the endpoint list. b.mu must be held.
 func (b *Balancer) snapshotList() snapshotList {
 	list := snapshotList{Index: b.list.index, IsFull: true}
 	for i := range b.endpoints.all {
@@ -127,14 +129,15 @@
 	return list
 }
 
-// startMillis is a start as discovery has it: its milliseconds are read as a number that need not be exact.
+// startMillis converts a start time to discovery's unit, milliseconds. It rounds, as the nanoseconds come from
+// milliseconds that were parsed as an inexact number.
 func startMillis(started int64) int64 {
 	return (started + int64(time.Millisecond/2)) / int64(time.Millisecond)
 }
 
-// restoreSnapshot restores what another process has saved, as if this one had learnt it. The known list of the
-// configuration counts where it is the newer one. It returns how many endpoints were restored, and fails for a
-// snapshot of another list.
+// restoreSnapshot restores the state that another process saved, as if this process had learned it. If the known list
+// of the configuration is newer than the saved one, it is kept. restoreSnapshot returns the number of endpoints
+// restored, and fails if the snapshot belongs to a different list.
 func (b *Balancer) restoreSnapshot(s *snapshot.Snapshot, known []byte) (int, error) {
 	index, err := checkSameList(s.EndpointList, known)
 	if err != nil {
@@ -150,8 +153,8 @@
 	return b.policy.RestoreState(b.now(), &s.BalancerState, int64(s.Age)), nil
 }
 
-// checkSameList fails where less than half of the saved list's endpoints are in the known list, if that has any. It
-// returns the index of the known list.
+// checkSameList returns the index of the known list. It fails if that list has endpoints, but less than half of the
+// saved list's.
 func checkSameList(saved, known []byte) (index uint64, err error) {
 	savedList, err := protocol.ParseEndpointList(saved)
 	if err != nil {
@@ -161,7 +164,7 @@
 	for _, endpoint := range savedList.Endpoints {
 		isSaved[endpoint.Name] = true
 	}
-	knownList, _ := protocol.ParseEndpointList(known) // New has read it already.
+	knownList, _ := protocol.ParseEndpointList(known) // New has parsed it already.
 	listed, common := len(knownList.Endpoints), 0
 	for _, endpoint := range knownList.Endpoints {
 		if isSaved[endpoint.Name] {
@@ -169,7 +172,7 @@
 		}
 	}
 	if listed > 0 && 2*common < len(isSaved) {
-		return 0, fmt.Errorf("of another list: %d of its %d hosts are listed", common, len(isSaved))
+		return 0, fmt.Errorf("belongs to another endpoint list: %d of its %d endpoints are in the known list", common, len(isSaved))
 	}
 	return knownList.Index, nil
 }
