--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -29,7 +29,7 @@
 	dialDiscovery  func(ctx context.Context, network, address string) (net.Conn, error)
 
 	// Synchronized independently of mu.
-	isServing    atomic.Bool
+	isReady      atomic.Bool
 	answerBy     atomic.Int64 // shutdown deadline for all final answers, by the policy's clock; 0: no shutdown
 	ejectionFile ejectionFile
 	warnings     warnings
@@ -66,7 +66,7 @@
 		ejectionFile:   ejectionFile{path: ejectionPath},
 		requests:       newRequestTable(settings, maxBytes),
 		endpoints:      newEndpointTable(),
-		list:           listState{discovery: discovery, heardAt: time.Now()},
+		list:           listState{discovery: discovery, lastDeliveryAt: time.Now()},
 		counters:       counters{sinceStart: map[counterKey]int{}},
 	}
 	b.policy = policy.New(b.now(), seed, settings, b)
@@ -107,21 +107,21 @@
 }
 
 // SetReady sets whether this process accepts clients, for Ready.
-func (b *Balancer) SetReady(isReady bool) { b.isServing.Store(isReady) }
+func (b *Balancer) SetReady(isReady bool) { b.isReady.Store(isReady) }
 
 // Ready reports whether this process accepts clients and any list so far had an endpoint.
-func (b *Balancer) Ready() bool { return b.isServing.Load() && b.hasListedEndpoints() }
+func (b *Balancer) Ready() bool { return b.isReady.Load() && b.hasListedEndpoints() }
 
 // ExpireAt sets the shutdown deadline, by which every request gets its final answer. A request that arrives too late
 // to meet its latency objective before the deadline is rejected at once; an admitted request whose own deadline is
 // later fails at the shutdown deadline.
 func (b *Balancer) ExpireAt(at time.Time) {
 	b.answerBy.Store(b.startedAt.UnixNano() + int64(at.Sub(b.startedAt)))
-	time.AfterFunc(time.Until(at), b.expireAll)
+	time.AfterFunc(time.Until(at), b.expireOpenRequests)
 }
 
-// expireAll expires each request that has no final answer yet.
-func (b *Balancer) expireAll() {
+// expireOpenRequests expires each request that has no final answer yet.
+func (b *Balancer) expireOpenRequests() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range b.requests.slots {
--- a/routing/counters.go
+++ b/routing/counters.go
@@ -119,13 +119,13 @@
 	return all
 }
 
-// maxCachedResult is the highest cache result that means a read was answered from the cache. Higher ones are misses.
-const maxCachedResult = 1
+// maxHitResult is the highest cache result that means a read was answered from the cache. Higher ones are misses.
+const maxHitResult = 1
 
 // countRead counts an answered read by the cache result that the server reports.
 func (c *counters) countRead(cacheResult int) {
 	c.reads++
-	if cacheResult > maxCachedResult {
+	if cacheResult > maxHitResult {
 		c.misses++
 	}
 }
--- a/routing/ejections.go
+++ b/routing/ejections.go
@@ -12,9 +12,9 @@
 	"hollylever/transport"
 )
 
-// ejectionsInterval is how often the file of manual ejections is checked for changes. During an upgrade, the other
-// process writes it too.
-const ejectionsInterval = 50 * time.Millisecond
+// ejectionFilePollInterval is how often the file of manual ejections is checked for changes. During an upgrade, the
+// other process writes it too.
+const ejectionFilePollInterval = 50 * time.Millisecond
 
 // ErrNeverListed is returned for a name that no list had and that is not ejected by hand.
 var ErrNeverListed = errors.New("never listed")
@@ -100,7 +100,7 @@
 // WatchEjectionFile applies changes that another process makes to the file of manual ejections, and closes connections
 // to ejected endpoints as they become idle. It returns shortly after the context ends.
 func (b *Balancer) WatchEjectionFile(ctx context.Context) {
-	for tick := time.NewTicker(ejectionsInterval); ctx.Err() == nil; <-tick.C {
+	for tick := time.NewTicker(ejectionFilePollInterval); ctx.Err() == nil; <-tick.C {
 		b.reloadEjections()
 	}
 }
--- a/routing/endpointlist.go
+++ b/routing/endpointlist.go
@@ -17,7 +17,7 @@
 	updates           int          // number of lists applied
 	watches           []*listWatch // open watches, oldest first; at most maxWatches
 	isFailing         bool         // a watch was lost, and none has delivered a valid list or empty line since
-	heardAt           time.Time    // when a watch last delivered data or broke; zero after a change of discovery
+	lastDeliveryAt    time.Time    // when a watch last delivered data or broke; zero after a change of discovery
 	requiredDiscovery string       // from the fleet's configuration; "": each process uses its own
 	minIndex          uint64       // minimum index of a list that is applied in full, from the fleet's configuration
 }
@@ -113,7 +113,7 @@
 	}
 	previous := b.endpoints.all[i]
 	startedAt := previous.startedAt
-	if !isKnown || previous.statedStart != entry.StartedAtNanos {
+	if !isKnown || previous.listedStart != entry.StartedAtNanos {
 		startedAt = b.fromWallClock(entry.StartedAtNanos)
 	}
 	b.endpoints.byName[entry.Name] = i
@@ -121,7 +121,7 @@
 		name:         entry.Name,
 		address:      entry.Address,
 		health:       health,
-		statedStart:  entry.StartedAtNanos,
+		listedStart:  entry.StartedAtNanos,
 		startedAt:    startedAt,
 		machineType:  b.catalog.machineType(entry.Kind),
 		zone:         b.catalog.zone(entry.Zone),
--- a/routing/endpoints.go
+++ b/routing/endpoints.go
@@ -39,8 +39,8 @@
 type endpoint struct {
 	name, address             string
 	health                    policy.Health
-	statedStart               int64 // as given in the list, by the wall clock
-	startedAt                 int64 // statedStart converted to the policy's clock
+	listedStart               int64 // as given in the list, by the wall clock
+	startedAt                 int64 // listedStart converted to the policy's clock
 	machineType, replicaGroup int
 	zone                      int // -1: not in the settings
 	weight                    float64
--- a/routing/figures.go
+++ b/routing/figures.go
@@ -104,7 +104,7 @@
 			ByHand:  isEjected,
 			Avoided: b.isAvoided(i),
 			Trips:   e.attempts,
-			Started: startMillis(e.statedStart),
+			Started: startMillis(e.listedStart),
 		})
 	}
 	for name := range b.ejections.all {
@@ -150,15 +150,15 @@
 	return b.counters.reads, b.counters.misses
 }
 
-// maxOpenNamed bounds the request IDs in a log line.
-const maxOpenNamed = 16
+// maxOpenRequestIDs bounds the request IDs in a log line.
+const maxOpenRequestIDs = 16
 
-// OpenRequests returns how many requests have no final answer yet, and up to maxOpenNamed of their IDs.
+// OpenRequests returns how many requests have no final answer yet, and up to maxOpenRequestIDs of their IDs.
 func (b *Balancer) OpenRequests() (open int, ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id := range b.requests.openIDs {
-		if len(ids) == maxOpenNamed {
+		if len(ids) == maxOpenRequestIDs {
 			break
 		}
 		ids = append(ids, id)
--- a/routing/fleet.go
+++ b/routing/fleet.go
@@ -124,8 +124,8 @@
 
 // Names of limits in the fleet's configuration.
 const (
-	limitHeld        = "held"   // maximum number of requests held
-	limitQuotaPrefix = "quota." // followed by a tenant's name: the tenant's requests per second over all balancers
+	limitHeldRequests = "held"   // maximum number of requests held
+	limitQuotaPrefix  = "quota." // followed by a tenant's name: the tenant's requests per second over all balancers
 )
 
 // minQuota, in requests per second, stands for a quota of zero, as the policy takes 0 for no limit.
@@ -138,7 +138,7 @@
 	b.mu.Lock()
 	b.list.requiredDiscovery, b.list.minIndex = discovery, minListIndex
 	b.requests.maxHeldByFleet = b.requests.maxHeld
-	if limit, isSet := limits[limitHeld]; isSet {
+	if limit, isSet := limits[limitHeldRequests]; isSet {
 		b.requests.maxHeldByFleet = int(min(int64(b.requests.maxHeld), limit))
 	}
 	for name, tenant := range b.catalog.tenants {
--- a/routing/follow.go
+++ b/routing/follow.go
@@ -44,9 +44,9 @@
 var protocolTimeouts = watchTimeouts{line: lineTimeout, answer: answerTimeout, lastCall: lastCallTimeout, spread: callSpread, giveUp: giveUpTimeout}
 
 var (
-	errMoved    = errors.New("discovery address changed")
-	errReplaced = errors.New("another watch delivered data first")
-	errSilent   = errors.New("discovery is silent")
+	errDiscoveryChanged = errors.New("discovery address changed")
+	errReplaced         = errors.New("another watch delivered data first")
+	errDiscoverySilent  = errors.New("discovery is silent")
 )
 
 // follower opens the watches on the endpoint list. If the open watch delivers nothing complete in time, follower opens
@@ -57,12 +57,12 @@
 //
 // Only the goroutine of Follow uses it.
 type follower struct {
-	balancer *Balancer
-	client   *http.Client
-	ended    chan *listWatch // watches that have ended
-	running  sync.WaitGroup  // a goroutine for each watch
-	lastCall time.Time
-	delay    time.Duration // of the next additional call: a random part of watchTimeouts.spread, drawn on each call
+	balancer   *Balancer
+	client     *http.Client
+	ended      chan *listWatch // watches that have ended
+	running    sync.WaitGroup  // a goroutine for each watch
+	lastCallAt time.Time
+	delay      time.Duration // of the next additional call: a random part of watchTimeouts.spread, drawn on each call
 }
 
 // Follow watches the endpoint list at discovery until the context ends. It must be called only once.
@@ -77,11 +77,11 @@
 		case <-ctx.Done():
 			return
 		case <-b.watchRequested:
-			f.openFirst(ctx)
+			f.openInitial(ctx)
 		case watch := <-f.ended:
 			f.watchEnded(watch)
 		case <-overdue.C:
-			f.openFurther(ctx)
+			f.openAdditional(ctx)
 		}
 		if wait, isPlanned := f.nextCall(); isPlanned {
 			overdue.Reset(wait)
@@ -98,8 +98,8 @@
 	return f.balancer.dialDiscovery(ctx, network, address)
 }
 
-// openFirst opens a watch unless one is open.
-func (f *follower) openFirst(ctx context.Context) {
+// openInitial opens a watch unless one is open.
+func (f *follower) openInitial(ctx context.Context) {
 	f.balancer.mu.Lock()
 	defer f.balancer.mu.Unlock()
 	if len(f.balancer.list.watches) == 0 {
@@ -107,8 +107,8 @@
 	}
 }
 
-// openFurther opens an additional watch if one is still due.
-func (f *follower) openFurther(ctx context.Context) {
+// openAdditional opens an additional watch if one is still due.
+func (f *follower) openAdditional(ctx context.Context) {
 	b := f.balancer
 	b.mu.Lock()
 	wait, isPlanned := f.untilNextCall()
@@ -120,7 +120,7 @@
 	}
 	b.mu.Unlock()
 	if isLost {
-		b.log.Warn().Err(errSilent).Msg("list lost")
+		b.log.Warn().Err(errDiscoverySilent).Msg("list lost")
 	}
 }
 
@@ -134,9 +134,9 @@
 	default:
 	}
 	watching, cancel := context.WithCancelCause(ctx)
-	watch := &listWatch{balancer: b, ctx: watching, cancel: cancel, discovery: b.list.discovery, index: b.list.index, heardAt: time.Now()}
+	watch := &listWatch{balancer: b, ctx: watching, cancel: cancel, discovery: b.list.discovery, index: b.list.index, lastDeliveryAt: time.Now()}
 	b.list.watches = append(b.list.watches, watch)
-	f.lastCall, f.delay = watch.heardAt, time.Duration(rand.Float64()*float64(b.watchTimeouts.spread))
+	f.lastCallAt, f.delay = watch.lastDeliveryAt, time.Duration(rand.Float64()*float64(b.watchTimeouts.spread))
 	f.running.Go(func() {
 		watch.err = watch.run(f.client)
 		cancel(nil)
@@ -160,9 +160,9 @@
 	if len(b.list.watches) == 0 || len(b.list.watches) >= maxWatches {
 		return 0, false
 	}
-	due := f.lastCall.Add(b.watchTimeouts.answer)
+	due := f.lastCallAt.Add(b.watchTimeouts.answer)
 	for _, watch := range b.list.watches {
-		if at := watch.overdueAt(b.watchTimeouts, b.list.heardAt); at.After(due) {
+		if at := watch.overdueAt(b.watchTimeouts, b.list.lastDeliveryAt); at.After(due) {
 			due = at
 		}
 	}
@@ -178,8 +178,9 @@
 	isLost := i >= 0 && !b.list.isFailing
 	if i >= 0 {
 		b.list.watches = slices.Delete(b.list.watches, i, i+1)
-		if watch.isEstablished && !errors.Is(context.Cause(watch.ctx), errSilent) {
-			b.list.heardAt = time.Now() // The connection was closed, not silent: until then the watch delivered all changes.
+		if watch.isEstablished && !errors.Is(context.Cause(watch.ctx), errDiscoverySilent) {
+			// The connection broke noticeably, not by silence: until then the watch delivered all changes.
+			b.list.lastDeliveryAt = time.Now()
 		}
 		b.list.isFailing = true
 		b.counters.increment(counterWatchesFailed)
@@ -194,16 +195,16 @@
 	}
 }
 
-// watchHeard records that a watch delivered a complete list or empty line, and cancels all others: from now on only
+// watchDelivered records that a watch delivered a complete list or empty line, and cancels all others: from now on only
 // this one delivers lists.
-func (b *Balancer) watchHeard(watch *listWatch) {
+func (b *Balancer) watchDelivered(watch *listWatch) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if watch.ctx.Err() != nil {
 		return
 	}
-	watch.heardAt, watch.isEstablished = time.Now(), true
-	b.list.heardAt = watch.heardAt
+	watch.lastDeliveryAt, watch.isEstablished = time.Now(), true
+	b.list.lastDeliveryAt = watch.lastDeliveryAt
 	isOlder := true
 	for _, other := range b.list.watches {
 		if other == watch {
@@ -245,9 +246,9 @@
 	defer b.mu.Unlock()
 	b.list.discovery, b.list.index = discovery, 0 // Another discovery service may number its lists differently.
 	for _, watch := range b.list.watches {
-		watch.cancel(errMoved)
+		watch.cancel(errDiscoveryChanged)
 	}
-	b.list.watches, b.list.heardAt = nil, time.Time{}
+	b.list.watches, b.list.lastDeliveryAt = nil, time.Time{}
 	b.resetBackoff() // Failures at the old address must not delay calls to the new one.
 	b.WatchEndpoints()
 }
--- a/routing/listchanges.go
+++ b/routing/listchanges.go
@@ -8,8 +8,8 @@
 	"hollylever/policy"
 )
 
-// changesPerLine bounds the endpoints named in one log line, so that the line stays readable with the longest names.
-const changesPerLine = 64
+// maxChangesPerLine bounds the endpoints named in one log line, so that the line stays readable with the longest names.
+const maxChangesPerLine = 64
 
 // listChanges holds the endpoints whose health a list changed, in list order.
 type listChanges struct {
@@ -29,7 +29,7 @@
 // log logs the changes, many per line. A rollout changes many endpoints at once, and a line for each would crowd
 // everything else out of the retained log.
 func (c *listChanges) log(log zerolog.Logger) {
-	for part := range slices.Chunk(c.changes, changesPerLine) {
+	for part := range slices.Chunk(c.changes, maxChangesPerLine) {
 		var names [policy.Removed + 1][]string
 		for _, change := range part {
 			names[change.to] = append(names[change.to], change.name)
--- a/routing/listwatch.go
+++ b/routing/listwatch.go
@@ -25,29 +25,29 @@
 	err       error  // why the watch ended; set before the watch is sent on follower.ended
 
 	// Guarded by Balancer.mu.
-	heardAt       time.Time // when it last delivered a complete list or empty line; at first, when it was opened
-	isEstablished bool      // it has delivered a complete list or empty line
+	lastDeliveryAt time.Time // when it last delivered a complete list or empty line; at first, when it was opened
+	isEstablished  bool      // it has delivered a complete list or empty line
 }
 
-// overdueAt returns the time by which the watch should have delivered a complete list or empty line. listHeardAt is
+// overdueAt returns the time by which the watch should have delivered a complete list or empty line. listDeliveryAt is
 // when any watch last did, or broke.
-func (w *listWatch) overdueAt(timeouts watchTimeouts, listHeardAt time.Time) time.Time {
+func (w *listWatch) overdueAt(timeouts watchTimeouts, listDeliveryAt time.Time) time.Time {
 	if w.isEstablished {
-		return w.heardAt.Add(timeouts.line)
+		return w.lastDeliveryAt.Add(timeouts.line)
 	}
-	due, queuedDue := w.heardAt.Add(timeouts.answer), listHeardAt.Add(timeouts.lastCall)
-	if end := w.heardAt.Add(timeouts.giveUp - timeouts.spread); queuedDue.After(end) {
-		queuedDue = end
+	due, dueIfQueued := w.lastDeliveryAt.Add(timeouts.answer), listDeliveryAt.Add(timeouts.lastCall)
+	if end := w.lastDeliveryAt.Add(timeouts.giveUp - timeouts.spread); dueIfQueued.After(end) {
+		dueIfQueued = end
 	}
-	if queuedDue.After(due) {
-		return queuedDue
+	if dueIfQueued.After(due) {
+		return dueIfQueued
 	}
 	return due
 }
 
 // run calls discovery and applies the lists it delivers until the watch breaks or is cancelled. It returns the cause.
 func (w *listWatch) run(client *http.Client) error {
-	giveUp := time.AfterFunc(w.balancer.watchTimeouts.giveUp, func() { w.cancel(errSilent) })
+	giveUp := time.AfterFunc(w.balancer.watchTimeouts.giveUp, func() { w.cancel(errDiscoverySilent) })
 	defer giveUp.Stop()
 	url := fmt.Sprintf("http://%s/catalog/members?follow=1&since=%d", w.discovery, w.index)
 	request, err := http.NewRequestWithContext(w.ctx, http.MethodGet, url, nil)
@@ -65,7 +65,7 @@
 	stream := &listStream{body: answer.Body,
 		progress: func() { giveUp.Reset(w.balancer.watchTimeouts.giveUp) },
 		emptyLine: func() {
-			w.balancer.watchHeard(w)
+			w.balancer.watchDelivered(w)
 			w.balancer.watchRecovered(w)
 		}}
 	for lists := json.NewDecoder(stream); ; {
@@ -74,7 +74,7 @@
 			return errors.Join(err, context.Cause(w.ctx))
 		}
 		stream.listEnded(lists.Buffered())
-		w.balancer.watchHeard(w)
+		w.balancer.watchDelivered(w)
 		if err := w.balancer.applyList(w.ctx, list, false); err != nil {
 			return err
 		}
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -122,7 +122,7 @@
 				Group:   e.replicaGroup,
 				Status:  statusByHealth[e.health],
 				Weight:  e.weight,
-				SinceMS: startMillis(e.statedStart),
+				SinceMS: startMillis(e.listedStart),
 			})
 		}
 	}
