--- a/routing/endpointlist_test.go
+++ b/routing/endpointlist_test.go
@@ -12,8 +12,8 @@
 	"hollylever/settings"
 )
 
-// Over long days new endpoints keep coming: memory must not grow with them, and an index must not become another
-// endpoint's while an attempt is held against it.
+// While a process runs for long, new endpoints keep appearing: memory must not grow with their number, and an index must
+// not be reused for another endpoint while the old one still holds an attempt.
 func TestRemovedEndpointReleasesItsIndex(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	for n := range 500 {
@@ -21,15 +21,15 @@
 		b.applyTestList(t, incrementalList(entryJSON(name, fmt.Sprint("127.0.0.1:", 1000+n), "Ready", 1)))
 		s := b.endpoints.byName[name]
 		if n == 7 {
-			b.endpoints.all[s].attempts = 1 // One is held.
+			b.endpoints.all[s].attempts = 1 // An attempt is held there.
 		}
 		b.applyTestList(t, incrementalList(entryJSON(name, fmt.Sprint("127.0.0.1:", 1000+n), "Gone", 1)))
 		if b.endpoints.all[s].name == "" == (n == 7) {
-			t.Fatalf("%d: the place of an endpoint that is removed is %+v", n, b.endpoints.all[s])
+			t.Fatalf("%d: entry of a removed endpoint: %+v", n, b.endpoints.all[s])
 		}
 	}
 	if len(b.endpoints.all) != 3 || len(b.endpoints.byName) != 2 {
-		t.Fatalf("%d places, %d names", len(b.endpoints.all), len(b.endpoints.byName))
+		t.Fatalf("%d entries, %d names", len(b.endpoints.all), len(b.endpoints.byName))
 	}
 	fullListWithoutFirst := strings.Replace(incrementalList(entryJSON("last", "127.0.0.1:9", "Ready", 1)), "false", "true", 1)
 	b.applyTestList(t, fullListWithoutFirst)
@@ -38,26 +38,26 @@
 	}
 }
 
-// A list that is late still has an endpoint whose address a new one has taken over. The new one must not get what is
+// A late list still has an endpoint whose address a new endpoint has taken over. The new endpoint must not get requests
 // meant for the old one.
 func TestSharedAddressBelongsToLastStarted(t *testing.T) {
-	for _, rows := range [][]string{
+	for _, entries := range [][]string{
 		{entryJSON("old", "127.0.0.1:9", "Ready", 5), entryJSON("new", "127.0.0.1:9", "Ready", 8)},
 		{entryJSON("new", "127.0.0.1:9", "Ready", 8), entryJSON("old", "127.0.0.1:9", "Ready", 5)},
 	} {
 		b := newTestBalancer(t, 1<<20)
-		b.applyTestList(t, incrementalList(rows[0]))
-		b.applyTestList(t, incrementalList(rows[1]))
-		if _, stays := b.endpoints.byName["new"]; !stays || len(b.endpoints.byName) != 2 {
-			t.Errorf("after %v: %v", rows, b.endpoints.byName)
+		b.applyTestList(t, incrementalList(entries[0]))
+		b.applyTestList(t, incrementalList(entries[1]))
+		if _, isListed := b.endpoints.byName["new"]; !isListed || len(b.endpoints.byName) != 2 {
+			t.Errorf("after %v: %v", entries, b.endpoints.byName)
 		}
 	}
 }
 
-// A list may lose endpoints that serve well. Where only draining binds, an endpoint that the list removes is retained
-// and used; one that drained, is ejected or has lost its address is not, and none is retained for ever.
+// A list may wrongly omit healthy endpoints. With invariants.onlyDrainingBinds, an endpoint that the list removes stays
+// in use for removedRetention, unless it drained, is ejected or lost its address.
 func TestRemovedEndpointIsRetainedWhereOnlyDrainingBinds(t *testing.T) {
-	begun := func() *Balancer {
+	newBalancer := func() *Balancer {
 		stated := settings.Flatten(gjson.Parse(testSettings))
 		stated["invariants.onlyDrainingBinds"] = true
 		b := newTestBalancerWith(t, 1<<20, stated)
@@ -65,7 +65,7 @@
 		b.applyTestList(t, strings.Replace(incrementalList(entryJSON("one", "127.0.0.1:9", "Ready", 1)), "false", "true", 1))
 		return b
 	}
-	tries := func(b *Balancer) int {
+	countAttempts := func(b *Balancer) int {
 		for range 20 {
 			r := newPendingReply()
 			r.delivery <- delivered
@@ -73,21 +73,21 @@
 		}
 		return b.counters.total("trips")
 	}
-	gone := func(b *Balancer) { b.applyTestList(t, incrementalList(entryJSON("one", "127.0.0.1:9", "Gone", 1))) }
-	b := begun()
-	if gone(b); tries(b) == 0 {
-		t.Error("one that did not drain is not used")
+	remove := func(b *Balancer) { b.applyTestList(t, incrementalList(entryJSON("one", "127.0.0.1:9", "Gone", 1))) }
+	b := newBalancer()
+	if remove(b); countAttempts(b) == 0 {
+		t.Error("a removed endpoint that did not drain is not used")
 	}
 	b.endpoints.all[b.endpoints.byName["one"]].removedAt -= removedRetention
 	if b.applyTestList(t, incrementalList()); b.endpoints.byName["one"] != 0 {
-		t.Error("it is retained for ever")
+		t.Error("a removed endpoint is retained for longer than removedRetention")
 	}
-	b = begun()
-	gone(b)
-	if b.setEjections(manualEjections, []string{"s", "one"}); tries(b) > 0 {
-		t.Error("one that is removed and then ejected is used")
+	b = newBalancer()
+	remove(b)
+	if b.setEjections(manualEjections, []string{"s", "one"}); countAttempts(b) > 0 {
+		t.Error("an endpoint that was removed and then ejected is used")
 	}
-	for why, before := range map[string]func(b *Balancer){
+	for reason, prepare := range map[string]func(b *Balancer){
 		"drained": func(b *Balancer) {
 			b.applyTestList(t, incrementalList(entryJSON("one", "127.0.0.1:9", "Terminating", 1)))
 		},
@@ -97,28 +97,28 @@
 			b.setEjections(manualEjections, []string{"s", "two"})
 		},
 	} {
-		b = begun()
-		before(b)
-		if gone(b); tries(b) > 0 {
-			t.Errorf("one that %s is used", why)
+		b = newBalancer()
+		prepare(b)
+		if remove(b); countAttempts(b) > 0 {
+			t.Errorf("a removed endpoint that %s is used", reason)
 		}
 	}
 }
 
-// A cold server that counts as warm is overloaded. The wall clock is stepped while the process runs, and a server
-// comes back cold: it counts as cold, by whichever clock its start is stamped.
+// A cold server that is taken for warm gets overloaded. If the wall clock is stepped while the process runs, a server
+// that restarts must still count as cold, whether its start was stamped before or after the step.
 func TestSlowStartIgnoresWallClockSteps(t *testing.T) {
-	const long = 30 * time.Minute
+	const previousUptime = 30 * time.Minute
 	for _, c := range []struct {
 		name              string
 		step              time.Duration // of the wall clock, while the process runs
 		stampedBeforeStep bool
 	}{
 		{"no step", 0, false},
-		{"an hour back, stamped after it", -time.Hour, false},
-		{"an hour back, stamped before it", -time.Hour, true},
-		{"an hour on, stamped after it", time.Hour, false},
-		{"an hour on, stamped before it", time.Hour, true},
+		{"an hour back, stamped after the step", -time.Hour, false},
+		{"an hour back, stamped before the step", -time.Hour, true},
+		{"an hour forward, stamped after the step", time.Hour, false},
+		{"an hour forward, stamped before the step", time.Hour, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := scriptedServer(t)
@@ -129,14 +129,14 @@
 			if !c.stampedBeforeStep {
 				stamp = b.wallClock()
 			}
-			b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", h.Address, "Ready", began.Add(-long).UnixMilli())))
+			b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", h.Address, "Ready", began.Add(-previousUptime).UnixMilli())))
 			b.applyTestList(t, fakes.List(3, true, fakes.Entry("s", h.Address, "Ready", stamp.UnixMilli())))
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			warmUp := int64(20 * time.Second)
 			age := b.now() - b.endpoints.all[b.endpoints.byName["s"]].startedAt
 			if age > warmUp/10 {
-				t.Errorf("it counts as started %v ago", time.Duration(age))
+				t.Errorf("the restarted server counts as started %v ago", time.Duration(age))
 			}
 		})
 	}
