--- a/routing/drains_test.go
+++ b/routing/drains_test.go
@@ -5,24 +5,25 @@
 	"testing"
 )
 
-// A drain that other members are not told of has them send requests to an endpoint that stops. All of 1,024 endpoints
-// that drain at once are in the log, the last ones of more than the bound, and none that is ready again.
+// If other members do not learn of a drain, they send requests to an endpoint that stops. The drain log must hold all of
+// 1,024 endpoints that drain at once, the most recent ones if there are more than its bound, and none that is ready
+// again.
 func TestDrainLogKeepsLastDrainOfEachEndpoint(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
-	entries := func(status string, from, to int) (rows []string) {
+	entries := func(status string, from, to int) (all []string) {
 		for n := from; n < to; n++ {
-			rows = append(rows, entryJSON(fmt.Sprint("s-", n), fmt.Sprint("127.0.0.1:", 1000+n), status, 1))
+			all = append(all, entryJSON(fmt.Sprint("s-", n), fmt.Sprint("127.0.0.1:", 1000+n), status, 1))
 		}
-		return rows
+		return all
 	}
 	b.applyTestList(t, incrementalList(entries("Ready", 0, 1024)...))
 	b.applyTestList(t, incrementalList(entries("Terminating", 0, 1024)...))
 	if _, _, drains := b.ListState(); len(drains) != 1024 || drains[0].Host != "s-0" || drains[1023].Host != "s-1023" {
-		t.Errorf("%d drains of 1024", len(drains))
+		t.Errorf("%d drains, want 1024", len(drains))
 	}
 	b.applyTestList(t, incrementalList(entries("Ready", 0, 1000)...))
 	if _, _, drains := b.ListState(); len(drains) != 24 {
-		t.Errorf("%d drains of 24", len(drains))
+		t.Errorf("%d drains, want 24", len(drains))
 	}
 	var l drainLog
 	for n := range maxEndpoints + 10 {
@@ -36,6 +37,6 @@
 		}
 	})
 	if len(l.byHost) != maxEndpoints || l.order.Len() != maxEndpoints || first.Host != "11" {
-		t.Errorf("%d drains are kept, from %v on", len(l.byHost), first)
+		t.Errorf("%d drains are kept, the oldest is %v", len(l.byHost), first)
 	}
 }
