--- a/routing/ejections_test.go
+++ b/routing/ejections_test.go
@@ -6,14 +6,13 @@
 	"testing"
 )
 
-// In a large fleet more endpoints are listed than names are remembered: an operator can eject each of them all the
-// same.
+// A list may have more endpoints than the name history holds. An operator must still be able to eject each of them.
 func TestEveryListedEndpointCanBeEjected(t *testing.T) {
-	b, rows := newTestBalancer(t, 1<<20), []string{}
+	b, entries := newTestBalancer(t, 1<<20), []string{}
 	for n := range maxEndpoints + 100 {
-		rows = append(rows, entryJSON(fmt.Sprint("s-", n), fmt.Sprintf("127.0.%d.%d:7000", n/250, n%250+1), "Ready", 1))
+		entries = append(entries, entryJSON(fmt.Sprint("s-", n), fmt.Sprintf("127.0.%d.%d:7000", n/250, n%250+1), "Ready", 1))
 	}
-	b.applyTestList(t, incrementalList(rows...))
+	b.applyTestList(t, incrementalList(entries...))
 	for _, name := range []string{"s-0", "s-99", fmt.Sprint("s-", maxEndpoints+99)} {
 		if err := b.Ban(name, true); err != nil {
 			t.Errorf("%s: %v", name, err)
@@ -23,6 +22,6 @@
 		t.Errorf("a name that was never listed: %v", err)
 	}
 	if len(b.endpoints.everListed.names) != maxEndpoints || len(b.endpoints.everListed.ring) != maxEndpoints {
-		t.Errorf("%d names are remembered, %d in the ring", len(b.endpoints.everListed.names), len(b.endpoints.everListed.ring))
+		t.Errorf("%d names in the history, %d in its ring", len(b.endpoints.everListed.names), len(b.endpoints.everListed.ring))
 	}
 }
