--- a/outlier/ejection_test.go
+++ b/outlier/ejection_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Guards against each balancer having to detect a hanging endpoint through its own failed attempts. With messages, all
-// balancers except those that probe must eject it with at most half of the failed attempts, and resume using it soon
-// after it recovers.
+// Guards against each balancer having to detect a hanging endpoint through its own failed attempts. With messages, at
+// least 7 of 12 balancers must eject it, with at most half as many failed attempts as without messages, and all must
+// resume using it soon after it recovers.
 func TestFleetEjectsFailingEndpoint(t *testing.T) {
 	failures := map[bool]int{}
 	for _, blocked := range []bool{true, false} {
@@ -21,7 +21,7 @@
 		s.run(20000*millisecond, 0.25) // About one attempt per balancer and second at each endpoint.
 		failures[blocked] = s.failedAttempts
 		if ejected := s.ejectedBy(3); !blocked && ejected < 12-5 {
-			t.Errorf("ejected by only %d of 12 balancers", ejected)
+			t.Errorf("ejected by only %d of 12 balancers, want at least 7", ejected)
 		}
 		s.failureRates[3] = 0
 		s.run(15000*millisecond, 0.25)
@@ -31,7 +31,7 @@
 	}
 	t.Logf("failed attempts: %d without messages, %d with messages", failures[true], failures[false])
 	if failures[false] > failures[true]/2 {
-		t.Errorf("%d failed attempts with messages, %d without", failures[false], failures[true])
+		t.Errorf("%d failed attempts with messages, want at most half of the %d without", failures[false], failures[true])
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Guards against overload of the remaining endpoints when the origin behind all of them fails. No endpoint may stay
-// ejected if every attempt fails, and never more than half of them.
+// ejected if every attempt fails, and at no time may more than half of the endpoints be ejected.
 func TestNoEjectionWhenEverythingFails(t *testing.T) {
 	for _, failureRate := range []float64{0.9, 1} {
 		s := newSimulation(t, 3, 12, 24, 3)
@@ -85,6 +85,7 @@
 						ejected++
 					}
 				}
+				// The second condition applies after about 2 s.
 				if ejected > len(s.endpoints)/2 || ejected > 0 && failureRate == 1 && tenth > 20 {
 					t.Fatalf("failure rate %v: balancer %d ejected %d endpoints", failureRate, n, ejected)
 				}
@@ -102,7 +103,8 @@
 	if s.ejectedBy(5) == 0 {
 		t.Fatal("no balancer ejected the endpoint")
 	}
-	// The first three members in its probe order are down but still listed as members.
+	// The three members with the highest scores, first in its probe order among equally late failures, are down but
+	// still listed as members.
 	inOrder := slices.Clone(s.detectors)
 	slices.SortFunc(inOrder, func(a, b *Detector) int {
 		if memberScore(s.endpoints[5], a.self.ID) > memberScore(s.endpoints[5], b.self.ID) {
@@ -131,9 +133,8 @@
 	}
 }
 
-// Guards against endless oscillation: an endpoint that fails as soon as more than half of the fleet uses it would be
-// put back into use and ejected by all balancers at once. At most a quarter of the balancers may return within one
-// message delay, however long that is.
+// Guards against all balancers returning to a recovered endpoint at once. At most a quarter of the balancers may return
+// within one message delay, however long that is.
 func TestReturnsAreSpread(t *testing.T) {
 	const balancers = 40
 	for _, delay := range []int64{0, 200 * millisecond, 1000 * millisecond, 2000 * millisecond} {
--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -13,14 +13,14 @@
 	// message causes.
 	repeatInterval = 500 * millisecond
 	// recoveryRepeats is the number of messages in which a recovery is reported. Unlike failures, which are repeated as
-	// long as they persist, a recovery is reported only this often and must survive the loss of some messages.
+	// long as they persist, a recovery is reported only this many times and must survive the loss of some messages.
 	recoveryRepeats = 4
 	// minReportsPerEndpoint is the number of reports that can be stored for each endpoint in any case.
 	minReportsPerEndpoint = 64
-	// maxStoredReports is the total number of reports (2.6 MB) from which an endpoint that has minReportsPerEndpoint or
-	// more gets no further ones without evicting another. Below it, a report of every member is stored for each
-	// endpoint.
-	maxStoredReports = 1024 * minReportsPerEndpoint
+	// Once evictionThreshold reports (2.6 MB) are stored in total, a further member's report on an endpoint with
+	// minReportsPerEndpoint or more replaces the one that arrived there longest ago. Below the threshold, a report of every member is
+	// stored for each endpoint.
+	evictionThreshold = 1024 * minReportsPerEndpoint
 )
 
 // storedReport is the latest report of one member on one endpoint, with times of this balancer's clock.
@@ -47,7 +47,7 @@
 		return
 	}
 	d.MessagesAccepted++
-	zone := d.resolveZone(index, m.Zone)
+	zone := d.learnZone(index, m.Zone)
 	d.senders[m.From] = senderState{m.Incarnation, m.Seq, zone, float64(min(m.MissPercent, 100)) / 100, now}
 	for _, r := range m.Reports {
 		endpoint := d.endpoints[r.Endpoint]
@@ -60,9 +60,9 @@
 	}
 }
 
-// resolveZone returns the zone of a member: the one this balancer knows, or else the one stated by the member. The
-// former takes precedence because each process assigns its own zone numbers.
-func (d *Detector) resolveZone(index int, stated uint16) uint16 {
+// learnZone returns the zone of a member. If this balancer does not know it, it stores the zone stated by the member and
+// counts the zones again. A known zone takes precedence because each process assigns its own zone numbers.
+func (d *Detector) learnZone(index int, stated uint16) uint16 {
 	member := &d.members[index]
 	if member.Zone == UnknownZone && stated != UnknownZone {
 		member.Zone = stated
@@ -78,12 +78,13 @@
 	if known {
 		previous := &endpoint.reports[index]
 		if previous.consecutiveFailures > 0 && report.consecutiveFailures >= previous.consecutiveFailures {
+			// A lower count would be a new run of failures.
 			report.firstFailureAt = min(report.firstFailureAt, previous.firstFailureAt)
 		}
 		*previous = report
 		return
 	}
-	if len(endpoint.reports) >= minReportsPerEndpoint && d.storedReports >= maxStoredReports {
+	if len(endpoint.reports) >= minReportsPerEndpoint && d.storedReports >= evictionThreshold {
 		endpoint.evictOldestReport()
 		d.storedReports--
 		index, _ = endpoint.findReport(report.sender)
@@ -174,22 +175,24 @@
 	return failing
 }
 
-// isFailureDue reports whether this balancer's failures at an endpoint are to be reported. Once the ejection has had
-// time to take effect everywhere, only failures since it began, which are those of probes, carry new information.
+// isFailureDue reports whether this balancer's failures at an endpoint are to be reported. They can affect whether the
+// endpoint is ejected while it is in use, while it is returning, and until its ejection has had time to take effect
+// everywhere; they are then reported from reportThreshold on. Any failure since the ejection began is reported: later
+// on, these are the failures of probes, and only they carry new information.
 func (d *Detector) isFailureDue(now int64, endpoint *endpointState) bool {
 	if endpoint.consecutiveFailures == 0 || now-endpoint.lastFailure >= evidenceTimeout {
 		return false
 	}
-	mayEject := !endpoint.isEjected() || endpoint.isReturning() || now-endpoint.ejectedAt < ejectionWindow
-	if mayEject && endpoint.consecutiveFailures >= d.reportThreshold() {
+	mayAffectEjection := !endpoint.isEjected() || endpoint.isReturning() || now-endpoint.ejectedAt < ejectionWindow
+	if mayAffectEjection && endpoint.consecutiveFailures >= d.reportThreshold() {
 		return true
 	}
 	return endpoint.isEjected() && endpoint.lastFailure > endpoint.ejectedAt
 }
 
 // selectReports returns as many reports as fit into a message. Endpoints that were never reported or were reported
-// longest ago come first; ties go to the most recent observation. If an omitted report adds to what was last sent about
-// its endpoint, the next message is marked urgent.
+// longest ago come first; ties go to the most recent observation. If an omitted report has more failures than were last
+// sent, or is the first of a recovery, the next message is sent as soon as possible.
 func (d *Detector) selectReports(now int64, reports []Report) []Report {
 	slices.SortFunc(reports, func(a, b Report) int { // Remaining ties are broken by ID for reproducible runs.
 		return cmp.Or(
@@ -215,5 +218,5 @@
 	return selected
 }
 
-// effectiveFailures returns the number of a report's consecutive failures that count at its receivers.
+// effectiveFailures returns a report's consecutive failures, up to the maximum that receivers count.
 func effectiveFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerReporter) }
--- a/outlier/exchange_test.go
+++ b/outlier/exchange_test.go
@@ -161,7 +161,7 @@
 			t.Errorf("only %d reports are stored of an endpoint that all members report on", len(endpoint.reports))
 		}
 	}
-	if stored > maxStoredReports+181*minReportsPerEndpoint || stored != detector.storedReports {
+	if stored > evictionThreshold+181*minReportsPerEndpoint || stored != detector.storedReports {
 		t.Errorf("%d reports are stored, but storedReports is %d", stored, detector.storedReports)
 	}
 }
--- a/outlier/probe.go
+++ b/outlier/probe.go
@@ -7,7 +7,8 @@
 	// which a probe without a known outcome is repeated.
 	maxProbeDelay = 8000 * millisecond
 	// ejectionPerProbeDelay is the ratio of an ejection's duration to its probe delay. It limits the rate of failed
-	// probes, and a recovery is detected within a quarter of the outage's duration.
+	// probes. The delay before a recovery is noticed is a quarter of the outage's duration, within the limits above, and
+	// longer if the next member in the probe order has no requests to send.
 	ejectionPerProbeDelay = 4
 	// minProbeStagger is the minimum time before the next member in the probe order may probe too, so that a lease
 	// holder that is down or has no requests to send does not keep the endpoint ejected.
@@ -16,11 +17,11 @@
 
 // holdsProbeLease reports whether this balancer may send one attempt to an ejected endpoint to check whether it has
 // recovered. The lease is not granted by any process: each member derives it from the members, the endpoint and the
-// latest known failure. After the probe delay the first member in the endpoint's probe order may probe, one stagger
-// interval later also the second, and so on. Each new failure restarts the delay for all members. Two members probe at
-// the same time only if a report takes longer than the stagger interval to arrive. If another zone has observed a
-// success since the ejection and since this balancer's latest failure, the members of this zone need not wait for the
-// probe delay or for members of other zones.
+// latest known failure. After the probe delay, or messageDelay if that is longer, the first member in the endpoint's
+// probe order may probe, one stagger interval later also the second, and so on. Each new failure restarts the delay for
+// all members. Two members probe at the same time only if a report takes longer than the stagger interval to arrive. If
+// another zone has observed a success since the ejection and since this balancer's latest failure, this balancer skips
+// the delay and ranks only among the members of its own zone.
 func (d *Detector) holdsProbeLease(now int64, id uint32, endpoint *endpointState) bool {
 	known := d.collectEvidence(now, endpoint, probeEvidenceWindow)
 	_, successInOtherZone := d.lastSuccessSeen(endpoint, known.latestFailureInZone)
@@ -32,6 +33,8 @@
 	if successInOtherZone > endpoint.ejectedAt && successInOtherZone > endpoint.ownLatestFailure() {
 		dueAt = min(dueAt, successInOtherZone+int64(rankInZone)*stagger)
 	}
+	// No attempt was made since the delay ended for the first member, or its outcome is overdue. After a success in
+	// another zone, attempts shortly before that success also count, as rank includes the members of other zones.
 	leaseUnused := endpoint.lastAttempt < dueAt-int64(rank)*stagger || now-endpoint.lastAttempt > maxProbeDelay
 	return now >= dueAt && leaseUnused
 }
