--- a/evacuation/controller.go
+++ b/evacuation/controller.go
@@ -8,7 +8,7 @@
 // durations are in nanoseconds.
 //
 // Guarantees:
-//   - No zone is evacuated on evidence from a single balancer or a single zone, or about a single endpoint.
+//   - No zone is evacuated on evidence from a single balancer or a single zone, or about a single endpoint of several.
 //   - The last zone is never evacuated, nor is one without which too little capacity would remain.
 //   - A zone changes at most once per hold time, which doubles with each return that is followed by a relapse.
 //   - Keys return to a zone in steps. Each key moves once, and all processes move the same keys first.
@@ -57,15 +57,15 @@
 // Reasons for proposals. They are stored in the replicated history, which operators and older versions read, so their
 // text must not change.
 const (
-	reasonFailing   = "its hosts fail for several"
-	reasonRecovered = "its hosts settle again"
+	reasonFailing   = "its hosts fail for several" // several balancers see its endpoints fail
+	reasonRecovered = "its hosts settle again"     // few of its endpoints fail
 )
 
 // ZoneHealth is a zone's health as observed by the fleet.
 type ZoneHealth struct {
 	Zone      string
 	Endpoints int // number of endpoints in the zone
-	Failing   int // number of these that several balancers report as failing
+	Failing   int // number of these that are ejected and have current failure reports
 }
 
 // Proposal is a change that the Controller asks the fleet to agree on.
@@ -81,16 +81,16 @@
 
 // zoneState is the Controller's record of one zone.
 type zoneState struct {
-	conditionSince  int64 // since when the condition for the next change has held without interruption; 0: it does not hold
-	proposedAt      int64 // 0: never
-	returnedAt      int64 // when the last return was proposed; 0: never
-	relapses        int   // consecutive evacuations proposed within relapseWindow of the return before
-	blockedReported bool  // the zone fails and cannot be evacuated, and Tick has returned it as blocked
+	conditionSince   int64 // since when the condition for the next change has held without interruption; 0: it does not hold
+	proposedAt       int64 // 0: never
+	returnProposedAt int64 // when the last return was proposed; 0: never
+	relapses         int   // consecutive evacuations proposed within relapseWindow of the return before
+	blockedReported  bool  // the zone fails and cannot be evacuated, and Tick has listed it as blocked
 }
 
 // Tick returns the changes to propose now. evacuated is the evacuation list in force: bare names were added by
 // operators, names with AutomaticPrefix by the fleet. blocked lists failing zones that cannot be evacuated because too
-// little capacity would remain; each zone is returned once per such period.
+// little capacity would remain; each zone is listed once per such period.
 func (c *Controller) Tick(now int64, zones []ZoneHealth, evacuated []string) (proposals []Proposal, blocked []ZoneHealth) {
 	remaining := remainingCapacity(zones, evacuated)
 	for _, health := range zones {
@@ -150,24 +150,25 @@
 
 // hold returns how long the condition for the next change must hold. It guards against flapping: a zone that fails,
 // recovers without load and fails again under load would otherwise be evacuated and returned to endlessly, with a cold
-// cache each time. After a recent return, the doubled hold must also pass before the next evacuation.
+// cache each time. If the last return is recent, the next evacuation also waits until returnHold, with its doublings if
+// any, has passed since that return was proposed.
 func (s *zoneState) hold(now int64, isEvacuated bool) int64 {
 	afterRelapses := returnHold << min(s.relapses, maxHoldDoublings)
 	switch {
 	case isEvacuated:
 		return afterRelapses
 	case s.isReturnRecent(now):
-		return max(evacuationHold, afterRelapses-(now-s.returnedAt))
+		return max(evacuationHold, afterRelapses-(now-s.returnProposedAt))
 	}
 	return evacuationHold
 }
 
 func (s *zoneState) isReturnRecent(now int64) bool {
-	return s.returnedAt != 0 && now-s.returnedAt < relapseWindow
+	return s.returnProposedAt != 0 && now-s.returnProposedAt < relapseWindow
 }
 
 func (s *zoneState) proposeReturn(now int64, health ZoneHealth) Proposal {
-	s.proposedAt, s.returnedAt, s.conditionSince = now, now, 0
+	s.proposedAt, s.returnProposedAt, s.conditionSince = now, now, 0
 	return Proposal{ZoneHealth: health, Evacuate: false, Reason: reasonRecovered}
 }
 
--- a/evacuation/golden_test.go
+++ b/evacuation/golden_test.go
@@ -99,7 +99,7 @@
 }
 
 // Processes whose ramps have different shares send the same key to different endpoints, so all builds must compute the
-// same shares. Covers random evacuations and recoveries, by operators and by the fleet, with slow ramps, the process's
+// same shares. Covers random evacuations and returns, by operators and by the fleet, with slow ramps, the process's
 // own zone, clock jumps and handover between processes.
 func TestGoldenRamps(t *testing.T) {
 	lines := []string{fmt.Sprint(AutomaticPrefix, " ", MinRemainingShare, " ", rampSteps)}
--- a/evacuation/ramp.go
+++ b/evacuation/ramp.go
@@ -15,7 +15,7 @@
 )
 
 // Ramp is the state of one process's move out of a zone or back into it: the share of the keys that is kept away from
-// the zone. The zero value keeps no keys away, as after a completed recovery.
+// the zone. The zero value keeps no keys away, as after a completed return.
 type Ramp struct {
 	share      float64 // of the keys kept away, from 0 (none) to 1 (all)
 	advancedAt int64   // time of the last Advance; 0: none since the process started
@@ -26,12 +26,12 @@
 	// EvacuationNanos is how long the keys take to leave a zone that an operator evacuated. A failing zone is left at
 	// once: requests still sent there would get no response.
 	EvacuationNanos int64
-	// RecoveryNanos is how long the recovery ramp takes: one and a half times an endpoint's warm-up time.
+	// RecoveryNanos is how long the ramp back into a zone takes: one and a half times an endpoint's warm-up time.
 	RecoveryNanos int64
 }
 
 // Start sets the share of a process that has just started to that of the other processes. Starting at 0 during a
-// recovery would send all keys to endpoints with cold caches. A share outside 0 to 1 counts as 1.
+// return would send all keys to endpoints with cold caches. A share outside 0 to 1 counts as 1.
 func (r *Ramp) Start(share float64) {
 	if !(share >= 0 && share <= 1) { // The condition in parentheses is also false for NaN.
 		share = 1
--- a/evacuation/ramp_test.go
+++ b/evacuation/ramp_test.go
@@ -7,7 +7,7 @@
 
 // Guards against overloading a zone with cold caches by returning all keys at once. A process leaves a failing zone
 // immediately and a zone evacuated by an operator in steps. It returns in steps, more slowly while reads miss; after a
-// relapse during the recovery it leaves immediately again.
+// relapse during the return it leaves immediately again.
 func TestRampMovesInSteps(t *testing.T) {
 	durations := RampDurations{EvacuationNanos: 8000 * millisecond, RecoveryNanos: 16_000 * millisecond}
 	var ramp Ramp
@@ -26,7 +26,7 @@
 		{3000 * millisecond, nil, false, true, 0.90625},
 		{100 * millisecond, []string{"y", AutomaticPrefix + "z"}, false, false, 1},
 		{8000 * millisecond, nil, false, false, 0.5},
-		{100 * millisecond, []string{AutomaticPrefix + "z"}, false, false, 1}, // A relapse during the recovery.
+		{100 * millisecond, []string{AutomaticPrefix + "z"}, false, false, 1}, // A relapse during the return.
 		{60_000 * millisecond, nil, false, false, 0},
 		{100 * millisecond, []string{AutomaticPrefix + "z"}, true, false, 0}, // Its own zone, healthy for this process.
 		{8000 * millisecond, []string{"z"}, true, false, 1},                  // An operator's evacuation takes precedence.
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against a process that starts during a recovery sending all of its keys to endpoints with cold caches at once.
+// Guards against a process that starts during a return sending all of its keys to endpoints with cold caches at once.
 // It starts at the share of the other processes and continues from there; an invalid share keeps all keys away.
 func TestRampStartsAtShareOfOtherProcesses(t *testing.T) {
 	durations := RampDurations{EvacuationNanos: 10_000 * millisecond, RecoveryNanos: 12_000 * millisecond}
