--- a/fleet/evacuation.go
+++ b/fleet/evacuation.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// evacuationDuration is the duration of the ramp out of a zone that an operator evacuates. The caches of the other
-	// zones fill during the ramp.
-	evacuationDuration = 10 * time.Second
+	// operatorEvacuationDuration is the duration of the ramp out of a zone that an operator evacuates. The caches of the
+	// other zones fill during the ramp.
+	operatorEvacuationDuration = 10 * time.Second
 
 	// maxRampAdoption is the longest time for which a starting process follows its peers' ramps. Afterwards it advances
 	// its own, whether or not it has heard from a peer.
@@ -30,7 +30,7 @@
 )
 
 // evacuationState holds this process's ramp for each zone, and the controller that proposes evacuations while this
-// process is the leader. Only Run uses it.
+// process is the leader. Start restores the ramps from the handover file; then only Run uses the state.
 type evacuationState struct {
 	isAutomatic bool // the fleet may evacuate zones without an operator
 	durations   evacuation.RampDurations
@@ -46,14 +46,16 @@
 	loggedZones []string // evacuated zones as last logged
 }
 
-// newEvacuationState returns a state without ramps. The recovery ramp takes one and a half times as long as an endpoint
-// needs to warm up, so that the keys of each step are cached before the next step.
+// newEvacuationState returns a state without ramps. The ramp back into a zone takes one and a half times as long as an
+// endpoint needs to warm up, so that the keys of each step are cached before the next step.
 func newEvacuationState(isAutomatic bool, slowStart time.Duration) evacuationState {
 	recovery := slowStart * 3 / 2
 	return evacuationState{
 		isAutomatic: isAutomatic,
-		durations:   evacuation.RampDurations{EvacuationNanos: int64(evacuationDuration), RecoveryNanos: int64(recovery)},
-		ramps:       map[string]*evacuation.Ramp{},
+		durations: evacuation.RampDurations{
+			EvacuationNanos: int64(operatorEvacuationDuration), RecoveryNanos: int64(recovery),
+		},
+		ramps: map[string]*evacuation.Ramp{},
 	}
 }
 
@@ -61,7 +63,7 @@
 type ZoneStatus struct {
 	Zone                   string  `json:"zone"`
 	Endpoints              int     `json:"hosts"`
-	Failing                int     `json:"failing"` // ejected endpoints with current failure reports
+	Failing                int     `json:"failing"` // as in evacuation.ZoneHealth
 	IsOwn                  bool    `json:"own"`     // the zone is this process's own
 	EvacuatedByOperator    bool    `json:"left_by_hand"`
 	EvacuatedAutomatically bool    `json:"left_as_it_fails"`
@@ -79,10 +81,10 @@
 	hasProposal      bool                    // a zone proposal is pending
 }
 
-// updateEvacuation advances the ramp of each zone and, if this process is the leader, proposes to evacuate or restore
-// zones. It is called by Run.
+// updateEvacuation advances the ramp of each zone and proposes to evacuate zones or to return to them. It is called by
+// Run.
 func (f *Fleet) updateEvacuation(ctx context.Context) {
-	in, ok := f.zoneInput()
+	in, ok := f.collectZoneInput()
 	if !ok {
 		return
 	}
@@ -96,9 +98,10 @@
 	f.logEvacuated(in.evacuated)
 }
 
-// zoneInput collects the input; ok is false if there is nothing to do. With a single zone there is no other to route
-// to, and a process that has no configuration yet must not start the ramp out of a zone that was evacuated long ago.
-func (f *Fleet) zoneInput() (in zoneInput, ok bool) {
+// collectZoneInput collects the input; ok is false if there is nothing to do. With a single zone there is no other to
+// route to, and a process that has no configuration yet must not start the ramp out of a zone that was evacuated long
+// ago.
+func (f *Fleet) collectZoneInput() (in zoneInput, ok bool) {
 	in.now = Now()
 	in.zones, in.ownZoneFailing, in.widespreadMisses = f.outliers.zoneHealth(in.now, f.zone)
 	f.mu.Lock()
@@ -109,7 +112,7 @@
 }
 
 // proposeEvacuations makes the proposals of the controller if this process is the leader. The controller is reset
-// whenever leadership is gained or lost, since the observations of other leaders are not known here.
+// whenever leadership is gained or lost, as its record is out of date after another process has led.
 func (f *Fleet) proposeEvacuations(ctx context.Context, in zoneInput) {
 	e := &f.evacuation
 	if in.isLeader != e.wasLeader {
@@ -118,8 +121,8 @@
 	if !in.isLeader || !e.isAutomatic || in.hasProposal {
 		return
 	}
-	proposals, rejected := e.controller.Tick(in.now, in.zones, in.evacuated)
-	for _, zone := range rejected {
+	proposals, blocked := e.controller.Tick(in.now, in.zones, in.evacuated)
+	for _, zone := range blocked {
 		f.log.Warn().Str("zone", zone.Zone).Int("endpoints", zone.Endpoints).Int("failing", zone.Failing).
 			Msg("zone evacuation rejected: too few endpoints would remain")
 	}
@@ -128,7 +131,7 @@
 	}
 }
 
-// proposeZone proposes to evacuate or to restore a zone, in the background: Run must not block until a majority has
+// proposeZone proposes to evacuate a zone or to return to it, in the background: Run must not block until a majority has
 // answered.
 func (f *Fleet) proposeZone(ctx context.Context, p evacuation.Proposal) {
 	proposal := consensus.Proposal{
@@ -155,7 +158,7 @@
 }
 
 // advanceRamps advances the ramp of each zone and returns, by zone, the share of the keys that is routed elsewhere.
-func (f *Fleet) advanceRamps(in zoneInput, peers peerRamps) (shares map[string]float64, statuses []ZoneStatus) {
+func (f *Fleet) advanceRamps(in zoneInput, peers rampPeers) (shares map[string]float64, statuses []ZoneStatus) {
 	e := &f.evacuation
 	shares = map[string]float64{}
 	for _, zone := range in.zones {
@@ -167,8 +170,8 @@
 		if share, known := peers.median(zone.Zone); known {
 			ramp.Start(share)
 		}
-		// A process keeps using its own zone while its attempts there succeed, even if the fleet evacuates the zone:
-		// without requests it could no longer observe the zone's health.
+		// Even if the fleet evacuates it, a process keeps using its own zone unless at least half of its endpoints fail
+		// and its own attempts there fail too: without requests it could no longer observe the zone's health.
 		staysInOwn := zone.Zone == f.zone && (zone.Failing*2 < zone.Endpoints || !in.ownZoneFailing)
 		share := ramp.Advance(in.now, zone.Zone, in.evacuated, staysInOwn, in.widespreadMisses, e.durations)
 		shares[zone.Zone] = share
@@ -211,14 +214,14 @@
 	f.log.Info().Strs("zones", evacuated).Msg("evacuated zones changed")
 }
 
-// peerRamps are the members whose ramps a starting process follows.
-type peerRamps []membership.Member
+// rampPeers are the members whose ramps a starting process follows.
+type rampPeers []membership.Member
 
 // peersToAdopt returns the peers whose ramps this process follows; none once its own ramps advance independently.
 //
 // The handover file may be outdated. A process that resumed at the end of a ramp while its peers are in the middle of
 // it would route all its keys to a zone with cold caches.
-func (f *Fleet) peersToAdopt(now int64) (peers peerRamps) {
+func (f *Fleet) peersToAdopt(now int64) (peers rampPeers) {
 	e := &f.evacuation
 	if e.isAdoptionOver || f.exchange == nil { // In an upgrade the exchange is nil until the previous process exits.
 		return nil
@@ -246,7 +249,7 @@
 
 // median returns the median of the peers' shares for a zone, since some peers may not have the latest revision yet. It
 // returns false if there are no peers.
-func (peers peerRamps) median(zone string) (share float64, known bool) {
+func (peers rampPeers) median(zone string) (share float64, known bool) {
 	if len(peers) == 0 {
 		return 0, false
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -168,7 +168,7 @@
 	// The source is not safe for concurrent use: the lease holder and the replica use it only with mu held.
 	f.holder = consensus.NewLeaseHolder(Now(), name, f.incarnation, f.leaseTiming, f.voters, f, source.IntN)
 	f.restoreHandover()
-	f.openExchange = func() (membership.Exchange, error) { return openExchange(own, name, peers, f) }
+	f.openExchange = func() (membership.Exchange, error) { return newExchange(own, name, peers, f) }
 	f.openReplica = func() error { return f.startReplica(own.Text("fleet.state"), source.IntN) }
 	if err := f.startOrDefer(); err != nil {
 		return nil, err
--- a/fleet/golden_test.go
+++ b/fleet/golden_test.go
@@ -34,8 +34,10 @@
 		}
 	}
 	want, err := os.ReadFile(path)
-	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%s: %v; got\n%.4000s", path, err, got)
+	if err != nil {
+		t.Errorf("%v; got\n%.4000s", err, got)
+	} else if !bytes.Equal(got, want) {
+		t.Errorf("got differs from the golden file %s:\n%.4000s", path, got)
 	}
 }
 
@@ -66,8 +68,8 @@
 var sampleConfig = consensus.ReplicatedConfig{EjectedEndpoints: []string{"h1", "h2"}, Limits: map[string]int64{"held": 100, "quota.acme": 5}, SettingsDigest: "0123456789abcdef",
 	DiscoverySource: "10.0.0.1:7000", MinListIndex: 12, EvacuatedZones: []string{"fails:z2", "z1"}}
 
-// Operators' tools read the response of /fleet by its JSON keys. Some keys used to come from Go field names, and after
-// a field was renamed the tools found no value.
+// Operators' tools read the response of /fleet by its JSON keys. They find no value under a changed key, so the keys
+// must not follow renamed Go fields.
 func TestStatusJSONKeys(t *testing.T) {
 	member := membership.MemberState{Name: "b1", Zone: "z1", Incarnation: 5, IsReplica: true, IsLeader: true, HasLease: true, MinRevision: 3, LatestRevision: 4, ListIndex: 9, ListDigest: 10,
 		Drains: []membership.DrainedEndpoint{{Host: "h3", Index: 8}}, SettingsDigest: "0123456789abcdef", Evacuations: []membership.ZoneEvacuation{{Zone: "z1", KeyFraction: 0.5}}, Seq: 11, CompleteListsDigest: 12}
@@ -105,7 +107,7 @@
 	}
 	w := httptest.NewRecorder()
 	f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://admin/fleet", nil))
-	var s map[string]any
+	var s map[string]any // "t" is MaxDisagreement: a lease of 1.5 s, extended by both clocks' errors, and a pause of 0.3 s.
 	if err := json.Unmarshal(w.Body.Bytes(), &s); err != nil || w.Code != http.StatusOK || s["name"] != "b1" || s["t"] != "1.803s" {
 		t.Errorf("%d, %v, %s", w.Code, err, w.Body)
 	}
@@ -130,13 +132,14 @@
 	for n := range uint64(maxPlainRevisions + 1) {
 		many = append(many, consensus.Revision{Number: n + 3, ProposalID: fmt.Sprint("p", n), Config: consensus.ReplicatedConfig{EjectedEndpoints: []string{fmt.Sprint("h", n)}, MinListIndex: n}})
 	}
+	// Up to maxPlainRevisions are written as plain JSON, more as a chain.
 	for name, revisions := range map[string][]consensus.Revision{"plain.hollylever.fleet": plain, "chain.hollylever.fleet": many} {
 		if *update {
 			f := newUnjoinedFleet(t, filepath.Join("testdata", name), &recordingBalancer{})
 			f.holder.Restore(3, revisions)
 			f.effective = f.holder.EffectiveConfig(Now())
 			f.evacuation.ramps["z2"] = &evacuation.Ramp{}
-			f.evacuation.ramps["z2"].Resume(0.25, 1, 2)
+			f.evacuation.ramps["z2"].Resume(0.25, 1, 2) // a share of 0.25, reached at time 1
 			f.writeHandover()
 		}
 		content, err := os.ReadFile(filepath.Join("testdata", name))
@@ -151,7 +154,7 @@
 		f.restoreHandover()
 		latest := revisions[len(revisions)-1].Number
 		if applied := balancer.lastConfig; balancer.configsApplied != 1 || applied.MinRevision != 3 || applied.LatestRevision != latest || applied.IsLeased || len(applied.EjectedEndpoints) == 0 {
-			t.Errorf("%s: applied %d times, last %+v", name, balancer.configsApplied, applied)
+			t.Errorf("%s: applied %d times, last %+v; want once, revisions 3 to %d without a lease, with ejected endpoints", name, balancer.configsApplied, applied, latest)
 		}
 		for n, v := range f.holder.Revisions() {
 			if v.Digest() != revisions[n].Digest() {
@@ -159,7 +162,7 @@
 			}
 		}
 		if share, at := f.evacuation.ramps["z2"].Position(); share != 0.25 || at != 1 {
-			t.Errorf("%s: share of z2 is %v at %d", name, share, at)
+			t.Errorf("%s: share of z2 is %v at %d, want 0.25 at 1", name, share, at)
 		}
 		f.writeHandover()
 		if rewritten, err := os.ReadFile(path); err != nil || !bytes.Equal(rewritten, content) {
@@ -185,15 +188,15 @@
 	folder, now := t.TempDir(), time.UnixMilli(1_700_000_000_000)
 	first := nextIncarnation(folder, now, 12345)
 	content, err := os.ReadFile(filepath.Join(folder, "hollylever.incarnation"))
-	if err != nil || first != 7130316800000012345 {
-		t.Errorf("%d, %v", first, err)
+	if err != nil || first != 1_700_000_000_000<<22|12345 {
+		t.Errorf("got %d, %v; want 7130316800000012345", first, err)
 	}
 	golden(t, "hollylever.incarnation", content)
 	fixture, _ := os.ReadFile("testdata/hollylever.incarnation")
 	if err := os.WriteFile(filepath.Join(folder, "hollylever.incarnation"), fixture, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if next := nextIncarnation(folder, now.Add(-time.Hour), 3); next != 7130316800004194307 {
-		t.Errorf("after the clock was stepped back: %d", next)
+	if next := nextIncarnation(folder, now.Add(-time.Hour), 3); next != (1_700_000_000_000+1)<<22|3 {
+		t.Errorf("after the clock was stepped back: %d, want 7130316800004194307", next)
 	}
 }
--- a/fleet/inbox.go
+++ b/fleet/inbox.go
@@ -16,8 +16,8 @@
 	maxQueue          = messagesPerMember * fleetconfig.MaxMembers
 )
 
-// queueSize returns the capacity of the message queue: messagesPerMember for each process that the settings name or
-// allow, whichever are more, within minQueue and maxQueue.
+// queueSize returns the capacity of the message queue: messagesPerMember for peers or maxProcesses, whichever
+// is more, within minQueue and maxQueue.
 func queueSize(peers, maxProcesses int) int {
 	return min(maxQueue, max(minQueue, messagesPerMember*peers, messagesPerMember*maxProcesses))
 }
@@ -27,7 +27,7 @@
 // lost by the network; the protocols send each message again.
 type inbox struct {
 	messages      chan []byte
-	stateReceived chan struct{} // at least one member published its state since the last comparison
+	stateReceived chan struct{} // at least one member published its state since the last comparison of endpoint lists
 	dropped       atomic.Int64
 }
 
@@ -35,8 +35,8 @@
 	return inbox{messages: make(chan []byte, size), stateReceived: make(chan struct{}, 1)}
 }
 
-// openExchange opens the kind of exchange that the settings select, gossip or plain. delegate receives its messages.
-func openExchange(
+// newExchange opens the kind of exchange that the settings select, gossip or plain. delegate receives its messages.
+func newExchange(
 	own config.Values, name string, peers []membership.Peer, delegate membership.Delegate,
 ) (membership.Exchange, error) {
 	listen, rate := own.Text("fleet.listen"), fleetconfig.SendRate(own, len(peers))
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// NotifyMessage implements membership.Delegate. It queues a message between lease holders and replicas without
-// blocking.
+// NotifyMessage implements membership.Delegate. It queues a message that a lease holder, a replica or a proposer has
+// sent, without blocking.
 func (f *Fleet) NotifyMessage(message []byte) {
 	select {
 	case f.inbox.messages <- message:
@@ -92,8 +92,8 @@
 }
 
 // Send implements consensus.Sender for the lease holder and the replica, which call it with mu held. A message to this
-// process itself goes through the queue like any other, so that handlers do not call each other. Errors are ignored:
-// the protocols treat them as lost messages and send again.
+// process itself goes through the queue like any other, so that handlers do not call each other. A message whose
+// sending fails counts as lost.
 func (f *Fleet) Send(to string, m *consensus.Message) {
 	message := m.Marshal()
 	if to == f.name {
