--- a/policy/admission.go
+++ b/policy/admission.go
@@ -22,11 +22,12 @@
 //
 // accepted is the part of the answers that are not rejections, capacityFactor is lowered by restarts (slowstart.go),
 // baseline is the concurrency that is allowed at any rate, queueing is the longest wait that is allowed, and the square
-// root allows for random variation.
+// root, about the standard deviation of a count, allows for random variation. The rule does not apply while the load
+// reports show little strain (areEndpointsBusy). Strain is how busy an endpoint says it is, from 0 to 1.
 //
 // This guards against queues that make all answers late: a queue that is full stays full of requests whose clients no
-// longer wait. The symptom is late answers at all endpoints alike. The guard is stable: a falling rate lowers the
-// capacity at once, while a rejected request uses no endpoint capacity and its client may retry.
+// longer wait. Late answers at all endpoints alike are a sign of it. A falling rate lowers the capacity at once, but
+// rejections do not feed on themselves: a rejected request uses no endpoint capacity, and its client may retry.
 
 const (
 	// defaultQueueingShare is the part of a request's objective, beyond the base latency, that may be spent queueing.
@@ -86,10 +87,10 @@
 	case !goesToOrigin && b.areEndpointsBusy() && b.isOverloaded(now, request):
 		b.count(&b.admission.rejectedOverload)
 		request.bypassesCaches = b.canBypassCaches(request)
-		if !request.bypassesCaches || !b.enqueue(now, index, info.HasKey) {
+		if !request.bypassesCaches || !b.dispatchOrEnqueue(now, index, info.HasKey) {
 			b.finish(now, index, Overloaded)
 		}
-	case !b.enqueue(now, index, info.HasKey):
+	case !b.dispatchOrEnqueue(now, index, info.HasKey):
 		b.finish(now, index, QueueFull)
 	}
 }
@@ -103,27 +104,27 @@
 }
 
 // isOverloaded reports whether the expected wait of a new attempt is too long. If no attempt was sent for as long as
-// the objective, one is admitted whatever is in flight: its outcome shows whether the overload persists.
+// the objective, the next request is admitted whatever is in flight: its outcome shows whether the overload persists.
 func (b *Balancer) isOverloaded(now int64, request *requestState) bool {
 	class, activityTime, a := &b.settings.classes[request.class], b.clock.activityTime, &b.admission
-	unresponsiveInFlight, unresponsive := b.countUnresponsive()
-	baseline := b.baselineConcurrency(now, unresponsive)
+	unresponsiveAttempts, unresponsiveEndpoints := b.countUnresponsive()
+	baseline := b.baselineConcurrency(now, unresponsiveEndpoints)
 	rate := b.answerRate()
 	share := b.queueingShare(request)
 	rejected := b.fleetwide.latency.rejected.ValueAt(activityTime)
 	rejectedRatio := rejected / (b.fleetwide.latency.answers.Value + rejected + 1)
 	queueing := a.baseLatency + share*max(0, float64(class.objective)-a.baseLatency)
 	capacity := (1 - rejectedRatio) * a.capacityFactor * (baseline + (1-rejectedRatio)*rate*queueing)
-	slack := math.Sqrt(capacity) // The standard deviation of a count is about its square root.
-	return float64(b.load.inFlight-unresponsiveInFlight) > capacity+slack && now < a.lastDispatchAt+class.objective
+	slack := math.Sqrt(capacity)
+	return float64(b.load.inFlight-unresponsiveAttempts) > capacity+slack && now < a.lastDispatchAt+class.objective
 }
 
 // baselineConcurrency returns how many attempts may be in flight at any rate of answers: one, plus this balancer's
-// share of one at each responsive endpoint. After the start, while the rate is not known, the share is of up to
-// startupAttemptsPerEndpoint more.
-func (b *Balancer) baselineConcurrency(now int64, unresponsive int) float64 {
+// share of one at each responsive endpoint. After the start, while the rate is not known, that share is of up to
+// 1 + startupAttemptsPerEndpoint; the addition decays with the time since the start.
+func (b *Balancer) baselineConcurrency(now int64, unresponsiveEndpoints int) float64 {
 	startup := math.Exp(-float64(now-b.clock.startedAt) / float64(timeConstant))
-	return 1 + float64(len(b.ready)-unresponsive)*(1+startupAttemptsPerEndpoint*startup)/b.fleetSize
+	return 1 + float64(len(b.ready)-unresponsiveEndpoints)*(1+startupAttemptsPerEndpoint*startup)/b.fleetSize
 }
 
 // answerRate returns how many attempts caches answer this balancer per nanosecond, misses excluded. Until a whole time
@@ -147,10 +148,10 @@
 	return share
 }
 
-// countUnresponsive counts the endpoints in zones that are suspected to be lost, unresponsive endpoints elsewhere, and
-// the attempts in flight at both. These attempts use no capacity of other endpoints and would be mistaken for overload.
-// If most of the endpoints outside lost zones are unresponsive, overload itself may be the cause, and only those in lost
-// zones are counted.
+// countUnresponsive returns how many attempts are in flight at endpoints in zones that are suspected to be lost and at
+// unresponsive endpoints elsewhere, and how many such endpoints there are. These attempts use no capacity of other
+// endpoints and would be mistaken for overload. If most of the endpoints outside lost zones are unresponsive, overload
+// itself may be the cause, and only those in lost zones are counted.
 func (b *Balancer) countUnresponsive() (attempts, endpoints int) {
 	attemptsElsewhere, endpointsElsewhere := 0, 0
 	for _, index := range b.ready {
@@ -171,18 +172,18 @@
 	return attempts, endpoints
 }
 
-// traffic returns what is known of this balancer's share of the fleet's traffic, by which it enforces its share of each
-// quota. The share comes from load reports, which state what endpoints serve for all balancers; without them package
-// quota estimates it.
+// traffic returns the fraction of the fleet's traffic that this balancer handles, as far as it is known, and the even
+// share. Of each quota, the balancer allows the larger of the two. The fraction comes from load reports, which state
+// what endpoints serve for all balancers; without them package quota estimates it.
 func (b *Balancer) traffic() quota.Traffic {
 	traffic := quota.Traffic{
 		Now:           b.clock.activityTime,
 		WindowSeconds: float64(timeConstant) / b.clock.rate / float64(second),
 		EvenShare:     1 / b.fleetSize,
 	}
-	if all := b.reports.servedRate / b.reports.reporters * float64(len(b.ready)); all > 0 {
+	if fleetRate := b.reports.servedRate / b.reports.reporters * float64(len(b.ready)); fleetRate > 0 {
 		successes := &b.outcomes.successes
-		traffic.TrafficShare = (successes.ValueAt(b.clock.activityTime) + math.Sqrt(successes.Value+1)) / (all * traffic.WindowSeconds)
+		traffic.TrafficShare = (successes.ValueAt(b.clock.activityTime) + math.Sqrt(successes.Value+1)) / (fleetRate * traffic.WindowSeconds)
 	}
 	return traffic
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -4,7 +4,8 @@
 //
 // The package performs no I/O and reads no clock. Its caller passes in the time, the random seed, the settings and
 // every event; it acts through an Executor. The same sequence of events produces the same actions and the same random
-// draws, so that recorded traffic can be replayed.
+// draws, so that recorded traffic can be replayed. The exception is which idle key queues are removed when there are
+// many (newKeyQueue), which is arbitrary.
 //
 // Each group of rules has its own file, which starts with a description of the rules:
 //
@@ -51,8 +52,8 @@
 // noEndpoint is the endpoint index that means "none".
 const noEndpoint = -1
 
-// Balancer holds the state of one balancer, grouped by the rule that uses it. Each field is written by the methods in
-// the file named next to it. A Balancer is not safe for concurrent use.
+// Balancer holds the state of one balancer, grouped by the rule that uses it. Where a file is named, it holds the
+// rule that uses the field; other files may write it too. A Balancer is not safe for concurrent use.
 type Balancer struct {
 	executor Executor
 	settings settings
@@ -125,7 +126,9 @@
 	return b
 }
 
-// advanceClock moves the clocks to now. Every event handler that updates decaying statistics calls it first.
+// advanceClock moves the clocks to now. The handlers of arriving requests, ended attempts, expired requests and timers
+// call it first, as do CommitEndpointUpdate and SaveState. HandleResponseStarted and HandleClientCancelled do not: the
+// statistics that they update decay up to the previous event.
 func (b *Balancer) advanceClock(now int64) {
 	b.admission.recoverCapacityFactor(now - b.clock.now)
 	b.clock.advance(now, &b.admission.arrivals)
@@ -194,7 +197,7 @@
 	if result.Outcome == CacheMiss && request.missedCache == noEndpoint {
 		request.missedCache = result.Endpoint
 	}
-	b.adjustKeyConcurrency(now, request, result)
+	b.adjustKeyQueue(now, request, result)
 	b.continueRequest(now, index, result)
 	b.leaveKeyQueue(now, index)
 }
@@ -228,8 +231,8 @@
 	}
 }
 
-// HandleLoadReport handles an endpoint's load report. values are in the order of the setting report.fields, with NaN for
-// each value that the report lacks.
+// HandleLoadReport handles an endpoint's load report. values are in the order of the setting report.fields, with NaN
+// for each value that the report lacks.
 func (b *Balancer) HandleLoadReport(index int, values []float64) {
 	endpoint := &b.endpoints[index]
 	if b.isListed(endpoint) && index != b.origin {
--- a/policy/keyqueue.go
+++ b/policy/keyqueue.go
@@ -14,12 +14,13 @@
 // guards against writes of one key that run in another order than they were sent.
 //
 // Throttling: the attempts for a key fail at one endpoint after another. This is detected by a sequential probability
-// ratio test (Wald, 1945) against the poor ratio, which is the part of all attempts that fail or are answered late. The
-// cause is then behind all endpoints, such as a lock or an expensive computation, and each attempt that waits for it
-// takes capacity from other keys. The key's concurrency grows with timely answers and shrinks with failures and late
-// ones, and the outcomes of its attempts do not count against endpoints (observations.go). This guards all other keys,
-// and keeps the endpoints from looking like outliers one after another. Failed connections and overdue attempts still
-// count against their endpoint for a short time, whatever the key.
+// ratio test (Wald, 1945) against the part of all attempts that fail or are answered late (lateOrFailedRatio). In
+// the test itself, an answer to the key counts as a success, late or not. The cause of the failures is then behind
+// all endpoints, such as a lock or an expensive computation, and each attempt that waits for it takes capacity from
+// other keys. The key's concurrency grows with timely answers and shrinks with failures and late ones, and the outcomes
+// of its attempts do not count against endpoints (observations.go). This guards all other keys, and keeps the endpoints
+// from looking like outliers one after another. Failed connections and overdue attempts still count against their
+// endpoint for a short time, whatever the key.
 //
 // A request whose turn would come too late for its answer to have value is not queued but rejected at once.
 
@@ -37,11 +38,11 @@
 	// maxFailureLogOdds limits the weight of one failure, so that failures at two or more endpoints are needed.
 	maxFailureLogOdds = throttleLogOdds / 2
 
-	// poorRatioPrior keeps the poor ratio off 0 and 1 while few attempts have been counted.
-	poorRatioPrior = 0.1
+	// lateOrFailedRatioPrior keeps lateOrFailedRatio off 0 and 1 while few attempts have been counted.
+	lateOrFailedRatioPrior = 0.1
 
-	// concurrencyDecrease is the factor by which a late answer or a failure lowers a throttled key's concurrency. A
-	// whole round of timely answers raises it by one.
+	// concurrencyDecrease is the factor by which a late answer or a failure lowers a throttled key's concurrency. As
+	// many timely answers as the concurrency, at least one, raise it by one.
 	concurrencyDecrease = 0.7
 
 	// minKeyConcurrency is the smallest concurrency of a throttled key. Below one, the queue pauses between requests.
@@ -50,13 +51,14 @@
 	// unthrottleConcurrency is the concurrency from which on a key is no longer throttled once no request waits.
 	unthrottleConcurrency = 4.0
 
-	// idleTimeConstants is the number of time constants without a request after which a key is no longer throttled.
+	// idleTimeConstants is the number of time constants without a request after which, at the latest, a key is no
+	// longer throttled. newKeyQueue may remove its idle queue earlier.
 	idleTimeConstants = 10
 
-	// serviceTimeSmoothing: a new service time changes the mean by its difference from it, divided by this number.
-	serviceTimeSmoothing = 4
+	// serviceTimeDivisor: a new service time changes the mean by its difference from it, divided by this number.
+	serviceTimeDivisor = 4
 
-	// Idle queues are removed while there are more than baseQueueLimit, plus queueLimitPerRequest per open request.
+	// Idle queues are removed while there are more than baseQueueLimit + queueLimitPerRequest x open requests.
 	baseQueueLimit       = 64
 	queueLimitPerRequest = 2
 )
@@ -84,6 +86,7 @@
 }
 
 // hasThrottleExpired reports whether a throttled key has had no request for so long that it is no longer throttled.
+// pausedUntil dates the last use: it is never before the time at which the last request left the queue.
 func (q *keyQueue) hasThrottleExpired(now int64) bool {
 	return !q.inOrder && q.isIdle(now-idleTimeConstants*timeConstant)
 }
@@ -100,9 +103,9 @@
 // dequeueDeadline returns the time until which a request can be dequeued with enough time left for an answer.
 func (r *requestState) dequeueDeadline() int64 { return min(r.usefulUntil, r.answerBy) - answerMargin }
 
-// enqueue dispatches a request or adds it to the queue of its key. If the queue is full or the request would be
-// dequeued too late, it does neither and returns false.
-func (b *Balancer) enqueue(now int64, index int, hasKey bool) bool {
+// dispatchOrEnqueue dispatches a request or adds it to the queue of its key. If the queue is full or the request would
+// be dequeued too late, it does neither and returns false.
+func (b *Balancer) dispatchOrEnqueue(now int64, index int, hasKey bool) bool {
 	request := &b.requests[index]
 	id := keyQueueID{request.key, hasKey && b.settings.classes[request.class].inOrder}
 	queue := b.keyQueues[id]
@@ -135,6 +138,7 @@
 }
 
 // dequeue dispatches waiting requests up to the concurrency. A request that ends at once makes room for the next.
+// If the queue is paused, dequeue sets a timer for the end of the pause.
 func (b *Balancer) dequeue(now int64, queue *keyQueue) {
 	for !queue.isDequeuing && len(queue.waiting) > 0 && float64(queue.active) < queue.concurrency {
 		index := queue.waiting[0]
@@ -160,16 +164,17 @@
 	}
 }
 
-// recordKeyFailure updates the odds that the cause of a key's failures is behind all endpoints: that
-// throttledFailureRatio of its attempts fail, against the poor ratio of all attempts. A key whose odds reach
-// throttleLogOdds is throttled. A further failure at the same endpoint adds no evidence.
+// recordKeyFailure updates the odds of two hypotheses: that throttledFailureRatio of the key's attempts fail, because
+// the cause is behind all endpoints, or as many as of all attempts (lateOrFailedRatio). A failure at the same endpoint
+// as the key's previous failure adds no evidence. A key whose odds reach throttleLogOdds with a failure is throttled
+// unless it has a throttling queue already. An expired one counts until newKeyQueue removes it.
 func (b *Balancer) recordKeyFailure(now int64, request *requestState, result AttemptResult) {
 	record, lateOrFailed := &b.recentKeys[request.key%recentKeySlots], b.quality.lateOrFailed.ValueAt(b.clock.activityTime)
-	poorRatio := (lateOrFailed + poorRatioPrior) / (lateOrFailed + b.quality.timely.ValueAt(b.clock.activityTime) + 1)
+	lateOrFailedRatio := (lateOrFailed + lateOrFailedRatioPrior) / (lateOrFailed + b.quality.timely.ValueAt(b.clock.activityTime) + 1)
 	isKnown := record.key == request.key
 	if result.Outcome == OK {
 		if isKnown {
-			record.failureLogOdds = max(0, record.failureLogOdds+math.Log((1-throttledFailureRatio)/(1-poorRatio)))
+			record.failureLogOdds = max(0, record.failureLogOdds+math.Log((1-throttledFailureRatio)/(1-lateOrFailedRatio)))
 		}
 		return
 	}
@@ -181,7 +186,7 @@
 			key:            request.key,
 			endpoint:       noEndpoint,
 			failedEndpoint: result.Endpoint,
-			failureLogOdds: logOddsOfFailure(poorRatio),
+			failureLogOdds: logOddsOfFailure(lateOrFailedRatio),
 		}
 		return
 	}
@@ -189,7 +194,7 @@
 		return
 	}
 	record.failedEndpoint = result.Endpoint
-	record.failureLogOdds += logOddsOfFailure(poorRatio)
+	record.failureLogOdds += logOddsOfFailure(lateOrFailedRatio)
 	id := keyQueueID{key: request.key}
 	if record.failureLogOdds >= throttleLogOdds && b.keyQueues[id] == nil {
 		record.failureLogOdds = 0
@@ -197,16 +202,15 @@
 	}
 }
 
-// logOddsOfFailure returns what one failure of a key adds to its odds, as a natural logarithm. poorRatio is the part of
-// all attempts that fail or are answered late.
-func logOddsOfFailure(poorRatio float64) float64 {
-	return min(maxFailureLogOdds, math.Log(throttledFailureRatio/poorRatio))
+// logOddsOfFailure returns what one failure of a key adds to its odds, as a natural logarithm. lateOrFailedRatio is the
+// part of all attempts that fail or are answered late.
+func logOddsOfFailure(lateOrFailedRatio float64) float64 {
+	return min(maxFailureLogOdds, math.Log(throttledFailureRatio/lateOrFailedRatio))
 }
 
-// adjustKeyConcurrency handles the end of an attempt whose request is in a queue. A queue for order pauses after an
-// attempt that may still run. The concurrency of a throttled key rises after a timely answer, and falls after a late
-// one, an error or a timeout.
-func (b *Balancer) adjustKeyConcurrency(now int64, request *requestState, result AttemptResult) {
+// adjustKeyQueue handles the end of an attempt whose request is in a queue. A queue for order pauses after an
+// attempt that may still run. The concurrency of a throttled key is adjusted as described above.
+func (b *Balancer) adjustKeyQueue(now int64, request *requestState, result AttemptResult) {
 	queue, outcome := request.queue, result.Outcome
 	if queue == nil {
 		return
@@ -240,7 +244,7 @@
 		queue.waiting = slices.Delete(queue.waiting, position, position+1)
 	}
 	if len(request.attempts) > 0 {
-		queue.meanServiceTime += (float64(now-request.attempts[0].sentAt) - queue.meanServiceTime) / serviceTimeSmoothing
+		queue.meanServiceTime += (float64(now-request.attempts[0].sentAt) - queue.meanServiceTime) / serviceTimeDivisor
 	}
 	queue.pausedUntil = max(queue.pausedUntil, now)
 	switch {
--- a/policy/keyqueue_test.go
+++ b/policy/keyqueue_test.go
@@ -10,8 +10,8 @@
 // and the pause of the queue is over, but no longer.
 func TestKeyOrderWaitsForOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(h *harness, i int)
-		rest int64
+		end   func(h *harness, i int)
+		pause int64
 	}{
 		"answered":  {func(h *harness, i int) { h.endAttempt(i, 0, OK) }, 0},
 		"timed out": {func(h *harness, i int) { h.advance(400 * ms) }, 50 * ms},
@@ -22,9 +22,9 @@
 				}
 			}
 		}, 0},
-		"cancelled":      {func(h *harness, i int) { cancelRequest(h, i); h.endAttempt(i, 0, Cancelled) }, 50 * ms},
-		"reset":          {func(h *harness, i int) { cancelRequest(h, i); h.endAttempt(i, 0, Reset) }, 50 * ms},
-		"client is gone": {func(h *harness, i int) { cancelRequest(h, i); h.advance(30 * ms); h.endAttempt(i, 0, OK) }, 0},
+		"client left, attempt cancelled": {func(h *harness, i int) { cancelRequest(h, i); h.endAttempt(i, 0, Cancelled) }, 50 * ms},
+		"client left, attempt reset":     {func(h *harness, i int) { cancelRequest(h, i); h.endAttempt(i, 0, Reset) }, 50 * ms},
+		"client left, attempt answered":  {func(h *harness, i int) { cancelRequest(h, i); h.advance(30 * ms); h.endAttempt(i, 0, OK) }, 0},
 	} {
 		h := newHarness(t, 1, 6, keyOrderSettings)
 		first := h.request(Safe, 7, 400*ms)
@@ -33,8 +33,8 @@
 			t.Fatalf("%s: the second request did not wait for the first", name)
 		}
 		c.end(h, first)
-		if c.rest > 0 {
-			h.advance(c.rest - 2*ms)
+		if c.pause > 0 {
+			h.advance(c.pause - 2*ms)
 			if len(h.requests[second].attempts) > 0 {
 				t.Fatalf("%s: the second request was sent during the pause of the queue", name)
 			}
@@ -96,7 +96,7 @@
 // would make endpoints look like outliers. The key must be throttled to one request at a time, other keys must not be,
 // the failures must not count against endpoints, and timely answers must restore the key's concurrency.
 func TestThrottledKeyDoesNotDelayOtherKeys(t *testing.T) {
-	h := newHarness(t, 1, 6, map[string]any{"allowed.mostTrips": 1.0})
+	h := newHarness(t, 1, 6, map[string]any{"allowed.mostTrips": 1.0}) // No retries: one attempt per request.
 	endAll := func(key uint64, outcome Outcome) {
 		for i := range h.requests {
 			for attempt := range h.requests[i].attempts {
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	concurrency := func(key uint64) (n int) {
+	sendTwenty := func(key uint64) (n int) {
 		for range 20 {
 			i := h.request(Safe, key, second)
 			n += len(h.requests[i].attempts)
@@ -122,14 +122,14 @@
 			endAll(7, Errored)
 		}
 	}
-	if n := concurrency(7); n > 1 {
+	if n := sendTwenty(7); n > 1 {
 		t.Errorf("%d attempts in flight for a throttled key, want at most 1", n)
 	}
-	if n := concurrency(8); n < 8 {
+	if n := sendTwenty(8); n < 8 {
 		t.Errorf("%d attempts in flight for another key, want at least 8", n)
 	}
 	if failures := h.balancer.outcomes.failures.ValueAt(h.balancer.clock.activityTime); failures > 4 {
-		t.Errorf("%.1f failures of a throttled key count against endpoints, want at most 4", failures)
+		t.Errorf("%.1f failures count against endpoints, want at most 4", failures)
 	}
 	endAll(8, OK)
 	for range 60 {
@@ -137,8 +137,9 @@
 		h.advance(50 * ms)
 		h.request(Safe, 7, second)
 	}
-	if endAll(7, OK); concurrency(7) < 4 {
-		t.Error("a key is still throttled after 60 timely answers")
+	endAll(7, OK)
+	if n := sendTwenty(7); n < 4 {
+		t.Errorf("%d of 20 requests of a key were sent at once after 60 timely answers, want at least 4", n)
 	}
 }
 
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -7,28 +7,31 @@
 // it is sent more than overloadMultiple times its capacity for overloadAfter.
 //
 // The limit is a token bucket at each balancer. It refills at the rate at which a warm endpoint answers this balancer,
-// per unit of weight, times the fraction of full capacity that the warming endpoint has by now. A warming endpoint is
-// then as busy, relative to its capacity, as a warm one, which is below its limit by the overload multiple. Each
+// per unit of weight, times the fraction of full capacity that the warming endpoint has by now, times a factor of at
+// most slowStartMargin x overloadMultiple (warmingLoadLimit). At a factor of 1, a warming endpoint is as busy, relative
+// to its capacity, as a warm one. A warm endpoint at full capacity is below its limit by the overload multiple. Each
 // balancer sends little, but without the limit the sum over all balancers would crash a warming endpoint, which would
 // then restart and crash again.
 //
 // In a large fleet, a balancer's share is far below one request. Fractions that were saved up to whole requests would
 // be sent by all balancers at the same time. Instead, a fractional token is the probability that a request is allowed,
 // and is spent whether or not it is, so that the fleet as a whole sends, on average, the sum of all shares. See
-// docs/design.md, exception 9; slowstart_fleet_test.go simulates fleets of 5 to 300 balancers.
+// docs/design.md, exception 9 (the page lists exceptions to the ordinary path); slowstart_fleet_test.go simulates
+// fleets of 5 to 300 balancers.
 
 const (
 	// slowStartMargin is the fraction of the overload multiple that is used at most, as machines and the balancers'
 	// shares of the traffic differ.
 	slowStartMargin = 0.9
 
-	// halfConfidenceAnswers is the number of recent successes at which a warming endpoint without rejections or
+	// halfConfidenceSuccesses is the number of recent successes at which a warming endpoint without rejections or
 	// failures gets half of the maximum that is sent beyond its stated capacity.
-	halfConfidenceAnswers = 8.0
+	halfConfidenceSuccesses = 8.0
 
 	// slowStartBurst bounds the bucket, as a multiple of the tokens earned between two requests that could go to the
-	// endpoint. With a smaller bound, a balancer with little traffic would send hardly anything; with a larger one, an
-	// idle endpoint would later receive all the saved tokens' worth of requests at once.
+	// endpoint. The tokens of overloadAfter/minBurstDivisor are the bound if they are more. With a smaller bound, a
+	// balancer with little traffic would send hardly anything; with a larger one, an idle endpoint would later receive
+	// all the saved tokens' worth of requests at once.
 	slowStartBurst = 1.5
 
 	// minBurstDivisor is the divisor of overloadAfter that gives the least time whose tokens the bucket can hold.
@@ -54,7 +57,8 @@
 
 // recordListedStart records the start that the endpoint list states and reports whether it is a new one. If the stated
 // starts are inexact by up to startTimeError, the endpoint counts as started at the latest possible time that is not in
-// the future, so that it does not count as warm too soon.
+// the future, so that it does not count as warm too soon. An earlier stated start is then also a new one, as a later
+// start may be stated with an earlier time. startedAt is at least 1, as 0 means long ago.
 func (s *slowStartState) recordListedStart(now, listedStart, startTimeError int64) bool {
 	isLater := listedStart > s.listedStart
 	isEarlier := listedStart > 0 && listedStart < s.listedStart
@@ -94,7 +98,8 @@
 }
 
 // hasSlowStartBudget reports whether a warming endpoint may be sent a request now. If the bucket holds less than one
-// token, the fraction is the probability that it may; it is drawn once at each time, and spent whatever the result.
+// token, the fraction is the probability that it may; it is drawn at most once per value of now, and spent whatever
+// the result.
 func (b *Balancer) hasSlowStartBudget(now int64, index int) bool {
 	state := &b.endpoints[index].slowStart
 	if state.updatedAt < now && b.refillSlowStart(now, index) < 1 {
@@ -105,19 +110,19 @@
 
 // refillSlowStart refills a warming endpoint's token bucket up to now and returns the tokens. The rate is the
 // throughput of a warm endpoint times the warming endpoint's capacity and this process's share of the balancer's
-// attempts. While no warm endpoint has answered yet, as there may be none, the endpoint's share of the arriving
-// requests takes the place of that throughput if it is higher than the minimum.
+// attempts. Until a warm endpoint has answered (there may be none), that throughput is unknown. The endpoint's share of
+// arriving requests is used instead, or this balancer's share of minThroughput if that is higher.
 func (b *Balancer) refillSlowStart(now int64, index int) float64 {
 	endpoint := &b.endpoints[index]
 	perSecond := b.clock.rate * float64(second) / float64(timeConstant)
-	capacity := b.warmingCapacity(now, endpoint)
+	loadLimit := b.warmingLoadLimit(now, endpoint)
 	peak := b.warmThroughput.update(now, b.clock.activityTime, perSecond)
 	warmRate := max(peak*endpoint.weight, minThroughput/b.fleetSize) // in requests per second
 	arrivingRate := b.admission.arrivals.ValueAt(b.clock.activityTime) * perSecond * endpoint.weight / max(1, b.totalWeight)
 	if peak == 0 {
 		warmRate = max(warmRate, arrivingRate)
 	}
-	rate := warmRate * capacity * b.processShare
+	rate := warmRate * loadLimit * b.processShare
 	burstSeconds := max(float64(b.settings.overloadAfter)/float64(minBurstDivisor*second), slowStartBurst/max(warmRate, arrivingRate))
 	state := &endpoint.slowStart
 	refilled := state.tokens + rate*float64(now-state.updatedAt)/float64(second)
@@ -125,16 +130,16 @@
 	return state.tokens
 }
 
-// warmingCapacity returns the load that a warming endpoint may be sent, as a fraction of the throughput of a warm one.
+// warmingLoadLimit returns the load that a warming endpoint may be sent, as a fraction of the throughput of a warm one.
 // It is the capacity that the settings state for the time since the start, times a factor that stays within the
 // overload multiple. The factor rises with recent successes and falls with rejections and failures.
-func (b *Balancer) warmingCapacity(now int64, endpoint *endpointState) float64 {
+func (b *Balancer) warmingLoadLimit(now int64, endpoint *endpointState) float64 {
 	s, activityTime := &b.settings, b.clock.activityTime
 	statedCapacity := s.startCapacity + (1-s.startCapacity)*max(0, float64(now-endpoint.slowStart.startedAt)/float64(s.warmUp))
 	maxFactor := slowStartMargin * s.overloadMultiple
 	successes := endpoint.outlier.outcomes.successes.ValueAt(activityTime) * b.clock.rate
 	rejected, failed := endpoint.rejected.ValueAt(activityTime), endpoint.outlier.outcomes.failures.ValueAt(activityTime)
-	return statedCapacity * (min(1, maxFactor) + max(0, maxFactor-1)*successes/(successes+halfConfidenceAnswers*(1+rejected+failed)))
+	return statedCapacity * (min(1, maxFactor) + max(0, maxFactor-1)*successes/(successes+halfConfidenceSuccesses*(1+rejected+failed)))
 }
 
 // restartDetector detects a restart that the endpoint list does not show: an attempt ended with a reset connection, and
@@ -145,8 +150,8 @@
 }
 
 const (
-	// restartConnectFailures is the number of failed connections after a reset from which on an endpoint counts as
-	// restarted. A single one may be a network fault.
+	// restartConnectFailures: an endpoint counts as restarted after this many failed connections following a reset. A
+	// single one may be a network fault.
 	restartConnectFailures = 2
 
 	// restartCapacityFactor is what a restart multiplies the admission limiter's capacity factor by. That lowers the
@@ -164,8 +169,9 @@
 	capacityFactorRecovery = 40 * second
 )
 
-// detectRestart updates the restart detector of an endpoint with the result of an attempt. It does not reset the
-// detector after a success: recordEndpointOutcome does.
+// detectRestart updates the restart detector of an endpoint with the result of an attempt. It also counts a failed
+// connection and marks its endpoint unresponsive. It does not reset the detector after a success: recordEndpointOutcome
+// does.
 func (b *Balancer) detectRestart(now int64, result AttemptResult) {
 	endpoint := &b.endpoints[result.Endpoint]
 	detector := &endpoint.restart
@@ -187,7 +193,7 @@
 	}
 }
 
-// lowerCapacityFactor lowers the capacity factor after a restart that overload may have caused.
+// lowerCapacityFactor lowers the capacity factor after a restart, at most once per restartSpacing.
 func (a *admissionLimiter) lowerCapacityFactor(now int64) {
 	if now > a.capacityLoweredAt+restartSpacing {
 		a.capacityFactor, a.capacityLoweredAt = max(minCapacityFactor, a.capacityFactor*restartCapacityFactor), now
--- a/policy/slowstart_fleet_test.go
+++ b/policy/slowstart_fleet_test.go
@@ -17,12 +17,12 @@
 	latency                         int64   // of an attempt
 }
 
-// slowStartDeployments are realistic slow-start settings.
+// The settings are realistic.
 var slowStartDeployments = []slowStartDeployment{
 	{"short warm-up", 0.32, 3, 3500 * ms, second, 40, 10 * ms},
-	{"warm by requests", 0.12, 2.5, 9 * second, 2 * second, 18, 25 * ms},
+	{"9 s warm-up", 0.12, 2.5, 9 * second, 2 * second, 18, 25 * ms},
 	{"tight multiple", 0.22, 2, 15 * second, 2 * second, 30, 15 * ms},
-	{"by time", 0.14, 2.5, 23 * second, 3 * second, 18, 25 * ms},
+	{"23 s warm-up", 0.14, 2.5, 23 * second, 3 * second, 18, 25 * ms},
 	{"long warm-up", 0.1, 2.5, 35 * second, 2 * second, 12, 30 * ms},
 }
 
@@ -33,26 +33,26 @@
 	return d.overloadMultiple * capacity * d.endpointRate * float64(d.overloadAfter) / float64(second)
 }
 
-// attemptEnd is the scheduled end of an attempt or, if request is -1, a timer whose tag is in attempt.
-type attemptEnd struct {
+// fleetEvent is the scheduled end of an attempt or, if request is -1, a timer whose tag is in attempt.
+type fleetEvent struct {
 	at                       int64
 	member, request, attempt int
 	endpoint                 int
 	outcome                  Outcome
 }
 
-// attemptEnds is a heap ordered by time.
-type attemptEnds []attemptEnd
+// fleetEvents is a heap ordered by time.
+type fleetEvents []fleetEvent
 
-func (e attemptEnds) Len() int { return len(e) }
+func (e fleetEvents) Len() int { return len(e) }
 
-func (e attemptEnds) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e fleetEvents) Less(i, j int) bool { return e[i].at < e[j].at }
 
-func (e attemptEnds) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e fleetEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-func (e *attemptEnds) Push(x any) { *e = append(*e, x.(attemptEnd)) }
+func (e *fleetEvents) Push(x any) { *e = append(*e, x.(fleetEvent)) }
 
-func (e *attemptEnds) Pop() any { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
+func (e *fleetEvents) Pop() any { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
 // slowStartMember is a balancer of a slowStartFleet and the Executor of that balancer.
 type slowStartMember struct {
@@ -79,13 +79,13 @@
 
 // SetTimer implements Executor.
 func (m *slowStartMember) SetTimer(tag int, after int64) {
-	heap.Push(&m.fleet.events, attemptEnd{at: m.fleet.now + after, member: m.index, request: -1, attempt: tag})
+	heap.Push(&m.fleet.events, fleetEvent{at: m.fleet.now + after, member: m.index, request: -1, attempt: tag})
 }
 
 // Send implements Executor.
 func (m *slowStartMember) Send(request, endpoint int, _ int64) {
 	f := m.fleet
-	end := attemptEnd{f.now + f.deployment.latency, m.index, request, m.attempts[request], endpoint, OK}
+	end := fleetEvent{f.now + f.deployment.latency, m.index, request, m.attempts[request], endpoint, OK}
 	if m.attempts[request]++; f.unreachable[endpoint] {
 		end.at, end.outcome = f.now+ms, ConnectFailed
 	}
@@ -96,24 +96,24 @@
 // slowStartFleet simulates balancers that send to the same endpoints, on a virtual clock. Reachable endpoints answer
 // all attempts.
 type slowStartFleet struct {
-	deployment        slowStartDeployment
-	now               int64
-	random            randomSource
-	members           []*slowStartMember
-	cumulativeWeights []float64 // cumulative share of the load, by member
-	events            attemptEnds
-	sent              [][]int64 // send times by endpoint
-	started           []int64
-	health            []Health
-	unreachable       []bool // endpoints that refuse connections, whatever the endpoint list states
-	settings          map[string]any
+	deployment     slowStartDeployment
+	now            int64
+	random         randomSource
+	members        []*slowStartMember
+	cumulativeLoad []float64 // cumulative share of the load, by member
+	events         fleetEvents
+	sent           [][]int64 // send times by endpoint
+	startedAt      []int64
+	health         []Health
+	unreachable    []bool // endpoints that refuse connections, whatever the endpoint list states
+	settings       map[string]any
 }
 
 // newSlowStartFleet returns a fleet with a number of members and ready endpoints. If uneven, one balancer in five gets
 // five times the load of the others.
 func newSlowStartFleet(d slowStartDeployment, seed uint64, members, endpoints int, uneven bool) *slowStartFleet {
 	f := &slowStartFleet{deployment: d, now: unixStart, random: randomSource{seed + 1, 7}, sent: make([][]int64, endpoints),
-		started: make([]int64, endpoints), health: make([]Health, endpoints), unreachable: make([]bool, endpoints)}
+		startedAt: make([]int64, endpoints), health: make([]Health, endpoints), unreachable: make([]bool, endpoints)}
 	f.settings = map[string]any{"workloads": 1.0, "workloads.0.group": "all", "workloads.0.expectedTime": 600.0, "workloads.0.effect": "free",
 		"allowed.mostTrips": 3.0, "allowed.cancelling": true, "balancers": float64(members), "invariants.startCapacity": d.startCapacity,
 		"invariants.warmUp": float64(d.warmUp / ms), "invariants.fallMultiple": d.overloadMultiple, "invariants.tipAfter": float64(d.overloadAfter / ms)}
@@ -123,7 +123,7 @@
 		if total++; uneven && i%5 == 0 {
 			total += 4
 		}
-		f.cumulativeWeights = append(f.cumulativeWeights, total)
+		f.cumulativeLoad = append(f.cumulativeLoad, total)
 	}
 	f.updateList()
 	return f
@@ -141,16 +141,16 @@
 	for _, m := range f.members {
 		m.balancer.BeginEndpointUpdate(FullList)
 		for index, health := range f.health {
-			m.balancer.UpdateEndpoint(f.now, index, EndpointInfo{Address: fmt.Sprint("s-", index), Health: health, StartedAt: f.started[index], Weight: 1})
+			m.balancer.UpdateEndpoint(f.now, index, EndpointInfo{Address: fmt.Sprint("s-", index), Health: health, StartedAt: f.startedAt[index], Weight: 1})
 		}
 		m.balancer.CommitEndpointUpdate(f.now)
 	}
 }
 
-// request sends a request with a random key to a member that is drawn in proportion to its share of the load.
-func (f *slowStartFleet) request() {
-	draw, i := f.random.float64()*f.cumulativeWeights[len(f.cumulativeWeights)-1], 0
-	for f.cumulativeWeights[i] <= draw {
+// sendRequest sends a request with a random key to a member that is drawn in proportion to its share of the load.
+func (f *slowStartFleet) sendRequest() {
+	draw, i := f.random.float64()*f.cumulativeLoad[len(f.cumulativeLoad)-1], 0
+	for f.cumulativeLoad[i] <= draw {
 		i++
 	}
 	m := f.members[i]
@@ -168,7 +168,7 @@
 	for end := f.now + duration; ; {
 		next := f.now + int64(-math.Log(1-f.random.float64())/rate*float64(second))
 		for len(f.events) > 0 && f.events[0].at <= min(next, end) {
-			e := heap.Pop(&f.events).(attemptEnd)
+			e := heap.Pop(&f.events).(fleetEvent)
 			f.now = e.at
 			m := f.members[e.member]
 			if e.request < 0 {
@@ -185,29 +185,30 @@
 			return
 		}
 		f.now = next
-		f.request()
+		f.sendRequest()
 	}
 }
 
-// worstExcess finds the window of overloadAfter, during the warm-up, in which an endpoint was sent the most requests
-// relative to the limit, which is the budget plus an allowance for random variation. It returns the ratio to the limit,
-// which is over 1 if the endpoint would crash, and the number of requests and the budget of that window.
-func (f *slowStartFleet) worstExcess(index int) (worst float64, sent int, allowed float64) {
+// worstExcess returns the largest ratio, over all windows of overloadAfter during the warm-up, of the requests sent to
+// an endpoint to the limit (budget + 2*sqrt(budget) + 2, to allow for random variation). Over 1 counts as a crash.
+// It also returns the number of requests and the limit of that window.
+func (f *slowStartFleet) worstExcess(index int) (worst float64, sent int, worstLimit float64) {
 	from := 0
 	for n, at := range f.sent[index] {
-		if at < f.started[index] || at > f.started[index]+f.deployment.warmUp {
+		if at < f.startedAt[index] || at > f.startedAt[index]+f.deployment.warmUp {
 			from = n + 1
 			continue
 		}
 		for f.sent[index][from] <= at-f.deployment.overloadAfter {
 			from++
 		}
-		budget := f.deployment.budget(at - f.started[index])
-		if excess := float64(n-from+1) / (budget + 2*math.Sqrt(budget) + 2); excess > worst {
-			worst, sent, allowed = excess, n-from+1, budget
+		budget := f.deployment.budget(at - f.startedAt[index])
+		limit := budget + 2*math.Sqrt(budget) + 2
+		if ratio := float64(n-from+1) / limit; ratio > worst {
+			worst, sent, worstLimit = ratio, n-from+1, limit
 		}
 	}
-	return worst, sent, allowed
+	return worst, sent, worstLimit
 }
 
 // receivedShare returns the number of requests sent to an endpoint in a duration from its start on, as a fraction of
@@ -215,20 +216,19 @@
 func (f *slowStartFleet) receivedShare(index int, duration int64) float64 {
 	sent := 0
 	for _, at := range f.sent[index] {
-		if at >= f.started[index] && at < f.started[index]+duration {
+		if at >= f.startedAt[index] && at < f.startedAt[index]+duration {
 			sent++
 		}
 	}
 	return float64(sent) / (f.deployment.endpointRate * float64(duration) / float64(second))
 }
 
-// fleetEndpoints is the number of endpoints of a simulated fleet.
 const fleetEndpoints = 20
 
 // restart restarts the first endpoints, as many as given, and updates the endpoint list of all members.
 func (f *slowStartFleet) restart(endpoints int) {
 	for index := range endpoints {
-		f.started[index] = f.now
+		f.startedAt[index] = f.now
 	}
 	f.updateList()
 }
@@ -244,14 +244,13 @@
 	f.run(2*f.deployment.overloadAfter, rate)
 }
 
-// slowStartScenarios are the events from the time on at which the endpoint list shows that the first endpoints have
-// just started.
+// Each scenario starts when the endpoint list first shows that the first endpoints have just started.
 var slowStartScenarios = []struct {
-	name         string
-	starting     int  // number of endpoints that have just started
-	uneven       bool // one balancer in five gets five times the load of the others
-	coversWarmUp bool // the load lasts for the whole warm-up, and enough of it must reach the starting endpoints
-	run          func(f *slowStartFleet, rate float64)
+	name           string
+	starting       int  // number of endpoints that have just started
+	uneven         bool // one balancer in five gets five times the load of the others
+	checksReceived bool // enough of the load must reach the starting endpoints
+	run            func(f *slowStartFleet, rate float64)
 }{
 	{"steady load", 1, false, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
 	{"uneven load", 1, true, true, func(f *slowStartFleet, rate float64) { f.run(f.deployment.warmUp, rate) }},
@@ -285,8 +284,9 @@
 
 // An endpoint restarts in a fleet of 5 to 300 balancers. Each balancer sends it little, but together they could crash
 // it again. Within overloadAfter they must send it no more than N + 2*sqrt(N) + 2 requests, where N is the number that
-// the settings allow at the time. N is computed from what a warm endpoint answers, which is less than its capacity. The
-// endpoint must also receive a share of the requests, as it would otherwise never warm up.
+// the settings allow at the time. N is computed from what a warm endpoint answers, which is less than its capacity, so
+// the real limit is higher. The endpoint must also receive a share of the requests, as it would otherwise never warm
+// up.
 func TestFleetStaysWithinSlowStartBudget(t *testing.T) {
 	const minReceived = 0.25 // of what a warm endpoint answers during the warm-up
 	for _, d := range slowStartDeployments {
@@ -300,11 +300,11 @@
 					f.restart(scenario.starting)
 					scenario.run(f, rate)
 					for index := range scenario.starting {
-						if worst, sent, budget := f.worstExcess(index); worst > 1 {
-							t.Errorf("%d balancers, %s: %d requests sent to warming endpoint %d within %v, budget %.1f", members, scenario.name,
-								sent, index, time.Duration(d.overloadAfter), budget)
+						if worst, sent, limit := f.worstExcess(index); worst > 1 {
+							t.Errorf("%d balancers, %s: %d requests sent to warming endpoint %d within %v, limit %.1f", members, scenario.name,
+								sent, index, time.Duration(d.overloadAfter), limit)
 						}
-						if received := f.receivedShare(index, d.warmUp); scenario.coversWarmUp && received < minReceived {
+						if received := f.receivedShare(index, d.warmUp); scenario.checksReceived && received < minReceived {
 							t.Errorf("%d balancers, %s: warming endpoint %d received %.2f of a warm one's requests, want at least %.2f", members, scenario.name, index, received, minReceived)
 						}
 					}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -7,12 +7,13 @@
 )
 
 // Saving and restoring learned state, so that a process keeps the statistics of its predecessor across an upgrade or a
-// restart. No decisions are made here. The state excludes requests and attempts, so it never serves as proof that an
-// attempt may be repeated. It is stored as CBOR arrays: the order of the fields is the format and must not change.
+// restart. No decisions are made here. The state excludes individual requests and attempts, so a retry is never
+// based on it. It is stored as CBOR arrays: the order of the fields is the format and must not change.
 
 const (
 	// maxEndpoints is the largest number of endpoints in a valid state. The limit matters because a file may be
-	// damaged. SaveState also uses it as the index that means "none".
+	// damaged. SaveState also uses it as the index that means "none": stored indices are unsigned, so noEndpoint does
+	// not fit.
 	maxEndpoints = 1 << 16
 
 	// maxMachineTypes is the largest number of machine types in a valid state.
@@ -44,8 +45,9 @@
 	ServedRate, Strain                                float32
 }
 
-// State is the learned state of a balancer. Times are by the clock of the process that saved it, which read Now. Ages
-// are by its activity clock, which read ActivityTime.
+// State is the learned state of a balancer. Times are by the clock of the process that saved it; that clock showed Now
+// when the state was saved. Ages are by its activity clock, which showed ActivityTime. EndpointState.StartedAt is
+// restored as it is, the other times are converted to the clock of the process that restores them.
 type State struct {
 	_                                                               struct{} `cbor:",toarray"`
 	Now, StartedAt, ActivityTime                                    int64
@@ -186,11 +188,11 @@
 	state.Endpoints, state.Keys, state.KeyEndpoints, state.MachineTypes, state.Tenants = endpoints, keys, keyEndpoints, machineTypes, tenants
 }
 
-// errMalformedState is returned for a state that SaveState cannot have written.
+// errMalformedState is returned for a state with a value outside the range that RestoreState relies on.
 var errMalformedState = errors.New("malformed balancer state")
 
-// areFinite reports whether all values are finite and not negative.
-func areFinite(values ...float64) bool {
+// areFiniteNonNegative reports whether all values are finite and not negative.
+func areFiniteNonNegative(values ...float64) bool {
 	for _, x := range values {
 		if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 			return false
@@ -199,10 +201,10 @@
 	return true
 }
 
-func (s Sum) isValid() bool { return areFinite(float64(s.Value)) && s.Age >= 0 }
+func (s Sum) isValid() bool { return areFiniteNonNegative(float64(s.Value)) && s.Age >= 0 }
 
 func (m MachineTypeState) isValid() bool {
-	return m.Answers.isValid() && m.AnswerTime.isValid() && m.Rejected.isValid() && areFinite(m.Weight)
+	return m.Answers.isValid() && m.AnswerTime.isValid() && m.Rejected.isValid() && areFiniteNonNegative(m.Weight)
 }
 
 func (e *EndpointState) isValid(now int64) bool {
@@ -212,12 +214,12 @@
 		}
 	}
 	// A ServedRate of notReported (-1) is valid.
-	return e.LastUnresponsiveAt <= now && areFinite(float64(e.RetryTokens), float64(e.Strain), float64(e.ServedRate)+1) &&
+	return e.LastUnresponsiveAt <= now && areFiniteNonNegative(float64(e.RetryTokens), float64(e.Strain), float64(e.ServedRate)+1) &&
 		e.RetryTokens <= maxRetryTokens
 }
 
-// Check returns an error unless SaveState can have written the state. RestoreState relies on it: a damaged file must
-// not cause an index out of range or decisions based on impossible values.
+// Check returns an error if a value, a length or an index is outside the range that RestoreState relies on: a damaged
+// file must not cause an index out of range or decisions based on impossible values.
 func (s *State) Check() error {
 	switch {
 	case !s.hasValidScalars() || !s.hasValidParts():
@@ -238,7 +240,7 @@
 	areInRange := s.ActivityRate > 0 && s.ActivityRate <= 1 && s.BaseLatency > 0 && s.Admitted <= 1 && s.RetryTokens <= maxRetryTokens
 	areTimes := s.ActivityTime >= 0 && s.StartedAt > 0 && s.StartedAt <= s.Now && s.PeakAt <= s.Now
 	return areInRange && areTimes &&
-		areFinite(s.ActivityRate, s.RetryTokens, s.BaseLatency, s.Admitted, s.OriginLimit, s.PeakThroughput)
+		areFiniteNonNegative(s.ActivityRate, s.RetryTokens, s.BaseLatency, s.Admitted, s.OriginLimit, s.PeakThroughput)
 }
 
 // hasValidParts reports whether the sums and the states of tenants, machine types and endpoints are valid.
@@ -262,7 +264,7 @@
 // RestoreState restores a state that was saved age nanoseconds ago. The Balancer must have its endpoint list and must
 // not have handled any request, and state must have passed Check. It returns the number of endpoints that were
 // restored.
-func (b *Balancer) RestoreState(now int64, state *State, age int64) (known int) {
+func (b *Balancer) RestoreState(now int64, state *State, age int64) (restored int) {
 	clockOffset := now - age - state.Now // not 0 if the system clock was set since the state was saved
 	toLocalTime := func(then int64) int64 { return min(now, then+clockOffset) }
 	b.clock = activityClock{startedAt: toLocalTime(state.StartedAt), now: now, activityTime: state.ActivityTime, rate: state.ActivityRate}
@@ -281,7 +283,7 @@
 		requests[tenant] = b.decodeSum(state.Tenants[tenant])
 	}
 	b.quotas.Restore(state.Admitted, requests)
-	indexes, known := b.restoreEndpoints(now, state, toLocalTime)
+	indexes, restored := b.restoreEndpoints(now, state, toLocalTime)
 	for n, key := range state.Keys {
 		if index := indexes[state.KeyEndpoints[n]]; index != noEndpoint {
 			b.recentKeys[key%recentKeySlots] = keyRecord{key: key, endpoint: index}
@@ -290,13 +292,14 @@
 	b.clock.activityTime += int64(float64(age) * state.ActivityRate) // Statistics decay over the gap as if the process had kept running.
 	b.BeginEndpointUpdate(IncrementalList)
 	b.CommitEndpointUpdate(now)
-	return known
+	return restored
 }
 
 // restoreEndpoints restores the statistics of the endpoints that are still in the list. It returns the current index of
 // each endpoint of the state: noEndpoint for one that has left the list, or that has restarted since, because its
-// statistics no longer apply.
-func (b *Balancer) restoreEndpoints(now int64, state *State, toLocalTime func(int64) int64) (indexes []int, known int) {
+// statistics no longer apply. It also returns the number of endpoints that were restored. A hash of 0 marks a free
+// index and matches no endpoint.
+func (b *Balancer) restoreEndpoints(now int64, state *State, toLocalTime func(int64) int64) (indexes []int, restored int) {
 	byHash := make(map[uint64]int, len(b.endpoints))
 	for index := range b.endpoints {
 		byHash[b.endpoints[index].hash] = index
@@ -310,8 +313,8 @@
 			continue
 		}
 		indexes[n] = index
-		known++
+		restored++
 		b.decodeEndpoint(now, &b.endpoints[index], stored, toLocalTime)
 	}
-	return indexes, known
+	return indexes, restored
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -63,7 +63,7 @@
 		then := now + gap
 		b, _ := newSnapshotBalancer(then+clockStep, startTimes...)
 		if known := b.RestoreState(then+clockStep, &state, gap); known != len(startTimes) {
-			t.Fatalf("%s: %d endpoints restored", name, known)
+			t.Fatalf("%s: %d endpoints restored, want %d", name, known, len(startTimes))
 		}
 		old.advanceClock(then)
 		for n, restored := range b.sums() {
@@ -79,17 +79,27 @@
 				t.Errorf("%s: endpoint %d has %g successes and %g failures more than before", name, i, successes, failures)
 			}
 		}
-		if !b.IsLikelyOutlier(0) || b.IsLikelyOutlier(1) {
-			t.Errorf("%s: the failing endpoint is not an outlier, or a healthy one is", name)
+		if !b.IsLikelyOutlier(0) {
+			t.Errorf("%s: the failing endpoint is not an outlier", name)
 		}
-		if b.recentKeys != old.recentKeys || b.clock.startedAt != old.clock.startedAt+clockStep || b.clock.now != then+clockStep {
-			t.Errorf("%s: recent keys are not restored, or times are not by the new process's clock", name)
+		if b.IsLikelyOutlier(1) {
+			t.Errorf("%s: a healthy endpoint is an outlier", name)
+		}
+		if b.recentKeys != old.recentKeys {
+			t.Errorf("%s: recent keys are not restored", name)
+		}
+		if want := old.clock.startedAt + clockStep; b.clock.startedAt != want {
+			t.Errorf("%s: the start is %d by the new process's clock, want %d", name, b.clock.startedAt, want)
+		}
+		if want := then + clockStep; b.clock.now != want {
+			t.Errorf("%s: the new process's clock shows %d, want %d", name, b.clock.now, want)
 		}
 	}
 }
 
-// An endpoint restarts at about the same time as the balancer, and only the snapshot or only the list shows it. The
-// endpoint must not be taken for warm; its earlier statistics must not count, and no recent key may point to it.
+// An endpoint restarts at about the same time as the balancer, and only the snapshot or only the list shows it. In
+// both cases the endpoint must not be taken for warm. If only the list shows the restart, earlier statistics must not
+// count and no recent key may point to the endpoint.
 func TestRestoreKeepsRestartedEndpointsCold(t *testing.T) {
 	old, executor := newSnapshotBalancer(unixStart, 0, 0, 0, 0, 0)
 	now := driveTraffic(old, executor, unixStart, 2000)
@@ -103,10 +113,10 @@
 	b, _ := newSnapshotBalancer(now, 0, restartedAt, 0, 0, 0) // Only the list shows the restart of endpoint 1.
 	b.RestoreState(now, &state, 0)
 	if !b.isWarmingUp(now, 1) || !b.isWarmingUp(now, 2) || b.isWarmingUp(now, 3) {
-		t.Errorf("warming up: %t, %t, and one that never restarted %t", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
+		t.Errorf("endpoints 1, 2 and 3 are warming up: %t, %t, %t, want true, true, false", b.isWarmingUp(now, 1), b.isWarmingUp(now, 2), b.isWarmingUp(now, 3))
 	}
 	if endpoint := &b.endpoints[1]; endpoint.outlier.outcomes.successes.Value > 0 || endpoint.attempts.Value > 0 || endpoint.retries.tokens != 1 {
-		t.Errorf("statistics from before the restart were restored: %+v", endpoint)
+		t.Errorf("statistics of endpoint 1 from before its restart were restored: %+v", endpoint)
 	}
 	for _, record := range b.recentKeys {
 		if record.key != 0 && record.endpoint == 1 {
