--- a/routing/clientconn.go
+++ b/routing/clientconn.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxPipelined is how many commands of one client are handled side by side.
+	// maxPipelined is how many commands of one client are handled concurrently.
 	maxPipelined = 64
 
-	// extraReplies is how many replies stand beside these: one for a run of rejections, one for the last error to a
-	// client that is not read any further.
+	// extraReplies is how many replies may be pending in addition to maxPipelined: one for a run of rejections, and one
+	// for the final error to a client whose connection is not read any further.
 	extraReplies = 2
 
-	// maxQuotedCommand in bytes bounds what the error for an unknown command repeats of it.
+	// maxQuotedCommand is how many bytes of an unknown command its error repeats.
 	maxQuotedCommand = 32
 )
 
-// Serve serves one client until its connection ends. It reads on while requests are in flight, so that the client's
-// disconnect is seen.
+// Serve serves one client until its connection ends. It keeps reading while requests are in flight, to detect the
+// client's disconnect.
 func (b *Balancer) Serve(c *transport.Client) {
 	disconnected, written := make(chan struct{}), make(chan struct{})
 	replies := make(chan pendingReply, maxPipelined+extraReplies)
@@ -31,8 +31,8 @@
 	}()
 	reader := commandReader{balancer: b, client: c, replies: replies, disconnected: disconnected, overflow: overflow{client: c, replies: replies}}
 	end := reader.run()
-	// After a part of a command that breaks the protocol or is too slow: the commands before it get their answers, as
-	// long as the client stays.
+	// After a command that breaks the protocol, or a partial one that is too slow, the earlier commands still get their
+	// replies, as long as the client stays connected.
 	isUnreadable := end == transport.Malformed || end == transport.TimedOutBeforeSent
 	staysConnected := isUnreadable && c.AwaitReplies(1, true) == transport.Open
 	if !staysConnected && end != transport.ClosedIdle {
@@ -52,11 +52,11 @@
 	client       *transport.Client
 	replies      chan<- pendingReply
 	disconnected <-chan struct{}
-	partSince    time.Time // when a part of a command was first seen; zero between commands
+	partialSince time.Time // when a partial command was first seen; zero between commands
 	overflow     overflow
 }
 
-// run reads until the client's connection ends, and returns how it did.
+// run reads until the client's connection ends, and returns how it ended.
 func (r *commandReader) run() transport.End {
 	for {
 		if end := r.overflow.awaitCapacity(r.balancer); end != transport.Open {
@@ -66,14 +66,14 @@
 		switch {
 		case err != nil:
 			r.client.BeginReply()
-			r.answer(protocol.AppendError(nil, "protocol: "+err.Error()))
+			r.queueReply(protocol.AppendError(nil, "protocol: "+err.Error()))
 			return transport.Malformed
 		case length == 0:
 			if end := r.readMore(); end != transport.Open {
 				return end
 			}
 		default:
-			r.partSince, r.overflow.run = time.Time{}, nil
+			r.partialSince, r.overflow.run = time.Time{}, nil
 			if end := r.handle(arguments, length); end != transport.Open {
 				return end
 			}
@@ -81,25 +81,26 @@
 	}
 }
 
-// readMore reads the next bytes where no whole command has come.
+// readMore reads more bytes when the buffer does not hold a whole command.
 func (r *commandReader) readMore() transport.End {
 	c := r.client
 	if len(c.Unread()) == 0 {
-		r.partSince = time.Time{}
-	} else if r.partSince.IsZero() {
-		r.partSince = time.Now()
+		r.partialSince = time.Time{}
+	} else if r.partialSince.IsZero() {
+		r.partialSince = time.Now()
 	}
 	if c.Grow(protocol.MinCommandLength(c.Unread())) == transport.LocalShortage {
 		c.BeginReply()
-		// It was never begun, and cannot be read any further: as after a command that breaks the protocol.
-		r.answer(protocol.AppendRejected(nil, 0))
+		// The command was not started, and the rest of it cannot be read: the connection ends as after a command that
+		// breaks the protocol.
+		r.queueReply(protocol.AppendRejected(nil, 0))
 		return transport.Malformed
 	}
-	return c.Fill(r.partSince)
+	return c.Fill(r.partialSince)
 }
 
-// handle answers a command, or starts a request. It is ClientDisconnected where the client of a request has gone: what
-// waited unread, for capacity or while the process was held up, has no client any more.
+// handle replies to a command, or starts a request. It returns ClientDisconnected if the client of a request has
+// disconnected, which happens while the command waits unread for capacity or while the process is stalled.
 func (r *commandReader) handle(arguments [][]byte, length int) transport.End {
 	verb, err := protocol.ParseRequest(arguments)
 	if verb.IsRequest() && r.client.HasEnded() {
@@ -108,23 +109,23 @@
 	r.client.BeginReply()
 	switch {
 	case err != nil:
-		r.answer(protocol.AppendError(nil, err.Error()))
+		r.queueReply(protocol.AppendError(nil, err.Error()))
 	case verb.IsRequest():
 		r.startRequest(length, verb == protocol.VerbSet)
 		return transport.Open
 	default:
-		r.answerOther(verb, arguments[0])
+		r.answerNonRequest(verb, arguments[0])
 	}
 	r.client.Skip(length)
 	return transport.Open
 }
 
-// startRequest hands the command that is read next to a goroutine of its own.
+// startRequest takes the next command from the buffer and handles it in a new goroutine.
 func (r *commandReader) startRequest(length int, isWrite bool) {
 	c := r.client
 	receivedAt := c.ArrivedAt(length)
 	command, done := c.Take(length)
-	arguments, _, _ := protocol.ParseCommand(command) // It has been read before, in the connection's buffer.
+	arguments, _, _ := protocol.ParseCommand(command) // Cannot fail: the same bytes were parsed in the connection's buffer.
 	reply := newPendingReply()
 	r.replies <- reply
 	go func() {
@@ -134,34 +135,34 @@
 	}()
 }
 
-// answerOther answers a command that is no request.
-func (r *commandReader) answerOther(verb protocol.Verb, name []byte) {
+// answerNonRequest replies to a command that is not a request.
+func (r *commandReader) answerNonRequest(verb protocol.Verb, name []byte) {
 	switch {
 	case verb != protocol.VerbPing:
 		name = name[:min(len(name), maxQuotedCommand)]
-		r.answer(protocol.AppendError(nil, "unknown command "+strconv.Quote(string(name))))
+		r.queueReply(protocol.AppendError(nil, "unknown command "+strconv.Quote(string(name))))
 	case r.balancer.hasListedEndpoints():
 		r.client.CountValidCommand()
-		r.answer(protocol.AppendPong(nil))
+		r.queueReply(protocol.AppendPong(nil))
 	default:
-		r.answer(protocol.AppendError(nil, "no server is known yet"))
+		r.queueReply(protocol.AppendError(nil, "no server is known yet"))
 	}
 }
 
-// answer gives a command that has begun its answer at once.
-func (r *commandReader) answer(answer []byte) {
-	r.replies <- immediateReply(reply{bytes: answer})
+// queueReply queues the reply to a command for which BeginReply was called.
+func (r *commandReader) queueReply(content []byte) {
+	r.replies <- immediateReply(reply{bytes: content})
 }
 
-// writeReplies gives the client its answers in the order of its commands, until there are no more.
+// writeReplies writes the replies to the client in command order, until replies is closed.
 func writeReplies(c *transport.Client, replies <-chan pendingReply, disconnected <-chan struct{}) {
 	for pending := range replies {
 		result := clientClosed
-		if answer, isThere := pending.await(disconnected); isThere {
-			result = answer.writeTo(c)
+		if r, ok := pending.await(disconnected); ok {
+			result = r.writeTo(c)
 		}
 		if result != delivered {
-			c.Conn.Close() // Its reader sees that and ends all that is in flight for the client.
+			c.Conn.Close() // The commandReader sees that and cancels what is in flight for the client.
 		}
 		pending.delivery <- result
 		c.EndReply()
