--- a/routing/admission.go
+++ b/routing/admission.go
@@ -7,24 +7,25 @@
 	"hollylever/protocol"
 )
 
-// maxDeliveryReserve in ns is kept of a request's time at most, for its final answer to reach its client.
-const maxDeliveryReserve = int64(5 * time.Millisecond)
+// maxReplyReserve is the longest time, in ns, by which attempts end before the request's deadline, so that the final
+// reply reaches the client in time.
+const maxReplyReserve = int64(5 * time.Millisecond)
 
-// deliveryReserveFraction of a request's time is kept for that, up to maxDeliveryReserve.
-const deliveryReserveFraction = 64
+// replyReserveDivisor of a request's time is kept for that, up to maxDeliveryReserve.
+const replyReserveDivisor = 64
 
-// admission is what admission decides on.
+// admission is the input to the admission decision of one request.
 type admission struct {
 	workload        int
 	isKnownWorkload bool
-	isDuplicate     bool // a request of this ID has no final answer yet
+	isDuplicate     bool // an earlier request with this ID has no final reply yet
 	isFull          bool
-	isTooLate       bool  // no answer would come before the process ends
-	remaining       int64 // of the client's timeout, in ns
+	isTooLate       bool  // no reply is expected before the process ends
+	remaining       int64 // rest of the client's timeout, in ns
 }
 
-// admit admits a request: it gets a slot, and the policy decides on it. A request that is not admitted has its final
-// answer at once.
+// admit admits or rejects a request. An admitted request gets a slot and is handed to the policy; any other one gets its
+// final reply here.
 func (x *exchange) admit() bool {
 	attributes, err := protocol.ParseAttributes(x.arguments[3])
 	if err != nil {
@@ -42,12 +43,12 @@
 	b.mu.Lock()
 	a := x.assess(attributes.Workload, remaining)
 	x.workload = a.workload
-	if answer := b.rejectionAnswer(a); answer != nil {
+	if rejection := b.rejectionReply(a); rejection != nil {
 		b.mu.Unlock()
-		x.reply.reply <- reply{bytes: answer}
+		x.reply.reply <- reply{bytes: rejection}
 		return false
 	}
-	x.open(a, policy.RequestInfo{
+	x.register(a, policy.RequestInfo{
 		Remaining:     a.remaining,
 		Class:         a.workload,
 		Tenant:        b.catalog.tenant(string(attributes.Tenant)),
@@ -60,32 +61,31 @@
 	return true
 }
 
-// assess finds what admission decides on; under the lock.
+// assess collects the input to the admission decision. The caller holds Balancer.mu.
 func (x *exchange) assess(workload []byte, remaining int64) admission {
 	b := x.balancer
 	a := admission{remaining: remaining, isDuplicate: b.requests.openIDs[x.id], isFull: b.requests.isFull(x.bytes, b.leaseCheck != nil)}
 	a.workload, a.isKnownWorkload = b.catalog.workloads[string(workload)]
 	if answerBy := b.answerBy.Load(); answerBy > 0 && a.isKnownWorkload {
-		// Guards a shutdown against clients that go on sending requests on connections that are busy: these have to
-		// come to an end.
-		left := answerBy - b.now()
-		a.isTooLate = left < min(remaining, b.catalog.expectedTimes[a.workload])
-		a.remaining = min(remaining, left)
+		// Clients may go on sending requests on busy connections during a shutdown, and these connections have to end.
+		timeLeft := answerBy - b.now()
+		a.isTooLate = timeLeft < min(remaining, b.catalog.expectedTimes[a.workload])
+		a.remaining = min(remaining, timeLeft)
 	}
 	return a
 }
 
-// rejectionAnswer counts a request that is not admitted and returns its answer, nil for one that is admitted; under
-// the lock.
-func (b *Balancer) rejectionAnswer(a admission) []byte {
+// rejectionReply counts a request that is not admitted and returns its reply. It returns nil for a request that is
+// admitted. The caller holds Balancer.mu.
+func (b *Balancer) rejectionReply(a admission) []byte {
 	switch {
 	case !a.isKnownWorkload:
 		b.counters.increment(counterMalformed)
 		return protocol.AppendError(nil, "unknown workload")
-	case a.isDuplicate: // Guards the first request: a server takes the second for the same and could answer either.
+	case a.isDuplicate: // A server treats requests with the same ID as one and could answer either of them.
 		b.counters.incrementFor(counterMalformed, a.workload)
 		return protocol.AppendError(nil, "a retrieval of this id is open")
-	case a.isFull: // Guards memory; the request has not begun.
+	case a.isFull: // Bounds memory; the request has not been started.
 		b.counters.increment(counterRejectedMemory)
 	case a.isTooLate:
 		b.counters.increment(counterRejectedStop)
@@ -96,14 +96,14 @@
 	return protocol.AppendRejected(nil, 0)
 }
 
-// open enters an admitted request into the table and has the policy decide on it; under the lock.
-func (x *exchange) open(a admission, request policy.RequestInfo) {
+// register enters an admitted request into the request table and hands it to the policy. The caller holds Balancer.mu.
+func (x *exchange) register(a admission, request policy.RequestInfo) {
 	b := x.balancer
 	b.requests.openIDs[x.id] = true
 	b.requests.bytes += x.bytes
 	b.counters.increment(counterRequests)
 	x.slot, x.events = b.requests.allocate()
-	reserve := min(maxDeliveryReserve, a.remaining/deliveryReserveFraction)
+	reserve := min(maxReplyReserve, a.remaining/replyReserveDivisor)
 	b.requests.slots[x.slot].attemptDeadline = b.now() + a.remaining - reserve + b.deadlineDrift
 	b.checkLease()
 	b.policy.HandleRequest(b.now(), x.slot, request)
