--- a/routing/admission.go
+++ b/routing/admission.go
@@ -11,7 +11,7 @@
 // reply reaches the client in time.
 const maxReplyReserve = int64(5 * time.Millisecond)
 
-// replyReserveDivisor of a request's time is kept for that, up to maxDeliveryReserve.
+// replyReserveDivisor: a request's remaining time divided by this is reserved for its reply, up to maxReplyReserve.
 const replyReserveDivisor = 64
 
 // admission is the input to the admission decision of one request.
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -104,7 +104,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counters.increment(counterAttemptsSent)
-	if goneAt := b.requests.slots[x.slot].clientGoneAt; goneAt > 0 && startedAt > goneAt+sentAfterDisconnectTolerance {
+	if goneAt := b.requests.slots[x.slot].disconnectedAt; goneAt > 0 && startedAt > goneAt+sentAfterDisconnectTolerance {
 		b.counters.increment(counterSentAfterDisconnect)
 	}
 }
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -131,7 +131,7 @@
 		}
 		b.policy.HandleClientCancelled(b.now(), x.slot)
 	}
-	slot.clientGoneAt = b.now()
+	slot.disconnectedAt = b.now()
 }
 
 // withdrawUnsent ends the attempts whose last byte has not been sent.
--- a/routing/overflow.go
+++ b/routing/overflow.go
@@ -9,15 +9,15 @@
 	"hollylever/transport"
 )
 
-// rejectionRun is a run of commands of one client that stand one behind the other and are all rejected: their answers
-// take one place among the client's and no memory of their own, however many they are.
+// rejectionRun is a run of consecutive commands of one client that are all rejected. Their replies share one pending
+// reply and take no further memory, however many they are.
 type rejectionRun struct {
 	mu       sync.Mutex
 	count    int
-	isClosed bool // its answers are being written: what is rejected from now on belongs to another run
+	isClosed bool // its replies are being written: later rejections belong to another run
 }
 
-// add counts one more command, false where the run is closed.
+// add counts one more command. It returns false if the run is closed.
 func (r *rejectionRun) add() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,7 +27,7 @@
 	return !r.isClosed
 }
 
-// close ends the run and returns how many commands it has.
+// close closes the run and returns how many commands it has.
 func (r *rejectionRun) close() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -35,54 +35,55 @@
 	return r.count
 }
 
-// writeTo writes the run's answers in pieces, false where the client does not take them.
+// writeTo writes the run's replies in batches. It returns false if a write to the client fails.
 func (r *rejectionRun) writeTo(c *transport.Client) bool {
 	if r == nil {
 		return true
 	}
 	answer := protocol.AppendRejected(nil, 0)
-	for left := r.close(); left > 0; {
-		batch := min(left, pieceSize/len(answer))
+	for remaining := r.close(); remaining > 0; {
+		batch := min(remaining, pieceSize/len(answer))
 		if c.Send(bytes.Repeat(answer, batch), time.Now().Add(writeTimeout)) != transport.Open {
 			return false
 		}
-		left -= batch
+		remaining -= batch
 	}
 	return true
 }
 
-// overflow rejects what one client sends beyond what its buffer holds while maxPipelined commands are in flight. Its
-// disconnect has to be seen soon after it came, and stands behind all that the client sent before: so all of that is
-// read, and no more of it is kept than fits.
+// overflow rejects the commands that one client sends beyond the capacity of its buffer while maxPipelined commands are
+// in flight. A disconnect has to be detected soon, but is read only after all that the client sent before it. So
+// everything is read, and no more of it is kept than fits into the buffer.
 type overflow struct {
 	client  *transport.Client
 	replies chan<- pendingReply
-	run     *rejectionRun // the last one; nil where a command was accepted since
+	run     *rejectionRun // the most recent one; nil if a command was accepted since
 }
 
-// awaitCapacity waits until one more command of the client may be handled, and rejects what overflows the buffer
-// meanwhile.
+// awaitCapacity waits until one more command of the client may be handled. It rejects the commands that overflow the
+// buffer in the meantime.
 func (o *overflow) awaitCapacity(b *Balancer) transport.End {
 	for {
 		end := o.client.AwaitReplies(maxPipelined, false)
 		if end != transport.Overfull {
 			return end
 		}
-		if !o.reject(b) {
-			// The buffer holds a part of one command: the reader finds memory for it, or stops reading.
+		if !o.rejectOldest(b) {
+			// The buffer holds a partial command: commandReader grows the buffer for it, or stops reading.
 			return transport.Open
 		}
 	}
 }
 
-// reject rejects the oldest commands in the buffer until half of it is free, false where there is no whole one.
-func (o *overflow) reject(b *Balancer) (isAnyRejected bool) {
+// rejectOldest rejects the oldest commands in the buffer until half of its content is consumed. It returns false if the buffer
+// holds no whole command.
+func (o *overflow) rejectOldest(b *Balancer) (isAnyRejected bool) {
 	for target := len(o.client.Unread()) / 2; len(o.client.Unread()) > target; isAnyRejected = true {
 		arguments, length, err := protocol.ParseCommand(o.client.Unread())
 		if err != nil || length == 0 {
 			break
 		}
-		b.countOverflow(arguments)
+		b.countRejectedCommand(arguments)
 		o.client.Skip(length)
 		if o.run == nil || !o.run.add() {
 			o.run = &rejectionRun{count: 1}
@@ -93,8 +94,8 @@
 	return isAnyRejected
 }
 
-// countOverflow counts a rejected command as not admitted, by its workload.
-func (b *Balancer) countOverflow(arguments [][]byte) {
+// countRejectedCommand counts a rejected command as not admitted, under its workload.
+func (b *Balancer) countRejectedCommand(arguments [][]byte) {
 	verb, err := protocol.ParseRequest(arguments)
 	if !verb.IsRequest() || err != nil {
 		return
--- a/routing/requests.go
+++ b/routing/requests.go
@@ -2,25 +2,26 @@
 
 import "hollylever/settings"
 
-// requestTable holds the requests that have not been released, and what they take. Balancer.mu guards it.
+// requestTable holds the requests that have not been released, and accounts for their memory. Balancer.mu guards it.
 type requestTable struct {
 	slots          []requestSlot
 	indices        settings.IndexAllocator // of slots
-	openIDs        map[string]bool         // of requests that have no final answer
-	bytes          int64                   // of memory that the requests take
+	openIDs        map[string]bool         // of requests without a final reply
+	bytes          int64                   // of memory in use by the requests
 	maxBytes       int64
-	maxHeld        int // requests, by the settings
-	maxHeldByFleet int // requests, by the fleet's configuration; it counts once leaseCheck is set
-	eventCapacity  int // of each request's channel of events
+	maxHeld        int // bound on unreleased requests from the settings
+	maxHeldByFleet int // bound on unreleased requests from the fleet's configuration; applies once leaseCheck is set
+	eventCapacity  int // of each request's event channel
 }
 
-// requestSlot is what the policy's side knows of one request. A slot that is not in use is zero.
+// requestSlot is the state of one request that Balancer.mu guards and the policy's decisions update. The state that the
+// request's goroutine owns is in exchange. An unused slot is zero.
 type requestSlot struct {
 	events           chan event
 	attemptEndpoints []int // the endpoint of each attempt, in the order of the attempts
-	isFinal          bool  // its final answer is decided, or its client has gone
-	clientGoneAt     int64 // by the policy's clock; 0: it has not
-	attemptDeadline  int64 // by the policy's clock; a final answer at that time still arrives in time
+	isFinal          bool  // its final reply is decided, or its client has disconnected
+	disconnectedAt   int64 // when its client disconnected, by the policy's clock; 0: it has not
+	attemptDeadline  int64 // by the policy's clock; a final reply decided by then still reaches the client in time
 }
 
 func newRequestTable(settings map[string]any, maxBytes int64) requestTable {
@@ -28,14 +29,14 @@
 		openIDs:  map[string]bool{},
 		maxBytes: maxBytes,
 		maxHeld:  max(1, int(settingNumber(settings, "allowed.mostHeld"))),
-		// Guards against a send that blocks under the lock. An attempt has four events at most: it is started,
-		// cancelled, its client is found gone or its value begins, and it ends; a request has a rejection or failure
-		// besides.
+		// Has room for all events of a request, so that no send blocks while Balancer.mu is held. An attempt has four
+		// events at most: it is started; it is cancelled; its client is found disconnected or its large value begins; it
+		// ends. The request has a rejection or failure in addition.
 		eventCapacity: 4*max(1, int(settingNumber(settings, "allowed.mostTrips"))) + 2,
 	}
 }
 
-// allocate takes a slot for a request and returns its index, and the channel on which the request is sent its events.
+// allocate takes a slot for a request. It returns the slot's index and the request's event channel.
 func (t *requestTable) allocate() (int, chan event) {
 	events := make(chan event, t.eventCapacity)
 	i := t.indices.Allocate()
@@ -52,8 +53,8 @@
 	t.indices.Free(i)
 }
 
-// isFull reports whether there is no capacity for one more request of so many bytes.
-func (t *requestTable) isFull(bytes int64, isFleetLimited bool) bool {
+// isFull reports whether there is no capacity for one more request that takes this many bytes.
+func (t *requestTable) isFull(bytes int64, appliesFleetLimit bool) bool {
 	held := t.indices.InUse()
-	return held >= t.maxHeld || isFleetLimited && held >= t.maxHeldByFleet || t.bytes+bytes > t.maxBytes
+	return held >= t.maxHeld || appliesFleetLimit && held >= t.maxHeldByFleet || t.bytes+bytes > t.maxBytes
 }
