--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -58,14 +58,14 @@
 
 // checkClient is Open, or CancelledBeforeSent where the client has gone by now: nothing may be sent for it.
 func (x *exchange) checkClient() transport.End {
-	if !x.client.isGone() {
+	if !x.client.hasDisconnected() {
 		return transport.Open
 	}
 	b := x.balancer
 	b.mu.Lock()
 	b.counters.increment(counterWithheld)
 	b.mu.Unlock()
-	x.events <- clientGone{}
+	x.events <- clientDisconnected{}
 	return transport.CancelledBeforeSent
 }
 
@@ -88,7 +88,7 @@
 	}
 	var end transport.End
 	if b.catalog.isSingleShot[x.workload] {
-		end = line.SendHoldingLastByte(message, sendDeadline, x.client.isGone)
+		end = line.SendHoldingLastByte(message, sendDeadline, x.client.hasDisconnected)
 	} else {
 		end = line.Send(message, sendDeadline)
 	}
@@ -104,7 +104,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counters.increment(counterAttemptsSent)
-	if goneAt := b.requests.slots[x.slot].disconnectedAt; goneAt > 0 && startedAt > goneAt+sentAfterDisconnectTolerance {
+	if disconnectedAt := b.requests.slots[x.slot].disconnectedAt; disconnectedAt > 0 && startedAt > disconnectedAt+sentAfterDisconnectTolerance {
 		b.counters.increment(counterSentAfterDisconnect)
 	}
 }
--- a/routing/events.go
+++ b/routing/events.go
@@ -21,8 +21,8 @@
 		number int
 		value  *largeValue
 	}
-	// clientGone says that an attempt was not sent, as the client had gone.
-	clientGone struct{}
+	// clientDisconnected says that an attempt was not sent, as the client had gone.
+	clientDisconnected struct{}
 	// attemptEnded is the last event of an attempt.
 	attemptEnded struct{ attemptResult }
 )
--- a/routing/exchange.go
+++ b/routing/exchange.go
@@ -8,8 +8,8 @@
 	"hollylever/transport"
 )
 
-// outcomeByEnd is what an attempt's end is to the policy. Rejected up to CancelledBeforeSent prove that it never
-// ran: its last byte was not sent.
+// outcomeByEnd maps the end of an attempt to the outcome that the policy is told. The ends from Rejected to
+// CancelledBeforeSent prove that the server did not run the request: it rejected it, or its last byte was not sent.
 var outcomeByEnd = map[transport.End]policy.Outcome{
 	transport.Succeeded:           policy.OK,
 	transport.Failed:              policy.Errored,
@@ -26,21 +26,21 @@
 	transport.Malformed:           policy.Reset,
 }
 
-// client is the client of a request, as far as the request depends on it.
+// client is what an exchange needs to know of the client that sent its request.
 type client struct {
 	receivedAt   time.Time       // when the request's last byte arrived at this machine; its timeout counts from then
 	onAdmitted   func()          // called once the request is admitted
-	disconnected <-chan struct{} // closed when the client disconnects; nil: it never does
-	hasEnded     func() bool     // checks the connection itself; nil: there is none to check
+	disconnected <-chan struct{} // closed once the client's disconnect has been read; nil if it never disconnects
+	hasEnded     func() bool     // checks the connection itself; nil if there is no connection
 }
 
-// isGone reports whether the client has disconnected by now, also where nobody has read the end of its connection
-// yet. Both that end and what starts an attempt may have become due while the process was held up, and are then
-// handled in any order.
-func (c client) isGone() bool { return c.hasEnded != nil && c.hasEnded() }
+// hasDisconnected reports whether the client has disconnected, even if the end of its connection has not been read yet.
+// After a stall of the process, both the end of the connection and the event that starts an attempt may be due, and they
+// are handled in any order.
+func (c client) hasDisconnected() bool { return c.hasEnded != nil && c.hasEnded() }
 
-// exchange is the life of one request: from its arguments over its attempts to its one final answer, and on until its
-// last attempt has ended. One goroutine, that of handleRequest, owns it; attempts read only what is set before they
+// exchange handles one request from its arguments through its attempts to its single final reply, and on until its last
+// attempt has ended. The goroutine that runs handleRequest owns it; attempts read only fields that are set before they
 // start.
 type exchange struct {
 	balancer  *Balancer
@@ -49,75 +49,75 @@
 	reply     pendingReply
 	client    client
 
-	id            string
-	workload      int
-	slot          int // in the request table
-	events        chan event
-	bytes         int64                   // of memory that the request takes
-	connections   []*transport.PooledConn // the connection of each attempt
-	attemptsEnded int
-	isAnswered    bool // it has its final answer, or its client has gone and needs none
-	isClientGone  bool
-	large         *largeValue // that its client is sent; nil without one
-	record        requestRecord
+	id             string
+	workload       int
+	slot           int // in the request table
+	events         chan event
+	bytes          int64                   // of memory in use by the request
+	connections    []*transport.PooledConn // the connection of each attempt
+	attemptsEnded  int
+	isAnswered     bool // it has its final reply, or its client has disconnected and gets none
+	isDisconnected bool
+	largeReply     *largeValue // the large value that is streamed to the client; nil if none
+	record         requestRecord
 }
 
-// handleRequest runs a request to its end.
-func (b *Balancer) handleRequest(arguments [][]byte, isWrite bool, reply pendingReply, from client) {
-	x := &exchange{balancer: b, arguments: arguments, isWrite: isWrite, reply: reply, client: from}
+// handleRequest handles a request from admission to release.
+func (b *Balancer) handleRequest(arguments [][]byte, isWrite bool, reply pendingReply, sender client) {
+	x := &exchange{balancer: b, arguments: arguments, isWrite: isWrite, reply: reply, client: sender}
 	if !x.admit() {
 		return
 	}
-	from.onAdmitted()
+	sender.onAdmitted()
 	x.handleEvents()
-	delivery := <-reply.delivery // Until then its answer takes memory.
+	delivery := <-reply.delivery // Until then its reply occupies memory.
 	x.record.answered = time.Since(x.client.receivedAt)
 	x.logEnd(delivery)
 	x.release()
 }
 
-// handleEvents returns once the request has its final answer and each attempt has ended.
+// handleEvents returns once the request has its final reply and each attempt has ended.
 func (x *exchange) handleEvents() {
 	disconnected := x.client.disconnected
 	for !x.isAnswered || x.attemptsEnded < x.attemptsStarted() {
-		if x.isClientGone {
+		if x.isDisconnected {
 			disconnected = nil
 		}
 		select {
 		case <-disconnected:
-			x.disconnect()
+			x.handleDisconnect()
 		case e := <-x.events:
 			e.handle(x)
 		}
 	}
 }
 
-// attemptsStarted is how many attempts the policy has decided on.
+// attemptsStarted returns how many attempts the policy has decided on.
 func (x *exchange) attemptsStarted() int {
 	x.balancer.mu.Lock()
 	defer x.balancer.mu.Unlock()
 	return len(x.balancer.requests.slots[x.slot].attemptEndpoints)
 }
 
-// disconnect ends what is under way for a client that has gone, once.
-func (x *exchange) disconnect() {
-	if x.isClientGone {
+// handleDisconnect cancels everything unneeded once the client has disconnected. Later calls have no effect.
+func (x *exchange) handleDisconnect() {
+	if x.isDisconnected {
 		return
 	}
-	x.isClientGone = true
+	x.isDisconnected = true
 	if !x.isAnswered {
 		x.record.outcome = outcomeDisconnected
 	}
 	x.isAnswered = true
-	x.cancelAfterDisconnect()
-	x.withdrawUnsent()
-	if x.large != nil {
-		_ = x.large.body.Close()
+	x.cancelInPolicy()
+	x.cancelUnsent()
+	if x.largeReply != nil {
+		_ = x.largeReply.body.Close()
 	}
 }
 
-// cancelAfterDisconnect has the policy decide on no further attempt.
-func (x *exchange) cancelAfterDisconnect() {
+// cancelInPolicy tells the policy of the disconnect, so that it starts no further attempt.
+func (x *exchange) cancelInPolicy() {
 	b := x.balancer
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,21 +134,21 @@
 	slot.disconnectedAt = b.now()
 }
 
-// withdrawUnsent ends the attempts whose last byte has not been sent.
-func (x *exchange) withdrawUnsent() {
-	for _, line := range x.connections {
-		line.CancelUnsent()
+// cancelUnsent cancels the attempts whose last byte has not been sent.
+func (x *exchange) cancelUnsent() {
+	for _, conn := range x.connections {
+		conn.CancelUnsent()
 	}
 }
 
 func (e attemptStarted) handle(x *exchange) {
-	line := x.balancer.pool.NewConn()
-	x.connections = append(x.connections, line)
+	conn := x.balancer.pool.NewConn()
+	x.connections = append(x.connections, conn)
 	x.record.attempts = append(x.record.attempts, attemptRecord{server: e.name, sent: time.Since(x.client.receivedAt)})
 	if x.isAnswered {
-		line.Cancel() // The client disconnected between the decision and this.
+		conn.Cancel() // The client disconnected after the policy decided on this attempt.
 	}
-	go x.runAttempt(line, e.attempt)
+	go x.runAttempt(conn, e.attempt)
 }
 
 func (e attemptCancelled) handle(x *exchange) { x.connections[e.number].Cancel() }
@@ -159,16 +159,16 @@
 
 func (requestFailed) handle(x *exchange) { x.finish(protocol.AppendFailed(nil), outcomeFailed) }
 
-func (clientGone) handle(x *exchange) { x.disconnect() }
+func (clientDisconnected) handle(x *exchange) { x.handleDisconnect() }
 
-// finish gives the final answer, if none was given.
+// finish sends the final reply, unless the request already has one.
 func (x *exchange) finish(answer []byte, outcome string) {
 	if x.isAnswered {
 		return
 	}
 	x.isAnswered = true
 	x.record.outcome = outcome
-	x.withdrawUnsent()
+	x.cancelUnsent()
 	b := x.balancer
 	b.mu.Lock()
 	delete(b.requests.openIDs, x.id)
@@ -177,23 +177,23 @@
 	x.reply.reply <- reply{bytes: answer}
 }
 
-// handle passes a large value on to the client as it comes, unless the request has its final answer. It counts as
+// handle streams a large value to the client, unless the request already has its final reply. The request is counted as
 // answered once the value is complete.
 func (e responseStarted) handle(x *exchange) {
 	isAccepted := x.acceptLargeValue(e.number)
 	if e.value.isAccepted <- isAccepted; !isAccepted {
 		return
 	}
-	x.large, x.isAnswered, x.record.outcome = e.value, true, outcomeAnswered
-	for number, line := range x.connections {
+	x.largeReply, x.isAnswered, x.record.outcome = e.value, true, outcomeAnswered
+	for number, conn := range x.connections {
 		if number != e.number {
-			line.Cancel()
+			conn.Cancel()
 		}
 	}
-	x.reply.reply <- reply{bytes: protocol.AppendLargeValueHeader(nil, x.large.size), value: x.large.body}
+	x.reply.reply <- reply{bytes: protocol.AppendLargeValueHeader(nil, x.largeReply.size), value: x.largeReply.body}
 }
 
-// acceptLargeValue makes an attempt's large value the final answer, unless there is one.
+// acceptLargeValue makes an attempt's large value the final reply. It returns false if there already is one.
 func (x *exchange) acceptLargeValue(number int) bool {
 	b := x.balancer
 	b.mu.Lock()
@@ -203,13 +203,13 @@
 		return false
 	}
 	slot.isFinal = true
-	b.requests.bytes += 2 * pieceSize // One piece is read while one is written.
+	b.requests.bytes += 2 * pieceSize // One piece is read while another is written.
 	x.bytes += 2 * pieceSize
 	b.policy.HandleResponseStarted(x.slot, number)
 	return true
 }
 
-// handle passes an attempt's end to the policy. The first value that comes is the final answer.
+// handle passes an attempt's end to the policy. The first value that arrives is the final reply.
 func (e attemptEnded) handle(x *exchange) {
 	x.attemptsEnded++
 	if isFinal := x.recordResult(e.attemptResult); isFinal {
@@ -217,7 +217,7 @@
 	}
 }
 
-// recordResult counts an attempt's end and passes it to the policy. It reports whether it has the final answer.
+// recordResult counts an attempt's end and passes it to the policy. It reports whether the result is the final reply.
 func (x *exchange) recordResult(r attemptResult) (isFinal bool) {
 	b := x.balancer
 	b.mu.Lock()
@@ -251,20 +251,20 @@
 	return isFinal
 }
 
-// outcomeOf is what an attempt's end is to the policy; under the lock.
+// outcomeOf returns the outcome of an attempt that the policy is told. The caller holds Balancer.mu.
 func (x *exchange) outcomeOf(r attemptResult) policy.Outcome {
 	outcome := outcomeByEnd[r.end]
 	switch {
-	case x.large == nil:
-	case r.value == x.large:
+	case x.largeReply == nil:
+	case r.value == x.largeReply:
 		x.countLargeValue(outcome)
 	case outcome == policy.OK:
-		return policy.Cancelled // It came after the large value had begun: nobody waits for it.
+		return policy.Cancelled // The large value had begun before, and it is the final reply.
 	}
 	return outcome
 }
 
-// countLargeValue counts the final answer of a request whose client is sent a large value; under the lock.
+// countLargeValue counts the final reply of a request whose client is sent a large value. The caller holds Balancer.mu.
 func (x *exchange) countLargeValue(outcome policy.Outcome) {
 	b := x.balancer
 	delete(b.requests.openIDs, x.id)
@@ -275,7 +275,7 @@
 	}
 }
 
-// release gives back what the request took.
+// release frees the request's memory and slot, and the endpoints of its attempts.
 func (x *exchange) release() {
 	b := x.balancer
 	b.mu.Lock()
--- a/routing/requestlog.go
+++ b/routing/requestlog.go
@@ -95,7 +95,7 @@
 	case record.outcome == outcomeDisconnected:
 	case result == writeTimedOut:
 		return counterUnanswered
-	case result == delivered && record.answered > record.timeout+lateTolerance && record.timeout > 0 && x.large == nil:
+	case result == delivered && record.answered > record.timeout+lateTolerance && record.timeout > 0 && x.largeReply == nil:
 		return counterLate
 	}
 	return ""
