--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -9,55 +9,56 @@
 )
 
 const (
-	// maxSendTime bounds the time from when an attempt states its timeout to the server until its last byte is sent:
-	// the protocol allows the attempt to state 150 ms too much. A large value takes longer: it states half of what is
-	// left and has the other half.
+	// maxSendTime bounds the time from when an attempt states its timeout to the server until its last byte is sent. The
+	// protocol allows the stated timeout to exceed the remaining time by 150 ms. Sending a large value takes longer: such
+	// an attempt states half of the remaining time and may spend the other half on sending.
 	maxSendTime = 100 * time.Millisecond
 
-	// nextPieceTimeout bounds the wait for the next piece of an answer that has begun: a server that stops halfway
-	// must not take all the time that a retry needs.
+	// nextPieceTimeout bounds the wait for the next part of a reply that has begun, so that a server that stops halfway
+	// leaves enough time for a retry.
 	nextPieceTimeout = 250 * time.Millisecond
 
-	// sentAfterDisconnectTolerance in ns: an attempt that is sent so long after its client disconnected did not just
-	// cross that.
+	// sentAfterDisconnectTolerance, in ns, is how long after its client's disconnect an attempt may begin to be sent
+	// before it is counted as sent after the disconnect. Within it, the two may simply have crossed.
 	sentAfterDisconnectTolerance = int64(50 * time.Millisecond)
 )
 
-// runAttempt sends a request to an endpoint once, and sends the exchange how that ends. It is careful to send as
-// little as possible of which nobody can tell whether it ran.
-func (x *exchange) runAttempt(line *transport.PooledConn, a attempt) {
+// runAttempt sends a request to an endpoint once and reports to the exchange how that ended. It avoids, as far as
+// possible, sending requests of which it is then unknown whether the server ran them.
+func (x *exchange) runAttempt(conn *transport.PooledConn, a attempt) {
 	result := attemptResult{attempt: a}
 	deadline := x.balancer.timeAt(a.deadline)
-	end, isUnused := x.connectAndSend(line, a, deadline)
+	end, isUnused := x.connectAndSend(conn, a, deadline)
 	isReusable := false
 	if end == transport.Open {
-		end, isReusable = x.readAnswer(line, deadline, &result)
+		end, isReusable = x.readAnswer(conn, deadline, &result)
 	}
-	line.Release(isUnused || isReusable && end <= transport.Rejected)
+	conn.Release(isUnused || isReusable && end <= transport.Rejected)
 	result.end = end
 	x.events <- attemptEnded{result}
 }
 
-// connectAndSend is Open once the request's last byte was sent. isUnused: it was not sent, and nothing was written to
-// the connection.
-func (x *exchange) connectAndSend(line *transport.PooledConn, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
-	if end := x.checkClient(); end != transport.Open {
+// connectAndSend connects to the endpoint and sends the request. It returns Open once the last byte was sent. isUnused
+// reports that the request was not sent, nothing was written to the connection, and it may be reused.
+func (x *exchange) connectAndSend(conn *transport.PooledConn, a attempt, deadline time.Time) (end transport.End, isUnused bool) {
+	if end := x.checkConnected(); end != transport.Open {
 		return end, false
 	}
-	if end := line.Connect(transport.Peer{Server: a.endpoint, Address: a.address}, deadline); end != transport.Open {
+	if end := conn.Connect(transport.Peer{Server: a.endpoint, Address: a.address}, deadline); end != transport.Open {
 		return end, false
 	}
 	if x.balancer.isDraining(a.endpoint) {
-		return transport.CancelledBeforeSent, false // The list said so while the connection came up.
+		return transport.CancelledBeforeSent, false // The drain was listed while the connection was being established.
 	}
-	if end := x.checkClient(); end != transport.Open {
+	if end := x.checkConnected(); end != transport.Open {
 		return end, true
 	}
-	return x.writeRequest(line, deadline), false
+	return x.writeRequest(conn, deadline), false
 }
 
-// checkClient is Open, or CancelledBeforeSent where the client has gone by now: nothing may be sent for it.
-func (x *exchange) checkClient() transport.End {
+// checkConnected returns Open if the client is still connected. Otherwise it returns CancelledBeforeSent and tells the
+// exchange, since nothing may be sent for a client that has disconnected.
+func (x *exchange) checkConnected() transport.End {
 	if !x.client.hasDisconnected() {
 		return transport.Open
 	}
@@ -69,28 +70,28 @@
 	return transport.CancelledBeforeSent
 }
 
-// writeRequest writes the request to a server's connection: Open once its last byte was sent.
-func (x *exchange) writeRequest(line *transport.PooledConn, deadline time.Time) transport.End {
+// writeRequest writes the request to a server's connection. It returns Open once the last byte was sent.
+func (x *exchange) writeRequest(conn *transport.PooledConn, deadline time.Time) transport.End {
 	b := x.balancer
 	startedAt := b.now()
-	left := time.Until(deadline)
-	statedTimeout, sendDeadline := left, earlier(deadline, time.Now().Add(maxSendTime))
+	remaining := time.Until(deadline)
+	statedTimeout, sendDeadline := remaining, earlier(deadline, time.Now().Add(maxSendTime))
 	if protocol.HasLargeValue(x.arguments) {
-		statedTimeout = left / 2
+		statedTimeout = remaining / 2
 		sendDeadline = deadline.Add(-statedTimeout)
 	}
 	message, rest := protocol.AppendRequest(nil, x.arguments, int64(statedTimeout))
 	if rest != nil {
-		if end := line.SendPart(message, sendDeadline); end != transport.Open {
+		if end := conn.SendPart(message, sendDeadline); end != transport.Open {
 			return end
 		}
 		message = rest
 	}
 	var end transport.End
 	if b.catalog.isSingleShot[x.workload] {
-		end = line.SendHoldingLastByte(message, sendDeadline, x.client.hasDisconnected)
+		end = conn.SendHoldingLastByte(message, sendDeadline, x.client.hasDisconnected)
 	} else {
-		end = line.Send(message, sendDeadline)
+		end = conn.Send(message, sendDeadline)
 	}
 	if end == transport.Open {
 		x.countSent(startedAt)
@@ -98,7 +99,8 @@
 	return end
 }
 
-// countSent counts an attempt whose last byte was sent, and whether that began well after its client disconnected.
+// countSent counts an attempt whose last byte was sent. It counts separately one whose sending began more than
+// sentAfterDisconnectTolerance after the client's disconnect.
 func (x *exchange) countSent(startedAt int64) {
 	b := x.balancer
 	b.mu.Lock()
@@ -116,18 +118,19 @@
 	return other
 }
 
-// readAnswer reads the server's answer into the result. isReusable: nothing but whole answers came on the connection.
-func (x *exchange) readAnswer(line *transport.PooledConn, deadline time.Time, result *attemptResult) (end transport.End, isReusable bool) {
+// readAnswer reads the server's reply into the result. isReusable reports that nothing but whole replies arrived on the
+// connection.
+func (x *exchange) readAnswer(conn *transport.PooledConn, deadline time.Time, result *attemptResult) (end transport.End, isReusable bool) {
 	for {
-		if size, start := protocol.ParseLargeValueHeader(line.Unread()); size > 0 {
+		if size, start := protocol.ParseLargeValueHeader(conn.Unread()); size > 0 {
 			result.latency = x.balancer.now() - result.startedAt
-			line.Skip(start)
-			return x.streamValue(line, size, result)
+			conn.Skip(start)
+			return x.streamValue(conn, size, result)
 		}
-		response := protocol.ParseResponse(line.Unread())
+		response := protocol.ParseResponse(conn.Unread())
 		result.cacheResult = int(response.CacheResult)
 		if response.End == transport.Open {
-			if end := readMore(line, deadline); end != transport.Open {
+			if end := readMore(conn, deadline); end != transport.Open {
 				return end, true
 			}
 			continue
@@ -136,25 +139,25 @@
 			result.answer = protocol.AppendValue(nil, response.Value)
 		}
 		result.load = x.balancer.parseReport(response.Report)
-		line.Skip(response.Length)
+		conn.Skip(response.Length)
 		return response.End, true
 	}
 }
 
-// readMore reads the next piece of an answer. Guards against an answer that begins and does not end.
-func readMore(line *transport.PooledConn, deadline time.Time) transport.End {
-	hasBegun := len(line.Unread()) > 0
+// readMore reads the next part of a reply. A reply that has begun must go on within nextPieceTimeout.
+func readMore(conn *transport.PooledConn, deadline time.Time) transport.End {
+	hasBegun := len(conn.Unread()) > 0
 	if hasBegun && time.Until(deadline) > nextPieceTimeout {
 		deadline = time.Now().Add(nextPieceTimeout)
 	}
-	end := line.Fill(deadline)
+	end := conn.Fill(deadline)
 	if end == transport.ResponseTimedOut && hasBegun {
 		return transport.Malformed
 	}
 	return end
 }
 
-// parseReport reads a server's load report, nil if there is none.
+// parseReport parses a server's load report. It returns nil if there is none.
 func (b *Balancer) parseReport(text []byte) []float64 {
 	if load := make([]float64, len(b.catalog.reportFields)); settings.ParseReport(text, "=", b.catalog.reportFields, load) {
 		return load
