--- a/routing/events.go
+++ b/routing/events.go
@@ -2,8 +2,8 @@
 
 import "hollylever/transport"
 
-// event is sent to an exchange: a decision of the policy, or the progress of one of its attempts. The goroutine of
-// the request handles its events one after the other.
+// event is sent to an exchange: a decision of the policy, or the progress of one of its attempts. The request's
+// goroutine handles its events one at a time.
 type event interface{ handle(x *exchange) }
 
 // Decisions of the policy.
@@ -16,18 +16,18 @@
 
 // Progress of an attempt.
 type (
-	// responseStarted says that an attempt has the beginning of a large value.
+	// responseStarted reports that an attempt has received the beginning of a large value.
 	responseStarted struct {
 		number int
 		value  *largeValue
 	}
-	// clientDisconnected says that an attempt was not sent, as the client had gone.
+	// clientDisconnected reports that an attempt was not sent because the client had disconnected.
 	clientDisconnected struct{}
 	// attemptEnded is the last event of an attempt.
 	attemptEnded struct{ attemptResult }
 )
 
-// attempt is one sending of a request to an endpoint.
+// attempt is one try of a request at an endpoint.
 type attempt struct {
 	number        int // among the request's attempts, from 0
 	endpoint      int
@@ -42,7 +42,7 @@
 	end         transport.End
 	answer      []byte      // for the client; nil without one
 	value       *largeValue // nil unless a large value began
-	latency     int64       // in ns until a large value began; else 0, and it is taken when the event is handled
-	cacheResult int         // as the server states it
+	latency     int64       // in ns, until a large value began; 0 otherwise: then measured when the event is handled
+	cacheResult int         // as stated by the server
 	load        []float64   // the server's load report; nil without one
 }
--- a/routing/executor.go
+++ b/routing/executor.go
@@ -6,11 +6,12 @@
 	"hollylever/policy"
 )
 
-// The methods in this file are the policy's executor: it calls them under Balancer.mu, and none of them blocks.
+// The methods in this file implement policy.Executor. The policy calls them while Balancer.mu is held, and none of them
+// blocks.
 
 var _ policy.Executor = (*Balancer)(nil)
 
-// Send starts an attempt of a request at an endpoint, which ends at the deadline at the latest.
+// Send starts an attempt of a request at an endpoint. The attempt ends at the deadline at the latest.
 func (b *Balancer) Send(request, endpoint int, deadline int64) {
 	slot, e := &b.requests.slots[request], &b.endpoints.all[endpoint]
 	slot.events <- attemptStarted{attempt{
@@ -31,7 +32,7 @@
 	}
 }
 
-// Reject ends a request: it did not run, and the client may send it again after a while.
+// Reject ends a request that did not run. The client may send it again after retryAfter.
 func (b *Balancer) Reject(request int, reason policy.Reason, retryAfter int64) {
 	slot := &b.requests.slots[request]
 	slot.isFinal = true
@@ -39,7 +40,7 @@
 	slot.events <- requestRejected{retryAfter}
 }
 
-// Fail ends a request of which nobody can tell whether it ran.
+// Fail ends a request of which it is unknown whether it ran.
 func (b *Balancer) Fail(request int, reason policy.Reason) {
 	slot := &b.requests.slots[request]
 	slot.isFinal = true
@@ -47,12 +48,12 @@
 	slot.events <- requestFailed{}
 }
 
-// Cancel ends an attempt.
+// Cancel cancels an attempt.
 func (b *Balancer) Cancel(request, number int) {
 	b.requests.slots[request].events <- attemptCancelled{number}
 }
 
-// SetTimer has the policy's HandleTimer called with a tag after a time in ns.
+// SetTimer calls the policy's HandleTimer with a tag after a time in ns.
 func (b *Balancer) SetTimer(tag int, after int64) {
 	time.AfterFunc(time.Duration(after), func() {
 		b.mu.Lock()
@@ -65,6 +66,6 @@
 func (b *Balancer) WatchEndpoints() {
 	select {
 	case b.watchRequested <- struct{}{}:
-	default: // It is asked for already.
+	default: // A request for a watch is already pending.
 	}
 }
--- a/routing/largevalue.go
+++ b/routing/largevalue.go
@@ -20,7 +20,7 @@
 )
 
 // errTruncated tells the reader of a large value that the rest of the value will not arrive.
-var errTruncated = errors.New("large value truncated by the server or cancelled")
+var errTruncated = errors.New("large value was not received completely")
 
 // largeValue is a large value whose beginning an attempt has received. The exchange accepts it as the final reply or
 // refuses it.
--- a/routing/reply.go
+++ b/routing/reply.go
@@ -8,12 +8,12 @@
 	"hollylever/transport"
 )
 
-// writeTimeout is how long a client may take to read an answer, or a piece of a large one: one that stays and does
-// not read must not keep the memory of its answers.
+// writeTimeout is how long a client may take to read a reply, or a piece of a large value. It bounds how long a client
+// that stays connected without reading can occupy memory with its replies.
 const writeTimeout = 10 * time.Second
 
-// pendingReply is the place of a command among its client's: its reply once there is one, and what became of that
-// once nothing more is done for it.
+// pendingReply holds a command's position among the client's replies. It receives the reply once there is one, and then
+// how the delivery of that reply ended.
 type pendingReply struct {
 	reply    chan reply
 	delivery chan delivery
@@ -21,17 +21,17 @@
 
 func newPendingReply() pendingReply { return pendingReply{make(chan reply, 1), make(chan delivery, 1)} }
 
-// immediateReply is the pending reply of a command that is answered at once.
+// immediateReply returns the pending reply of a command whose reply is already known.
 func immediateReply(r reply) pendingReply {
 	pending := newPendingReply()
 	pending.reply <- r
 	return pending
 }
 
-// await returns the reply, or isThere false where the client disconnects before there is one. A client that has
-// disconnected may only have ended its sending: a reply that is there by then is written. Without one no later one
-// may be, which the client would take for this.
-func (p pendingReply) await(disconnected <-chan struct{}) (r reply, isThere bool) {
+// await returns the reply, or ok false if the client disconnects before there is one. A disconnect may be a half-close,
+// after which the client still reads: a reply that is ready by then is written. If there is none, no later reply may be
+// written either, since the client would take it for this one.
+func (p pendingReply) await(disconnected <-chan struct{}) (r reply, ok bool) {
 	select {
 	case r = <-p.reply:
 		return r, true
@@ -45,25 +45,25 @@
 	}
 }
 
-// delivery is what became of an answer.
+// delivery is how the delivery of a reply ended.
 type delivery int
 
 const (
 	delivered       delivery = iota
-	clientClosed             // the client ended the connection, or there was no answer as it had gone
+	clientClosed             // the client closed the connection, or disconnected before there was a reply
 	writeTimedOut            // the client did not read for writeTimeout
-	valueIncomplete          // a large value could not be passed on to its end
+	valueIncomplete          // a large value could not be streamed completely
 )
 
-// reply is what a client is sent: bytes, and behind them a large value as it comes. Or it is the answers to a run of
-// rejected commands.
+// reply is what a client is sent for one command: bytes, followed by a large value if there is one. It may instead be
+// the replies to a run of rejected commands.
 type reply struct {
 	bytes    []byte
-	value    *io.PipeReader // nil without one
-	rejected *rejectionRun  // nil without one
+	value    *io.PipeReader // nil if there is no large value
+	rejected *rejectionRun  // nil if this is not a run of rejections
 }
 
-// writeTo writes one reply.
+// writeTo writes the reply to the client.
 func (r reply) writeTo(c *transport.Client) delivery {
 	switch end := c.Send(r.bytes, time.Now().Add(writeTimeout)); {
 	case end == transport.TimedOutBeforeSent:
@@ -78,12 +78,12 @@
 	return delivered
 }
 
-// copyValue gives the client a large value as it comes, and reports whether all of it went out.
+// copyValue streams a large value to the client, and reports whether all of it was written.
 func copyValue(c *transport.Client, value *io.PipeReader) bool {
 	if value == nil {
 		return true
 	}
-	defer func() { _ = value.Close() }() // The attempt that writes into it learns that nobody reads any more.
+	defer func() { _ = value.Close() }() // Further writes by the attempt fail.
 	for piece := make([]byte, pieceSize); ; {
 		n, err := value.Read(piece)
 		if n > 0 && c.Send(piece[:n], time.Now().Add(writeTimeout)) != transport.Open {
--- a/routing/requestlog.go
+++ b/routing/requestlog.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// lateTolerance is how long after a request's deadline its answer counts as late: one that is sent in time may
-	// still be on its way.
+	// lateTolerance is how long after a request's deadline its reply may be written without counting as late: it may have
+	// been sent in time and still be on its way.
 	lateTolerance = 20 * time.Millisecond
 
-	// maxWarningsPerSecond bounds the lines of requests at the level warn; what is over it is counted and said with
-	// the next one.
+	// maxWarningsPerSecond bounds the log lines about requests at level warn. Lines beyond it are suppressed; the next
+	// line states how many.
 	maxWarningsPerSecond = 10
 )
 
-// attemptRecord is what the log has of an attempt.
+// attemptRecord is what the request log states about an attempt.
 type attemptRecord struct {
 	server string
 	sent   time.Duration // since the request was received
 	took   time.Duration
-	end    transport.End // Open: it has not ended
+	end    transport.End // Open until it has ended
 }
 
-// requestRecord is what the log has of a request. The request's own goroutine alone writes it.
+// requestRecord is what the request log states about a request. Only the request's goroutine writes it.
 type requestRecord struct {
-	waited   time.Duration // until it was handled
-	timeout  time.Duration // of its client
+	waited   time.Duration // from receipt until it was handled
+	timeout  time.Duration // as stated by its client
 	outcome  string        // one of the outcome constants
-	answered time.Duration // until its answer was written
+	answered time.Duration // from receipt until delivery of its reply ended
 	attempts []attemptRecord
 }
 
-// String lists the attempts: server, when it was sent, how and after which time it ended.
+// String lists the attempts, each with its server, when it was started, how it ended and how long it took.
 func (r *requestRecord) String() string {
 	var all []string
 	for _, a := range r.attempts {
@@ -46,20 +46,20 @@
 	return strings.Join(all, "; ")
 }
 
-// warnings bounds how many lines are written a second.
+// warnings limits the rate of warn lines to maxWarningsPerSecond.
 type warnings struct {
-	mu         sync.Mutex // guards the fields below
-	second     time.Time  // when the present second began
-	written    int        // in it
-	suppressed int        // since the last line
+	mu          sync.Mutex // guards the fields below
+	windowStart time.Time  // start of the current one-second window
+	written     int        // lines in the current window
+	suppressed  int        // lines since the last one that was written
 }
 
-// allow reports whether a line may be written now, and how many were not since the last one.
+// allow reports whether a line may be written now, and if so, how many were suppressed since the last one.
 func (w *warnings) allow(now time.Time) (suppressed int, isAllowed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.second) >= time.Second {
-		w.second, w.written = now, 0
+	if now.Sub(w.windowStart) >= time.Second {
+		w.windowStart, w.written = now, 0
 	}
 	if w.written >= maxWarningsPerSecond {
 		w.suppressed++
@@ -70,7 +70,7 @@
 	return suppressed, true
 }
 
-// logEnd logs a request: at the level debug, or at warn where it ended as it should not.
+// logEnd logs a finished request: at level warn if there was a problem with its end, else at level debug.
 func (x *exchange) logEnd(result delivery) {
 	b := x.balancer
 	problem := x.problem(result)
@@ -88,7 +88,7 @@
 	}
 }
 
-// problem is the counter of what was wrong with a request's end; "" where nothing was.
+// problem returns the counter for what was wrong with a request's end, or "" if nothing was.
 func (x *exchange) problem(result delivery) string {
 	record := &x.record
 	switch {
@@ -107,7 +107,7 @@
 		Int64("waited_ms", record.waited.Milliseconds()).Int64("answered_ms", record.answered.Milliseconds()).Str("attempts", record.String())
 }
 
-// logClosed counts a client's connection that has ended, and logs it at the level debug.
+// logClosed counts a client connection that has ended, and logs it at level debug.
 func (b *Balancer) logClosed(c *transport.Client, end transport.End) {
 	b.mu.Lock()
 	b.counters.increment(counterClosedPrefix + end.String())
