--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -25,7 +25,7 @@
 
 const initialList = `{"index":3,"snapshot":true,"endpoints":[{"name":"s","address":"ADDRESS","status":"Ready","type":"novel","zone":"novel"}]}`
 
-// closedAddress returns an address where nothing listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,15 +35,16 @@
 	return l.Addr().String()
 }
 
-// newTestBalancer makes a balancer with one endpoint, at which nothing listens, and so many bytes for requests.
-func newTestBalancer(t *testing.T, most int64) *Balancer {
-	return newTestBalancerWith(t, most, settings.Flatten(gjson.Parse(testSettings)))
+// newTestBalancer returns a balancer with one endpoint, on whose address nothing listens, and maxBytes of memory for
+// requests.
+func newTestBalancer(t *testing.T, maxBytes int64) *Balancer {
+	return newTestBalancerWith(t, maxBytes, settings.Flatten(gjson.Parse(testSettings)))
 }
 
-// newTestBalancerWith is newTestBalancer with other settings.
-func newTestBalancerWith(t *testing.T, most int64, stated map[string]any) *Balancer {
+// newTestBalancerWith is like newTestBalancer, with the given settings.
+func newTestBalancerWith(t *testing.T, maxBytes int64, values map[string]any) *Balancer {
 	pool := transport.NewPool(8, time.Minute, time.Second)
-	b, err := New(stated, []byte(strings.Replace(initialList, "ADDRESS", closedAddress(t), 1)), "", 1, pool, most, "",
+	b, err := New(values, []byte(strings.Replace(initialList, "ADDRESS", closedAddress(t), 1)), "", 1, pool, maxBytes, "",
 		nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -51,32 +52,33 @@
 	return b
 }
 
-// requestArguments are those of a read with a list of fields.
-func requestArguments(list string) [][]byte {
-	return [][]byte{[]byte("C.GET"), []byte("k"), []byte("id"), []byte(list)}
+// requestArguments returns the arguments of a read with the given attributes.
+func requestArguments(attributes string) [][]byte {
+	return [][]byte{[]byte("C.GET"), []byte("k"), []byte("id"), []byte(attributes)}
 }
 
-// applyTestList applies a list as a watch does.
+// applyTestList applies an endpoint list in the way a watch does.
 func (b *Balancer) applyTestList(t *testing.T, line string) {
 	if err := b.applyList(context.Background(), []byte(line), false); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// entryJSON is an entry of a list.
+// entryJSON returns an entry of an endpoint list.
 func entryJSON(name, address, status string, started int) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"status":%q,"type":"std","zone":"z","since_ms":%d}`, name, address, status, started)
 }
 
-// incrementalList is a list of changes.
-func incrementalList(rows ...string) string {
-	return `{"index":9,"snapshot":false,"endpoints":[` + strings.Join(rows, ",") + `]}`
+// incrementalList returns an endpoint list that states changes only.
+func incrementalList(entries ...string) string {
+	return `{"index":9,"snapshot":false,"endpoints":[` + strings.Join(entries, ",") + `]}`
 }
 
-// eventTimeout is for what has to come at once; nothing here ends by itself before.
+// eventTimeout is how long to wait for something that has to happen at once. Nothing that a test waits for with it ends
+// by itself sooner.
 const eventTimeout = 3 * time.Second
 
-// serveClients serves clients before a balancer until the test ends.
+// serveClients has a balancer serve clients until the test ends, and returns the address to connect to.
 func serveClients(t *testing.T, b *Balancer, changes ...func(*transport.Listener)) string {
 	l, err := transport.Listen("127.0.0.1:0", 100)
 	if err != nil {
@@ -90,23 +92,24 @@
 	return l.Address()
 }
 
-// newBalancerBefore makes a balancer with one endpoint, at an address, and the settings of fakes with some changes.
-func newBalancerBefore(t *testing.T, host string, changes map[string]any) *Balancer {
-	return newBalancerWithSeed(t, 1, host, changes)
+// newBalancerBefore returns a balancer with one endpoint at an address and the settings of package fakes with some
+// changes.
+func newBalancerBefore(t *testing.T, address string, changes map[string]any) *Balancer {
+	return newBalancerWithSeed(t, 1, address, changes)
 }
 
-// newBalancerWithSeed is newBalancerBefore with a seed.
-func newBalancerWithSeed(t *testing.T, seed uint64, host string, changes map[string]any) *Balancer {
-	stated := settings.Flatten(gjson.Parse(fakes.Settings))
+// newBalancerWithSeed is like newBalancerBefore, with a seed for the balancer's random decisions.
+func newBalancerWithSeed(t *testing.T, seed uint64, address string, changes map[string]any) *Balancer {
+	values := settings.Flatten(gjson.Parse(fakes.Settings))
 	for name, value := range changes {
-		stated[name] = value
+		values[name] = value
 	}
-	pool := transport.NewPool(64, time.Minute, time.Duration(stated["allowed.dialTimeout"].(float64))*time.Millisecond)
-	b, err := New(stated, []byte(fakes.List(1, true, fakes.Entry("s", host, "Ready"))), "", seed, pool, 64<<20, "", nil, zerolog.Nop())
+	pool := transport.NewPool(64, time.Minute, time.Duration(values["allowed.dialTimeout"].(float64))*time.Millisecond)
+	b, err := New(values, []byte(fakes.List(1, true, fakes.Entry("s", address, "Ready"))), "", seed, pool, 64<<20, "", nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { pool.SetLimit(0) }) // Idle ones are closed.
+	t.Cleanup(func() { pool.SetLimit(0) }) // Closes idle connections.
 	return b
 }
 
@@ -119,21 +122,21 @@
 	return c.(*net.TCPConn)
 }
 
-// until waits for something that the balancer comes to by itself.
-func until(t *testing.T, what string, is func() bool) {
+// until polls until a condition that the balancer reaches by itself is met. It fails the test after eventTimeout.
+func until(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(eventTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s does not come", what)
+			t.Fatalf("timed out after %v waiting for %s", eventTimeout, what)
 		}
 	}
 }
 
-// counted returns a counter of no workload.
-func (b *Balancer) counted(what string) int {
+// counted returns a counter that is not kept by workload.
+func (b *Balancer) counted(name string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.counters.total(what)
+	return b.counters.total(name)
 }
 
 // requestsHeld returns how many requests have not been released.
@@ -143,10 +146,12 @@
 	return b.requests.indices.InUse()
 }
 
-// getCommand is a read of one key.
-func getCommand(id, list string) string { return fakes.Words("C.GET", "7f3a9c21e0b4d655", id, list) }
+// getCommand returns a command that reads one key.
+func getCommand(id, attributes string) string {
+	return fakes.Words("C.GET", "7f3a9c21e0b4d655", id, attributes)
+}
 
-// scriptedServer is a server that the test speaks for.
+// scriptedServer returns a server whose replies the test sends.
 func scriptedServer(t *testing.T) *fakes.Host {
 	h, err := fakes.Scripted()
 	if err != nil {
@@ -156,9 +161,9 @@
 	return h
 }
 
-// unacceptingServer is an address at which connections do not come up: nobody accepts, and no more may wait. accept
-// has them come up.
-func unacceptingServer(t *testing.T) (address string, accept func(each func(net.Conn))) {
+// unacceptingServer returns an address to which connections cannot be established, since the backlog is full and nothing
+// accepts. Calling accept starts accepting them.
+func unacceptingServer(t *testing.T) (address string, accept func(handle func(net.Conn))) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +181,7 @@
 		t.Fatal(err)
 	}
 	address = fmt.Sprint("127.0.0.1:", name.(*unix.SockaddrInet4).Port)
-	accept = func(each func(net.Conn)) {
+	accept = func(handle func(net.Conn)) {
 		l, err := net.FileListener(file)
 		if err != nil {
 			t.Fatal(err)
@@ -184,31 +189,31 @@
 		t.Cleanup(func() { l.Close() })
 		go func() {
 			for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-				go each(c)
+				go handle(c)
 			}
 		}()
 	}
-	for range 4 { // Until the backlog is full: what comes then gets no answer.
+	for range 4 { // Fills the backlog; further connection attempts get no answer.
 		c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
 			return address, accept
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("connections go on coming up")
+	t.Fatal("connections are still established although nothing accepts them")
 	return "", nil
 }
 
-// slowEventTimeout is for what has to come, though it may take its time.
+// slowEventTimeout is how long to wait for something that has to happen but may be slow.
 const slowEventTimeout = 20 * time.Second
 
-// receive returns the next value of a channel, which has to come.
+// receive returns the next value from a channel. It fails the test if none arrives within slowEventTimeout.
 func receive[T any](t *testing.T, from <-chan T, what string) (x T) {
 	t.Helper()
 	select {
 	case x = <-from:
 	case <-time.After(slowEventTimeout):
-		t.Fatalf("%s does not come", what)
+		t.Fatalf("timed out after %v waiting for %s", slowEventTimeout, what)
 	}
 	return x
 }
@@ -219,7 +224,7 @@
 	c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 	words, err := fakes.Message(bufio.NewReader(c))
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no reply: %v", err)
 	}
 	return strings.Join(words, " ")
 }
