--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// More requests than the memory or the bound on their number allows would have the process killed: such a request is
-// rejected before the policy decides on it.
+// Requests beyond the bound on their memory or number could get the process killed for its memory use. They are rejected
+// before the policy decides on them.
 func TestAdmissionBoundsMemoryAndRequests(t *testing.T) {
 	for _, c := range []struct {
-		most int64
-		held int
+		maxBytes int64
+		held     int
 	}{{10, 0}, {1 << 20, 3}} {
-		b := newTestBalancer(t, c.most)
+		b := newTestBalancer(t, c.maxBytes)
 		b.mu.Lock()
 		for range c.held {
 			b.requests.allocate()
@@ -23,25 +23,25 @@
 		r.delivery <- delivered
 		b.handleRequest(requestArguments("c=read,d=100"), false, r, client{receivedAt: time.Now(), onAdmitted: func() {}, disconnected: nil})
 		if answer := string((<-r.reply).bytes); answer != "-BUSY\r\n" || b.counters.total("trips") != 0 {
-			t.Errorf("%q after %d attempts", answer, b.counters.total("trips"))
+			t.Errorf("reply %q after %d attempts, want -BUSY after none", answer, b.counters.total("trips"))
 		}
 	}
 }
 
-// A server takes a second request of an ID that is open for the same as the first, and could answer either: the
-// second is an error, and the first stays open.
+// A server treats a second request with the ID of an open one as the same request and could answer either of them. The
+// second gets an error, and the first stays open.
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	b.requests.openIDs["id"] = true
 	r := newPendingReply()
 	r.delivery <- delivered
-	b.handleRequest(requestArguments("c=read,d=50"), false, r, client{receivedAt: time.Now(), onAdmitted: func() { t.Error("it counts as a good command") }, disconnected: nil})
+	b.handleRequest(requestArguments("c=read,d=50"), false, r, client{receivedAt: time.Now(), onAdmitted: func() { t.Error("the duplicate counts as a valid command") }, disconnected: nil})
 	if answer := string((<-r.reply).bytes); !strings.HasPrefix(answer, "-ERR") || b.counters.total("trips") != 0 || !b.requests.openIDs["id"] {
-		t.Errorf("%q after %d attempts", answer, b.counters.total("trips"))
+		t.Errorf("duplicate: reply %q after %d attempts, want -ERR after none; open IDs %v", answer, b.counters.total("trips"), b.requests.openIDs)
 	}
 	delete(b.requests.openIDs, "id")
 	b.handleRequest(requestArguments("c=read,d=50"), false, r, client{receivedAt: time.Now(), onAdmitted: func() {}, disconnected: nil})
 	if answer := string((<-r.reply).bytes); !strings.HasPrefix(answer, "-BUSY") || len(b.requests.openIDs) != 0 {
-		t.Errorf("%q, open after its answer: %v", answer, b.requests.openIDs)
+		t.Errorf("reply %q, want -BUSY; IDs still open after it: %v", answer, b.requests.openIDs)
 	}
 }
--- a/routing/exchange_test.go
+++ b/routing/exchange_test.go
@@ -10,16 +10,16 @@
 	"hollylever/transport"
 )
 
-// An attempt that the policy is not told the end of counts as in flight for ever. One that it decides on while the
-// client disconnects is ended too.
+// An attempt whose end the policy is not told counts as in flight for ever. This guards against that for an attempt that
+// the policy starts while the client disconnects.
 func TestAttemptsStartedDuringDisconnectAreEnded(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
-	left := make(chan struct{})
-	close(left)
+	disconnected := make(chan struct{})
+	close(disconnected)
 	for range 40 {
 		r := newPendingReply()
 		r.delivery <- delivered
-		b.handleRequest(requestArguments("c=read,d=1000"), false, r, client{receivedAt: time.Now(), onAdmitted: func() {}, disconnected: left})
+		b.handleRequest(requestArguments("c=read,d=1000"), false, r, client{receivedAt: time.Now(), onAdmitted: func() {}, disconnected: disconnected})
 	}
 	ended := 0
 	for c, n := range b.counters.sinceStart {
@@ -28,24 +28,24 @@
 		}
 	}
 	if b.counters.total("trips") == 0 || ended != b.counters.total("trips") || b.requests.indices.InUse() != 0 || b.requests.bytes != 0 {
-		t.Fatalf("%v, %d held, %d bytes", b.counters.sinceStart, b.requests.indices.InUse(), b.requests.bytes)
+		t.Fatalf("counters %v, %d requests held, %d bytes in use", b.counters.sinceStart, b.requests.indices.InUse(), b.requests.bytes)
 	}
 }
 
-// A single-shot request is retried only where it cannot have run. An outcome that says so of one that may have run
-// does harm; one that does not say so fails requests for nothing.
+// A single-shot request is retried only if it cannot have run. If the outcome says so of a request that may have run,
+// the request may run twice; if it does not say so of one that cannot have run, the request fails without need.
 func TestOutcomeTellsWhetherAttemptMayHaveRun(t *testing.T) {
-	never := map[policy.Outcome]bool{policy.Rejected: true, policy.ConnectFailed: true, policy.NotSent: true, policy.CacheMiss: true}
+	notRunOutcomes := map[policy.Outcome]bool{policy.Rejected: true, policy.ConnectFailed: true, policy.NotSent: true, policy.CacheMiss: true}
 	for end := transport.Succeeded; end <= transport.Malformed; end++ {
-		unrun := end >= transport.Rejected && end <= transport.CancelledBeforeSent
-		if how, known := outcomeByEnd[end]; !known || never[how] != unrun {
-			t.Errorf("%v is outcome %d, %t", end, how, known)
+		isNotRun := end >= transport.Rejected && end <= transport.CancelledBeforeSent
+		if outcome, known := outcomeByEnd[end]; !known || notRunOutcomes[outcome] != isNotRun {
+			t.Errorf("%v maps to outcome %d (known: %t), want one that says not run: %t", end, outcome, known, isNotRun)
 		}
 	}
 }
 
-// Clients that retry a rejected request at once make an overload worse: a rejection states when to come back, within
-// the settings' bound.
+// Clients that retry a rejected request at once make an overload worse. A rejection therefore states when to retry, within
+// the bound from the settings.
 func TestRejectionStatesRetryAfter(t *testing.T) {
 	b := newTestBalancer(t, 1<<20)
 	r := newPendingReply()
@@ -54,6 +54,6 @@
 	answer, after := string((<-r.reply).bytes), 0
 	fmt.Sscanf(answer, "-BUSY %d\r\n", &after)
 	if after < 1 || after > 2000 || b.counters.totalFor("dismissed", 0) != 1 || b.counters.total("trip_refused") == 0 {
-		t.Errorf("%q, %v", answer, b.counters.sinceStart)
+		t.Errorf("reply %q, counters %v", answer, b.counters.sinceStart)
 	}
 }
