--- a/routing/attempt_test.go
+++ b/routing/attempt_test.go
@@ -15,130 +15,130 @@
 	"hollylever/transport"
 )
 
-// A server that drains and gets one more request may stop before it has answered. A drain that is listed while an
-// attempt's connection comes up counts for that attempt: nothing is sent, and another server gets the request.
+// A draining server that gets one more request may stop before it has answered. A drain that is listed while an attempt's
+// connection is being established applies to that attempt: nothing is sent, and another server gets the request.
 func TestDrainDuringConnectWithdrawsAttempt(t *testing.T) {
-	at, hears := unacceptingServer(t)
-	b := newBalancerBefore(t, at, map[string]any{"allowed.dialTimeout": 20000.0})
+	address, accept := unacceptingServer(t)
+	b := newBalancerBefore(t, address, map[string]any{"allowed.dialTimeout": 20000.0})
 	c := dial(t, serveClients(t, b))
 	io.WriteString(c, getCommand("1", "c=read,t=acme,d=20000"))
 	until(t, "an attempt", func() bool { return b.counted("trips") == 1 })
 	h := scriptedServer(t)
-	b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
-	hears(func(late net.Conn) {
-		if n, _ := late.Read(make([]byte, 1)); n > 0 {
-			t.Error("it is sent to the server that drains")
-			io.WriteString(late, fakes.Settled("of the server that drains"))
+	b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", address, "Terminating"), fakes.Entry("other", h.Address, "Ready")))
+	accept(func(conn net.Conn) {
+		if n, _ := conn.Read(make([]byte, 1)); n > 0 {
+			t.Error("the request is sent to the draining server")
+			io.WriteString(conn, fakes.Settled("from the draining server"))
 		}
 	})
 	receive(t, h.Came, "the attempt at the other server").Say(fakes.Settled("v"))
 	if got := readReply(t, c); got != "v" {
-		t.Errorf("it is answered %q", got)
+		t.Errorf("got reply %q, want the value from the other server", got)
 	}
 }
 
-// cuttingServer reads so many bytes of a command and then ends the connection in some way. It counts the whole
-// commands that it got.
-func cuttingServer(t *testing.T, bytes int, ends func(*net.TCPConn)) (address string, whole *atomic.Int32) {
+// disconnectingServer returns a server that reads length bytes of a command and then ends the connection with closeConn.
+// It counts the whole commands that it received.
+func disconnectingServer(t *testing.T, length int, closeConn func(*net.TCPConn)) (address string, wholeCommands *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	whole = &atomic.Int32{}
+	wholeCommands = &atomic.Int32{}
 	go func() {
 		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
 			go func() {
-				came := make([]byte, bytes)
-				if n, _ := io.ReadFull(c, came); n < bytes {
+				received := make([]byte, length)
+				if n, _ := io.ReadFull(c, received); n < length {
 					c.Close()
 					return
 				}
-				if in := bufio.NewReader(strings.NewReader(string(came))); bytes > 0 {
+				if in := bufio.NewReader(strings.NewReader(string(received))); length > 0 {
 					if words, err := fakes.Message(in); err == nil && len(words) == 5 {
-						whole.Add(1)
+						wholeCommands.Add(1)
 					}
 				}
-				ends(c.(*net.TCPConn))
+				closeConn(c.(*net.TCPConn))
 			}()
 		}
 	}()
-	return l.Addr().String(), whole
+	return l.Addr().String(), wholeCommands
 }
 
-// A single-shot request that runs twice does harm. One whose connection ends at any byte, in any way, runs at most
-// once and has one answer; where the connection ended before the last byte the request may be sent elsewhere, and is.
+// A single-shot request must not run twice. Wherever and however its connection ends, it runs at most once and gets one
+// reply. If the connection ended before the last byte, the request may be sent to another server, and is.
 func TestSingleShotRunsAtMostOnceWhereverItsConnectionEnds(t *testing.T) {
-	const list = "c=book,t=acme,d=2000"
-	length := len(fakes.Words("C.SET", "key-0", "1", list, "v"))
+	const attributes = "c=book,t=acme,d=2000"
+	length := len(fakes.Words("C.SET", "key-0", "1", attributes, "v"))
 	for _, way := range []struct {
-		name string
-		ends func(*net.TCPConn)
+		name      string
+		closeConn func(*net.TCPConn)
 	}{
 		{"close", func(c *net.TCPConn) { c.Close() }},
 		{"reset", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }},
-		{"ends sending", func(c *net.TCPConn) { c.CloseWrite() }},
-		{"an error", func(c *net.TCPConn) { io.WriteString(c, "-ERR failed\r\n"); c.Close() }},
-		{"noise", func(c *net.TCPConn) { io.WriteString(c, "*3\r\n$1\r\nx\r\n!"); c.Close() }},
+		{"half-close", func(c *net.TCPConn) { c.CloseWrite() }},
+		{"error reply", func(c *net.TCPConn) { io.WriteString(c, "-ERR failed\r\n"); c.Close() }},
+		{"malformed reply", func(c *net.TCPConn) { io.WriteString(c, "*3\r\n$1\r\nx\r\n!"); c.Close() }},
 	} {
 		t.Run(way.name, func(t *testing.T) {
 			t.Parallel()
-			elsewhere := 0
-			for bytes := range length + 1 {
-				at, whole := cuttingServer(t, bytes, way.ends)
+			totalElsewhere := 0
+			for received := range length + 1 {
+				address, wholeCommands := disconnectingServer(t, received, way.closeConn)
 				h := scriptedServer(t)
-				b := newBalancerBefore(t, at, nil)
-				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", at, "Ready"), fakes.Entry("other", h.Address, "Ready")))
-				address := serveClients(t, b)
-				for n := range 4 { // About half of them go to the one that cuts first.
-					c := dial(t, address)
-					io.WriteString(c, fakes.Words("C.SET", fmt.Sprint("key-", n), fmt.Sprint(n), list, "v"))
+				b := newBalancerBefore(t, address, nil)
+				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", address, "Ready"), fakes.Entry("other", h.Address, "Ready")))
+				balancerAddress := serveClients(t, b)
+				for n := range 4 { // About half of them go to the disconnecting server first.
+					c := dial(t, balancerAddress)
+					io.WriteString(c, fakes.Words("C.SET", fmt.Sprint("key-", n), fmt.Sprint(n), attributes, "v"))
 					done := make(chan string, 1)
 					go func() {
 						c.SetReadDeadline(time.Now().Add(slowEventTimeout))
 						words, err := fakes.Message(bufio.NewReader(c))
 						done <- fmt.Sprint(strings.Join(words, " "), err)
 					}()
-					before, ran, answer := int(whole.Load()), 0, ""
+					wholeBefore, ranElsewhere, answer := int(wholeCommands.Load()), 0, ""
 					for answer == "" {
 						select {
 						case came := <-h.Came:
-							ran++
+							ranElsewhere++
 							came.Say(fakes.Settled("v"))
 						case answer = <-done:
 						}
 					}
-					cut := int(whole.Load()) - before
-					elsewhere += ran
-					if cut+ran > 1 {
-						t.Fatalf("byte %d: it ran %d times", bytes, cut+ran)
+					ranFirst := int(wholeCommands.Load()) - wholeBefore
+					totalElsewhere += ranElsewhere
+					if ranFirst+ranElsewhere > 1 {
+						t.Fatalf("connection ended at byte %d: request ran %d times", received, ranFirst+ranElsewhere)
 					}
-					// Rejected: trying again must do no harm.
-					is := map[string]bool{"v<nil>": ran == 1, "-ERR given up<nil>": ran == 0, "-BUSY<nil>": cut+ran == 0}
-					if !is[answer] {
-						t.Fatalf("byte %d: it is answered %q after %d and %d runs", bytes, answer, cut, ran)
+					// A rejection promises that the request did not run, so that a retry is safe.
+					allowed := map[string]bool{"v<nil>": ranElsewhere == 1, "-ERR given up<nil>": ranElsewhere == 0, "-BUSY<nil>": ranFirst+ranElsewhere == 0}
+					if !allowed[answer] {
+						t.Fatalf("connection ended at byte %d: reply %q after %d runs at the first and %d at the other server", received, answer, ranFirst, ranElsewhere)
 					}
 				}
 			}
-			t.Logf("%d of %d ran elsewhere", elsewhere, 4*(length+1))
+			t.Logf("%d of %d requests ran on the other server", totalElsewhere, 4*(length+1))
 		})
 	}
 }
 
-// A server that begins an answer and never ends it, in any form, must hold neither the client beyond the deadline nor
+// A server that begins a reply and never completes it must neither keep the client waiting beyond the deadline nor keep
 // the request's slot after that.
 func TestUnfinishedAnswerReleasesClientAndSlot(t *testing.T) {
 	large := strings.Repeat("v", 100<<10)
 	for _, c := range []struct {
-		name, begins string
-		trickle      string
-		want         string
+		name, start string
+		trickle     string
+		want        string
 	}{
-		{"nothing behind its beginning", "*3\r\n$5\r\nab", "", "-ERR given up"},
-		{"no rest", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n", "", "-ERR given up"},
+		{"nothing after the start", "*3\r\n$5\r\nab", "", "-ERR given up"},
+		{"no trailer", "*3\r\n$1\r\nv\r\n$3\r\nhit\r\n", "", "-ERR given up"},
 		{"a byte at a time", "*3\r\n$60000\r\n", "x", "-ERR given up"},
-		{"a line without end", "-ERR failed", "x", "-ERR given up"},
-		{"a large value, and a rest that trickles in", fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$60000\r\n", len(large), large), "x", large},
+		{"an endless line", "-ERR failed", "x", "-ERR given up"},
+		{"a large value, and a trailer that trickles in", fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$60000\r\n", len(large), large), "x", large},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -147,7 +147,7 @@
 			client := dial(t, serveClients(t, b))
 			io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", "1", "c=book,t=acme,d=700", "v"))
 			came := receive(t, h.Came, "the command")
-			came.Say(c.begins)
+			came.Say(c.start)
 			go func() {
 				for tick := time.NewTicker(30 * time.Millisecond); c.trickle != ""; {
 					select {
@@ -160,15 +160,15 @@
 				}
 			}()
 			if got := readReply(t, client); got != c.want {
-				t.Errorf("it is answered %.60q", got)
+				t.Errorf("got reply %.60q, want %.60q", got, c.want)
 			}
-			until(t, "the end of its place", func() bool { return b.requestsHeld() == 0 })
+			until(t, "the release of its slot", func() bool { return b.requestsHeld() == 0 })
 		})
 	}
 }
 
 // A connection that stays counted after its end takes capacity from the pool for ever. Open connections are counted
-// right however they end: refused, withdrawn while they come up, cut, broken, kept.
+// correctly however they end: refused, cancelled while connecting, closed, reset or kept idle.
 func TestOpenConnectionsAreCountedHoweverTheyEnd(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, nil)
@@ -190,7 +190,7 @@
 					came.Say("-BUSY\r\n")
 				case 3:
 					came.Close()
-				case 4: // Its client goes first.
+				case 4: // The client disconnects first.
 				}
 			}
 		}
@@ -208,31 +208,30 @@
 		}
 		c.Close()
 	}
-	until(t, "the end of all", func() bool { return b.requestsHeld() == 0 })
+	until(t, "the end of all requests", func() bool { return b.requestsHeld() == 0 })
 	b.pool.DropPeer(transport.Peer{Server: 0, Address: h.Address})
 	if n := b.pool.Count(); n != 0 {
-		t.Errorf("%d connections count as open", n)
+		t.Errorf("%d connections are counted as open, want none", n)
 	}
 }
 
-// A final answer that is written at the very deadline reaches its client too late. An attempt that stays silent ends
-// while the answer can still arrive in time: the server is told that time, which is how long the attempt is waited
-// for.
+// A final reply that is written right at the deadline reaches its client too late. An attempt without a reply therefore
+// ends early enough for the final reply to arrive in time. The server is told this shorter time.
 func TestSilentAttemptEndsBeforeDeadline(t *testing.T) {
 	h := scriptedServer(t)
 	b := newBalancerBefore(t, h.Address, map[string]any{"allowed.mostTrips": 1.0})
 	address := serveClients(t, b)
-	for _, c := range []struct{ patience, most float64 }{{3000, 2995}, {400, 395}, {128, 126}, {64, 63}} {
+	for _, c := range []struct{ timeoutMillis, maxStatedMillis float64 }{{3000, 2995}, {400, 395}, {128, 126}, {64, 63}} {
 		client := dial(t, address)
-		io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", fmt.Sprint(c.patience), fmt.Sprintf("c=book,t=acme,d=%v", c.patience), "v"))
+		io.WriteString(client, fakes.Words("C.SET", "7f3a9c21e0b4d655", fmt.Sprint(c.timeoutMillis), fmt.Sprintf("c=book,t=acme,d=%v", c.timeoutMillis), "v"))
 		came := receive(t, h.Came, "the attempt")
-		_, of, _ := strings.Cut(came.Words[3], "d=")
-		if told, err := strconv.ParseFloat(of, 64); err != nil || told > c.most {
-			t.Errorf("of %v ms the server is told %q", c.patience, came.Words[3])
+		_, timeoutText, _ := strings.Cut(came.Words[3], "d=")
+		if stated, err := strconv.ParseFloat(timeoutText, 64); err != nil || stated > c.maxStatedMillis {
+			t.Errorf("with a timeout of %v ms the server is told %q, want at most %v ms", c.timeoutMillis, came.Words[3], c.maxStatedMillis)
 		}
-		if c.patience < 1000 {
+		if c.timeoutMillis < 1000 {
 			if got := readReply(t, client); got != "-ERR given up" {
-				t.Errorf("after %v ms it is answered %q", c.patience, got)
+				t.Errorf("with a timeout of %v ms: got reply %q", c.timeoutMillis, got)
 			}
 		}
 		came.Close()
