--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -108,7 +108,7 @@
 					all.came = mergeCommands(t, h.Came, other.Came)
 				}
 				done := make(chan struct{})
-				go func() { l.goes(leaver); close(done) }()
+				go func() { l.disconnect(leaver); close(done) }()
 				until(t, "its going", func() bool { return b.counted("left") > 0 })
 				<-done
 				decided := b.counted("trips") - others // On a slow machine its next attempt may have been due before it went.
--- a/routing/disconnect_random_test.go
+++ b/routing/disconnect_random_test.go
@@ -55,7 +55,7 @@
 						n++
 					}
 					time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond) // At random, not to wait for anything.
-					clientDisconnects[chance.IntN(len(clientDisconnects))].goes(c.(*net.TCPConn))
+					clientDisconnects[chance.IntN(len(clientDisconnects))].disconnect(c.(*net.TCPConn))
 					c.Close()
 				}
 			}()
