--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -13,107 +13,107 @@
 	"hollylever/transport"
 )
 
-// receivedAttempts are the commands that reached servers whole, in their order, by ID.
+// receivedAttempts holds the whole commands that reached servers, by ID and in order of arrival.
 type receivedAttempts struct {
-	seen map[string][]fakes.Command
-	came <-chan fakes.Command
+	byID     map[string][]fakes.Command
+	received <-chan fakes.Command
 }
 
-// await reads what reaches servers until one ID has come so often, and handles each.
-func (a *receivedAttempts) await(t *testing.T, id string, often int, handle func(fakes.Command)) {
+// await collects commands, and calls handle for each, until count commands with an ID have reached servers.
+func (a *receivedAttempts) await(t *testing.T, id string, count int, handle func(fakes.Command)) {
 	t.Helper()
-	for len(a.seen[id]) < often {
-		c := receive(t, a.came, fmt.Sprintf("attempt %d of %s", len(a.seen[id])+1, id))
-		a.seen[c.Words[2]] = append(a.seen[c.Words[2]], c)
+	for len(a.byID[id]) < count {
+		c := receive(t, a.received, fmt.Sprintf("attempt %d of %s", len(a.byID[id])+1, id))
+		a.byID[c.Words[2]] = append(a.byID[c.Words[2]], c)
 		if handle != nil {
 			handle(c)
 		}
 	}
 }
 
-// collect takes what has reached servers by now.
+// collect collects the commands that have reached servers so far, without waiting.
 func (a *receivedAttempts) collect() {
 	for {
 		select {
-		case c := <-a.came:
-			a.seen[c.Words[2]] = append(a.seen[c.Words[2]], c)
+		case c := <-a.received:
+			a.byID[c.Words[2]] = append(a.byID[c.Words[2]], c)
 		default:
 			return
 		}
 	}
 }
 
-// attemptsDue is what a client waits for when it disconnects. Each case brings the request of one that leaves to
-// wait, and, once it has left, that of one that stays: an attempt of the latter of the same kind, whose time comes
-// later, proves that the former's never will.
+// attemptsDue lists the attempts that a request may wait for when its client disconnects. Each case brings the request of
+// a disconnecting client to wait and then, after the disconnect, that of a client that stays connected. The second
+// request's attempt is of the same kind and due later: once it starts, the first request's attempt never will.
 var attemptsDue = []struct {
-	name   string
-	change map[string]any
-	deaf   bool // the server's connections come up only once the client has left
-	before int  // attempts of each before that which is looked for
-	handle func(fakes.Command)
-	holder bool // another request of the key is in flight
-	usual  int  // requests answered at once before: of these a part may have copies
+	name           string
+	settings       map[string]any
+	acceptsLate    bool // connections to the server are established only after the disconnect
+	attemptsBefore int  // attempts of each request before the one that is tested
+	handle         func(fakes.Command)
+	keyInFlight    bool // another request for the key is in flight
+	priorRequests  int  // requests that are answered at once before; the hedging budget is a fraction of them
 }{
-	{name: "the first, for which a connection comes up", change: map[string]any{"allowed.dialTimeout": 20000.0}, deaf: true},
-	{name: "the first, in a key's queue", change: map[string]any{"workloads.0.keepOrder": true}, holder: true},
-	{name: "a retry after a backoff", before: 1, handle: func(c fakes.Command) { c.Say("-BUSY\r\n") }},
-	{name: "a hedged request", change: map[string]any{"workloads.0.expectedTime": 100.0}, before: 1, usual: 100},
+	{name: "the first, while a connection is established", settings: map[string]any{"allowed.dialTimeout": 20000.0}, acceptsLate: true},
+	{name: "the first, in a key's queue", settings: map[string]any{"workloads.0.keepOrder": true}, keyInFlight: true},
+	{name: "a retry after a backoff", attemptsBefore: 1, handle: func(c fakes.Command) { c.Say("-BUSY\r\n") }},
+	{name: "a hedged request", settings: map[string]any{"workloads.0.expectedTime": 100.0}, attemptsBefore: 1, priorRequests: 100},
 	{name: "a hedged request where none is cancelled",
-		change: map[string]any{"workloads.0.expectedTime": 100.0, "allowed.cancelling": false}, before: 1, usual: 100},
+		settings: map[string]any{"workloads.0.expectedTime": 100.0, "allowed.cancelling": false}, attemptsBefore: 1, priorRequests: 100},
 }
 
-// An attempt for a client that has gone is work for nothing, and a write that its client has given up on may still
-// happen. Whatever the next attempt waits for when the client disconnects, it does not start.
+// An attempt for a client that has disconnected is wasted work, and a write that the client has given up on may still
+// happen. Whatever the next attempt waits for when the client disconnects, it must not start.
 func TestNoAttemptStartsAfterClientDisconnect(t *testing.T) {
 	for _, due := range attemptsDue {
-		for _, l := range clientDisconnects {
-			if strings.Contains(l.name, "burst") || strings.Contains(l.name, "kernel") {
-				// What they send before they go takes longer than a backoff: TestWaitingRequestEndsWithItsClient has
-				// them.
+		for _, way := range clientDisconnects {
+			if strings.Contains(way.name, "burst") || strings.Contains(way.name, "kernel") {
+				// What they send before they disconnect takes longer than a backoff. TestWaitingRequestEndsWithItsClient
+				// covers them.
 				continue
 			}
-			t.Run(due.name+", "+l.name, func(t *testing.T) {
+			t.Run(due.name+", "+way.name, func(t *testing.T) {
 				t.Parallel()
 				h, other := scriptedServer(t), scriptedServer(t)
-				address, hears := h.Address, func(func(net.Conn)) {}
-				if due.deaf {
-					address, hears = unacceptingServer(t)
+				address, accept := h.Address, func(func(net.Conn)) {}
+				if due.acceptsLate {
+					address, accept = unacceptingServer(t)
 				}
-				b := newBalancerBefore(t, address, due.change)
+				b := newBalancerBefore(t, address, due.settings)
 				b.applyTestList(t, fakes.List(2, true, fakes.Entry("s", address, "Ready")))
-				all := &receivedAttempts{seen: map[string][]fakes.Command{}, came: h.Came}
-				at := serveClients(t, b)
-				ask := func(id string) *net.TCPConn {
-					c := dial(t, at)
+				attempts := &receivedAttempts{byID: map[string][]fakes.Command{}, received: h.Came}
+				balancerAddress := serveClients(t, b)
+				sendRequest := func(id string) *net.TCPConn {
+					c := dial(t, balancerAddress)
 					io.WriteString(c, getCommand(id, "c=read,t=acme,d=20000"))
 					return c
 				}
-				runUsualRequests(t, h, due.usual, ask)
+				runPriorRequests(t, h, due.priorRequests, sendRequest)
 				var held fakes.Command
 				waiting := 1
-				if due.holder {
+				if due.keyInFlight {
 					waiting = 2
-					ask("holder")
-					held = receive(t, h.Came, "the request before them")
+					sendRequest("in-flight")
+					held = receive(t, h.Came, "the key's first request")
 				}
 				others := b.counted("trips")
-				leaver := ask("leaver")
-				all.await(t, "leaver", due.before, due.handle)
-				if due.before == 0 {
+				disconnecting := sendRequest("disconnecting")
+				attempts.await(t, "disconnecting", due.attemptsBefore, due.handle)
+				if due.attemptsBefore == 0 {
 					until(t, "the wait", func() bool { return b.requestsHeld() == waiting })
 				}
-				if strings.Contains(due.name, "hedged") { // Only now is there another server for it.
+				if strings.Contains(due.name, "hedged") { // A second server, for the hedged request, is listed only now.
 					b.applyTestList(t, fakes.List(3, true, fakes.Entry("s", address, "Ready"), fakes.Entry("other", other.Address, "Ready")))
-					all.came = mergeCommands(t, h.Came, other.Came)
+					attempts.received = mergeCommands(t, h.Came, other.Came)
 				}
 				done := make(chan struct{})
-				go func() { l.disconnect(leaver); close(done) }()
-				until(t, "its going", func() bool { return b.counted("left") > 0 })
+				go func() { way.disconnect(disconnecting); close(done) }()
+				until(t, "the disconnect", func() bool { return b.counted("left") > 0 })
 				<-done
-				decided := b.counted("trips") - others // On a slow machine its next attempt may have been due before it went.
-				ask("stayer")
-				hears(func(c net.Conn) {
+				decided := b.counted("trips") - others // On a slow machine the next attempt may have been due before the disconnect.
+				sendRequest("connected")
+				accept(func(c net.Conn) {
 					for in := redcon.NewReader(c); ; {
 						read, err := in.ReadCommand()
 						if err != nil {
@@ -126,30 +126,30 @@
 						h.Came <- command
 					}
 				})
-				if due.holder {
-					until(t, "the one that stays", func() bool { return b.requestsHeld() == 2 })
+				if due.keyInFlight {
+					until(t, "the connected client's request", func() bool { return b.requestsHeld() == 2 })
 					held.Say(fakes.Settled("v"))
 				}
-				all.await(t, "stayer", due.before+1, due.handle)
+				attempts.await(t, "connected", due.attemptsBefore+1, due.handle)
 				answered := 0
-				until(t, "the end of its request", func() bool {
-					all.collect() // One decided before it went may reach its server after the stayer's.
-					for ; answered < len(all.seen["leaver"]); answered++ {
-						all.seen["leaver"][answered].Say(fakes.Settled("v")) // What is in flight may end.
+				until(t, "the end of the disconnected client's request", func() bool {
+					attempts.collect() // An attempt decided on before the disconnect may arrive after the connected client's.
+					for ; answered < len(attempts.byID["disconnecting"]); answered++ {
+						attempts.byID["disconnecting"][answered].Say(fakes.Settled("v")) // Lets attempts in flight end.
 					}
 					return b.requestsHeld() == 1
 				})
-				if came := len(all.seen["leaver"]); came > decided || due.deaf && came > 0 {
-					t.Errorf("%d attempts for a client that has gone, %d before", came, decided)
+				if came := len(attempts.byID["disconnecting"]); came > decided || due.acceptsLate && came > 0 {
+					t.Errorf("%d attempts reached servers for a disconnected client, %d were decided on before the disconnect", came, decided)
 				}
 			})
 		}
 	}
 }
 
-// runUsualRequests has so many requests answered at once, one after the other, and each attempt that a slow machine
-// adds.
-func runUsualRequests(t *testing.T, h *fakes.Host, many int, ask func(id string) *net.TCPConn) {
+// runPriorRequests sends count requests, one after the other, and answers at once each attempt, including further ones
+// that a slow machine causes.
+func runPriorRequests(t *testing.T, h *fakes.Host, count int, sendRequest func(id string) *net.TCPConn) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -162,8 +162,8 @@
 			}
 		}
 	}()
-	for n := range many {
-		c := ask(fmt.Sprint("usual-", n))
+	for n := range count {
+		c := sendRequest(fmt.Sprint("usual-", n))
 		readReply(t, c)
 		c.Close()
 	}
@@ -171,7 +171,7 @@
 	<-stopped
 }
 
-// mergeCommands returns what comes to either of two servers.
+// mergeCommands merges the commands that two servers receive into one channel.
 func mergeCommands(t *testing.T, one, other <-chan fakes.Command) <-chan fakes.Command {
 	both := make(chan fakes.Command)
 	for _, came := range []<-chan fakes.Command{one, other} {
@@ -193,8 +193,8 @@
 	return both
 }
 
-// Clients that wait to be accepted, with a command written, may have gone by the time there is capacity: no request
-// is started for them.
+// A client may send a command while it waits to be accepted and disconnect before there is capacity. No request may be
+// started for it.
 func TestNoRequestStartsForClientGoneBeforeItWasRead(t *testing.T) {
 	const many = 50
 	h := scriptedServer(t)
@@ -202,7 +202,7 @@
 	at := serveClients(t, b, func(l *transport.Listener) { l.SetLimit(1) })
 	first := dial(t, at)
 	io.WriteString(first, getCommand("first", "c=read,t=acme,d=20000"))
-	out := receive(t, h.Came, "the first request") // It takes the only place.
+	out := receive(t, h.Came, "the first request") // Its client takes up the listener's limit of 1.
 	for n := range many {
 		c := dial(t, at)
 		io.WriteString(c, getCommand(fmt.Sprint("gone-", n), "c=read,t=acme,d=20000"))
@@ -213,9 +213,9 @@
 	out.Say(fakes.Settled("v"))
 	readReply(t, first)
 	first.Close()
-	all := &receivedAttempts{seen: map[string][]fakes.Command{}, came: h.Came}
+	all := &receivedAttempts{byID: map[string][]fakes.Command{}, received: h.Came}
 	all.await(t, "last", 1, nil)
-	if decided := b.counted("trips"); len(all.seen) != 1 || decided != 2 {
-		t.Errorf("%d attempts are decided on, %d requests come to the server", decided, len(all.seen)+1)
+	if decided := b.counted("trips"); len(all.byID) != 1 || decided != 2 {
+		t.Errorf("%d attempts were decided on and %d requests reached the server, want 2 and 2", decided, len(all.byID)+1)
 	}
 }
