--- a/routing/disconnect_attempts_test.go
+++ b/routing/disconnect_attempts_test.go
@@ -53,7 +53,7 @@
 	attemptsBefore int  // attempts of each request before the one that is tested
 	handle         func(fakes.Command)
 	keyInFlight    bool // another request for the key is in flight
-	priorRequests  int  // requests that are answered at once before; the hedging budget is a fraction of them
+	priorRequests  int  // requests that are answered at once before, since only a fraction of requests may be hedged
 }{
 	{name: "the first, while a connection is established", settings: map[string]any{"allowed.dialTimeout": 20000.0}, acceptsLate: true},
 	{name: "the first, in a key's queue", settings: map[string]any{"workloads.0.keepOrder": true}, keyInFlight: true},
