--- a/transport/await.go
+++ b/transport/await.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// surplusTimeout bounds how long more commands may wait than the buffer holds. It is a fifth of the 100 ms (the
+// overfullTimeout bounds how long more commands may wait than the buffer holds. It is a fifth of the 100 ms (the
 // protocol's) after which nothing may begin any more for a client that has gone, as the client's close may stand
 // behind what was not read.
-const surplusTimeout = 20 * time.Millisecond
+const overfullTimeout = 20 * time.Millisecond
 
 // AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more
 // than its buffer holds for surplusTimeout (Overfull), or until its connection ends. It reads meanwhile, because a
@@ -24,7 +24,7 @@
 		}
 		isFull, until := c.ensureSpace() != Open, time.Time{}
 		if isFull {
-			until = c.overfullFrom().Add(surplusTimeout)
+			until = c.markOverfull().Add(overfullTimeout)
 		}
 		c.SetReadDeadline(until)
 		c.listener.mu.Unlock()
@@ -47,8 +47,8 @@
 // reading goroutine may call it.
 func (c *Client) ArrivedAt(n int) time.Time { return c.arrivalTimes.arrivedAt(n) }
 
-// overfullFrom returns since when more has waited than the buffer holds, now at the first call.
-func (c *Client) overfullFrom() time.Time {
+// markOverfull returns since when more has waited than the buffer holds, now at the first call.
+func (c *Client) markOverfull() time.Time {
 	if c.overfullSince.IsZero() {
 		c.overfullSince = time.Now()
 	}
--- a/transport/client.go
+++ b/transport/client.go
@@ -14,9 +14,9 @@
 	// How long a client may stay idle: from when it connected with no valid command, after one, and as a usual client.
 	silentIdleTimeout       = 2 * time.Second
 	firstCommandIdleTimeout = 5 * time.Second
-	usualIdleTimeout        = time.Minute
-	// crowdedIdleTimeout replaces firstCommandIdleTimeout where a quarter of the room is taken.
-	crowdedIdleTimeout = 50 * time.Millisecond
+	establishedIdleTimeout  = time.Minute
+	// pressureIdleTimeout replaces firstCommandIdleTimeout where a quarter of the room is taken.
+	pressureIdleTimeout = 50 * time.Millisecond
 
 	// defaultFirstCommandTimeout is how long after a client connected its first command may take to be complete.
 	defaultFirstCommandTimeout = 2700 * time.Millisecond
@@ -48,9 +48,9 @@
 // would have none left to send on. Under the lock.
 func (c *Client) idleTimeout() time.Duration {
 	if c.validCommands == 1 && len(c.listener.clients) > c.listener.limit/4 {
-		return crowdedIdleTimeout
+		return pressureIdleTimeout
 	}
-	return [...]time.Duration{silentIdleTimeout, firstCommandIdleTimeout, usualIdleTimeout}[min(c.validCommands, 2)]
+	return [...]time.Duration{silentIdleTimeout, firstCommandIdleTimeout, establishedIdleTimeout}[min(c.validCommands, 2)]
 }
 
 // evictionRank orders clients that may have to make room, lowest first: silent ones, those with one valid command,
--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -67,5 +67,5 @@
 	return l, held
 }
 
-// isNeverUnwanted says of a message that it is still wanted.
-func isNeverUnwanted() bool { return false }
+// neverWithdrawn says of a message that it is still wanted.
+func neverWithdrawn() bool { return false }
--- a/transport/limit.go
+++ b/transport/limit.go
@@ -12,9 +12,9 @@
 	limitRecoveryInterval = time.Second / 2
 	limitRecoverySteps    = 8
 
-	// spareFraction is the part of the limit that is kept free: clients are asked to close once less than a 16th is,
+	// spareDivisor is the part of the limit that is kept free: clients are asked to close once less than a 16th is,
 	// so that new clients don't wait while those asked to close do so.
-	spareFraction = 16
+	spareDivisor = 16
 )
 
 // SetLimit sets how many clients there may be from now on. Over that, clients between commands are asked to close.
@@ -72,7 +72,7 @@
 }
 
 // hasSpareRoom reports whether so many clients leave the part of the limit free that is kept so. Under the lock.
-func (l *Listener) hasSpareRoom(clients int) bool { return clients < l.limit-l.limit/spareFraction }
+func (l *Listener) hasSpareRoom(clients int) bool { return clients < l.limit-l.limit/spareDivisor }
 
 // evictIdle asks one client between commands to close, unless there is spare room: the first by rank, of like ones the
 // one idle longest. Clients that are closing already count as gone. Under the lock.
--- a/transport/limit_test.go
+++ b/transport/limit_test.go
@@ -102,7 +102,7 @@
 	n := 0
 	for c := range l.clients {
 		if n++; n < 4 {
-			c.idleSince = c.idleSince.Add(-usualIdleTimeout)
+			c.idleSince = c.idleSince.Add(-establishedIdleTimeout)
 		}
 	}
 	l.mu.Unlock()
@@ -157,11 +157,11 @@
 	for n := range 3 {
 		c := &Client{listener: l, validCommands: 1 + n/2}
 		l.clients[c] = true
-		if want := []time.Duration{firstCommandIdleTimeout, firstCommandIdleTimeout, usualIdleTimeout}[n]; c.idleTimeout() != want {
+		if want := []time.Duration{firstCommandIdleTimeout, firstCommandIdleTimeout, establishedIdleTimeout}[n]; c.idleTimeout() != want {
 			t.Errorf("%d clients: kept for %v", n+1, c.idleTimeout())
 		}
 	}
-	if c := (&Client{listener: l, validCommands: 1}); c.idleTimeout() != crowdedIdleTimeout {
+	if c := (&Client{listener: l, validCommands: 1}); c.idleTimeout() != pressureIdleTimeout {
 		t.Errorf("in a crowd it is kept for %v", c.idleTimeout())
 	}
 }
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minRest is how long a connection must have been idle before it is used again. It guards the next attempt against
+	// minReuseIdle is how long a connection must have been idle before it is used again. It guards the next attempt against
 	// what a faulty server sends right behind a response: a second copy would be taken for the next request's response.
-	minRest = 20 * time.Millisecond
+	minReuseIdle = 20 * time.Millisecond
 
 	// handoverIdleTimeout is how long connections stay idle while another process takes over, which has its own: the
 	// server counts both processes' together.
@@ -32,9 +32,9 @@
 // Pool keeps idle connections by server and address, and counts all that are open. A connection carries one attempt at
 // a time, so that cancelling an attempt, which closes its connection, harms no other. The pool sends nothing by itself.
 type Pool struct {
-	dialer   net.Dialer
-	minRest  time.Duration // as the constant; tests set it
-	holdback time.Duration // minHoldback; tests set it
+	dialer       net.Dialer
+	minReuseIdle time.Duration // as the constant; tests set it
+	holdback     time.Duration // minHoldback; tests set it
 
 	mu           sync.Mutex       // guards the fields below
 	idle         map[Peer][]*Conn // the one that became idle last stands last
@@ -46,7 +46,7 @@
 
 // NewPool returns a pool of up to limit connections that closes idle ones after idleTimeout.
 func NewPool(limit int, idleTimeout, dialTimeout time.Duration) *Pool {
-	return &Pool{idle: map[Peer][]*Conn{}, limit: limit, idleTimeout: idleTimeout, minRest: minRest, holdback: minHoldback,
+	return &Pool{idle: map[Peer][]*Conn{}, limit: limit, idleTimeout: idleTimeout, minReuseIdle: minReuseIdle, holdback: minHoldback,
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1}}
 }
 
@@ -57,7 +57,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list, now := p.idle[to], time.Now() // One reading of the clock for all.
-	rested := sort.Search(len(list), func(n int) bool { return now.Sub(list[n].idleAt) < p.minRest })
+	rested := sort.Search(len(list), func(n int) bool { return now.Sub(list[n].idleAt) < p.minReuseIdle })
 	for n := rested - 1; n >= 0; n-- {
 		c, idle := list[n], now.Sub(list[n].idleAt)
 		list = slices.Delete(list, n, n+1)
--- a/transport/pool_test.go
+++ b/transport/pool_test.go
@@ -30,7 +30,7 @@
 func TestIdleConnectionClosedByTheServerIsNotUsed(t *testing.T) {
 	address, accepted := startPeer(t)
 	p := NewPool(2, time.Minute, time.Second)
-	p.minRest = 0
+	p.minReuseIdle = 0
 	line := connect(t, p, address)
 	first := <-accepted
 	line.Release(true)
@@ -97,14 +97,14 @@
 func TestConnectionIsReusedOnlyForItsServerAndRested(t *testing.T) {
 	address, accepted := startPeer(t)
 	p := NewPool(8, time.Minute, time.Second)
-	p.minRest = time.Minute
+	p.minReuseIdle = time.Minute
 	first := connect(t, p, address)
 	conn := first.Conn
 	first.Release(true)
 	if second := connect(t, p, address); second.Conn == conn {
 		t.Fatal("a connection that has not rested is used again")
 	}
-	p.minRest = 0
+	p.minReuseIdle = 0
 	other := p.NewConn()
 	if end := other.Connect(Peer{1, address}, testDeadline()); end != Open || other.Conn == conn {
 		t.Fatal("another server's connection is used", end)
--- a/transport/pooledconn_test.go
+++ b/transport/pooledconn_test.go
@@ -112,7 +112,7 @@
 		line := connect(t, p, address)
 		other := <-accepted
 		go c.then(line, other)
-		end := line.SendHoldingLastByte([]byte("message"), testDeadline(), isNeverUnwanted)
+		end := line.SendHoldingLastByte([]byte("message"), testDeadline(), neverWithdrawn)
 		if end == Open {
 			end = line.Fill(testDeadline())
 		}
@@ -130,7 +130,7 @@
 	line := connect(t, NewPool(4, time.Minute, time.Second), address)
 	defer (<-accepted).Close()
 	line.Conn.dialDuration = time.Hour
-	if end := line.SendHoldingLastByte([]byte("ab"), time.Now().Add(time.Second), isNeverUnwanted); end != Open {
+	if end := line.SendHoldingLastByte([]byte("ab"), time.Now().Add(time.Second), neverWithdrawn); end != Open {
 		t.Errorf("it ends as %v", end)
 	}
 }
@@ -140,7 +140,7 @@
 func TestCutAfterDoneLeavesTheNextAttemptAlone(t *testing.T) {
 	address, accepted := startPeer(t)
 	p := NewPool(2, time.Minute, time.Second)
-	p.minRest = 0
+	p.minReuseIdle = 0
 	first := connect(t, p, address)
 	host := <-accepted
 	first.Release(true)
--- a/transport/stop.go
+++ b/transport/stop.go
@@ -15,8 +15,8 @@
 	drainAcceptTimeout = 10 * time.Millisecond
 	// closeInterval is how often Close asks clients to close that were accepted meanwhile, and looks at its deadline.
 	closeInterval = 20 * time.Millisecond
-	// cutPolls is how often ResetAll looks, within its wait, whether all clients have gone.
-	cutPolls = 50
+	// resetPolls is how often ResetAll looks, within its wait, whether all clients have gone.
+	resetPolls = 50
 )
 
 // DrainConnections lets each client close with its next reply: right after that the client is least likely to be
@@ -75,7 +75,7 @@
 			return true
 		case <-time.After(closeInterval):
 			if time.Now().After(deadline) {
-				l.stopWaiting()
+				l.abortServe()
 				return false
 			}
 		}
@@ -93,8 +93,8 @@
 	}
 }
 
-// stopWaiting ends Serve although a connection waits for room or in the kernel.
-func (l *Listener) stopWaiting() {
+// abortServe ends Serve although a connection waits for room or in the kernel.
+func (l *Listener) abortServe() {
 	l.mu.Lock()
 	l.isClosed = true
 	l.roomChanged.Broadcast()
@@ -115,7 +115,7 @@
 	}
 	l.mu.Unlock()
 	for end := time.Now().Add(wait); l.Count() > 0 && time.Now().Before(end); {
-		time.Sleep(wait / cutPolls)
+		time.Sleep(wait / resetPolls)
 	}
 	return cut
 }
