--- a/transport/acceptbacklog.go
+++ b/transport/acceptbacklog.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// minBlockedAccept is how long an accept takes at least for it to count as one that found no connection waiting: an
-// accept of a connection that did wait may be held up a little too.
+// minBlockedAccept is the shortest accept call that is taken to have found the accept backlog empty. It is above zero
+// because an accept that does find a connection can be delayed slightly as well.
 const minBlockedAccept = 10 * time.Millisecond
 
-// acceptBacklog bounds since when a connection that is accepted may have waited in the kernel's queue. The listener's
-// accept loop alone uses it: it does not lock.
+// acceptBacklog estimates the earliest time at which an accepted connection may have entered the kernel's accept
+// backlog. It is not safe for concurrent use; only the listener's accept loop uses it.
 type acceptBacklog struct {
 	stalls        *StallClock
-	kernelEmptyAt time.Time // no connection waited then
-	delayedSince  time.Time // since when nothing was accepted though connections may have come; zero: accepts go on
+	kernelEmptyAt time.Time // last time at which the backlog was known to be empty
+	delayedSince  time.Time // start of the current delay in accepting; zero if there is none
 }
 
-// recordDelay records that nothing has been accepted since a time. The earliest delay counts until the queue is seen
-// empty again.
+// recordDelay records that nothing has been accepted since the given time. The earliest recorded delay is kept until
+// the backlog is known to be empty again.
 func (b *acceptBacklog) recordDelay(since time.Time) {
 	if b.delayedSince.IsZero() {
 		b.delayedSince = since
 	}
 }
 
-// connectedSince returns since when the connection may have waited that an accept, called and returned at these times,
-// has returned.
+// connectedSince returns the earliest time at which a connection may have entered the backlog, given when the accept
+// that returned it was called and when it returned.
 func (b *acceptBacklog) connectedSince(called, returned time.Time) time.Time {
 	if returned.Sub(called) > minBlockedAccept {
 		b.kernelEmptyAt, b.delayedSince = called, time.Time{}
