--- a/transport/arrivals.go
+++ b/transport/arrivals.go
@@ -3,43 +3,46 @@
 import "time"
 
 const (
-	// maxReadMarks bounds how many reads of one client are told apart, and so what a client that pipelines can make
-	// this package remember. Past it the two oldest count as the older one.
+	// maxReadMarks bounds the number of reads recorded per client, and so the memory that a pipelining client can make
+	// this package use. Beyond it, the two oldest reads are merged and keep the older time.
 	maxReadMarks = 64
-	// readMergeWindow is how close together reads count as one, so that maxReadMarks reach further back.
+	// readMergeWindow is the interval within which reads are merged into one mark, so that maxReadMarks marks cover a
+	// longer time.
 	readMergeWindow = 2 * time.Millisecond
-	// firstReadWindow is how soon after a client is admitted its first bytes, if read by then, count as having been in
-	// the kernel already.
+	// firstReadWindow is the time after a client's admission within which bytes that are read are assumed to have been
+	// in the kernel before the admission.
 	firstReadWindow = 20 * time.Millisecond
 )
 
-// readMark says that all bytes of a client before an offset had arrived at a time.
+// readMark records that all bytes of a client's stream before endOffset had arrived by a time.
 type readMark struct {
 	endOffset int64
 	at        time.Time
 }
 
-// arrivalTimes records when the bytes that wait in a client's buffer arrived. A request's time counts from the arrival
-// of its last byte, also where it then waits behind others of its connection, for room for its client, or for the
-// process to run; counted from the read, a request could be served after its client had given up on it. Only the
-// goroutine that reads the client uses it: it does not lock.
+// arrivalTimes records when the unread bytes in a client's buffer arrived. A request's time limits are measured from the
+// arrival of its last byte, including any time that it waits behind other requests of its connection, for the admission
+// of its client, or for the process to be scheduled. Measured from the read instead, a request could be served after its
+// client had given up on it. It is not safe for concurrent use; only the client's reading goroutine uses it.
 type arrivalTimes struct {
 	stalls        *StallClock
-	firstOffset   int64     // offset in the stream of the first byte that waits in the buffer
-	endOffset     int64     // offset behind the last byte that was read
-	kernelEmptyAt time.Time // the kernel held no more bytes then
+	firstOffset   int64     // stream offset of the first unread byte in the buffer
+	endOffset     int64     // stream offset just past the last byte read from the kernel
+	kernelEmptyAt time.Time // last time at which the kernel's receive buffer was known to be empty
 	marks         []readMark
 
-	pendingSince time.Time // before the first read: since when bytes may have waited in the kernel; zero: they did not
-	admittedAt   time.Time // when the client was admitted, after any wait for room
+	pendingSince time.Time // earliest time at which the first bytes may have arrived; zero once the kernel was emptied
+	admittedAt   time.Time // when the client was admitted, after any wait for the client limit
 }
 
-// newArrivalTimes returns the record of a client that may have waited since pendingSince to be admitted.
+// newArrivalTimes returns the record of a client that was admitted at admittedAt and may have waited for that since
+// pendingSince.
 func newArrivalTimes(stalls *StallClock, pendingSince, admittedAt time.Time) *arrivalTimes {
 	return &arrivalTimes{stalls: stalls, kernelEmptyAt: pendingSince, pendingSince: pendingSince, admittedAt: admittedAt}
 }
 
-// recordRead records a read of n bytes that returned at now; isAll: the kernel held no more.
+// recordRead records a read of n bytes that returned at now. isAll tells that the read emptied the kernel's receive
+// buffer.
 func (a *arrivalTimes) recordRead(n int, isAll bool, now time.Time) {
 	at := a.stalls.ArrivedAt(a.kernelEmptyAt, now)
 	if !a.pendingSince.IsZero() && now.Sub(a.admittedAt) < firstReadWindow && a.pendingSince.Before(at) {
@@ -61,7 +64,7 @@
 	a.marks = append(a.marks, readMark{a.endOffset, at})
 }
 
-// discard forgets the first n bytes that wait.
+// discard drops the record of the first n unread bytes.
 func (a *arrivalTimes) discard(n int) {
 	a.firstOffset += int64(n)
 	done := 0
@@ -71,7 +74,7 @@
 	a.marks = a.marks[:copy(a.marks, a.marks[done:])]
 }
 
-// arrivedAt returns when the n-th byte that waits arrived; now for one that has not been read.
+// arrivedAt returns when the n-th unread byte arrived, counted from 1, or the current time if it has not been read.
 func (a *arrivalTimes) arrivedAt(n int) time.Time {
 	for _, mark := range a.marks {
 		if mark.endOffset >= a.firstOffset+int64(n) {
