--- a/transport/await.go
+++ b/transport/await.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// overfullTimeout bounds how long more commands may wait than the buffer holds. It is a fifth of the 100 ms (the
-// protocol's) after which nothing may begin any more for a client that has gone, as the client's close may stand
-// behind what was not read.
+// overfullTimeout bounds how long a client may have more commands pending than its buffer holds, because a close by the
+// client may be queued behind the unread bytes. The protocol allows no work to begin for a client later than 100 ms
+// after it disconnected; the timeout is a fifth of that.
 const overfullTimeout = 20 * time.Millisecond
 
-// AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has sent more
-// than its buffer holds for surplusTimeout (Overfull), or until its connection ends. It reads meanwhile, because a
-// close behind bytes that are not read goes unseen; with drop set what it reads is discarded, else it stays in the
-// buffer. Only the client's reading goroutine may call it.
+// AwaitReplies waits until fewer than maxPending replies are owed to the client (Open), until the client has had more
+// bytes pending than its buffer holds for overfullTimeout (Overfull), or until its connection ends. It keeps reading
+// while it waits, because a close that is queued behind unread bytes can't be detected. If drop is set, the bytes that
+// it reads are discarded; otherwise they stay in the buffer. Only the client's reading goroutine may call it.
 func (c *Client) AwaitReplies(maxPending int, drop bool) End {
 	for {
 		c.listener.mu.Lock()
@@ -43,11 +43,12 @@
 	}
 }
 
-// ArrivedAt returns when the n-th of the bytes in the buffer arrived at this machine, at the latest. Only the client's
-// reading goroutine may call it.
+// ArrivedAt returns the time by which the n-th byte in the buffer, counted from 1, had arrived at this machine. Only the
+// client's reading goroutine may call it.
 func (c *Client) ArrivedAt(n int) time.Time { return c.arrivalTimes.arrivedAt(n) }
 
-// markOverfull returns since when more has waited than the buffer holds, now at the first call.
+// markOverfull returns since when more bytes have been pending than the buffer holds, recording the current time at the
+// first call.
 func (c *Client) markOverfull() time.Time {
 	if c.overfullSince.IsZero() {
 		c.overfullSince = time.Now()
@@ -55,7 +56,7 @@
 	return c.overfullSince
 }
 
-// readAvailable reads once. A read that leaves room in the buffer has emptied what the kernel held.
+// readAvailable reads once. A read that does not fill the buffer has emptied the kernel's receive buffer.
 func (c *Client) readAvailable() End {
 	end := c.read(false)
 	if end == Open && c.end < len(c.buffer) {
