--- a/transport/budget.go
+++ b/transport/budget.go
@@ -6,26 +6,26 @@
 	"sync/atomic"
 )
 
-// Budget bounds what buffers over MaxBuffer take of memory, all together, until their users are done with them. It
-// uses them again: it guards memory against large buffers that are dropped faster than the garbage collector finds
-// them, where the heap would grow past the process's limit. It needs no lock; nil is a budget without room.
+// Budget bounds the total memory of the buffers over MaxBuffer that are in use. Released buffers are reused: otherwise
+// large buffers could be dropped faster than the garbage collector reclaims them, and the heap would grow past the
+// process's memory limit. It is safe for concurrent use. A nil Budget has no memory to give.
 type Budget struct {
 	available, total atomic.Int64 // bytes
-	free             sync.Map     // by size, a *sync.Pool of *[]byte, which the collector empties
+	free             sync.Map     // released buffers: size to *sync.Pool of *[]byte, emptied by the garbage collector
 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget of the given number of bytes.
 func NewBudget(bytes int64) *Budget {
 	b := &Budget{}
 	b.SetTotal(bytes)
 	return b
 }
 
-// SetTotal sets the budget's size in bytes from now on; what is in use stays so, also where that is more.
+// SetTotal sets the budget's size in bytes. Buffers in use are kept even if they take more than the new size.
 func (b *Budget) SetTotal(bytes int64) { b.available.Add(bytes - b.total.Swap(bytes)) }
 
-// acquire returns a buffer of n bytes and the bytes it takes of the budget, nil where there is no room. A single
-// buffer may have half of the budget at most, so that one client can't keep out all others.
+// acquire returns a buffer of n bytes and the number of bytes that it takes from the budget, or nil if the budget does
+// not suffice. A single buffer may take at most half of the budget, so that one client can't exclude all others.
 func (b *Budget) acquire(n int) (buffer []byte, size int) {
 	if b == nil || int64(n) > b.total.Load()/2 {
 		return nil, 0
@@ -35,13 +35,13 @@
 		b.available.Add(int64(size))
 		return nil, 0
 	}
-	if used, _ := b.freeOfSize(size).Get().(*[]byte); used != nil {
-		return (*used)[:n], size
+	if reused, _ := b.freeOfSize(size).Get().(*[]byte); reused != nil {
+		return (*reused)[:n], size
 	}
 	return make([]byte, size)[:n], size
 }
 
-// releaseFunc returns the function that gives a buffer of acquire back, to be called once.
+// releaseFunc returns the function that returns a buffer from acquire to the budget. It must be called exactly once.
 func (b *Budget) releaseFunc(buffer []byte, size int) (release func()) {
 	return func() {
 		buffer = buffer[:size]
@@ -55,7 +55,7 @@
 	return pool.(*sync.Pool)
 }
 
-// roundedSize rounds n up by a quarter at most, so that there are few sizes and a buffer is likely to be used again.
+// roundedSize rounds n up by at most a quarter, so that there are few sizes and a released buffer is likely to be reused.
 func roundedSize(n int) int {
 	step := 1 << max(0, bits.Len(uint(n))-3)
 	return min((n+step-1)/step*step, MaxMessage)
