--- a/transport/arrivals_test.go
+++ b/transport/arrivals_test.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// A client pipelines commands, over many reads, and some are skipped meanwhile: each byte keeps the time of the read
-// that brought it, and memory stays bounded.
+// A client pipelines commands over many reads, and some are skipped in between. Each byte must keep the time of the read
+// that returned it, and the number of recorded reads must stay bounded.
 func TestEachByteHasTheTimeOfItsRead(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 	a := newArrivalTimes(nil, at(0), at(0))
 	a.pendingSince = time.Time{}
 	a.recordRead(10, true, at(5))
-	a.recordRead(10, true, at(6)) // So soon that it counts as the same read.
+	a.recordRead(10, true, at(6)) // Within readMergeWindow of the previous read.
 	a.recordRead(10, true, at(50))
 	for n, want := range map[int]int{1: 5, 10: 5, 20: 5, 21: 50, 30: 50} {
 		if got := a.arrivedAt(n); !got.Equal(at(want)) {
-			t.Errorf("byte %d came at %v, want %d ms", n, got.Sub(base), want)
+			t.Errorf("byte %d arrived at %v, want %d ms", n, got.Sub(base), want)
 		}
 	}
 	a.discard(15)
 	for n, want := range map[int]int{5: 5, 6: 50, 15: 50} {
 		if got := a.arrivedAt(n); !got.Equal(at(want)) {
-			t.Errorf("after a skip byte %d came at %v, want %d ms", n, got.Sub(base), want)
+			t.Errorf("after a skip, byte %d arrived at %v, want %d ms", n, got.Sub(base), want)
 		}
 	}
 	for n := range 10 * maxReadMarks {
 		a.recordRead(1, true, at(100+10*n))
 	}
 	if len(a.marks) > maxReadMarks {
-		t.Errorf("%d reads are kept", len(a.marks))
+		t.Errorf("%d reads are recorded, want at most %d", len(a.marks), maxReadMarks)
 	}
 	last := 100 + 10*(10*maxReadMarks-1)
 	if got := a.arrivedAt(15 + 10*maxReadMarks); !got.Equal(at(last)) {
-		t.Errorf("the last byte came at %v, want %d ms", got.Sub(base), last)
+		t.Errorf("the last byte arrived at %v, want %d ms", got.Sub(base), last)
 	}
 	a.discard(15 + 10*maxReadMarks)
 	if len(a.marks) > 0 {
-		t.Errorf("%d reads are kept of nothing", len(a.marks))
+		t.Errorf("%d reads are recorded after all bytes were discarded", len(a.marks))
 	}
 }
 
-// A client connects and writes while nothing is accepted. What was there as it was admitted counts from when it may
-// have begun to wait; what arrived later does not.
-func TestFirstBytesCountFromTheWaitToBeAccepted(t *testing.T) {
+// A client connects and writes while nothing is accepted. Bytes already in the kernel when the client is admitted are
+// dated back to the earliest time at which it may have connected; bytes that arrive later are not.
+func TestFirstBytesAreDatedFromTheConnect(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
-		what                  string
-		delayed               int // ms since which nothing was accepted; -1: it was not so
-		called, returned      int // the accept
-		taken, read, wantRead int
+		what                 string
+		delayed              int // ms at which a delay in accepting began; -1: there was none
+		called, returned     int // ms at which the accept was called and returned
+		admitted, read, want int
 	}{
 		{"no delay", -1, 500, 530, 530, 531, 530},
-		{"behind a delay", 100, 500, 500, 500, 501, 100},
-		{"behind a delay, and it asked later", 100, 500, 500, 500, 700, 700},
-		{"after an accept that found nobody", 100, 500, 600, 600, 601, 600},
+		{"after a delay", 100, 500, 500, 500, 501, 100},
+		{"after a delay, with bytes that arrive later", 100, 500, 500, 500, 700, 700},
+		{"after an accept that found the backlog empty", 100, 500, 600, 600, 601, 600},
 	} {
 		b := &acceptBacklog{kernelEmptyAt: base}
 		if c.delayed >= 0 {
 			b.recordDelay(at(c.delayed))
 		}
-		a := newArrivalTimes(nil, b.connectedSince(at(c.called), at(c.returned)), at(c.taken))
+		a := newArrivalTimes(nil, b.connectedSince(at(c.called), at(c.returned)), at(c.admitted))
 		a.recordRead(10, true, at(c.read))
-		if got := a.arrivedAt(10); !got.Equal(at(c.wantRead)) {
-			t.Errorf("%s: it came at %v, want %d ms", c.what, got.Sub(base), c.wantRead)
+		if got := a.arrivedAt(10); !got.Equal(at(c.want)) {
+			t.Errorf("%s: arrived at %v, want %d ms", c.what, got.Sub(base), c.want)
 		}
 	}
 }
