--- a/transport/client.go
+++ b/transport/client.go
@@ -7,45 +7,48 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes bound what is read and discarded of a client after its last reply.
+	// lingerTimeout and maxLingerBytes bound how long and how much is read and discarded after a client's last reply.
 	lingerTimeout  = time.Second
 	maxLingerBytes = MaxMessage
 
-	// How long a client may stay idle: from when it connected with no valid command, after one, and as a usual client.
+	// Idle timeouts: of a client without a valid command, counted from its connect; of a client with one valid command;
+	// and of an established client, which has sent more than one.
 	silentIdleTimeout       = 2 * time.Second
 	firstCommandIdleTimeout = 5 * time.Second
 	establishedIdleTimeout  = time.Minute
-	// pressureIdleTimeout replaces firstCommandIdleTimeout where a quarter of the room is taken.
+	// pressureIdleTimeout replaces firstCommandIdleTimeout while more than a quarter of the client limit is in use.
 	pressureIdleTimeout = 50 * time.Millisecond
 
-	// defaultFirstCommandTimeout is how long after a client connected its first command may take to be complete.
+	// defaultFirstCommandTimeout is the time from a client's connect within which its first command must be complete.
 	defaultFirstCommandTimeout = 2700 * time.Millisecond
-	// defaultCommandTimeout is how long each later command may take from its first byte.
+	// defaultCommandTimeout is the time from the first byte of each later command within which it must be complete.
 	defaultCommandTimeout = 10 * time.Second
-	// firstCommandGrace is how long a new client is not closed for room, so that it can send a first command.
+	// firstCommandGrace is how long a new client is protected from eviction, so that it can send a first command.
 	firstCommandGrace = 500 * time.Millisecond
 )
 
-// Client is a client's connection. It is busy while a reply is owed to it, else it is between commands. One goroutine
-// reads it (Fill, AwaitReplies, Skip, Take); any may call BeginReply, CountValidCommand, EndReply, Age and Commands.
+// Client is a client's connection. It is busy while a reply is owed to it, and between commands otherwise. A single
+// goroutine reads it with Fill, AwaitReplies, Skip and Take; BeginReply, CountValidCommand, EndReply, Age and Commands
+// are safe for concurrent use.
 type Client struct {
 	Conn
 	listener          *Listener
-	pendingReplies    int       // under listener.mu, as the fields to idleSince
-	validCommands     int       // commands that made sense
-	isClosing         bool      // it is to close as soon as nothing is owed to it
-	isAwaitingReplies bool      // its reader is to be woken by each reply
-	hasPartialCommand bool      // a part of a command has come
-	idleSince         time.Time // when the last reply was done; of one without a valid command: when it connected
-
-	connectedAt   time.Time // as it was accepted; fixed
-	overfullSince time.Time // the reader's: since when more waits than the buffer holds; zero: it does not
+	pendingReplies    int       // replies owed; listener.mu guards this and the fields up to idleSince
+	validCommands     int       // valid commands received
+	isClosing         bool      // to be closed once no reply is owed
+	isAwaitingReplies bool      // the reader must be woken by each reply
+	hasPartialCommand bool      // part of a command has been read
+	idleSince         time.Time // when the last reply was done; before the first valid command, when it connected
+
+	connectedAt   time.Time // when it was accepted; immutable
+	overfullSince time.Time // start of more being pending than the buffer holds, else zero; used by the reader only
 }
 
-// idleTimeout is how long the client may stay between commands. It guards descriptors and memory against clients that
-// connect and say nothing, or send one command and stay; usual clients, which send more, keep their connections. In a
-// crowd those with one command are closed sooner: clients that may only hold so many connections, and keep them idle,
-// would have none left to send on. Under the lock.
+// idleTimeout returns how long the client may stay between commands. The short timeouts protect descriptors and memory
+// from clients that connect and send nothing, or send one command and stay connected; established clients keep their
+// connections for longer. While many clients are connected, those with one command are closed sooner: client hosts that
+// may hold only a limited number of connections, and keep them idle, would otherwise have none left to send on. The
+// caller must hold listener.mu.
 func (c *Client) idleTimeout() time.Duration {
 	if c.validCommands == 1 && len(c.listener.clients) > c.listener.limit/4 {
 		return pressureIdleTimeout
@@ -53,8 +56,8 @@
 	return [...]time.Duration{silentIdleTimeout, firstCommandIdleTimeout, establishedIdleTimeout}[min(c.validCommands, 2)]
 }
 
-// evictionRank orders clients that may have to make room, lowest first: silent ones, those with one valid command,
-// those that have just connected and had no time for one, usual ones. Under the lock.
+// evictionRank orders clients for eviction, lowest first: those without a valid command, those with one, those that have
+// only just connected and had no time to send one, and established clients. The caller must hold listener.mu.
 func (c *Client) evictionRank() int {
 	switch {
 	case c.validCommands > 1:
@@ -67,20 +70,20 @@
 	return 0
 }
 
-// requestClose marks the client as closing and wakes its reader, which alone closes the connection: nothing that was
-// read is dropped. Under the lock.
+// requestClose marks the client as closing and wakes its reader. Only the reader closes the connection, so that nothing
+// that was read is lost. The caller must hold listener.mu.
 func (c *Client) requestClose() {
 	c.isClosing = true
 	c.interruptRead()
 }
 
-// interruptRead ends a read that waits, by a deadline that has passed. The deadline is long past by any clock, so that
-// a step of the wall clock can't make it a future one.
+// interruptRead ends a blocked read by setting a deadline in the past. The deadline is decades back, so that a step of
+// the wall clock can't move it into the future.
 func (c *Client) interruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
 
-// commandDeadline returns by when a command, of which the first byte came at begun, must be complete; zero: none has
-// begun. Usual clients may write slowly. A client that never sent a valid command is held to a time from when it
-// connected, else it could hold its descriptor with a byte now and then. Under the lock.
+// commandDeadline returns when a command whose first byte arrived at begun must be complete, or zero if begun is zero.
+// Clients that have sent a valid command may write slowly. For one that has not, the time counts from its connect:
+// otherwise it could hold its descriptor by sending a byte now and then. The caller must hold listener.mu.
 func (c *Client) commandDeadline(begun time.Time) time.Time {
 	switch {
 	case begun.IsZero():
@@ -91,12 +94,12 @@
 	return c.connectedAt.Add(c.listener.FirstCommandTimeout)
 }
 
-// Linger ends the connection after the last reply to a client that may still be sending. It closes the sending side
-// and discards what comes: with a close at once the kernel answers what the client sends by a reset, at which the
-// client drops the reply unread. Called by the reading goroutine once all replies are written.
+// Linger ends the connection after the last reply to a client that may still be sending. It half-closes the connection
+// and discards what it receives. After an immediate full close the kernel would answer further bytes from the client
+// with a reset, and the client would lose the unread reply. The reading goroutine calls it once all replies are written.
 func (c *Client) Linger() {
 	if half, ok := c.Conn.Conn.(*net.TCPConn); ok {
-		_ = half.CloseWrite() // Fails where the client has gone: the read below ends at once.
+		_ = half.CloseWrite() // Fails if the client has disconnected; the read below then ends at once.
 	}
 	c.listener.mu.Lock()
 	if !c.isClosing {
@@ -116,22 +119,23 @@
 	return c.validCommands
 }
 
-// BeginReply counts one more reply that is owed to the client. Each BeginReply needs one EndReply.
+// BeginReply records that one more reply is owed to the client. Each BeginReply needs exactly one EndReply.
 func (c *Client) BeginReply() {
 	c.listener.mu.Lock()
 	c.pendingReplies++
 	c.listener.mu.Unlock()
 }
 
-// CountValidCommand counts a valid command of the client.
+// CountValidCommand records that the client has sent a valid command.
 func (c *Client) CountValidCommand() {
 	c.listener.mu.Lock()
 	c.validCommands++
 	c.listener.mu.Unlock()
 }
 
-// EndReply counts one reply as done. A client that is to close does so with its last one. Where no valid command has
-// come, idleSince stays at the time of the connect: errors in reply to noise must not extend a client's time.
+// EndReply records that one reply is done. A client that is to be closed is closed after the last one. Until a valid
+// command arrives, idleSince stays at the time of the connect: error replies to invalid input must not extend the time
+// that a client may stay.
 func (c *Client) EndReply() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -149,9 +153,9 @@
 	}
 }
 
-// Fill reads once more and returns Open, or the connection's end. begun: since when a command has begun to come, zero
-// if none has. ClosedIdle: the client was asked to close, no reply is owed, nothing waits to be read, and Fill has
-// closed the connection. Only the reading goroutine may call it.
+// Fill reads once more and returns Open, or how the connection ended. begun is when the first byte of the current command
+// arrived, or zero if there is none. ClosedIdle means that the client was marked as closing, no reply was owed, nothing
+// was left to be read, and Fill has closed the connection. Only the reading goroutine may call it.
 func (c *Client) Fill(begun time.Time) End {
 	for {
 		if end := c.ensureSpace(); end != Open {
@@ -169,8 +173,8 @@
 		if end != TimedOutBeforeSent {
 			return end
 		}
-		// The read may have been interrupted to close the client, which does not end the time of a command that has
-		// begun; and the client may have become a usual one meanwhile, with a later deadline.
+		// The read may have been interrupted by requestClose, which does not cut the time of a command that has begun.
+		// The client's first command may also have been found valid in the meantime, which makes the deadline later.
 		c.listener.mu.Lock()
 		deadline := c.commandDeadline(begun)
 		c.listener.mu.Unlock()
@@ -180,10 +184,11 @@
 	}
 }
 
-// closeIfIdle closes a client that was asked to close, where nothing is owed to it and nothing waits to be read; it
-// reports whether it did. A command that has begun to come may be completed within its time, except where a client
-// without a valid command is in the way of others. It closes under the lock, at once: a command that arrives between
-// the look and the close meets a closed connection, and is reset, rather than taken and dropped. Under the lock.
+// closeIfIdle closes a client that is marked as closing if no reply is owed to it and nothing is left to be read, and
+// reports whether it did. A command that has begun may be completed within its time, except if the client has sent no
+// valid command and its place is needed for others. The close follows the check under the same lock: a command that
+// arrives in between meets a closed connection and is answered with a reset, rather than being accepted and dropped. The
+// caller must hold listener.mu.
 func (c *Client) closeIfIdle() bool {
 	if !c.isClosing || c.pendingReplies > 0 {
 		return false
