--- a/transport/conn.go
+++ b/transport/conn.go
@@ -1,16 +1,17 @@
-// Package transport holds connections: the listener for clients in front, the pool of connections to servers behind,
-// the one buffer that each connection has, and the ways in which one can end. It knows nothing of what the bytes mean.
+// Package transport manages connections: the listener for clients, the pool of connections to servers, the buffer of
+// each connection, and the ways in which a connection can end. It does not interpret the bytes that it carries.
 //
-// A client's connection: Listener.Serve accepts it, waits for room among the clients (limit.go) and runs the given
-// function in a goroutine of its own, the only one that reads the connection. That function calls Client.Fill until the
-// connection ends; BeginReply and EndReply bracket each reply that is owed. A client between commands may be asked to
-// make room: its reader is woken and closes the connection itself, so that nothing that was read is lost.
+// A client's connection: Listener.Serve accepts it, waits until the limit of clients admits it (limit.go) and runs the
+// given function in a new goroutine, the only one that reads the connection. That function calls Client.Fill until the
+// connection ends; BeginReply and EndReply bracket each reply that is owed. A client between commands may be evicted:
+// its reader is woken and closes the connection itself, so that nothing that was read is lost.
 //
 // A server's connection: Pool.NewConn begins an attempt, Connect takes an idle connection or dials one, Send writes the
 // request, Fill reads the response, Release gives the connection back. Cancel and CancelUnsent cancel the attempt from
 // any goroutine.
 //
-// How a connection ended is an End; what of it may have reached the other side is the caller's reason to retry or not.
+// An End says how a connection or an attempt ended, and with it what may have reached the peer; callers decide by it
+// whether to retry.
 package transport
 
 import (
@@ -20,29 +21,29 @@
 )
 
 const (
-	initialBuffer = 2 << 10  // bytes: the first buffer of a connection
-	maxIdleBuffer = 16 << 10 // bytes: an empty buffer over this is released
-	// MaxBuffer bounds the bytes of one message: a value of 64 KiB with its command around it.
+	initialBuffer = 2 << 10  // bytes: size of a connection's first buffer
+	maxIdleBuffer = 16 << 10 // bytes: an empty buffer larger than this is released
+	// MaxBuffer bounds the bytes of an ordinary message: a value of 64 KiB and the command that carries it.
 	MaxBuffer = 72 << 10
-	// MaxMessage bounds the bytes of one message that may be larger, out of a Budget: a value of 4 MiB.
+	// MaxMessage bounds the bytes of a message whose buffer comes from a Budget: a value of 4 MiB and its command.
 	MaxMessage = 4<<20 + 8<<10
 )
 
-// Conn is a connection with its buffer, which grows as needed and is compacted in place. One goroutine at a time may
-// read it; it does not lock.
+// Conn is a connection with its read buffer, which grows as needed and is compacted in place. It is not safe for
+// concurrent reads.
 type Conn struct {
 	net.Conn
 	buffer        []byte
-	start, end    int           // of the bytes in the buffer that were read and not skipped
-	budget        *Budget       // for a buffer over MaxBuffer; nil: none may grow over that
-	budgetedBytes int           // what the buffer takes of the budget; 0: it is an ordinary one
-	arrivalTimes  *arrivalTimes // of a client's bytes; nil: not recorded
-	peer          Peer          // pool: whose connection it is
-	idleAt        time.Time     // pool: since when it has been idle
-	dialDuration  time.Duration // pool: how long it took to connect
+	start, end    int           // bounds of the unread bytes in the buffer
+	budget        *Budget       // for a buffer over MaxBuffer; if nil, the buffer can't grow beyond that
+	budgetedBytes int           // bytes that the buffer takes from the budget; 0 for an ordinary buffer
+	arrivalTimes  *arrivalTimes // of a client's bytes; nil if not recorded
+	peer          Peer          // pooled connections only: the server
+	idleAt        time.Time     // pooled connections only: when it became idle
+	dialDuration  time.Duration // pooled connections only: how long the dial took
 }
 
-// Unread returns the bytes that were read and not skipped. They hold until the next Fill or Skip.
+// Unread returns the bytes that were read and not skipped. The slice is valid until the next Fill or Skip.
 func (c *Conn) Unread() []byte { return c.buffer[c.start:c.end] }
 
 // Skip discards the first n bytes of Unread.
@@ -53,13 +54,13 @@
 	if c.start += n; c.start == c.end {
 		c.start, c.end = 0, 0
 		if c.releaseBuffer(); len(c.buffer) > maxIdleBuffer {
-			c.buffer = nil // Guards memory against many idle connections that once carried a large value.
+			c.buffer = nil // Many idle connections that each once carried a large value would use much memory.
 		}
 	}
 }
 
-// Take discards the first n bytes of Unread and returns them to keep: the buffer itself where it is a large one. They
-// hold until release is called, which must happen once.
+// Take removes the first n bytes of Unread and returns them: as the buffer itself if it comes from the budget and holds
+// nothing else, otherwise as a copy. They are valid until release is called, which must happen exactly once.
 func (c *Conn) Take(n int) (taken []byte, release func()) {
 	if c.budgetedBytes == 0 || c.end-c.start != n {
 		taken = bytes.Clone(c.buffer[c.start : c.start+n])
@@ -74,7 +75,7 @@
 	return taken, release
 }
 
-// Grow makes the buffer large enough for a message of n bytes. It returns LocalShortage when the budget has none left.
+// Grow makes the buffer large enough for a message of n bytes. It returns LocalShortage if the budget does not suffice.
 func (c *Conn) Grow(n int) End {
 	if n <= MaxBuffer || n <= len(c.buffer) {
 		return Open
@@ -90,7 +91,7 @@
 	return Open
 }
 
-// releaseBuffer gives the buffer back where it came out of the budget.
+// releaseBuffer returns the buffer to the budget if it came from there.
 func (c *Conn) releaseBuffer() {
 	if c.budgetedBytes > 0 {
 		c.budget.releaseFunc(c.buffer, c.budgetedBytes)()
@@ -98,16 +99,15 @@
 	}
 }
 
-// EnlargeEmptyBuffer makes an empty buffer as large as an idle one may stay, where much is about to be read and
-// discarded.
+// EnlargeEmptyBuffer grows an empty buffer to maxIdleBuffer, for a caller that is about to read and discard many bytes.
 func (c *Conn) EnlargeEmptyBuffer() {
 	if c.start == c.end && len(c.buffer) < maxIdleBuffer {
 		c.buffer = make([]byte, maxIdleBuffer)
 	}
 }
 
-// ensureSpace makes space for a read behind the bytes in the buffer, by compacting or growing it. It returns Malformed
-// when a message is longer than the buffer may grow.
+// ensureSpace makes space for a read after the unread bytes, by compacting or growing the buffer. It returns Malformed if
+// a message is longer than the buffer may grow.
 func (c *Conn) ensureSpace() End {
 	switch {
 	case c.end < len(c.buffer):
@@ -124,8 +124,8 @@
 	return Open
 }
 
-// Fill reads once more, until the deadline. isSent: what is read is the response to a message that was handed over in
-// full, which decides what a failure means (End).
+// Fill reads once more, until the deadline. isSent tells that the read is for the response to a message whose last byte
+// was handed to the kernel, which decides the End that a failure is reported as.
 func (c *Conn) Fill(deadline time.Time, isSent bool) End {
 	if end := c.ensureSpace(); end != Open {
 		return end
@@ -148,7 +148,7 @@
 	return endOfError(err, isSent)
 }
 
-// Send writes the message, until the deadline. It returns Open once its last byte was handed to the kernel.
+// Send writes the message, until the deadline. It returns Open once the last byte was handed to the kernel.
 func (c *Conn) Send(message []byte, deadline time.Time) End {
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return endOfError(err, false)
