--- a/transport/budget_test.go
+++ b/transport/budget_test.go
@@ -10,48 +10,48 @@
 	"time"
 )
 
-// Several clients send large values at once. Buffers over the usual size grow out of one budget, of which one has half
-// at most, and give it back when they are done.
+// Several clients send large values at once. Buffers over MaxBuffer are taken from one shared budget, each at most half
+// of it, and returned when they are released.
 func TestLargeBuffersShareABudget(t *testing.T) {
-	budget, most := NewBudget(5*MaxBuffer), 2*MaxBuffer
+	budget, size := NewBudget(5*MaxBuffer), 2*MaxBuffer
 	a, b, c := &Conn{budget: budget}, &Conn{budget: budget}, &Conn{budget: budget}
-	if x, y, z := a.Grow(most), b.Grow(most), c.Grow(most); x != Open || y != Open || z != LocalShortage || len(a.buffer) != most {
-		t.Fatalf("%v, %v, %v, %d bytes", x, y, z, len(a.buffer))
+	if x, y, z := a.Grow(size), b.Grow(size), c.Grow(size); x != Open || y != Open || z != LocalShortage || len(a.buffer) != size {
+		t.Fatalf("Grow: %v, %v, %v, want two Open and one LocalShortage; buffer of %d bytes, want %d", x, y, z, len(a.buffer), size)
 	}
-	a.end = most
-	own, done := a.Take(most)
-	if len(own) != most || a.buffer != nil || c.Grow(most) != LocalShortage {
-		t.Fatal("what is taken and still used is the others'")
+	a.end = size
+	taken, release := a.Take(size)
+	if len(taken) != size || a.buffer != nil || c.Grow(size) != LocalShortage {
+		t.Fatal("a buffer that was taken and not released is available to others")
 	}
-	done()
-	if c.Grow(most) != Open || c.Grow(2*most) != LocalShortage {
-		t.Fatal("what one has done with is not the others'")
+	release()
+	if c.Grow(size) != Open || c.Grow(2*size) != LocalShortage {
+		t.Fatal("a released buffer is not available to others, or a buffer from the budget grew again")
 	}
-	c.end = most
-	if c.Skip(most); len(c.buffer) != 0 || a.Grow(most) != Open {
-		t.Fatal("what was skipped is kept")
+	c.end = size
+	if c.Skip(size); len(c.buffer) != 0 || a.Grow(size) != Open {
+		t.Fatal("the buffer of skipped bytes is not released")
 	}
-	if one := NewBudget(5 * MaxBuffer); (&Conn{budget: one}).Grow(3*MaxBuffer) != LocalShortage {
-		t.Fatal("one has more than half")
+	if unused := NewBudget(5 * MaxBuffer); (&Conn{budget: unused}).Grow(3*MaxBuffer) != LocalShortage {
+		t.Fatal("one buffer takes more than half of the budget")
 	}
 	for n := MaxBuffer + 1; n <= MaxMessage; n += 4099 {
 		if size := roundedSize(n); size < n || size > n+n/4 || roundedSize(size) != size {
-			t.Fatalf("%d is given %d", n, size)
+			t.Fatalf("roundedSize(%d) = %d", n, size)
 		}
 	}
-	if (&Conn{}).Grow(most) != LocalShortage {
-		t.Fatal("a connection without a budget grows over the usual size")
+	if (&Conn{}).Grow(size) != LocalShortage {
+		t.Fatal("a connection without a budget grows over MaxBuffer")
 	}
 }
 
-// Clients send large values faster than the garbage collector runs. Their buffers are used again, so that memory stays
-// within a part of what was sent.
-func TestLargeBuffersAreUsedAgain(t *testing.T) {
+// Clients send large values faster than the garbage collector runs. Their buffers must be reused, so that the memory
+// allocated stays well below the bytes sent.
+func TestLargeBuffersAreReused(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	const size, many, sides = 1 << 20, 96, 3
+	const size, values, connections = 1 << 20, 96, 3
 	l.Budget = NewBudget(4 * size)
 	go l.Serve(func(c *Client) {
 		for c.Grow(size) == Open {
@@ -61,21 +61,21 @@
 				}
 			}
 			c.BeginReply()
-			own, done := c.Take(size)
-			if own[0] != 'v' || own[size-1] != 'e' {
+			taken, release := c.Take(size)
+			if taken[0] != 'v' || taken[size-1] != 'e' {
 				c.Conn.Close()
 			}
-			done()
+			release()
 			c.Send([]byte("x"), testDeadline())
 			c.EndReply()
 		}
 	})
-	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // As slow as a collector can be.
+	defer debug.SetGCPercent(debug.SetGCPercent(-1)) // The collector does not run at all.
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	value := []byte("v" + strings.Repeat("-", size-2) + "e")
 	var clients sync.WaitGroup
-	for range sides {
+	for range connections {
 		clients.Go(func() {
 			c, err := net.Dial("tcp", l.Address())
 			if err != nil {
@@ -84,7 +84,7 @@
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(10 * time.Second))
-			for range many / sides {
+			for range values / connections {
 				c.Write(value)
 				if n, err := c.Read(make([]byte, 1)); n != 1 {
 					t.Error(err)
@@ -95,10 +95,10 @@
 	}
 	clients.Wait()
 	runtime.ReadMemStats(&after)
-	if took := after.TotalAlloc - before.TotalAlloc; took > many*size/2 {
-		t.Errorf("%d values of %d bytes, three at a time, took %d bytes", many, size, took)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > values*size/2 {
+		t.Errorf("%d values of %d bytes over %d connections allocated %d bytes", values, size, connections, allocated)
 	}
 	if !l.Close(testDeadline()) {
-		t.Error("it does not end")
+		t.Error("Close does not complete")
 	}
 }
