--- a/transport/end.go
+++ b/transport/end.go
@@ -9,60 +9,61 @@
 	"syscall"
 )
 
-// End is how an attempt or a client's connection ended, one value for each way. Package routing maps it to the
-// decision module's outcome, in one table.
+// End is how an attempt or a client's connection ended. Package routing maps it to the decision module's outcome, in one
+// table.
 type End int
 
-// The ways to end. What matters most to a caller is whether the last byte of the message had been handed to the
-// kernel: before that the peer can't have begun the request, since it starts none that is not complete; after it
-// nobody here can tell. The comments say what the peer may have done.
+// The values of End. The main distinction for a caller is whether the last byte of the message had been handed to the
+// kernel: before that the peer can't have begun the request, since it starts only complete ones; after that it can't be
+// known locally. Each comment says what the peer may have done.
 const (
-	// Open: it has not ended.
+	// Open: the connection or attempt has not ended.
 	Open End = iota
 
-	// Succeeded: a response with a value or a receipt came; the peer ran the request.
+	// Succeeded: a response with a value or an acknowledgement was received; the peer ran the request.
 	Succeeded
-	// Failed: an error response came; the peer may have run the request, in part.
+	// Failed: an error response was received; the peer may have run the request in part.
 	Failed
 	// Rejected: the peer rejected the request; it did not begin it.
 	Rejected
 
-	// ConnectRefused: connect failed at once; the peer has seen nothing.
+	// ConnectRefused: connect failed, not by its timeout or a local shortage; the peer has received nothing.
 	ConnectRefused
-	// ConnectTimedOut: connect did not complete within its timeout; the peer has seen no byte of the request.
+	// ConnectTimedOut: connect did not complete within its timeout; the peer has received no byte of the request.
 	ConnectTimedOut
-	// LocalShortage: this machine or its limits left no connection or buffer; no peer is at fault, none has seen
-	// anything.
+	// LocalShortage: a resource of this machine or a configured limit left no connection or buffer; no peer is at fault,
+	// and none has received anything.
 	LocalShortage
 
-	// BrokenBeforeSent: the connection broke before the last byte was handed over; the peer began nothing.
+	// BrokenBeforeSent: the connection broke before the last byte was handed over; the peer did not begin the request.
 	BrokenBeforeSent
-	// TimedOutBeforeSent: the deadline passed before the last byte was handed over; the peer began nothing. Of a
-	// client: it did not complete a command, or did not read its replies, in time.
+	// TimedOutBeforeSent: the deadline passed before the last byte was handed over; the peer did not begin the
+	// request. For a client's connection: the client did not complete a command or read its replies in time.
 	TimedOutBeforeSent
-	// CancelledBeforeSent: cancelled before the last byte was handed over; the peer began nothing.
+	// CancelledBeforeSent: cancelled before the last byte was handed over; the peer did not begin the request.
 	CancelledBeforeSent
 
 	// BrokenAfterSent: the connection broke or was closed after the last byte was handed over; the peer may have run
 	// the request.
 	BrokenAfterSent
-	// ResponseTimedOut: no complete response came before the deadline; the peer may have run the request, or may yet.
+	// ResponseTimedOut: no complete response arrived before the deadline; the peer may have run the request, or may still.
 	ResponseTimedOut
-	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may yet.
+	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may still.
 	CancelledAfterSent
-	// Malformed: what came is malformed, or too long; a server may have run the request, a client can't be read any
-	// further.
+	// Malformed: the bytes received are malformed, or the message is too long; a server may have run the request, and a
+	// client's connection can't be read any further.
 	Malformed
 
 	// ClientDisconnected: the client closed its connection.
 	ClientDisconnected
-	// ClosedIdle: the listener closed a client's connection between commands, for room or because it stops.
+	// ClosedIdle: the listener closed the client's connection between commands: for its idle timeout, for the client
+	// limit, or for a stop.
 	ClosedIdle
-	// Overfull: the client's connection has not ended; more commands wait than its buffer holds.
+	// Overfull: the client's connection has not ended, but more commands are pending than its buffer holds.
 	Overfull
 )
 
-// endNames are the ends' names at /metrics and in logs, which operators match: they stay as they are.
+// endNames are the names of ends at /metrics and in logs. Operators' tools match them, so they must not change.
 var endNames = [...]string{
 	Open:                "open",
 	Succeeded:           "settled",
@@ -83,13 +84,14 @@
 	Overfull:            "surplus",
 }
 
-// String returns the end's name at /metrics and in logs.
+// String returns the name of the end at /metrics and in logs.
 func (e End) String() string { return endNames[e] }
 
-// ClientEnds are the ends that a client's connection can have, in the order of /metrics.
+// ClientEnds are the possible ends of a client's connection, in their order at /metrics.
 var ClientEnds = [...]End{ClientDisconnected, ClosedIdle, Malformed, TimedOutBeforeSent, BrokenBeforeSent}
 
-// endOfError maps an error of a read or write; isSent: the last byte of the message had been handed over.
+// endOfError maps an error of a read or write to an End. isSent tells that the last byte of the message had been handed
+// to the kernel.
 func endOfError(err error, isSent bool) End {
 	switch {
 	case err == nil:
@@ -106,18 +108,18 @@
 	return BrokenBeforeSent
 }
 
-// localErrnos are the errors of socket and connect that this machine gives for want of something of its own: no server
-// is at fault, and none may lose traffic for it.
+// localErrnos are the errors of socket and connect that are caused by a shortage on this machine: no server is at fault,
+// and none may lose traffic for them.
 var localErrnos = [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN}
 
-// IsLocalShortage reports whether this machine gave the error for want of something, which may be over in a moment.
+// IsLocalShortage reports whether the error is caused by a shortage on this machine, which may be short-lived.
 func IsLocalShortage(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrnos[:], errno)
 }
 
-// endOfDialError maps an error of a dial.
+// endOfDialError maps an error of a dial to an End.
 func endOfDialError(err error) End {
 	var netErr net.Error
 	switch {
