--- a/transport/limit.go
+++ b/transport/limit.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// The limit of clients: the number configured, or less while descriptors are short, since servers' connections and
-// files need descriptors too. Where there is no room for a client more, one between commands is asked to close.
+// The limit of clients is the configured number, or less during a shortage of descriptors, since connections to servers
+// and files need descriptors too. When the limit is reached, clients between commands are evicted for new ones.
 
 const (
-	// limitRecoveryInterval is how long after a shortage of descriptors, and after each step, the limit is raised by
-	// the next step; one step is the configured limit over limitRecoverySteps. The limit is
-	// back within 4 s, and a shortage that lasts costs one failed accept each interval.
+	// After a shortage of descriptors the limit is raised once per limitRecoveryInterval, each time by the configured
+	// limit divided by limitRecoverySteps. The limit is restored within 4 s, and a lasting shortage costs one failed
+	// accept per interval.
 	limitRecoveryInterval = time.Second / 2
 	limitRecoverySteps    = 8
 
-	// spareDivisor is the part of the limit that is kept free: clients are asked to close once less than a 16th is,
-	// so that new clients don't wait while those asked to close do so.
+	// spareDivisor sets how much of the limit is kept free: clients are evicted once less than a 16th is free, so that
+	// new clients don't have to wait while evicted ones close.
 	spareDivisor = 16
 )
 
-// SetLimit sets how many clients there may be from now on. Over that, clients between commands are asked to close.
+// SetLimit sets the limit of clients. Clients between commands are evicted while more are connected.
 func (l *Listener) SetLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -25,7 +25,7 @@
 	l.applyLimit()
 }
 
-// applyLimit sets the limit from what is configured and what is short. Under the lock.
+// applyLimit computes the limit from the configured one and that of a shortage. The caller must hold l.mu.
 func (l *Listener) applyLimit() {
 	limit := l.configuredLimit
 	if l.shortageLimit > 0 {
@@ -41,8 +41,9 @@
 	l.roomChanged.Broadcast()
 }
 
-// reduceLimit lowers the limit to a tenth less than are connected, at least to half of the first limit. It guards
-// connections to servers against clients that take every descriptor, where there are fewer than configured.
+// reduceLimit lowers the limit to a tenth below the number of connected clients, but not below half of the initial limit.
+// It keeps clients from taking the descriptors that connections to servers need, when there are fewer descriptors than
+// the configured limit assumes.
 func (l *Listener) reduceLimit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +52,7 @@
 	l.evictIdle()
 }
 
-// recoverLimit raises the limit again after a shortage, a step at a time. Under the lock.
+// recoverLimit raises the limit again after a shortage, one step at a time. The caller must hold l.mu.
 func (l *Listener) recoverLimit(now time.Time) {
 	if l.shortageLimit == 0 || now.Sub(l.shortageAt) < limitRecoveryInterval {
 		return
@@ -63,19 +64,21 @@
 	l.applyLimit()
 }
 
-// awaitRoom waits until there is room for one client more. All clients may be busy: the first that has its reply makes
-// room. Under the lock.
+// awaitRoom waits until the limit allows one more client. If all clients are busy, that is when the first has its reply
+// and is evicted. The caller must hold l.mu.
 func (l *Listener) awaitRoom() {
 	for ; len(l.clients) >= l.limit && !l.isClosed; l.evictIdle() {
 		l.roomChanged.Wait()
 	}
 }
 
-// hasSpareRoom reports whether so many clients leave the part of the limit free that is kept so. Under the lock.
+// hasSpareRoom reports whether this number of clients leaves the reserve set by spareDivisor free. The caller must hold
+// l.mu.
 func (l *Listener) hasSpareRoom(clients int) bool { return clients < l.limit-l.limit/spareDivisor }
 
-// evictIdle asks one client between commands to close, unless there is spare room: the first by rank, of like ones the
-// one idle longest. Clients that are closing already count as gone. Under the lock.
+// evictIdle marks one client between commands as closing, unless there is spare room: the one with the lowest rank, and
+// among equal ranks the one that has been idle longest. Clients already closing are counted as gone. The caller must hold
+// l.mu.
 func (l *Listener) evictIdle() {
 	var first *Client
 	closing := 0
@@ -84,7 +87,7 @@
 		case c.pendingReplies > 0, c.hasPartialCommand && c.validCommands > 0:
 		case c.isClosing:
 			if closing++; c.hasPartialCommand {
-				c.requestClose() // It was let complete its command while there was room.
+				c.requestClose() // It was allowed to complete its command while there was spare room.
 			}
 		case first == nil, c.isEvictedBefore(first):
 			first = c
@@ -95,14 +98,14 @@
 	}
 }
 
-// isEvictedBefore reports whether the client makes room before the other does. Under the lock.
+// isEvictedBefore reports whether the client is to be evicted before the other. The caller must hold listener.mu.
 func (c *Client) isEvictedBefore(other *Client) bool {
 	rank, otherRank := c.evictionRank(), other.evictionRank()
 	return rank < otherRank || rank == otherRank && c.idleSince.Before(other.idleSince)
 }
 
-// Sweep asks clients to close that have been idle too long, and raises the limit after a shortage. It is to be called
-// several times a second.
+// Sweep marks clients that have been idle for too long as closing, and raises the limit after a shortage. It must be
+// called several times a second.
 func (l *Listener) Sweep() {
 	if l.isShared {
 		l.Unblock()
