--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A system call fails at connect, before or after the last byte of a request was handed over. The end tells where
-// nothing was begun, where nobody can tell, and where the server is not at fault.
+// A system call fails at connect, or before or after the last byte of a request was handed over. The End must tell
+// whether the request can't have begun, whether that is unknown, and whether the server is not at fault.
 func TestSystemErrorsMapToEnds(t *testing.T) {
 	for _, c := range []struct {
 		errno              error
@@ -29,16 +29,16 @@
 		{os.ErrDeadlineExceeded, ConnectTimedOut, TimedOutBeforeSent, ResponseTimedOut},
 		{io.EOF, ConnectRefused, ClientDisconnected, BrokenAfterSent},
 	} {
-		of := func(call string) error {
+		opError := func(call string) error {
 			return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, c.errno)}
 		}
-		if end := endOfDialError(of("connect")); end != c.dial {
+		if end := endOfDialError(opError("connect")); end != c.dial {
 			t.Errorf("%v at connect is %v, want %v", c.errno, end, c.dial)
 		}
-		if end := endOfError(of("write"), false); end != c.unsent {
+		if end := endOfError(opError("write"), false); end != c.unsent {
 			t.Errorf("%v before the last byte is %v, want %v", c.errno, end, c.unsent)
 		}
-		if end := endOfError(of("read"), true); end != c.sent {
+		if end := endOfError(opError("read"), true); end != c.sent {
 			t.Errorf("%v after the last byte is %v, want %v", c.errno, end, c.sent)
 		}
 	}
