--- a/transport/limit_test.go
+++ b/transport/limit_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// All clients are busy as a new one connects. It waits until one of them has its reply, and none is cut off.
+// All clients are busy when a new one connects. It must wait until one of them has its reply, and none may lose its
+// connection before its reply.
 func TestNewClientWaitsForRoom(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 1)
 	if err != nil {
@@ -30,7 +31,7 @@
 	second, _ := net.Dial("tcp", l.Address())
 	second.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the second of one client: %v", err)
+		t.Fatalf("a second client over a limit of one: %v, want a read timeout", err)
 	}
 	close(release)
 	for _, c := range []net.Conn{first, second} {
@@ -42,13 +43,13 @@
 	first.Close()
 	second.Close()
 	if !l.Close(testDeadline()) {
-		t.Fatal("it does not end")
+		t.Fatal("Close does not complete")
 	}
 }
 
-// More clients connect than there is room for. Those without a valid command are closed first, then those with one, and
-// usual ones last.
-func TestUsualClientsAreClosedLast(t *testing.T) {
+// More clients connect than the limit allows. Those without a valid command are closed first, then those with one, and
+// established ones last.
+func TestEstablishedClientsAreClosedLast(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 4)
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +81,7 @@
 		}
 		return c
 	}
-	usual := dial("gg")
+	established := dial("gg")
 	once := dial("g")
 	silent, noisy := dial("x"), dial("xxxxx")
 	l.mu.Lock()
@@ -90,13 +91,13 @@
 	l.mu.Unlock()
 	for i, first := range []net.Conn{silent, noisy, once} {
 		dial("gg")
-		if went := <-ended; went != first.LocalAddr().String() {
-			t.Fatalf("%d: %s went, not %s", i, went, first.LocalAddr())
+		if closed := <-ended; closed != first.LocalAddr().String() {
+			t.Fatalf("eviction %d: %s was closed, want %s", i, closed, first.LocalAddr())
 		}
 	}
 	dial("gg")
-	if went := <-ended; went != usual.LocalAddr().String() {
-		t.Fatal("with usual clients only, the one idle longest does not go")
+	if closed := <-ended; closed != established.LocalAddr().String() {
+		t.Fatal("among established clients only, the one idle longest is not closed")
 	}
 	l.mu.Lock()
 	n := 0
@@ -111,12 +112,12 @@
 		<-ended
 	}
 	if l.Sweep(); len(ended) > 0 || !l.Close(testDeadline()) {
-		t.Fatal("it does not end, or a client went too early")
+		t.Fatal("Close does not complete, or a client was closed before its idle timeout")
 	}
 }
 
-// Room is short and held by clients that sent one command and stayed. They are closed before one that has just
-// connected.
+// The limit is reached by clients that sent one command and stayed connected. They must be closed before a client that
+// has just connected.
 func TestNewClientHasTimeForItsFirstCommand(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 2)
 	if err != nil {
@@ -143,49 +144,49 @@
 	}
 	dial().CountValidCommand()
 	dial().CountValidCommand()
-	for n := range 2 { // Two new ones: those that asked once make room, the first new one does not.
+	for n := range 2 { // The two older clients are evicted, and the first of the new ones is not.
 		if dial(); <-ended != local[n] {
-			t.Fatal("a client that has just come is closed")
+			t.Fatal("a client that has just connected is closed")
 		}
 	}
 }
 
-// Clients that may only hold so many connections keep them idle after one command. With a quarter of the room taken
-// they are closed soon, so that the others can connect.
-func TestClientsWithOneCommandAreClosedSoonerInACrowd(t *testing.T) {
+// Client hosts that may hold only a limited number of connections keep them idle after one command. Once more than a
+// quarter of the limit is in use, such connections are closed sooner, so that others can be opened.
+func TestClientsWithOneCommandAreClosedSoonerUnderPressure(t *testing.T) {
 	l := &Listener{limit: 8, clients: map[*Client]bool{}}
 	for n := range 3 {
 		c := &Client{listener: l, validCommands: 1 + n/2}
 		l.clients[c] = true
 		if want := []time.Duration{firstCommandIdleTimeout, firstCommandIdleTimeout, establishedIdleTimeout}[n]; c.idleTimeout() != want {
-			t.Errorf("%d clients: kept for %v", n+1, c.idleTimeout())
+			t.Errorf("%d clients: idle timeout %v, want %v", n+1, c.idleTimeout(), want)
 		}
 	}
 	if c := (&Client{listener: l, validCommands: 1}); c.idleTimeout() != pressureIdleTimeout {
-		t.Errorf("in a crowd it is kept for %v", c.idleTimeout())
+		t.Errorf("under pressure: idle timeout %v, want %v", c.idleTimeout(), pressureIdleTimeout)
 	}
 }
 
-// A client was asked to close amid a command, and let complete it while there was room. Once there is none it is
-// closed, and new clients do not wait for it.
-func TestPartialCommandHoldsUpNoNewClient(t *testing.T) {
+// A client is marked as closing in the middle of a command, and allowed to complete it while there is spare room. Once
+// there is none it must be closed, so that new clients don't wait for it.
+func TestPartialCommandDelaysNoNewClient(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close(time.Now()); l.ResetAll(time.Second) })
-	come := make(chan *Client, 10)
+	filled := make(chan *Client, 10)
 	go l.Serve(func(c *Client) {
 		for c.Fill(time.Time{}) == Open {
-			come <- c
+			filled <- c
 		}
 	})
-	half, _ := net.Dial("tcp", l.Address())
-	half.Write([]byte("h"))
-	c := <-come
-	for waits := false; !waits; { // Until its reader waits for the rest.
+	partial, _ := net.Dial("tcp", l.Address())
+	partial.Write([]byte("h"))
+	c := <-filled
+	for isReading := false; !isReading; { // Until its reader waits for the rest of the command.
 		l.mu.Lock()
-		waits = c.hasPartialCommand
+		isReading = c.hasPartialCommand
 		l.mu.Unlock()
 	}
 	l.mu.Lock()
@@ -196,9 +197,9 @@
 		defer other.Close()
 		other.Write([]byte("x"))
 		select {
-		case <-come:
+		case <-filled:
 		case <-time.After(time.Until(testDeadline())):
-			t.Fatal("a new client waits for one that does not go")
+			t.Fatal("a new client waits for one with a partial command, which is not closed")
 		}
 	}
 }
