--- a/transport/listener.go
+++ b/transport/listener.go
@@ -14,57 +14,57 @@
 )
 
 const (
-	// sharedAcceptTimeout bounds an accept from a shared socket once a client has connected: another process may have
-	// accepted that client first.
+	// sharedAcceptTimeout bounds an accept from a shared socket that has become readable: another process may have
+	// accepted the connection first.
 	sharedAcceptTimeout = time.Millisecond
 
-	// listenRetryTimeout is how long Listen tries again while the system is short of something: as a restart replaces a
-	// process, the old one may still hold what the new one needs.
+	// listenRetryTimeout is how long Listen retries after an error caused by a local shortage: during a restart the old
+	// process may still hold the resources that the new one needs.
 	listenRetryTimeout  = 2 * time.Second
 	listenRetryInterval = 10 * time.Millisecond
 
-	// minAcceptBackoff and maxAcceptBackoff bound the pause after an accept that failed, which doubles each time: the
-	// loop must not spin, and must go on soon after a shortage is over.
+	// minAcceptBackoff and maxAcceptBackoff bound the pause after a failed accept, which doubles with each failure. The
+	// loop must not spin, and must continue soon after a shortage is over.
 	minAcceptBackoff = time.Millisecond
 	maxAcceptBackoff = 50 * time.Millisecond
 )
 
-// Listener accepts clients and keeps them within a number of descriptors.
+// Listener accepts clients and limits how many are connected.
 //
-// The exported fields are to be set before Serve and not after.
+// The exported fields must be set before Serve is called and not changed after that.
 type Listener struct {
-	Budget              *Budget         // for clients' large values; nil: none may send one
-	OnAcceptError       func(err error) // called with the first error of each run of accepts that fail
-	AdmissionWatchdog   Watchdog        // marks the time for which an accepted connection waits for room
-	Stalls              *StallClock     // tells when the process did not run; nil: it is taken to run always
-	FirstCommandTimeout time.Duration   // how long a client's first command may take, from when it connected
-	CommandTimeout      time.Duration   // how long a usual client's command may take, from its first byte
+	Budget              *Budget         // for clients' large values; if nil, clients can't send any
+	OnAcceptError       func(err error) // called with the first error of each series of failed accepts
+	AdmissionWatchdog   Watchdog        // tracks how long an accepted connection waits for the client limit
+	Stalls              *StallClock     // records when the process did not run; if nil, it is assumed to run always
+	FirstCommandTimeout time.Duration   // time from a client's connect until its first command must be complete
+	CommandTimeout      time.Duration   // time from the first byte of each later command until it must be complete
 	listener            net.Listener
-	openedAt            time.Time      // connections can come since then
-	isShared            bool           // other processes accept from the socket too
-	readiness           *os.File       // shared: a second descriptor of the socket, to wait for clients without accepting
-	serving             sync.WaitGroup // Serve and its clients
-	minLimit            int            // a shortage of descriptors takes the limit no lower; fixed
-	mu                  sync.Mutex     // guards the fields below, and those of each client that say so
-	roomChanged         sync.Cond      // on mu: a client has gone, or is between commands, or the limit has changed
-	isClosed            bool           // accepts no more
-	isDraining          bool           // each client closes with its next reply
+	openedAt            time.Time      // when the socket was opened: connections may have arrived since
+	isShared            bool           // other processes accept from the same socket
+	readiness           *os.File       // shared sockets only: a duplicate descriptor, to wait for clients without accepting
+	serving             sync.WaitGroup // counts Serve and the goroutines of its clients
+	minLimit            int            // lower bound of the limit during a shortage of descriptors; immutable
+	mu                  sync.Mutex     // guards the fields below, and the fields of Client that say so
+	roomChanged         sync.Cond      // on mu: a client has closed or is between commands, or the limit has changed
+	isClosed            bool           // no more connections are accepted
+	isDraining          bool           // each client is closed after its next reply
 	clients             map[*Client]bool
 
 	configuredLimit int       // clients, as configured
-	limit           int       // clients: configuredLimit, or less while descriptors are short
-	shortageLimit   int       // as many clients as there seem to be descriptors for; 0: nothing is short
-	shortageAt      time.Time // when the shortage was last seen, or shortageLimit raised
+	limit           int       // clients: configuredLimit, or less during a shortage of descriptors
+	shortageLimit   int       // clients for which there seem to be descriptors; 0 if there is no shortage
+	shortageAt      time.Time // when the shortage was last seen or shortageLimit was last raised
 }
 
-// Watchdog is told of the beginning and the end of a span that should not take long, so that a watchdog sees one that
-// does.
+// Watchdog is notified of the beginning and the end of an operation that should be short, so that it can report one
+// that is not.
 type Watchdog interface {
 	Begin()
 	End()
 }
 
-// noWatchdog is the Watchdog of a listener without a watchdog.
+// noWatchdog is the default Watchdog, which does nothing.
 type noWatchdog struct{}
 
 // Begin does nothing.
@@ -73,8 +73,8 @@
 // End does nothing.
 func (noWatchdog) End() {}
 
-// Inherit returns a listener on a listening socket that whoever started the program holds too, for up to limit clients.
-// The socket is never shut down: others accept from it, before and after.
+// Inherit returns a listener, for up to limit clients, on a listening socket that the parent process holds as well. The
+// socket is never shut down: other processes accept from it before and after this one.
 func Inherit(descriptor int, limit int) (*Listener, error) {
 	openedAt := time.Now()
 	if listens, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil {
@@ -83,27 +83,27 @@
 		return nil, fmt.Errorf("descriptor %d does not listen", descriptor)
 	}
 	held := os.NewFile(uintptr(descriptor), "listening socket")
-	defer held.Close() // FileListener has a descriptor of its own.
+	defer held.Close() // FileListener duplicates the descriptor.
 	inner, err := net.FileListener(held)
 	if err != nil {
 		return nil, err
 	}
 	if _, is := inner.(*net.TCPListener); !is {
-		return nil, fmt.Errorf("descriptor %d is no TCP socket", descriptor)
+		return nil, fmt.Errorf("descriptor %d is not a TCP socket", descriptor)
 	}
 	copied, err := unix.FcntlInt(uintptr(descriptor), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		inner.Close()
 		return nil, fmt.Errorf("descriptor %d: %w", descriptor, err)
 	}
-	_ = unix.SetNonblock(copied, true) // So that the runtime's poller waits on it, and no thread.
+	_ = unix.SetNonblock(copied, true) // Lets the runtime's poller wait on it instead of a thread.
 	l := newListener(inner, limit, openedAt)
 	l.isShared, l.readiness = true, os.NewFile(uintptr(copied), "listening socket")
 	return l, nil
 }
 
-// Listen returns a listener on an address of its own, for up to limit clients. The address can be listened on again at
-// once after a process has ended, as a restart needs.
+// Listen returns a listener, for up to limit clients, on a new socket at the address. The address can be listened on
+// again immediately after the process has ended, as a restart needs.
 func Listen(address string, limit int) (*Listener, error) {
 	openedAt := time.Now()
 	listener, err := listen(address)
@@ -126,15 +126,15 @@
 		clients: map[*Client]bool{}, OnAcceptError: func(error) {}, AdmissionWatchdog: noWatchdog{},
 		FirstCommandTimeout: defaultFirstCommandTimeout, CommandTimeout: defaultCommandTimeout}
 	l.roomChanged.L = &l.mu
-	l.serving.Add(1) // Serve counts too: Close must wait for a client that is just being accepted.
+	l.serving.Add(1) // Serve is counted as well: Close must wait for a client that is being accepted.
 	return l
 }
 
-// Address is where it listens.
+// Address returns the address that the listener listens on.
 func (l *Listener) Address() string { return l.listener.Addr().String() }
 
-// Serve accepts clients until StopAccepting or Close, and runs serve for each in a goroutine of its own; it returns
-// when it accepts no more. A failed accept does not end it. It must be called once.
+// Serve accepts clients until StopAccepting or Close, and runs serve for each in a new goroutine. It returns once no
+// more clients are accepted; a failed accept does not end it. It must be called exactly once.
 func (l *Listener) Serve(serve func(*Client)) {
 	defer l.serving.Done()
 	backlog := acceptBacklog{stalls: l.Stalls, kernelEmptyAt: l.openedAt}
@@ -165,9 +165,9 @@
 	}
 }
 
-// awaitShared waits, before an accept from a shared socket, for room and then for a connection. It guards a client
-// against waiting here, accepted but without room, while another process has room for it. It returns since when the
-// accept counts as called, and whether the socket is still open.
+// awaitShared waits, before an accept from a shared socket, until the client limit allows one more and then until a
+// connection is pending. Otherwise a client could be accepted here and wait for the limit while another process could
+// serve it at once. It returns the time from which the accept counts as called, and whether the socket is still open.
 func (l *Listener) awaitShared(backlog *acceptBacklog, called time.Time) (time.Time, bool) {
 	l.mu.Lock()
 	l.awaitRoom()
@@ -179,9 +179,9 @@
 	return called, l.awaitConnection()
 }
 
-// awaitConnection waits until a client has connected to a shared socket; false: the socket is closed. It guards a stop
-// against an accept that blocks in the kernel, which only the next client would end: the socket's non-blocking mode
-// belongs to all who hold it, and can be switched off at any time.
+// awaitConnection waits until a connection is pending on a shared socket, and returns false if the socket is closed.
+// The non-blocking mode of the socket is shared with all processes that hold it and can be switched off at any time; an
+// accept would then block in the kernel until the next client connects, and hold up a stop.
 func (l *Listener) awaitConnection() bool {
 	raw, err := l.readiness.SyscallConn()
 	if err == nil {
@@ -192,13 +192,14 @@
 	return err == nil
 }
 
-// acceptFailures is a run of accepts that failed.
+// acceptFailures is the state of a series of failed accepts.
 type acceptFailures struct {
 	isReported bool
 	backoff    time.Duration // before the next accept
 }
 
-// handleAcceptError reports the first error of a run, makes room where descriptors are short, and waits a little.
+// handleAcceptError reports the first error of a series, reduces the client limit if descriptors are short, and waits
+// for the backoff.
 func (l *Listener) handleAcceptError(err error, failures *acceptFailures) {
 	if !failures.isReported {
 		l.OnAcceptError(err)
@@ -211,7 +212,8 @@
 	failures.backoff = min(2*failures.backoff, maxAcceptBackoff)
 }
 
-// admit waits for room for a connection, which an accept called at a time has just returned, and serves it.
+// admit waits until the client limit allows the accepted connection, and serves it. called is when the accept that
+// returned it was called.
 func (l *Listener) admit(inner net.Conn, backlog *acceptBacklog, called time.Time, serve func(*Client)) {
 	acceptedAt := time.Now()
 	pendingSince := backlog.connectedSince(called, acceptedAt)
@@ -230,7 +232,8 @@
 	go l.serveClient(c, serve)
 }
 
-// serveClient serves a client, closes it and makes its room free. The client counts until its descriptor is closed.
+// serveClient serves a client, closes it and removes it. The client counts towards the limit until its descriptor is
+// closed.
 func (l *Listener) serveClient(c *Client, serve func(*Client)) {
 	defer l.serving.Done()
 	serve(c)
@@ -242,14 +245,15 @@
 	l.mu.Unlock()
 }
 
-// Unblock restores the socket's non-blocking mode, which all who hold a shared socket share: starting a process with it
-// may end that mode, and accepts would then block in the kernel. It reports whether the mode had ended.
+// Unblock restores the non-blocking mode of the socket, which is shared by all processes that hold it. Passing the
+// socket to a child process may switch the mode off, and accepts would then block in the kernel. It reports whether the
+// socket was in blocking mode.
 func (l *Listener) Unblock() (wasBlocking bool) {
 	raw := rawConn(l.listener)
 	if raw == nil {
 		return false
 	}
-	_ = raw.Control(func(fd uintptr) { // Fails only on a socket that is closed.
+	_ = raw.Control(func(fd uintptr) { // Fails only if the socket is closed.
 		flags, err := unix.FcntlInt(fd, unix.F_GETFL, 0)
 		if wasBlocking = err == nil && flags&unix.O_NONBLOCK == 0; wasBlocking {
 			_ = unix.SetNonblock(int(fd), true)
