--- a/transport/rawconn.go
+++ b/transport/rawconn.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConn returns access to the descriptor of a connection or listener, nil if it is closed or has none.
-func rawConn(of any) syscall.RawConn {
-	if inner, is := of.(syscall.Conn); is {
+// rawConn returns the raw descriptor of a connection or listener, or nil if it is closed or has none.
+func rawConn(connOrListener any) syscall.RawConn {
+	if inner, ok := connOrListener.(syscall.Conn); ok {
 		if raw, err := inner.SyscallConn(); err == nil {
 			return raw
 		}
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// hasEvent reports, without waiting, whether a descriptor has one of the poll events, or an error or a hangup.
+// hasEvent reports without blocking whether a descriptor has one of the poll events, an error or a hangup.
 func hasEvent(fd uintptr, events int16) bool {
 	for {
 		n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: events}}, 0)
@@ -28,8 +28,8 @@
 	}
 }
 
-// awaitHangup waits, without reading, until the peer has closed its side (ClientDisconnected) or the read deadline
-// passes (TimedOutBeforeSent).
+// awaitHangup waits, without reading, until the peer has closed its sending side (ClientDisconnected) or the read
+// deadline passes (TimedOutBeforeSent).
 func (c *Conn) awaitHangup() End {
 	raw := rawConn(c.Conn)
 	if raw == nil {
@@ -42,8 +42,8 @@
 	return ClientDisconnected
 }
 
-// HasEnded reports, without waiting, whether the peer has closed the connection, also where its end stands behind
-// bytes that were not read.
+// HasEnded reports without blocking whether the peer has closed its side of the connection, even if there are unread
+// bytes before the end of the stream.
 func (c *Conn) HasEnded() (ended bool) {
 	raw := rawConn(c.Conn)
 	if raw == nil {
@@ -53,18 +53,18 @@
 	return ended || err != nil
 }
 
-// peek looks, without reading or waiting, whether bytes wait to be read and whether the peer has ended the connection.
+// peek reports, without blocking or consuming anything, whether bytes can be read and whether the connection has ended.
 func (c *Conn) peek() (hasBytes, hasEnded bool) {
 	raw := rawConn(c.Conn)
 	if raw == nil {
 		return false, true
 	}
-	var one [1]byte
+	var buffer [1]byte
 	var n int
 	var peekErr error
 	if err := raw.Control(func(fd uintptr) {
 		for peekErr = syscall.EINTR; peekErr == syscall.EINTR; {
-			n, _, peekErr = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			n, _, peekErr = syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		}
 	}); err != nil {
 		return false, true
