--- a/transport/stallclock.go
+++ b/transport/stallclock.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	stallTickInterval = 20 * time.Millisecond // how often the clock checks that the process runs: 50 wake-ups a second
-	stallThreshold    = 2 * stallTickInterval // a tick so late tells of a stall: one tick may be lost
-	stallDrainWindow  = 50 * time.Millisecond // after a stall: what waited through it is read within so long
+	stallTickInterval = 20 * time.Millisecond // how often the clock checks that the process runs: 50 wake-ups per second
+	stallThreshold    = 2 * stallTickInterval // a longer gap between ticks is a stall; a single tick may be lost
+	stallDrainWindow  = 50 * time.Millisecond // after a stall: time within which pending bytes are assumed to be read
 )
 
-// StallClock records the spans in which the process did not run, because it was stopped or got no processor. The
-// kernel takes in bytes and connections meanwhile: what is read right after a stall may have waited through all of it,
-// and a request taken for new then could be sent on long after its client gave up. All times are monotonic; the fields
-// are atomic, so any goroutine may ask while Run ticks.
+// StallClock detects stalls: periods in which the process did not run because it was stopped or got no CPU time. The
+// kernel accepts bytes and connections during a stall, so anything read right after it may have waited for all of it. A
+// request treated as new then could be forwarded long after its client gave up. All times are monotonic. ArrivedAt is
+// safe for concurrent use while Run ticks.
 type StallClock struct {
 	base         time.Time
-	lastTick     atomic.Int64 // this and the others: nanoseconds since base
-	stallBegan   atomic.Int64 // of the last stall: the last tick before it
-	stallNoticed atomic.Int64 // of the last stall: the first tick after it; 0: there was none
+	lastTick     atomic.Int64 // nanoseconds since base, as the fields below
+	stallBegan   atomic.Int64 // last tick before the latest stall
+	stallNoticed atomic.Int64 // first tick after the latest stall; 0 if there was none
 }
 
-// NewStallClock returns a clock whose Run is to be started at once.
+// NewStallClock returns a clock; its Run must be started immediately.
 func NewStallClock() *StallClock { return &StallClock{base: time.Now()} }
 
 // Run ticks until the context ends.
@@ -40,7 +40,7 @@
 	}
 }
 
-// tick records a tick at now, in nanoseconds since base, and the stall that it shows.
+// tick records a tick at now, in nanoseconds since base, and the stall that it reveals, if any.
 func (s *StallClock) tick(now int64) {
 	last := s.lastTick.Load()
 	if now-last > int64(stallThreshold) {
@@ -50,8 +50,9 @@
 	s.lastTick.Store(now)
 }
 
-// ArrivedAt returns the earliest time at which something may have arrived that was read at readAt and had not arrived
-// at notBefore: readAt itself, or, right after a stall, the beginning of the stall. A nil clock knows of no stalls.
+// ArrivedAt returns the earliest possible arrival time of something that was read at readAt and had not arrived by
+// notBefore. This is readAt itself or, right after a stall, the later of notBefore and the beginning of the stall. A
+// nil clock records no stalls.
 func (s *StallClock) ArrivedAt(notBefore, readAt time.Time) time.Time {
 	if s == nil {
 		return readAt
@@ -59,7 +60,7 @@
 	read := int64(readAt.Sub(s.base))
 	began, noticed, lastTick := s.stallBegan.Load(), s.stallNoticed.Load(), s.lastTick.Load()
 	switch {
-	case read-lastTick > int64(stallThreshold): // The stall has just ended, and no tick has come yet.
+	case read-lastTick > int64(stallThreshold): // The stall has just ended, before its first tick.
 		began = lastTick
 	case noticed == 0 || read <= began || read-noticed >= int64(stallDrainWindow):
 		return readAt
