--- a/transport/listener_test.go
+++ b/transport/listener_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Over an upgrade one process has no room for a client. The client stays in the kernel, where the other process can
-// accept it.
-func TestSharedListenerAcceptsNoClientWithoutRoom(t *testing.T) {
+// During an upgrade one process is at its client limit. A new connection must stay in the accept backlog, where the
+// other process can accept it.
+func TestSharedListenerAcceptsNoClientAtItsLimit(t *testing.T) {
 	l, _ := inheritSharedListener(t, 1)
 	busy := make(chan *Client, 4)
 	go l.Serve(func(c *Client) { c.BeginReply(); busy <- c; c.Read(make([]byte, 1)) })
@@ -22,17 +22,17 @@
 	}
 	<-busy
 	raw, _ := l.listener.(*net.TCPListener).SyscallConn()
-	taken := false
-	for end := testDeadline(); !taken && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	accepted := false
+	for end := testDeadline(); !accepted && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		raw.Control(func(fd uintptr) {
-			if n, _, err := syscall.Accept(int(fd)); err == nil { // Without waiting: the socket is in that mode.
+			if n, _, err := syscall.Accept(int(fd)); err == nil { // Does not block: the socket is in non-blocking mode.
 				syscall.Close(n)
-				taken = true
+				accepted = true
 			}
 		})
-		if taken {
+		if accepted {
 			return
 		}
 	}
-	t.Error("the second client is in hand of a listener that has no room")
+	t.Error("the second client was accepted by a listener that is at its limit")
 }
