--- a/transport/pool.go
+++ b/transport/pool.go
@@ -9,56 +9,57 @@
 )
 
 const (
-	// minReuseIdle is how long a connection must have been idle before it is used again. It guards the next attempt against
-	// what a faulty server sends right behind a response: a second copy would be taken for the next request's response.
+	// minReuseIdle is how long a connection must have been idle before it is used again. It guards the next attempt
+	// against what a faulty server sends right behind a response: a second copy would be taken for the next request's
+	// response.
 	minReuseIdle = 20 * time.Millisecond
 
-	// handoverIdleTimeout is how long connections stay idle while another process takes over, which has its own: the
-	// server counts both processes' together.
+	// handoverIdleTimeout is the idle timeout while another process takes over. That process opens connections of its
+	// own, and servers count the connections of both together.
 	handoverIdleTimeout = 100 * time.Millisecond
 
-	// briefIdleTimeout is how long connections to a server that other instances look after stay idle: a key that is
-	// asked for again at once finds one.
+	// briefIdleTimeout is the idle timeout of connections to servers that are assigned to other balancers. It is long
+	// enough for an immediate second request for the same key to find one.
 	briefIdleTimeout = 500 * time.Millisecond
 )
 
-// Peer is a server at an address. The address alone is not enough: a new server may have an old one's address, and
-// connections to the old one stay silent or end there.
+// Peer identifies a server by its index and address. The address alone is not enough: a new server may take over the
+// address of an old one, and connections to the old one then stay silent or end.
 type Peer struct {
 	Server  int // its index in the endpoint list
 	Address string
 }
 
-// Pool keeps idle connections by server and address, and counts all that are open. A connection carries one attempt at
-// a time, so that cancelling an attempt, which closes its connection, harms no other. The pool sends nothing by itself.
+// Pool keeps idle connections by server and address, and limits how many are open. A connection carries one attempt at
+// a time, so that cancelling an attempt, which closes its connection, affects no other. The pool itself sends nothing.
 type Pool struct {
 	dialer       net.Dialer
-	minReuseIdle time.Duration // as the constant; tests set it
-	holdback     time.Duration // minHoldback; tests set it
+	minReuseIdle time.Duration // the constant minReuseIdle, except in tests
+	holdback     time.Duration // minHoldback, except in tests
 
 	mu           sync.Mutex       // guards the fields below
-	idle         map[Peer][]*Conn // the one that became idle last stands last
+	idle         map[Peer][]*Conn // in the order in which they became idle
 	open         int              // connections open or being dialed
-	limit        int              // of open
+	limit        int              // upper bound of open
 	idleTimeout  time.Duration
-	briefServers map[int]bool // servers to which connections stay idle for briefIdleTimeout at most
+	briefServers map[int]bool // servers for which briefIdleTimeout applies
 }
 
-// NewPool returns a pool of up to limit connections that closes idle ones after idleTimeout.
+// NewPool returns a pool of up to limit connections, which closes idle ones after idleTimeout.
 func NewPool(limit int, idleTimeout, dialTimeout time.Duration) *Pool {
 	return &Pool{idle: map[Peer][]*Conn{}, limit: limit, idleTimeout: idleTimeout, minReuseIdle: minReuseIdle, holdback: minHoldback,
 		dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1}}
 }
 
-// takeIdle returns the newest idle connection to a peer that has rested, nil if there is none. It closes those that the
-// server has ended or written to: a write to a closed one would end as a reset, after which nobody can tell whether the
-// request ran, and one that is not idempotent could not be sent again.
+// takeIdle returns the connection to a peer that became idle last among those idle for minReuseIdle, or nil if there is
+// none. It closes connections that the server has closed or written to: a request on a closed one would end in a reset,
+// after which it is unknown whether the request ran, and one that is not idempotent could not be sent again.
 func (p *Pool) takeIdle(to Peer) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, now := p.idle[to], time.Now() // One reading of the clock for all.
-	rested := sort.Search(len(list), func(n int) bool { return now.Sub(list[n].idleAt) < p.minReuseIdle })
-	for n := rested - 1; n >= 0; n-- {
+	list, now := p.idle[to], time.Now() // Read once, so that all comparisons use the same time.
+	eligible := sort.Search(len(list), func(n int) bool { return now.Sub(list[n].idleAt) < p.minReuseIdle })
+	for n := eligible - 1; n >= 0; n-- {
 		c, idle := list[n], now.Sub(list[n].idleAt)
 		list = slices.Delete(list, n, n+1)
 		p.idle[to] = list
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// putIdle takes a connection back, or closes it where fewer are allowed since it was taken.
+// putIdle makes a connection idle, or closes it if the limit has been lowered below the number of open ones.
 func (p *Pool) putIdle(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +85,8 @@
 	p.idle[c.peer] = append(p.idle[c.peer], c)
 }
 
-// reserve makes room for one more connection, if need be by closing the one that has been idle longest.
+// reserve counts one more connection, if necessary by closing the one that has been idle longest. It returns false if
+// the limit is reached and no connection is idle.
 func (p *Pool) reserve() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,14 +97,15 @@
 	return true
 }
 
-// release gives back the room of a connection that is closed.
+// release stops counting a connection that was reserved and is closed or was never opened.
 func (p *Pool) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// closeOldestIdle closes the connection that has been idle longest; false: none is idle. Under the lock.
+// closeOldestIdle closes the connection that has been idle longest, and returns false if none is idle. The caller must
+// hold p.mu.
 func (p *Pool) closeOldestIdle() bool {
 	var oldest *Conn
 	for _, list := range p.idle {
@@ -119,7 +122,7 @@
 	return true
 }
 
-// SetLimit sets how many connections there may be from now on. Over that, idle ones are closed.
+// SetLimit sets the limit of connections. Idle ones are closed while more are open.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,8 +142,8 @@
 	delete(p.idle, to)
 }
 
-// Sweep closes connections that have been idle too long. The timeout is below the servers' own, so that they close
-// none that is about to be used.
+// Sweep closes connections that have been idle for too long. The timeout is shorter than that of the servers, so that
+// they don't close a connection that is about to be used.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,14 +164,16 @@
 	}
 }
 
-// SetBriefServers sets the servers that other instances look after: connections to these stay idle for a moment only.
+// SetBriefServers sets the servers that are assigned to other balancers: briefIdleTimeout applies to connections to
+// them.
 func (p *Pool) SetBriefServers(servers map[int]bool) {
 	p.mu.Lock()
 	p.briefServers = servers
 	p.mu.Unlock()
 }
 
-// CloseIdle closes idle connections, from now on after a moment, because another process takes over.
+// CloseIdle closes idle connections, and lowers the idle timeout to handoverIdleTimeout from now on, because another
+// process takes over.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	p.idleTimeout = min(p.idleTimeout, handoverIdleTimeout)
@@ -176,7 +181,7 @@
 	p.Sweep()
 }
 
-// Count returns how many connections are open or being dialed.
+// Count returns the number of connections that are open or being dialed.
 func (p *Pool) Count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
