--- a/transport/pooledconn.go
+++ b/transport/pooledconn.go
@@ -7,169 +7,173 @@
 )
 
 const (
-	// minHoldback and twice the time that the connection took to dial is how long SendHoldingLastByte holds the last
-	// byte back: a server's close that is under way takes about a round trip to arrive.
+	// SendHoldingLastByte holds the last byte back for minHoldback plus twice the time that the dial took: a close by
+	// the server that is already in flight takes about one round trip to arrive.
 	minHoldback = 2 * time.Millisecond
-	// maxSlowDialHoldback bounds the second part: a dial may be late for other reasons than the way's length.
+	// maxSlowDialHoldback bounds the second part: a dial may be slow for reasons other than the round-trip time.
 	maxSlowDialHoldback = 25 * time.Millisecond
 )
 
-// PooledConn is one attempt's hold on a connection to a server. Its own goroutine calls Connect, then Send, then Fill,
-// and Release at the end; any other may call Cancel or CancelUnsent at any time, and once these have returned nothing
-// more goes out.
+// PooledConn is the use of a pooled connection to a server by one attempt. The attempt's goroutine calls Connect, then
+// Send, then Fill, and finally Release. Any goroutine may call Cancel or CancelUnsent at any time; once Cancel has
+// returned, nothing more is sent.
 type PooledConn struct {
 	*Conn
 	pool *Pool
 
-	mu          sync.Mutex // guards the fields below, and Conn as Connect and Release set it
+	mu          sync.Mutex // guards the fields below, and Conn where Connect and Release set it
 	isCancelled bool
-	isSent      bool // the last byte of the message was handed over
+	isSent      bool // the last byte of the message was handed to the kernel
 	cancelDial  context.CancelFunc
 }
 
-// NewConn begins a hold without a connection as yet.
+// NewConn returns a PooledConn that is not yet connected.
 func (p *Pool) NewConn() *PooledConn { return &PooledConn{pool: p} }
 
-// Connect takes an idle connection to the peer, or dials one until the deadline. It returns Open, or why there is none:
-// LocalShortage, ConnectRefused, ConnectTimedOut, CancelledBeforeSent.
-func (l *PooledConn) Connect(to Peer, deadline time.Time) End {
-	c := l.pool.takeIdle(to)
+// Connect takes an idle connection to the peer from the pool, or dials one until the deadline. It returns Open, or why
+// there is no connection: LocalShortage, ConnectRefused, ConnectTimedOut or CancelledBeforeSent.
+func (pc *PooledConn) Connect(to Peer, deadline time.Time) End {
+	c := pc.pool.takeIdle(to)
 	if c == nil {
 		var end End
-		if c, end = l.dial(to, deadline); end != Open {
+		if c, end = pc.dial(to, deadline); end != Open {
 			return end
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.Conn, l.cancelDial = c, nil
-	if l.isCancelled {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	pc.Conn, pc.cancelDial = c, nil
+	if pc.isCancelled {
 		return CancelledBeforeSent
 	}
 	return Open
 }
 
-// dial opens a new connection, which counts as the pool's from before the dial until Release.
-func (l *PooledConn) dial(to Peer, deadline time.Time) (*Conn, End) {
-	if !l.pool.reserve() {
+// dial opens a new connection. The pool counts it from before the dial until it is closed.
+func (pc *PooledConn) dial(to Peer, deadline time.Time) (*Conn, End) {
+	if !pc.pool.reserve() {
 		return nil, LocalShortage
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	l.mu.Lock()
-	l.cancelDial = cancel
-	isCancelled := l.isCancelled
-	l.mu.Unlock()
+	pc.mu.Lock()
+	pc.cancelDial = cancel
+	isCancelled := pc.isCancelled
+	pc.mu.Unlock()
 	if isCancelled {
 		cancel()
 	}
 	began := time.Now()
-	inner, err := l.pool.dialer.DialContext(ctx, "tcp", to.Address)
+	inner, err := pc.pool.dialer.DialContext(ctx, "tcp", to.Address)
 	if err == nil {
 		return &Conn{Conn: inner, peer: to, dialDuration: time.Since(began)}, Open
 	}
-	l.pool.release()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.isCancelled {
+	pc.pool.release()
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.isCancelled {
 		return nil, CancelledBeforeSent
 	}
 	return nil, endOfDialError(err)
 }
 
-// SendPart writes a part of the message, to which more belongs.
-func (l *PooledConn) SendPart(part []byte, deadline time.Time) End {
-	return l.orCancelled(l.Conn.Send(part, deadline))
+// SendPart writes a part of the message that is not its last.
+func (pc *PooledConn) SendPart(part []byte, deadline time.Time) End {
+	return pc.orCancelled(pc.Conn.Send(part, deadline))
 }
 
-// Send writes the message, or what is left of it. It returns Open once its last byte was handed over.
-func (l *PooledConn) Send(message []byte, deadline time.Time) End {
-	end := l.Conn.Send(message, deadline)
-	l.mu.Lock()
-	l.isSent = end == Open
-	l.mu.Unlock()
-	return l.orCancelled(end)
+// Send writes the message, or the rest of it. It returns Open once the last byte was handed to the kernel.
+func (pc *PooledConn) Send(message []byte, deadline time.Time) End {
+	end := pc.Conn.Send(message, deadline)
+	pc.mu.Lock()
+	pc.isSent = end == Open
+	pc.mu.Unlock()
+	return pc.orCancelled(end)
 }
 
-// SendHoldingLastByte is Send for a request that may run once only. It holds the last byte back until there was time to
-// learn that the server has closed the connection: a server begins nothing before that byte, so that what breaks until
-// then has not run and may be sent elsewhere. isUnwanted is asked right before the last byte; true withdraws.
-func (l *PooledConn) SendHoldingLastByte(message []byte, deadline time.Time, isUnwanted func() bool) End {
+// SendHoldingLastByte is Send for a request that must not run more than once. It holds the last byte back for long
+// enough to learn that the server has closed the connection. A server does not begin a request before its last byte, so
+// a request whose connection breaks until then has not run and may be sent elsewhere. isUnwanted is called right before
+// the last byte is sent; if it returns true, the request is cancelled.
+func (pc *PooledConn) SendHoldingLastByte(message []byte, deadline time.Time, isUnwanted func() bool) End {
 	last := len(message) - 1
-	if end := l.Conn.Send(message[:last], deadline); end != Open {
-		return l.orCancelled(end)
+	if end := pc.Conn.Send(message[:last], deadline); end != Open {
+		return pc.orCancelled(end)
 	}
-	holdback := l.pool.holdback + min(maxSlowDialHoldback, 2*l.Conn.dialDuration)
-	switch l.Conn.Fill(time.Now().Add(holdback), false) {
-	case TimedOutBeforeSent: // Nothing came, as it should be.
+	holdback := pc.pool.holdback + min(maxSlowDialHoldback, 2*pc.Conn.dialDuration)
+	switch pc.Conn.Fill(time.Now().Add(holdback), false) {
+	case TimedOutBeforeSent: // The server sent nothing and has not closed, as expected.
 		if isUnwanted() {
-			return l.orCancelled(CancelledBeforeSent)
+			return pc.orCancelled(CancelledBeforeSent)
 		}
-		return l.Send(message[last:], deadline)
-	case Open: // A response before its request.
-		return l.orCancelled(Malformed)
+		return pc.Send(message[last:], deadline)
+	case Open: // The server responded before the request was complete.
+		return pc.orCancelled(Malformed)
 	default:
-		return l.orCancelled(BrokenBeforeSent)
+		return pc.orCancelled(BrokenBeforeSent)
 	}
 }
 
 // Fill reads more of the response.
-func (l *PooledConn) Fill(deadline time.Time) End { return l.orCancelled(l.Conn.Fill(deadline, true)) }
+func (pc *PooledConn) Fill(deadline time.Time) End {
+	return pc.orCancelled(pc.Conn.Fill(deadline, true))
+}
 
-// orCancelled returns the end, or, where the attempt was cancelled, what that means: cancelling closes the connection,
-// so that the end seen is only its effect.
-func (l *PooledConn) orCancelled(end End) End {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// orCancelled returns the given end, or the end for a cancelled attempt if it was cancelled: cancelling closes the
+// connection, so the given end is only a consequence of that.
+func (pc *PooledConn) orCancelled(end End) End {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
 	switch {
-	case end == Open || !l.isCancelled:
+	case end == Open || !pc.isCancelled:
 		return end
-	case l.isSent:
+	case pc.isSent:
 		return CancelledAfterSent
 	}
 	return CancelledBeforeSent
 }
 
 // Cancel cancels the attempt by closing its connection.
-func (l *PooledConn) Cancel() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.cancelLocked()
+func (pc *PooledConn) Cancel() {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	pc.cancelLocked()
 }
 
-// CancelUnsent cancels the attempt unless the message was handed over.
-func (l *PooledConn) CancelUnsent() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !l.isSent {
-		l.cancelLocked()
+// CancelUnsent cancels the attempt unless the last byte of the message was handed to the kernel.
+func (pc *PooledConn) CancelUnsent() {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if !pc.isSent {
+		pc.cancelLocked()
 	}
 }
 
-// cancelLocked ends the dial or closes the connection. Under the lock.
-func (l *PooledConn) cancelLocked() {
-	l.isCancelled = true
-	if l.cancelDial != nil {
-		l.cancelDial()
+// cancelLocked ends the dial or closes the connection. The caller must hold pc.mu.
+func (pc *PooledConn) cancelLocked() {
+	pc.isCancelled = true
+	if pc.cancelDial != nil {
+		pc.cancelDial()
 	}
-	if l.Conn != nil {
-		l.Conn.Close()
+	if pc.Conn != nil {
+		pc.Conn.Close()
 	}
 }
 
-// Release ends the hold. isClean: the response was read in full, or nothing was sent; the connection then goes back to
-// the pool, any other is closed. After it Cancel does nothing, since the connection may be another attempt's.
-func (l *PooledConn) Release(isClean bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.Conn == nil {
+// Release ends the attempt's use of the connection. isClean tells that the response was read in full or nothing was
+// sent; the connection then returns to the pool, otherwise it is closed. Cancel has no effect after Release, since the
+// connection may already be in use by another attempt.
+func (pc *PooledConn) Release(isClean bool) {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.Conn == nil {
 		return
 	}
-	if isClean && !l.isCancelled && len(l.Unread()) == 0 {
-		l.pool.putIdle(l.Conn)
+	if isClean && !pc.isCancelled && len(pc.Unread()) == 0 {
+		pc.pool.putIdle(pc.Conn)
 	} else {
-		l.Conn.Close()
-		l.pool.release()
+		pc.Conn.Close()
+		pc.pool.release()
 	}
-	l.Conn = nil
+	pc.Conn = nil
 }
