--- a/transport/stop.go
+++ b/transport/stop.go
@@ -7,19 +7,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// The stop of a listener, in the order of a graceful shutdown: DrainConnections, StopAccepting, Close, and ResetAll for
-// what is left.
+// The functions that stop a listener, in the order of a graceful shutdown: DrainConnections, StopAccepting, Close, and
+// ResetAll for the clients that are left.
 
 const (
-	// drainAcceptTimeout is how long a stop waits for each accept of a connection that the kernel has taken.
+	// drainAcceptTimeout bounds each accept of a connection from the accept backlog during a stop.
 	drainAcceptTimeout = 10 * time.Millisecond
-	// closeInterval is how often Close asks clients to close that were accepted meanwhile, and looks at its deadline.
+	// closeInterval is how often Close marks newly accepted clients as closing and checks its deadline.
 	closeInterval = 20 * time.Millisecond
-	// resetPolls is how often ResetAll looks, within its wait, whether all clients have gone.
+	// resetPolls is the number of times that ResetAll checks, within its wait, whether all clients are closed.
 	resetPolls = 50
 )
 
-// DrainConnections lets each client close with its next reply: right after that the client is least likely to be
+// DrainConnections makes each client close after its next reply: right after a reply the client is least likely to be
 // sending.
 func (l *Listener) DrainConnections() {
 	l.mu.Lock()
@@ -27,9 +27,9 @@
 	l.mu.Unlock()
 }
 
-// StopAccepting stops accepting; clients that are connected stay. Connections that the kernel has taken by then are
-// still accepted, as there is room: what those clients have written counts as received, and closing the socket would
-// reset them. A shared socket stays open elsewhere, so that its connections wait for the next process.
+// StopAccepting stops accepting clients; those connected stay. Connections that are already in the accept backlog are
+// still accepted as the client limit allows: what those clients have written counts as received, and closing the socket
+// would reset them. A shared socket stays open in other processes, so its connections wait for the next process.
 func (l *Listener) StopAccepting() {
 	if !l.isShared {
 		l.listener.(*net.TCPListener).SetDeadline(time.Now())
@@ -43,8 +43,8 @@
 	l.mu.Unlock()
 }
 
-// acceptRemaining goes on accepting, after StopAccepting, while connections wait in the kernel; once none does it
-// closes the socket and returns false.
+// acceptRemaining tells the accept loop after StopAccepting whether to continue: it returns true while connections are
+// left in the accept backlog; once none is, it closes the socket and returns false.
 func (l *Listener) acceptRemaining() bool {
 	if !l.hasPendingConnections() {
 		l.listener.Close()
@@ -54,24 +54,24 @@
 	return true
 }
 
-// hasPendingConnections reports whether connections wait to be accepted.
-func (l *Listener) hasPendingConnections() (some bool) {
+// hasPendingConnections reports whether the accept backlog holds connections.
+func (l *Listener) hasPendingConnections() (isPending bool) {
 	if raw := rawConn(l.listener); raw != nil {
-		_ = raw.Control(func(fd uintptr) { some = hasEvent(fd, unix.POLLIN) })
+		_ = raw.Control(func(fd uintptr) { isPending = hasEvent(fd, unix.POLLIN) })
 	}
-	return some
+	return isPending
 }
 
-// Close stops accepting, closes clients that are or come between commands, and waits until all have gone (true) or the
-// deadline has passed (false). After false clients may still be connected: ResetAll ends those.
+// Close stops accepting, closes each client once it is between commands, and waits until all are closed (true) or the
+// deadline has passed (false). In the latter case clients may still be connected; ResetAll closes those.
 func (l *Listener) Close(deadline time.Time) bool {
 	l.StopAccepting()
-	gone := make(chan struct{})
-	go func() { l.serving.Wait(); close(gone) }()
+	finished := make(chan struct{})
+	go func() { l.serving.Wait(); close(finished) }()
 	for {
 		l.closeClients()
 		select {
-		case <-gone:
+		case <-finished:
 			return true
 		case <-time.After(closeInterval):
 			if time.Now().After(deadline) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// closeClients asks all clients to close.
+// closeClients marks all clients as closing.
 func (l *Listener) closeClients() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// abortServe ends Serve although a connection waits for room or in the kernel.
+// abortServe ends Serve even if an accepted connection waits for the client limit or the accept backlog holds some.
 func (l *Listener) abortServe() {
 	l.mu.Lock()
 	l.isClosed = true
@@ -102,20 +102,20 @@
 	l.listener.Close()
 }
 
-// ResetAll resets the connections of all clients that are left, so that none takes a part of a reply for a complete
-// one, and waits a moment for their goroutines to end. It returns how many there were.
-func (l *Listener) ResetAll(wait time.Duration) (cut int) {
+// ResetAll resets the connections of all clients that are left, so that none takes a partial reply for a complete one,
+// and waits up to wait for their goroutines to end. It returns the number of connections that it reset.
+func (l *Listener) ResetAll(wait time.Duration) (count int) {
 	l.mu.Lock()
 	for c := range l.clients {
-		if inner, is := c.Conn.Conn.(*net.TCPConn); is {
+		if inner, ok := c.Conn.Conn.(*net.TCPConn); ok {
 			inner.SetLinger(0)
 		}
 		c.Conn.Close()
-		cut++
+		count++
 	}
 	l.mu.Unlock()
 	for end := time.Now().Add(wait); l.Count() > 0 && time.Now().Before(end); {
 		time.Sleep(wait / resetPolls)
 	}
-	return cut
+	return count
 }
