--- a/transport/arrivals.go
+++ b/transport/arrivals.go
@@ -20,10 +20,11 @@
 	at        time.Time
 }
 
-// arrivalTimes records when the unread bytes in a client's buffer arrived. A request's time limits are measured from the
-// arrival of its last byte, including any time that it waits behind other requests of its connection, for the admission
-// of its client, or for the process to be scheduled. Measured from the read instead, a request could be served after its
-// client had given up on it. It is not safe for concurrent use; only the client's reading goroutine uses it.
+// arrivalTimes records when the unread bytes in a client's buffer arrived. A request's time limits are measured from
+// the arrival of its last byte, including any time that it waits behind other requests of its connection, for the
+// admission of its client, or for the process to be scheduled. Measured from the read instead, a request could be
+// served after its client had given up on it. It is not safe for concurrent use; only the client's reading goroutine
+// uses it.
 type arrivalTimes struct {
 	stalls        *StallClock
 	firstOffset   int64     // stream offset of the first unread byte in the buffer
--- a/transport/arrivals_test.go
+++ b/transport/arrivals_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A client pipelines commands over many reads, and some are skipped in between. Each byte must keep the time of the read
-// that returned it, and the number of recorded reads must stay bounded.
+// A client pipelines commands over many reads, and some are skipped in between. Each byte must keep the time of the
+// read that returned it, and the number of recorded reads must stay bounded.
 func TestEachByteHasTheTimeOfItsRead(t *testing.T) {
 	base := time.Now()
 	at := func(ms int) time.Time { return base.Add(time.Duration(ms) * time.Millisecond) }
--- a/transport/await.go
+++ b/transport/await.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// ArrivedAt returns the time by which the n-th byte in the buffer, counted from 1, had arrived at this machine. Only the
-// client's reading goroutine may call it.
+// ArrivedAt returns the time by which the n-th byte in the buffer, counted from 1, had arrived at this machine. Only
+// the client's reading goroutine may call it.
 func (c *Client) ArrivedAt(n int) time.Time { return c.arrivalTimes.arrivedAt(n) }
 
 // markOverfull returns since when more bytes have been pending than the buffer holds, recording the current time at the
--- a/transport/budget.go
+++ b/transport/budget.go
@@ -55,7 +55,8 @@
 	return pool.(*sync.Pool)
 }
 
-// roundedSize rounds n up by at most a quarter, so that there are few sizes and a released buffer is likely to be reused.
+// roundedSize rounds n up by at most a quarter, so that there are few sizes and a released buffer is likely to be
+// reused.
 func roundedSize(n int) int {
 	step := 1 << max(0, bits.Len(uint(n))-3)
 	return min((n+step-1)/step*step, MaxMessage)
--- a/transport/client.go
+++ b/transport/client.go
@@ -56,8 +56,8 @@
 	return [...]time.Duration{silentIdleTimeout, firstCommandIdleTimeout, establishedIdleTimeout}[min(c.validCommands, 2)]
 }
 
-// evictionRank orders clients for eviction, lowest first: those without a valid command, those with one, those that have
-// only just connected and had no time to send one, and established clients. The caller must hold listener.mu.
+// evictionRank orders clients for eviction, lowest first: those without a valid command, those with one, those that
+// have only just connected and had no time to send one, and established clients. The caller must hold listener.mu.
 func (c *Client) evictionRank() int {
 	switch {
 	case c.validCommands > 1:
@@ -96,7 +96,8 @@
 
 // Linger ends the connection after the last reply to a client that may still be sending. It half-closes the connection
 // and discards what it receives. After an immediate full close the kernel would answer further bytes from the client
-// with a reset, and the client would lose the unread reply. The reading goroutine calls it once all replies are written.
+// with a reset, and the client would lose the unread reply. The reading goroutine calls it once all replies are
+// written.
 func (c *Client) Linger() {
 	if half, ok := c.Conn.Conn.(*net.TCPConn); ok {
 		_ = half.CloseWrite() // Fails if the client has disconnected; the read below then ends at once.
@@ -153,9 +154,9 @@
 	}
 }
 
-// Fill reads once more and returns Open, or how the connection ended. begun is when the first byte of the current command
-// arrived, or zero if there is none. ClosedIdle means that the client was marked as closing, no reply was owed, nothing
-// was left to be read, and Fill has closed the connection. Only the reading goroutine may call it.
+// Fill reads once more and returns Open, or how the connection ended. begun is when the first byte of the current
+// command arrived, or zero if there is none. ClosedIdle means that the client was marked as closing, no reply was owed,
+// nothing was left to be read, and Fill has closed the connection. Only the reading goroutine may call it.
 func (c *Client) Fill(begun time.Time) End {
 	for {
 		if end := c.ensureSpace(); end != Open {
@@ -187,8 +188,8 @@
 // closeIfIdle closes a client that is marked as closing if no reply is owed to it and nothing is left to be read, and
 // reports whether it did. A command that has begun may be completed within its time, except if the client has sent no
 // valid command and its place is needed for others. The close follows the check under the same lock: a command that
-// arrives in between meets a closed connection and is answered with a reset, rather than being accepted and dropped. The
-// caller must hold listener.mu.
+// arrives in between meets a closed connection and is answered with a reset, rather than being accepted and dropped.
+// The caller must hold listener.mu.
 func (c *Client) closeIfIdle() bool {
 	if !c.isClosing || c.pendingReplies > 0 {
 		return false
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// ensureSpace makes space for a read after the unread bytes, by compacting or growing the buffer. It returns Malformed if
-// a message is longer than the buffer may grow.
+// ensureSpace makes space for a read after the unread bytes, by compacting or growing the buffer. It returns Malformed
+// if a message is longer than the buffer may grow.
 func (c *Conn) ensureSpace() End {
 	switch {
 	case c.end < len(c.buffer):
--- a/transport/conn_test.go
+++ b/transport/conn_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A peer sends more than the buffer holds, and it is read in parts. No byte may be lost or out of place, the buffer must
-// stay within MaxBuffer, and a large buffer must be released once it is empty.
+// A peer sends more than the buffer holds, and it is read in parts. No byte may be lost or out of place, the buffer
+// must stay within MaxBuffer, and a large buffer must be released once it is empty.
 func TestBufferGrowsIsCompactedAndIsBounded(t *testing.T) {
 	address, accepted := startPeer(t)
 	conn := connect(t, NewPool(1, time.Minute, time.Second), address)
--- a/transport/end.go
+++ b/transport/end.go
@@ -9,8 +9,8 @@
 	"syscall"
 )
 
-// End is how an attempt or a client's connection ended. Package routing maps it to the decision module's outcome, in one
-// table.
+// End is how an attempt or a client's connection ended. Package routing maps it to the decision module's outcome, in
+// one table.
 type End int
 
 // The values of End. The main distinction for a caller is whether the last byte of the message had been handed to the
@@ -31,8 +31,8 @@
 	ConnectRefused
 	// ConnectTimedOut: connect did not complete within its timeout; the peer has received no byte of the request.
 	ConnectTimedOut
-	// LocalShortage: a resource of this machine or a configured limit left no connection or buffer; no peer is at fault,
-	// and none has received anything.
+	// LocalShortage: a resource of this machine or a configured limit left no connection or buffer; no peer is at
+	// fault, and none has received anything.
 	LocalShortage
 
 	// BrokenBeforeSent: the connection broke before the last byte was handed over; the peer did not begin the request.
@@ -46,9 +46,11 @@
 	// BrokenAfterSent: the connection broke or was closed after the last byte was handed over; the peer may have run
 	// the request.
 	BrokenAfterSent
-	// ResponseTimedOut: no complete response arrived before the deadline; the peer may have run the request, or may still.
+	// ResponseTimedOut: no complete response arrived before the deadline; the peer may have run the request, or may
+	// still.
 	ResponseTimedOut
-	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may still.
+	// CancelledAfterSent: cancelled after the last byte was handed over; the peer may have run the request, or may
+	// still.
 	CancelledAfterSent
 	// Malformed: the bytes received are malformed, or the message is too long; a server may have run the request, and a
 	// client's connection can't be read any further.
@@ -108,8 +110,8 @@
 	return BrokenBeforeSent
 }
 
-// localErrnos are the errors of socket and connect that are caused by a shortage on this machine: no server is at fault,
-// and none may lose traffic for them.
+// localErrnos are the errors of socket and connect that are caused by a shortage on this machine: no server is at
+// fault, and none may lose traffic for them.
 var localErrnos = [...]syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN}
 
--- a/transport/limit.go
+++ b/transport/limit.go
@@ -41,9 +41,9 @@
 	l.roomChanged.Broadcast()
 }
 
-// reduceLimit lowers the limit to a tenth below the number of connected clients, but not below half of the initial limit.
-// It keeps clients from taking the descriptors that connections to servers need, when there are fewer descriptors than
-// the configured limit assumes.
+// reduceLimit lowers the limit to a tenth below the number of connected clients, but not below half of the initial
+// limit. It keeps clients from taking the descriptors that connections to servers need, when there are fewer
+// descriptors than the configured limit assumes.
 func (l *Listener) reduceLimit() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,8 +77,8 @@
 func (l *Listener) hasSpareRoom(clients int) bool { return clients < l.limit-l.limit/spareDivisor }
 
 // evictIdle marks one client between commands as closing, unless there is spare room: the one with the lowest rank, and
-// among equal ranks the one that has been idle longest. Clients already closing are counted as gone. The caller must hold
-// l.mu.
+// among equal ranks the one that has been idle longest. Clients already closing are counted as gone. The caller must
+// hold l.mu.
 func (l *Listener) evictIdle() {
 	var first *Client
 	closing := 0
--- a/transport/pooledconn.go
+++ b/transport/pooledconn.go
@@ -15,7 +15,7 @@
 )
 
 // PooledConn is the use of a pooled connection to a server by one attempt. The attempt's goroutine calls Connect, then
-// Send, then Fill, and finally Release. Any goroutine may call Cancel or CancelUnsent at any time; once Cancel has
+// Send, then Fill, and finally Release. Any goroutine may call Cancel or CancelUnsent at any time; once either has
 // returned, nothing more is sent.
 type PooledConn struct {
 	*Conn
