--- a/transport/helpers_test.go
+++ b/transport/helpers_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// testDeadline is a deadline that only a test that fails reaches.
+// testDeadline returns a deadline that is only reached by a failing test.
 func testDeadline() time.Time { return time.Now().Add(5 * time.Second) }
 
-// startPeer listens on a free port and returns its address and what it accepts.
+// startPeer starts a server on a free port, and returns its address and a channel of the connections that it accepts.
 func startPeer(t *testing.T) (string, <-chan *net.TCPConn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,20 +31,21 @@
 	return l.Addr().String(), accepted
 }
 
-// connect returns a hold on a connection of the pool to the address.
+// connect returns a connection of the pool to the address.
 func connect(t *testing.T, p *Pool, address string) *PooledConn {
-	line := p.NewConn()
-	if end := line.Connect(Peer{0, address}, testDeadline()); end != Open {
-		t.Fatalf("no connection: %v", end)
+	conn := p.NewConn()
+	if end := conn.Connect(Peer{0, address}, testDeadline()); end != Open {
+		t.Fatalf("Connect: %v", end)
 	}
-	return line
+	return conn
 }
 
-// readByte reads one byte, or fails with the connection.
+// readByte reads one byte and ignores errors.
 func readByte(c *net.TCPConn) { c.Read(make([]byte, 1)) }
 
-// inheritSharedListener returns a listener on a socket that others hold too, and their descriptor of it.
-func inheritSharedListener(t *testing.T, most int) (*Listener, *os.File) {
+// inheritSharedListener returns a listener on a shared socket, and the descriptor that another process would hold of
+// it.
+func inheritSharedListener(t *testing.T, limit int) (*Listener, *os.File) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := Inherit(copied, most)
+	l, err := Inherit(copied, limit)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,5 +68,5 @@
 	return l, held
 }
 
-// neverWithdrawn says of a message that it is still wanted.
+// neverWithdrawn is an isUnwanted function for a request that is never withdrawn.
 func neverWithdrawn() bool { return false }
