--- a/transport/stop_test.go
+++ b/transport/stop_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A stop begins while there is room for one client, a second is accepted and waits for room, and the rest wait in the
-// kernel. What all of them have written counts as received: each is answered.
-func TestStopServesClientsTheKernelHasConnected(t *testing.T) {
-	for _, last := range []bool{true, false} { // how the stop is made: Leave and Close, or Close alone
+// A stop begins while one client takes up the limit, a second is accepted and waits for admission, and the rest are in
+// the accept backlog. What all of them have written counts as received: each must be answered.
+func TestStopServesClientsInTheAcceptBacklog(t *testing.T) {
+	for _, isGraceful := range []bool{true, false} { // DrainConnections, StopAccepting and Close; or Close alone
 		l, err := Listen("127.0.0.1:0", 1)
 		if err != nil {
 			t.Fatal(err)
@@ -38,20 +38,20 @@
 			c.Write([]byte("q"))
 			clients = append(clients, c)
 			if len(clients) == 1 {
-				<-began // It takes all the room.
+				<-began // It takes up the limit.
 			}
 		}
 		ended := make(chan bool)
-		if last {
+		if isGraceful {
 			l.DrainConnections()
 			l.StopAccepting()
 			go func() { ended <- l.Close(testDeadline()) }()
 		} else {
 			go func() { ended <- l.Close(testDeadline()) }()
-			for stops := false; !stops; time.Sleep(time.Millisecond) {
+			for isStopping := false; !isStopping; time.Sleep(time.Millisecond) {
 				l.mu.Lock()
 				for c := range l.clients {
-					stops = stops || c.isClosing
+					isStopping = isStopping || c.isClosing
 				}
 				l.mu.Unlock()
 			}
@@ -59,31 +59,31 @@
 		close(gate)
 		for n, c := range clients {
 			if got, err := c.Read(make([]byte, 10)); got != 1 {
-				t.Errorf("client %d is answered %d bytes, %v", n, got, err)
+				t.Errorf("client %d received %d bytes (%v), want 1", n, got, err)
 			}
 		}
 		if !<-ended {
-			t.Error("the stop takes all of its time")
+			t.Error("Close reaches its deadline")
 		}
 		if c, err := net.Dial("tcp", l.Address()); err == nil {
 			c.Close()
-			t.Error("it still listens")
+			t.Error("the address still accepts connections")
 		}
 	}
 }
 
-// A client that never ends takes all the room, and others wait, as the deadline of a stop passes: the stop ends all the
-// same.
-func TestCloseEndsAtItsDeadlineWithoutRoom(t *testing.T) {
+// A client that never ends takes up the limit, and others wait, when the deadline of a stop passes. The stop must end
+// nevertheless.
+func TestCloseEndsAtItsDeadlineAtTheClientLimit(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began, over, gate := make(chan struct{}, 10), make(chan struct{}), make(chan struct{})
+	began, served, gate := make(chan struct{}, 10), make(chan struct{}), make(chan struct{})
 	defer close(gate)
 	go func() {
 		l.Serve(func(c *Client) { c.BeginReply(); began <- struct{}{}; <-gate })
-		close(over)
+		close(served)
 	}()
 	for range 3 {
 		c, err := net.Dial("tcp", l.Address())
@@ -94,25 +94,25 @@
 	}
 	<-began
 	if l.Close(time.Now()) {
-		t.Error("all have ended")
+		t.Error("Close reports that all clients are closed")
 	}
 	l.ResetAll(50 * time.Millisecond)
 	select {
-	case <-over:
+	case <-served:
 	case <-time.After(5 * time.Second):
-		t.Error("it accepts for ever")
+		t.Error("Serve does not return")
 	}
 }
 
-// Whoever holds the socket too ends its non-blocking mode, so that an accept blocks in the kernel until the next
-// client. A stop must not wait for that.
-func TestLeaveWaitsForNoBlockedAccept(t *testing.T) {
+// Another holder of the socket switches off its non-blocking mode, so that an accept blocks in the kernel until the
+// next client connects. A stop must not wait for that.
+func TestStopAcceptingDoesNotWaitForABlockedAccept(t *testing.T) {
 	l, held := inheritSharedListener(t, 4)
 	served := make(chan bool, 4)
 	go l.Serve(func(c *Client) { served <- true })
-	held.Fd() // As starting a process with it does.
+	held.Fd() // Switches to blocking mode, as passing it to a child process does.
 	if !l.Unblock() || l.Unblock() {
-		t.Fatal("the mode in which accepts wait is not seen, or not ended")
+		t.Fatal("Unblock does not detect blocking mode, or does not end it")
 	}
 	held.Fd()
 	syscall.SetNonblock(int(held.Fd()), false)
@@ -121,13 +121,13 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	<-served // The next accept waits in the kernel.
+	<-served // The listener now waits for the next client.
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
 	if l.StopAccepting(); time.Since(began) > time.Second {
-		t.Errorf("it took %v to leave", time.Since(began))
+		t.Errorf("StopAccepting took %v", time.Since(began))
 	}
 	if !l.Close(testDeadline()) || time.Since(began) > time.Second {
-		t.Errorf("the accept is still waited for after %v", time.Since(began))
+		t.Errorf("Close failed or took too long: %v since StopAccepting", time.Since(began))
 	}
 }
