--- a/transport/pool.go
+++ b/transport/pool.go
@@ -10,7 +10,8 @@
 
 const (
 	// minReuseIdle is how long a connection must have been idle before it is reused. A faulty server may send a second
-	// copy right after a response; on a connection reused at once it would be taken for the response to the next request.
+	// copy right after a response; on a connection reused at once it would be taken for the response to the next
+	// request.
 	minReuseIdle = 20 * time.Millisecond
 
 	// handoverIdleTimeout is the idle timeout while another process takes over. That process opens connections of its
