--- a/transport/budget.go
+++ b/transport/budget.go
@@ -8,7 +8,7 @@
 
 // Budget bounds the total memory of the buffers over MaxBuffer that are in use. Released buffers are reused: otherwise
 // large buffers could be dropped faster than the garbage collector reclaims them, and the heap would grow past the
-// process's memory limit. It is safe for concurrent use. A nil Budget has no memory to give.
+// process's memory limit. It is safe for concurrent use. A nil Budget grants no buffers.
 type Budget struct {
 	available, total atomic.Int64 // bytes
 	free             sync.Map     // released buffers: size to *sync.Pool of *[]byte, emptied by the garbage collector
--- a/transport/client.go
+++ b/transport/client.go
@@ -46,8 +46,8 @@
 
 // idleTimeout returns how long the client may stay between commands. The short timeouts protect descriptors and memory
 // from clients that connect and send nothing, or send one command and stay connected; established clients keep their
-// connections for longer. While many clients are connected, those with one command are closed sooner: client hosts that
-// may hold only a limited number of connections, and keep them idle, would otherwise have none left to send on. The
+// connections for longer. While many clients are connected, those with one command are closed sooner: clients that
+// may hold only a limited number of connections, and keep these idle, would otherwise have none left to send on. The
 // caller must hold listener.mu.
 func (c *Client) idleTimeout() time.Duration {
 	if c.validCommands == 1 && len(c.listener.clients) > c.listener.limit/4 {
@@ -81,15 +81,15 @@
 // the wall clock can't move it into the future.
 func (c *Client) interruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
 
-// commandDeadline returns when a command whose first byte arrived at begun must be complete, or zero if begun is zero.
-// Clients that have sent a valid command may write slowly. For one that has not, the time counts from its connect:
-// otherwise it could hold its descriptor by sending a byte now and then. The caller must hold listener.mu.
-func (c *Client) commandDeadline(begun time.Time) time.Time {
+// commandDeadline returns when a command whose first byte arrived at startedAt must be complete, or zero if startedAt
+// is zero. Clients that have sent a valid command may write slowly. For one that has not, the time counts from its
+// connect: otherwise it could hold its descriptor by sending a byte now and then. The caller must hold listener.mu.
+func (c *Client) commandDeadline(startedAt time.Time) time.Time {
 	switch {
-	case begun.IsZero():
-		return begun
+	case startedAt.IsZero():
+		return startedAt
 	case c.validCommands > 0:
-		return begun.Add(c.listener.CommandTimeout)
+		return startedAt.Add(c.listener.CommandTimeout)
 	}
 	return c.connectedAt.Add(c.listener.FirstCommandTimeout)
 }
@@ -147,17 +147,17 @@
 		if c.isClosing || c.listener.isDraining {
 			c.requestClose()
 		}
-		c.listener.roomChanged.Signal()
+		c.listener.capacityChanged.Signal()
 	}
 	if c.isAwaitingReplies {
 		c.interruptRead()
 	}
 }
 
-// Fill reads once more and returns Open, or how the connection ended. begun is when the first byte of the current
+// Fill reads once more and returns Open, or how the connection ended. startedAt is when the first byte of the current
 // command arrived, or zero if there is none. ClosedIdle means that the client was marked as closing, no reply was owed,
 // nothing was left to be read, and Fill has closed the connection. Only the reading goroutine may call it.
-func (c *Client) Fill(begun time.Time) End {
+func (c *Client) Fill(startedAt time.Time) End {
 	for {
 		if end := c.ensureSpace(); end != Open {
 			return end
@@ -168,7 +168,7 @@
 			c.listener.mu.Unlock()
 			return ClosedIdle
 		}
-		c.SetReadDeadline(c.commandDeadline(begun))
+		c.SetReadDeadline(c.commandDeadline(startedAt))
 		c.listener.mu.Unlock()
 		end := c.readAvailable()
 		if end != TimedOutBeforeSent {
@@ -177,7 +177,7 @@
 		// The read may have been interrupted by requestClose, which does not cut the time of a command that has begun.
 		// The client's first command may also have been found valid in the meantime, which makes the deadline later.
 		c.listener.mu.Lock()
-		deadline := c.commandDeadline(begun)
+		deadline := c.commandDeadline(startedAt)
 		c.listener.mu.Unlock()
 		if !deadline.IsZero() && !time.Now().Before(deadline) {
 			return end
@@ -194,7 +194,7 @@
 	if !c.isClosing || c.pendingReplies > 0 {
 		return false
 	}
-	if c.hasPartialCommand && (c.validCommands > 0 || c.listener.hasSpareRoom(len(c.listener.clients))) {
+	if c.hasPartialCommand && (c.validCommands > 0 || c.listener.hasSpareCapacity(len(c.listener.clients))) {
 		return false
 	}
 	if hasBytes, hasEnded := c.peek(); hasBytes || hasEnded {
--- a/transport/limit.go
+++ b/transport/limit.go
@@ -38,7 +38,7 @@
 	for n := len(l.clients) - limit; n > 0; n-- {
 		l.evictIdle()
 	}
-	l.roomChanged.Broadcast()
+	l.capacityChanged.Broadcast()
 }
 
 // reduceLimit lowers the limit to a tenth below the number of connected clients, but not below half of the initial
@@ -64,37 +64,37 @@
 	l.applyLimit()
 }
 
-// awaitRoom waits until the limit allows one more client. If all clients are busy, that is when the first has its reply
-// and is evicted. The caller must hold l.mu.
-func (l *Listener) awaitRoom() {
+// awaitCapacity waits until the limit allows one more client. If all clients are busy, that is when the first has its
+// reply and is evicted. The caller must hold l.mu.
+func (l *Listener) awaitCapacity() {
 	for ; len(l.clients) >= l.limit && !l.isClosed; l.evictIdle() {
-		l.roomChanged.Wait()
+		l.capacityChanged.Wait()
 	}
 }
 
-// hasSpareRoom reports whether this number of clients leaves the reserve set by spareDivisor free. The caller must hold
-// l.mu.
-func (l *Listener) hasSpareRoom(clients int) bool { return clients < l.limit-l.limit/spareDivisor }
-
-// evictIdle marks one client between commands as closing, unless there is spare room: the one with the lowest rank, and
-// among equal ranks the one that has been idle longest. Clients already closing are counted as gone. The caller must
+// hasSpareCapacity reports whether this number of clients leaves the reserve set by spareDivisor free. The caller must
 // hold l.mu.
+func (l *Listener) hasSpareCapacity(clients int) bool { return clients < l.limit-l.limit/spareDivisor }
+
+// evictIdle marks one client between commands as closing, unless there is spare capacity: the one with the lowest rank,
+// and among equal ranks the one that has been idle longest. Clients already closing are counted as gone. The caller
+// must hold l.mu.
 func (l *Listener) evictIdle() {
-	var first *Client
+	var candidate *Client
 	closing := 0
 	for c := range l.clients {
 		switch {
 		case c.pendingReplies > 0, c.hasPartialCommand && c.validCommands > 0:
 		case c.isClosing:
 			if closing++; c.hasPartialCommand {
-				c.requestClose() // It was allowed to complete its command while there was spare room.
+				c.requestClose() // It was allowed to complete its command while there was spare capacity.
 			}
-		case first == nil, c.isEvictedBefore(first):
-			first = c
+		case candidate == nil, c.isEvictedBefore(candidate):
+			candidate = c
 		}
 	}
-	if first != nil && !l.hasSpareRoom(len(l.clients)-closing) {
-		first.requestClose()
+	if candidate != nil && !l.hasSpareCapacity(len(l.clients)-closing) {
+		candidate.requestClose()
 	}
 }
 
--- a/transport/limit_test.go
+++ b/transport/limit_test.go
@@ -16,10 +16,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	begun, release := make(chan struct{}, 2), make(chan struct{})
+	started, release := make(chan struct{}, 2), make(chan struct{})
 	go l.Serve(func(c *Client) {
 		c.BeginReply()
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
 		c.Send([]byte("x"), testDeadline())
 		c.EndReply()
@@ -27,7 +27,7 @@
 		}
 	})
 	first, _ := net.Dial("tcp", l.Address())
-	<-begun
+	<-started
 	second, _ := net.Dial("tcp", l.Address())
 	second.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := second.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -151,7 +151,7 @@
 	}
 }
 
-// Client hosts that may hold only a limited number of connections keep them idle after one command. Once more than a
+// Clients that may hold only a limited number of connections keep these idle after one command. Once more than a
 // quarter of the limit is in use, such connections are closed sooner, so that others can be opened.
 func TestClientsWithOneCommandAreClosedSoonerUnderPressure(t *testing.T) {
 	l := &Listener{limit: 8, clients: map[*Client]bool{}}
@@ -167,8 +167,8 @@
 	}
 }
 
-// A client is marked as closing in the middle of a command, and allowed to complete it while there is spare room. Once
-// there is none it must be closed, so that new clients don't wait for it.
+// A client is marked as closing in the middle of a command, and allowed to complete it while there is spare capacity.
+// Once there is none it must be closed, so that new clients don't wait for it.
 func TestPartialCommandDelaysNoNewClient(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", 2)
 	if err != nil {
--- a/transport/listener.go
+++ b/transport/listener.go
@@ -42,11 +42,11 @@
 	listener            net.Listener
 	openedAt            time.Time      // when the socket was opened: connections may have arrived since
 	isShared            bool           // other processes accept from the same socket
-	readiness           *os.File       // shared sockets only: a duplicate descriptor, to wait for clients without accepting
+	readiness           *os.File       // shared sockets: a duplicate descriptor, to wait for clients without accepting
 	serving             sync.WaitGroup // counts Serve and the goroutines of its clients
 	minLimit            int            // lower bound of the limit during a shortage of descriptors; immutable
 	mu                  sync.Mutex     // guards the fields below, and the fields of Client that say so
-	roomChanged         sync.Cond      // on mu: a client has closed or is between commands, or the limit has changed
+	capacityChanged     sync.Cond      // on mu: a client has closed or is between commands, or the limit has changed
 	isClosed            bool           // no more connections are accepted
 	isDraining          bool           // each client is closed after its next reply
 	clients             map[*Client]bool
@@ -125,7 +125,7 @@
 	l := &Listener{listener: inner, openedAt: openedAt, configuredLimit: limit, limit: limit, minLimit: max(1, limit/2),
 		clients: map[*Client]bool{}, OnAcceptError: func(error) {}, AdmissionWatchdog: noWatchdog{},
 		FirstCommandTimeout: defaultFirstCommandTimeout, CommandTimeout: defaultCommandTimeout}
-	l.roomChanged.L = &l.mu
+	l.capacityChanged.L = &l.mu
 	l.serving.Add(1) // Serve is counted as well: Close must wait for a client that is being accepted.
 	return l
 }
@@ -170,7 +170,7 @@
 // serve it at once. It returns the time from which the accept counts as called, and whether the socket is still open.
 func (l *Listener) awaitShared(backlog *acceptBacklog, called time.Time) (time.Time, bool) {
 	l.mu.Lock()
-	l.awaitRoom()
+	l.awaitCapacity()
 	l.mu.Unlock()
 	if time.Since(called) > minBlockedAccept {
 		backlog.recordDelay(called)
@@ -221,7 +221,7 @@
 	l.mu.Lock()
 	if l.evictIdle(); len(l.clients) >= l.limit {
 		l.AdmissionWatchdog.Begin()
-		l.awaitRoom()
+		l.awaitCapacity()
 		l.AdmissionWatchdog.End()
 		backlog.recordDelay(acceptedAt)
 	}
@@ -241,7 +241,7 @@
 	c.releaseBuffer()
 	l.mu.Lock()
 	delete(l.clients, c)
-	l.roomChanged.Signal()
+	l.capacityChanged.Signal()
 	l.mu.Unlock()
 }
 
--- a/transport/pool.go
+++ b/transport/pool.go
@@ -54,15 +54,15 @@
 // takeIdle returns the connection to a peer that became idle last among those idle for minReuseIdle, or nil if there is
 // none. It closes connections that the server has closed or written to: a request on a closed one would end in a reset,
 // after which it is unknown whether the request ran, and one that is not idempotent could not be sent again.
-func (p *Pool) takeIdle(to Peer) *Conn {
+func (p *Pool) takeIdle(peer Peer) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, now := p.idle[to], time.Now() // Read once, so that all comparisons use the same time.
+	list, now := p.idle[peer], time.Now() // Read once, so that all comparisons use the same time.
 	eligible := sort.Search(len(list), func(n int) bool { return now.Sub(list[n].idleAt) < p.minReuseIdle })
 	for n := eligible - 1; n >= 0; n-- {
 		c, idle := list[n], now.Sub(list[n].idleAt)
 		list = slices.Delete(list, n, n+1)
-		p.idle[to] = list
+		p.idle[peer] = list
 		if hasBytes, hasEnded := c.peek(); !hasBytes && !hasEnded && idle < p.idleTimeout {
 			return c
 		}
@@ -131,7 +131,7 @@
 	}
 }
 
-// DropPeer closes the idle connections to a server that is gone, or has another address.
+// DropPeer closes the idle connections to a server that was removed or has a new address.
 func (p *Pool) DropPeer(to Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/pooledconn.go
+++ b/transport/pooledconn.go
@@ -10,7 +10,8 @@
 	// SendHoldingLastByte holds the last byte back for minHoldback plus twice the time that the dial took: a close by
 	// the server that is already in flight takes about one round trip to arrive.
 	minHoldback = 2 * time.Millisecond
-	// maxSlowDialHoldback bounds the second part: a dial may be slow for reasons other than the round-trip time.
+	// maxSlowDialHoldback bounds the part that depends on the dial, which may be slow for other reasons than the
+	// round-trip time.
 	maxSlowDialHoldback = 25 * time.Millisecond
 )
 
@@ -32,11 +33,11 @@
 
 // Connect takes an idle connection to the peer from the pool, or dials one until the deadline. It returns Open, or why
 // there is no connection: LocalShortage, ConnectRefused, ConnectTimedOut or CancelledBeforeSent.
-func (pc *PooledConn) Connect(to Peer, deadline time.Time) End {
-	c := pc.pool.takeIdle(to)
+func (pc *PooledConn) Connect(peer Peer, deadline time.Time) End {
+	c := pc.pool.takeIdle(peer)
 	if c == nil {
 		var end End
-		if c, end = pc.dial(to, deadline); end != Open {
+		if c, end = pc.dial(peer, deadline); end != Open {
 			return end
 		}
 	}
@@ -50,7 +51,7 @@
 }
 
 // dial opens a new connection. The pool counts it from before the dial until it is closed.
-func (pc *PooledConn) dial(to Peer, deadline time.Time) (*Conn, End) {
+func (pc *PooledConn) dial(peer Peer, deadline time.Time) (*Conn, End) {
 	if !pc.pool.reserve() {
 		return nil, LocalShortage
 	}
@@ -64,9 +65,9 @@
 		cancel()
 	}
 	began := time.Now()
-	inner, err := pc.pool.dialer.DialContext(ctx, "tcp", to.Address)
+	inner, err := pc.pool.dialer.DialContext(ctx, "tcp", peer.Address)
 	if err == nil {
-		return &Conn{Conn: inner, peer: to, dialDuration: time.Since(began)}, Open
+		return &Conn{Conn: inner, peer: peer, dialDuration: time.Since(began)}, Open
 	}
 	pc.pool.release()
 	pc.mu.Lock()
--- a/transport/stop.go
+++ b/transport/stop.go
@@ -39,7 +39,7 @@
 	l.listener.Close()
 	l.mu.Lock()
 	l.isClosed = true
-	l.roomChanged.Signal()
+	l.capacityChanged.Signal()
 	l.mu.Unlock()
 }
 
@@ -97,7 +97,7 @@
 func (l *Listener) abortServe() {
 	l.mu.Lock()
 	l.isClosed = true
-	l.roomChanged.Broadcast()
+	l.capacityChanged.Broadcast()
 	l.mu.Unlock()
 	l.listener.Close()
 }
