--- a/transport/listener.go
+++ b/transport/listener.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, is := inner.(*net.TCPListener); !is {
+	if _, ok := inner.(*net.TCPListener); !ok {
 		return nil, fmt.Errorf("descriptor %d is not a TCP socket", descriptor)
 	}
 	copied, err := unix.FcntlInt(uintptr(descriptor), unix.F_DUPFD_CLOEXEC, 0)
