--- a/protocol/command.go
+++ b/protocol/command.go
@@ -8,7 +8,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Errors of commands. Their texts go to clients.
+// Errors of commands. Clients receive their texts in an error reply.
 var (
 	ErrNotCommand          = errors.New("a command is an array of bulk strings")
 	ErrMalformedAttributes = errors.New("the list of names and values is malformed")
@@ -19,29 +19,29 @@
 )
 
 const (
-	maxArgument  = 512    // bytes of a key, an id or a list of attributes
-	maxTimeNanos = 3600e9 // of an attribute: an hour, which nobody waits for
-	keyDigits    = 16     // of a key that is a number of 64 bits
+	maxArgumentBytes = 512    // in a key, an ID or an attribute list
+	maxTimeNanos     = 3600e9 // upper bound of a time attribute: one hour, longer than any client waits
+	keyDigits        = 16     // hexadecimal digits in a key that is a 64-bit number
 
-	// The parameters of FNV-1a with 64 bits, which hashes keys that are no numbers. All instances place keys by it, so
-	// it must be the same in each version.
+	// Parameters of 64-bit FNV-1a, which hashes keys that are not 64-bit numbers. All balancers place keys by this hash,
+	// so it must not change between versions.
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// The places of a request's arguments: verb, key, id, attributes, and in a Set the value.
+// Indexes of a request's arguments: verb, key, ID, attributes and, for VerbSet only, the value.
 const (
 	argumentKey        = 1
 	argumentID         = 2
 	argumentAttributes = 3
 	argumentValue      = 4
 
-	getArguments = 4
-	setArguments = 5
+	getArgumentCount = 4
+	setArgumentCount = 5
 )
 
-// ParseCommand reads the first command: its arguments, and its length, 0 if it is not complete. After an error the
-// connection can't be read any further.
+// ParseCommand parses the first command in received. It returns the command's arguments and its length in bytes, which
+// is 0 if the command is incomplete. After an error the rest of the connection's input cannot be parsed.
 func ParseCommand(received []byte) (arguments [][]byte, length int, err error) {
 	if len(received) > 0 && received[0] != '*' {
 		return nil, 0, ErrNotCommand
@@ -59,29 +59,29 @@
 	return arguments, length, nil
 }
 
-// MinCommandLength returns how long a command that is not complete is at least, 0 where that is not known.
+// MinCommandLength returns the minimum length in bytes of an incomplete command, or 0 if it is not known yet.
 func MinCommandLength(received []byte) int {
 	_, minLength, _ := frame(received, MaxLargeValue)
 	return minLength
 }
 
-// ParseRequest returns a command's verb, and what is wrong with its arguments where it is a request: ErrArgumentCount,
-// ErrArgumentTooLong, ErrArgumentMissing.
+// ParseRequest returns a command's verb. If the command is a request, it also validates the arguments and returns
+// ErrArgumentCount, ErrArgumentTooLong or ErrArgumentMissing if they are invalid.
 func ParseRequest(arguments [][]byte) (Verb, error) {
 	verb := ParseVerb(arguments)
 	if !verb.IsRequest() {
 		return verb, nil
 	}
-	expected := getArguments
+	expected := getArgumentCount
 	if verb == VerbSet {
-		expected = setArguments
+		expected = setArgumentCount
 	}
 	if len(arguments) != expected {
 		return verb, ErrArgumentCount
 	}
 	key, id, attributes := arguments[argumentKey], arguments[argumentID], arguments[argumentAttributes]
 	switch {
-	case len(key) > maxArgument, len(id) > maxArgument, len(attributes) > maxArgument:
+	case len(key) > maxArgumentBytes, len(id) > maxArgumentBytes, len(attributes) > maxArgumentBytes:
 		return verb, ErrArgumentTooLong
 	case len(key) == 0, len(id) == 0:
 		return verb, ErrArgumentMissing
@@ -89,15 +89,15 @@
 	return verb, nil
 }
 
-// Attributes are what a request's list of names and values states. Workload and Tenant alias the list.
+// Attributes holds the parsed attribute list of a request. Workload and Tenant alias the list.
 type Attributes struct {
-	Workload, Tenant []byte // Tenant: nil where none is stated
-	TimeoutNanos     int64  // how long the client waits for the response
-	PredictedNanos   int64  // the work that the client predicts; 0: not stated
+	Workload, Tenant []byte // Tenant is nil if the list has none
+	TimeoutNanos     int64  // how long the client waits for the reply
+	PredictedNanos   int64  // the client's estimate of the work; 0 if the list has none
 }
 
-// ParseAttributes reads a request's list of names and values. Names that are not known are skipped. The error is
-// ErrMalformedAttributes or ErrMissingAttribute.
+// ParseAttributes parses a request's attribute list: name=value pairs separated by commas. Unknown names are skipped.
+// The error is ErrMalformedAttributes or ErrMissingAttribute.
 func ParseAttributes(list []byte) (Attributes, error) {
 	attributes := Attributes{TimeoutNanos: -1}
 	for len(list) > 0 {
@@ -117,7 +117,7 @@
 	return attributes, nil
 }
 
-// set takes one pair of the list; the last of several with one name counts.
+// set stores one name=value pair. If a name occurs more than once, the last value is used.
 func (a *Attributes) set(name string, value []byte) (err error) {
 	switch name {
 	case attributeWorkload:
@@ -132,9 +132,9 @@
 	return err
 }
 
-// parseTime reads a time of maxTimeNanos at most, in a unit of so many nanoseconds: digits, with a fraction perhaps. It
-// guards against what else strconv takes for a number, such as inf or 0x1p4, and against servers' rejecting a time that
-// nobody can wait for.
+// parseTime parses a decimal number, optionally with a fraction, of units that are unit nanoseconds long, and returns
+// nanoseconds. It rejects the other formats that strconv accepts, such as inf or 0x1p4, and times over maxTimeNanos,
+// which are longer than any client waits and which servers would reject.
 func parseTime(value []byte, unit float64) (int64, error) {
 	for i, c := range value {
 		if (c < '0' || c > '9') && (c != '.' || i == 0) {
@@ -148,7 +148,7 @@
 	return int64(x * unit), nil
 }
 
-// ParseKey returns the number by which a key is placed: that of a key of 16 hexadecimal digits, else its hash.
+// ParseKey returns the number by which a key is placed: its value if it is 16 hexadecimal digits, otherwise its hash.
 func ParseKey(key []byte) uint64 {
 	if len(key) == keyDigits {
 		if n, err := strconv.ParseUint(string(key), 16, 64); err == nil {
@@ -162,15 +162,15 @@
 	return hash
 }
 
-// HasLargeValue reports whether a request carries a value over MaxValue.
+// HasLargeValue reports whether a request carries a value longer than MaxValue.
 func HasLargeValue(arguments [][]byte) bool {
 	return len(arguments) > argumentValue && len(arguments[argumentValue]) > MaxValue
 }
 
-// AppendRequest writes a request as it was received, except that it states how long this attempt is waited for, in
-// nanoseconds. A value over MaxValue and the line end behind it are not copied: they are to follow the message, and
-// alias the command that the arguments were read from.
-func AppendRequest(out []byte, arguments [][]byte, timeoutNanos int64) (message, follows []byte) {
+// AppendRequest appends a request as it was received, except that its timeout is replaced by timeoutNanos, the time
+// limit of this attempt. A value longer than MaxValue and its line end are not copied: they are returned as tail, to be
+// sent after message, and alias the command that the arguments were parsed from.
+func AppendRequest(out []byte, arguments [][]byte, timeoutNanos int64) (message, tail []byte) {
 	out = redcon.AppendArray(out, len(arguments))
 	for i, argument := range arguments {
 		switch {
@@ -185,7 +185,7 @@
 	return out, nil
 }
 
-// withTimeout returns a list of attributes with another timeout, rounded up to whole milliseconds.
+// withTimeout returns a copy of an attribute list with its timeout replaced, rounded up to whole milliseconds.
 func withTimeout(list []byte, timeoutNanos int64) (changed []byte) {
 	for len(list) > 0 {
 		var pair []byte
@@ -201,5 +201,5 @@
 	return changed
 }
 
-// roundUpMillis returns whole milliseconds, so that a wait is never stated as shorter than it is.
+// roundUpMillis converts nanoseconds to milliseconds, rounding up so that a wait is never reported as too short.
 func roundUpMillis(nanos int64) int64 { return (nanos + 1e6 - 1) / 1e6 }
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -27,7 +27,7 @@
 		a, err := ParseAttributes([]byte(list))
 		fmt.Fprintf(&out, "fields %q: %q %q %d %d, %v\n", list, a.Workload, a.Tenant, a.TimeoutNanos, a.PredictedNanos, err)
 	}
-	long := strings.Repeat("k", maxArgument+1)
+	long := strings.Repeat("k", maxArgumentBytes+1)
 	for _, words := range []string{"HELLO 3", "C.GET k id", "C.GET k id c=read", "c.get k id c=read", "C.SET k id c=read", "C.SET k id c=read,x=1,d=7 v", "C.GET  id c=read",
 		"C.GET k  c=read", "C.GET " + long + " id c=read", "C.GET k " + long + " c=read", "C.GET k id " + long} {
 		var all [][]byte
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -42,7 +42,7 @@
 				}
 				message, follows := AppendRequest(nil, words, a.TimeoutNanos)
 				again, n, err := ParseCommand(append(message, follows...))
-				if err != nil && len(words[3]) < maxArgument-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
+				if err != nil && len(words[3]) < maxArgumentBytes-20 || err == nil && n > 0 && !bytes.Equal(again[1], words[1]) {
 					t.Fatalf("%q does not go on: %v", words, err)
 				}
 			}
