--- a/protocol/endpointlist.go
+++ b/protocol/endpointlist.go
@@ -7,15 +7,15 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxWeight bounds a server's weight; one beyond it is taken as not stated.
+// maxWeight is the largest weight of an endpoint; a larger one is treated as absent.
 const maxWeight = 1e9
 
-// ErrNotEndpointList is the error of a line that is no endpoint list.
+// ErrNotEndpointList is returned for a line that is not an endpoint list.
 var ErrNotEndpointList = errors.New("not a list of servers")
 
-// EntryError is the error of a list with an entry of which a field is missing or bad.
+// EntryError is returned for a list that has an entry with a missing or invalid field.
 type EntryError struct {
-	Entry int // from 0
+	Entry int // index in the list, starting at 0
 	Field string
 }
 
@@ -24,27 +24,27 @@
 	return fmt.Sprintf("entry %d of the list: bad %s", e.Entry, e.Field)
 }
 
-// EndpointList is a list of servers, or the changes since an earlier one.
+// EndpointList is a full list of endpoints, or the changes since an earlier list.
 type EndpointList struct {
-	Index      uint64 // of the list's version; later ones have higher numbers
-	IsSnapshot bool   // all servers are listed, else only those that have changed
+	Index      uint64 // version of the list; later versions have higher numbers
+	IsSnapshot bool   // whether all endpoints are listed, or only those that changed
 	Endpoints  []Endpoint
 }
 
-// Endpoint is an entry of the list.
+// Endpoint is an entry of the endpoint list: a server.
 type Endpoint struct {
 	Name           string
-	Address        string // may be empty for one that is gone
+	Address        string // may be empty if the status is EndpointGone
 	Status         EndpointStatus
-	StartedAtNanos int64 // when the server started, by the wall clock, in nanoseconds since 1970
+	StartedAtNanos int64 // when the server started: wall clock, in nanoseconds since the Unix epoch
 	Kind           string
 	Zone           string
 	Group          int
-	Weight         float64 // 0: not stated
+	Weight         float64 // 0 if absent or invalid
 }
 
-// ParseEndpointList reads a line of the endpoint list. It checks all entries: a list with a bad one is an error as a
-// whole (EntryError, ErrNotEndpointList), so that a damaged list changes nothing.
+// ParseEndpointList parses one line: an endpoint list in JSON. It checks all entries, and an invalid one makes the whole
+// list an error, so that a damaged list is never applied in part. The error is an EntryError or ErrNotEndpointList.
 func ParseEndpointList(line []byte) (EndpointList, error) {
 	if !gjson.ValidBytes(line) {
 		return EndpointList{}, ErrNotEndpointList
@@ -64,7 +64,7 @@
 	return list, nil
 }
 
-// badField returns the name of the first field of an entry that spoils the list, "" if none does.
+// badField returns the name of the first field that makes an entry invalid, or "" if the entry is valid.
 func badField(entry gjson.Result) string {
 	name, address := entry.Get("name"), entry.Get("address")
 	status := parseEndpointStatus(entry.Get("status").Str)
@@ -81,7 +81,7 @@
 	return ""
 }
 
-// parseEndpoint reads an entry without a bad field. A bad weight does not spoil the list: it counts as not stated.
+// parseEndpoint converts an entry that badField accepted. An invalid weight is treated as absent; it is not an error.
 func parseEndpoint(entry gjson.Result) Endpoint {
 	weight := entry.Get("weight").Num
 	if !(weight > 0 && weight <= maxWeight) {
