--- a/protocol/command.go
+++ b/protocol/command.go
@@ -61,7 +61,7 @@
 
 // MinCommandLength returns the minimum length in bytes of an incomplete command, or 0 if it is not known yet.
 func MinCommandLength(received []byte) int {
-	_, minLength, _ := frame(received, MaxLargeValue)
+	_, minLength, _ := frameLength(received, MaxLargeValue)
 	return minLength
 }
 
--- a/protocol/frame.go
+++ b/protocol/frame.go
@@ -1,9 +1,10 @@
-// Package protocol reads and writes the bytes of the wire: clients' commands and servers' responses, in RESP2, and the
-// lines of the endpoint list, in JSON. It turns them into typed fields and back, bounds every length, and decides
-// nothing. The words of the wire stand in one table (words.go).
+// Package protocol parses and encodes the wire formats: clients' commands and servers' responses, in RESP2, and the
+// endpoint list, in JSON, one list per line. It converts them to typed fields and back, bounds every length, and makes
+// no routing decisions. The words of the protocol are defined in one place, words.go.
 //
-// Readers take what has been received so far and return the length of the first message in it, 0 while it is not
-// complete; what they return aliases the bytes they were given. All functions are pure: none locks or keeps state.
+// Parsers of RESP2 messages take the bytes received so far and return the length of the first message in them, which is
+// 0 while the message is incomplete; the slices they return alias the input. All functions are pure: none locks or keeps
+// state.
 package protocol
 
 import (
@@ -15,39 +16,40 @@
 )
 
 const (
-	// MaxValue is the longest value, in bytes, that is held as a matter of course.
+	// MaxValue is the longest value, in bytes, that is always buffered, without a budget.
 	MaxValue = 64 << 10
-	// MaxLargeValue is the longest value, in bytes, that there may be: over MaxValue it is held out of a budget, or
-	// passed on as it comes.
+	// MaxLargeValue is the longest value, in bytes, that is accepted. A value longer than MaxValue is either buffered
+	// within a budget or forwarded as it arrives.
 	MaxLargeValue = 4 << 20
 )
 
 const (
-	maxParts   = 16                             // of an array: no message here has as many
-	maxFraming = transport.MaxBuffer - MaxValue // bytes of a message beside its value
-	maxLine    = 1 << 10                        // bytes of a line: an error with its load report
+	maxElements = 16                             // elements of an array; every valid message has fewer
+	maxFraming  = transport.MaxBuffer - MaxValue // bytes of a message other than its value
+	maxLine     = 1 << 10                        // bytes in a line; the longest is an error with its load report
 )
 
-// Errors of a message. After one the connection can't be read any further, since nobody can tell where the next
-// message begins. Their texts go to clients.
+// Errors of framing. After one the rest of the connection's input cannot be parsed, because the start of the next
+// message is unknown. Clients receive their texts in an error reply.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrLength    = errors.New("length out of bounds")
 )
 
-// lineKinds are the bytes that a line of RESP2 begins with.
-var lineKinds = []byte("*$+-:")
+// typeBytes are the first bytes of RESP2 lines; each stands for one data type.
+var typeBytes = []byte("*$+-:")
 
-// completeLength returns the length of the first message in what was received, 0 if it is not complete; a string in it
-// has maxBulk bytes at most. It stands before redcon's parsers, which bound no length, take negative ones, and do not
-// tell a part of a message from a malformed one.
+// completeLength returns the length of the first message in received, or 0 if the message is incomplete. A bulk string
+// in it may have at most maxBulk bytes. It checks the input before redcon's parsers see it, because they do not bound
+// lengths, accept negative ones, and do not tell an incomplete message from a malformed one.
 func completeLength(received []byte, maxBulk int) (int, error) {
-	length, _, err := frame(received, maxBulk)
+	length, _, err := frameLength(received, maxBulk)
 	return length, err
 }
 
-// frame returns also how long the message is at least, by the lengths that were received; 0 where none tells.
-func frame(received []byte, maxBulk int) (length, minLength int, err error) {
+// frameLength does what completeLength does and also returns the minimum length of the message, which it derives from the
+// lengths received so far; 0 if it is not known yet.
+func frameLength(received []byte, maxBulk int) (length, minLength int, err error) {
 	at := 0
 	for remaining := 1; remaining > 0; remaining-- {
 		line, isComplete, err := nextLine(received[at:])
@@ -63,8 +65,8 @@
 			if err != nil {
 				return 0, 0, err
 			}
-			if n > maxParts || !isFirst {
-				return 0, 0, ErrLength // No message here nests arrays or has many parts.
+			if n > maxElements || !isFirst {
+				return 0, 0, ErrLength // No valid message nests arrays or has this many elements.
 			}
 			remaining += max(0, n)
 		case '$':
@@ -92,13 +94,13 @@
 	return at, at, nil
 }
 
-// nextLine returns the line that the bytes begin with, without its end, and whether it is complete.
+// nextLine returns the first line of received, without its line end, and whether the line is complete.
 func nextLine(received []byte) (line []byte, isComplete bool, err error) {
 	end := bytes.IndexByte(received, '\n')
 	switch {
 	case end < 0 && len(received) > maxLine:
 		return nil, false, ErrLength
-	case end < 0 && len(received) > 0 && bytes.IndexByte(lineKinds, received[0]) < 0:
+	case end < 0 && len(received) > 0 && bytes.IndexByte(typeBytes, received[0]) < 0:
 		return nil, false, ErrMalformed
 	case end < 0:
 		return nil, false, nil
@@ -108,7 +110,7 @@
 	return received[:end-1], true, nil
 }
 
-// parseLength reads the length of an array or a string: digits, or -1 for a null.
+// parseLength parses the length of an array or bulk string: a non-negative number, or -1 for null.
 func parseLength(digits []byte) (int, error) {
 	n, err := strconv.Atoi(string(digits))
 	if err != nil || n < -1 || digits[0] == '+' || digits[0] == '-' && n != -1 {
