--- a/protocol/frame.go
+++ b/protocol/frame.go
@@ -47,8 +47,8 @@
 	return length, err
 }
 
-// frameLength does what completeLength does and also returns the minimum length of the message, which it derives from the
-// lengths received so far; 0 if it is not known yet.
+// frameLength does what completeLength does and also returns the minimum length of the message, derived from the lengths
+// received so far; 0 if it is not known yet.
 func frameLength(received []byte, maxBulk int) (length, minLength int, err error) {
 	at := 0
 	for remaining := 1; remaining > 0; remaining-- {
