--- a/protocol/endpointlist.go
+++ b/protocol/endpointlist.go
@@ -43,8 +43,9 @@
 	Weight         float64 // 0 if absent or invalid
 }
 
-// ParseEndpointList parses one line: an endpoint list in JSON. It checks all entries, and an invalid one makes the whole
-// list an error, so that a damaged list is never applied in part. The error is an EntryError or ErrNotEndpointList.
+// ParseEndpointList parses one line: an endpoint list in JSON. It checks all entries, and an invalid one makes the
+// whole list an error, so that a damaged list is never applied in part. The error is an EntryError or
+// ErrNotEndpointList.
 func ParseEndpointList(line []byte) (EndpointList, error) {
 	if !gjson.ValidBytes(line) {
 		return EndpointList{}, ErrNotEndpointList
--- a/protocol/frame.go
+++ b/protocol/frame.go
@@ -3,8 +3,8 @@
 // no routing decisions. The words of the protocol are defined in one place, words.go.
 //
 // Parsers of RESP2 messages take the bytes received so far and return the length of the first message in them, which is
-// 0 while the message is incomplete; the slices they return alias the input. All functions are pure: none locks or keeps
-// state.
+// 0 while the message is incomplete; the slices they return alias the input. All functions are pure: none locks or
+// keeps state.
 package protocol
 
 import (
@@ -47,8 +47,8 @@
 	return length, err
 }
 
-// frameLength does what completeLength does and also returns the minimum length of the message, derived from the lengths
-// received so far; 0 if it is not known yet.
+// frameLength does what completeLength does and also returns the minimum length of the message, derived from the
+// lengths received so far; 0 if it is not known yet.
 func frameLength(received []byte, maxBulk int) (length, minLength int, err error) {
 	at := 0
 	for remaining := 1; remaining > 0; remaining-- {
--- a/protocol/reply.go
+++ b/protocol/reply.go
@@ -6,8 +6,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// AppendLargeValueHeader appends the bulk string header of a large value of size bytes. The caller sends the value and a
-// line end after it.
+// AppendLargeValueHeader appends the bulk string header of a large value of size bytes. The caller sends the value and
+// a line end after it.
 func AppendLargeValueHeader(out []byte, size int) []byte {
 	return append(strconv.AppendInt(append(out, '$'), int64(size), 10), lineEnd...)
 }
--- a/protocol/response.go
+++ b/protocol/response.go
@@ -9,26 +9,26 @@
 	"hollylever/transport"
 )
 
-// Response is a server's response. Value and Report alias the bytes it was read from.
+// Response is a parsed response of a server. Value and Report alias the bytes it was parsed from.
 type Response struct {
-	// End is how the attempt ended by it: Succeeded, Failed, Rejected; Malformed where it is malformed; Open while it
-	// is not complete.
+	// End is how this response ends the attempt: Succeeded, Failed, Rejected or Malformed; Open while the response is
+	// incomplete.
 	End         transport.End
-	Value       []byte      // the value or receipt; not nil with Succeeded
-	Report      []byte      // the load report; may be no report at all, which its reader finds out
-	CacheResult CacheResult // of a Succeeded response
-	Length      int         // in bytes; 0 with Open and Malformed
+	Value       []byte      // the value or receipt; non-nil if End is Succeeded
+	Report      []byte      // the load report, unvalidated: without one, an error line gives its last word here
+	CacheResult CacheResult // set if End is Succeeded
+	Length      int         // in bytes; 0 if End is Open or Malformed
 }
 
-// The parts of a response with a value.
+// Elements of a response that carries a value, numbered from 1.
 const (
-	valuePart = iota + 1
-	cacheResultPart
-	reportPart
-	responseParts = reportPart
+	valueElement = iota + 1
+	cacheResultElement
+	reportElement
+	responseElements = reportElement
 )
 
-// ParseResponse reads the first response in what was received.
+// ParseResponse parses the first response in received.
 func ParseResponse(received []byte) Response {
 	length, err := completeLength(received, MaxValue)
 	if err != nil {
@@ -45,23 +45,23 @@
 		return Response{End: transport.Rejected, Report: lastWord(resp.Data), Length: length}
 	case resp.Type == redcon.Error && isError(resp.Data, wordFailed):
 		return Response{End: transport.Failed, Report: lastWord(resp.Data), Length: length}
-	case resp.Type != redcon.Array || resp.Count != responseParts:
+	case resp.Type != redcon.Array || resp.Count != responseElements:
 		return Response{End: transport.Malformed}
 	}
 	return parseValueResponse(resp, length)
 }
 
-// parseValueResponse reads a response of three parts, of which the value is a must.
+// parseValueResponse parses a response that is an array of responseElements elements. Only the value is required.
 func parseValueResponse(resp redcon.RESP, length int) Response {
 	response := Response{End: transport.Succeeded, Length: length}
-	part := 0
+	element := 0
 	resp.ForEach(func(inner redcon.RESP) bool {
-		switch part++; {
-		case part == valuePart && inner.Type == redcon.Bulk:
-			response.Value = inner.Data // nil for a null
-		case part == cacheResultPart:
+		switch element++; {
+		case element == valueElement && inner.Type == redcon.Bulk:
+			response.Value = inner.Data // nil for a null bulk string
+		case element == cacheResultElement:
 			response.CacheResult = parseCacheResult(inner.Data)
-		case part == reportPart:
+		case element == reportElement:
 			response.Report = inner.Data
 		}
 		return true
@@ -72,34 +72,36 @@
 	return response
 }
 
-// isError reports whether an error line is the one named, alone or with a load report behind it.
+// isError reports whether an error line consists of name, optionally followed by a load report.
 func isError(line []byte, name string) bool {
-	rest, is := bytes.CutPrefix(line, []byte(name))
-	return is && (len(rest) == 0 || rest[0] == ' ')
+	rest, found := bytes.CutPrefix(line, []byte(name))
+	return found && (len(rest) == 0 || rest[0] == ' ')
 }
 
-// lastWord returns the word of an error line in which its load report stands, if it has one.
+// lastWord returns the last word of an error line, which is its load report if it has one.
 func lastWord(line []byte) []byte { return line[bytes.LastIndexByte(line, ' ')+1:] }
 
-// ParseLargeValueHeader reports a response that begins with a value over MaxValue: how long that is, and at which byte
-// it begins; 0 for any other response.
+// ParseLargeValueHeader returns the size of the value and the offset of its first byte if received begins with a
+// response whose value is longer than MaxValue. For any other response it returns 0, 0.
 func ParseLargeValueHeader(received []byte) (size, start int) {
-	rest, is := bytes.CutPrefix(received, []byte(firstLargeLine))
+	rest, found := bytes.CutPrefix(received, []byte(valueResponsePrefix))
 	digits, _, isComplete := bytes.Cut(rest, []byte(lineEnd))
-	if !is || !isComplete || len(digits) == 0 || digits[0] < '1' || digits[0] > '9' {
+	if !found || !isComplete || len(digits) == 0 || digits[0] < '1' || digits[0] > '9' {
 		return 0, 0
 	}
 	n, err := strconv.Atoi(string(digits))
 	if err != nil || n <= MaxValue || n > MaxLargeValue {
 		return 0, 0
 	}
-	return n, len(firstLargeLine) + len(digits) + len(lineEnd)
+	return n, len(valueResponsePrefix) + len(digits) + len(lineEnd)
 }
 
-// ParseResponseTail reads what stands behind a large value, as ParseResponse does; Value is nil.
+// ParseResponseTail parses the remainder of a response, after its large value and the line end of that value. The
+// result is that of ParseResponse, except that Value is nil and Length counts the remainder only.
 func ParseResponseTail(received []byte) Response {
-	const before = firstLargeLine + "1" + lineEnd + "v" + lineEnd
-	response := ParseResponse(append([]byte(before), received...))
-	response.Value, response.Length = nil, max(0, response.Length-len(before))
+	// A one-byte value stands in for the large one, which ParseResponse would reject.
+	const prefix = valueResponsePrefix + "1" + lineEnd + "v" + lineEnd
+	response := ParseResponse(append([]byte(prefix), received...))
+	response.Value, response.Length = nil, max(0, response.Length-len(prefix))
 	return response
 }
--- a/protocol/words.go
+++ b/protocol/words.go
@@ -16,19 +16,19 @@
 	attributeTimeout   = "d" // in milliseconds
 	attributePredicted = "h" // the work that the client predicts, in microseconds
 
-	wordBusy       = "BUSY"         // an error: rejected before it began, or, to a client, not served
-	wordFailed     = "ERR failed"   // an error of a server: the request failed there
-	wordGivenUp    = "ERR given up" // an error to a client: no result, and nothing is promised about what ran
-	wordError      = "ERR "         // before the text of any other error to a client
-	wordHit        = "hit"
-	wordMiss       = "miss"
-	wordPending    = "pending"
-	wordReady      = "Ready"
-	wordDraining   = "Terminating"
-	wordGone       = "Gone"
-	timeoutPrefix  = attributeTimeout + "="
-	lineEnd        = "\r\n"
-	firstLargeLine = "*3\r\n$" // how a response with a value begins
+	wordBusy            = "BUSY"         // an error: rejected before it began, or, to a client, not served
+	wordFailed          = "ERR failed"   // an error of a server: the request failed there
+	wordGivenUp         = "ERR given up" // an error to a client: no result, and nothing is promised about what ran
+	wordError           = "ERR "         // before the text of any other error to a client
+	wordHit             = "hit"
+	wordMiss            = "miss"
+	wordPending         = "pending"
+	wordReady           = "Ready"
+	wordDraining        = "Terminating"
+	wordGone            = "Gone"
+	timeoutPrefix       = attributeTimeout + "="
+	lineEnd             = "\r\n"
+	valueResponsePrefix = "*3\r\n$" // first bytes of a response that carries a value
 )
 
 // Verb is what a command asks for.
