--- a/protocol/words.go
+++ b/protocol/words.go
@@ -2,24 +2,24 @@
 
 import "bytes"
 
-// The words of the wire: of clients' commands, of servers' responses and of the endpoint list. They are spelled here,
-// as the protocol of the operators has them, and nowhere else: behind this package stand the types below.
+// The words of the wire: of clients' commands, of servers' responses and of the endpoint list. They are defined by the
+// operators' protocol and spelled only here; other packages use the types below.
 const (
 	wordGet  = "C.GET"
 	wordSet  = "C.SET"
 	wordPing = "PING"
 	wordPong = "PONG"
 
-	// The names in a request's list of attributes; any other is passed on as it is.
+	// Names in a request's attribute list. Attributes with other names are forwarded unchanged.
 	attributeWorkload  = "c"
 	attributeTenant    = "t"
 	attributeTimeout   = "d" // in milliseconds
-	attributePredicted = "h" // the work that the client predicts, in microseconds
+	attributePredicted = "h" // the client's estimate of the work, in microseconds
 
-	wordBusy            = "BUSY"         // an error: rejected before it began, or, to a client, not served
-	wordFailed          = "ERR failed"   // an error of a server: the request failed there
-	wordGivenUp         = "ERR given up" // an error to a client: no result, and nothing is promised about what ran
-	wordError           = "ERR "         // before the text of any other error to a client
+	wordBusy            = "BUSY"         // error: in a response, rejected before it began; in a reply, not served
+	wordFailed          = "ERR failed"   // error in a response: the request failed on the server
+	wordGivenUp         = "ERR given up" // error in a reply: no result; an attempt may or may not have run
+	wordError           = "ERR "         // prefix of any other error in a reply
 	wordHit             = "hit"
 	wordMiss            = "miss"
 	wordPending         = "pending"
@@ -31,10 +31,10 @@
 	valueResponsePrefix = "*3\r\n$" // first bytes of a response that carries a value
 )
 
-// Verb is what a command asks for.
+// Verb is the operation that a command requests.
 type Verb int
 
-// The verbs. Get and Set are requests, which servers answer; Ping is answered here.
+// Verbs. VerbGet and VerbSet are requests, which are forwarded to servers; the balancer itself replies to VerbPing.
 const (
 	VerbUnknown Verb = iota
 	VerbGet
@@ -42,10 +42,10 @@
 	VerbPing
 )
 
-// verbWords are the verbs' words; that of VerbUnknown matches no command.
+// verbWords maps verbs to their words on the wire. The empty word of VerbUnknown matches no command.
 var verbWords = [...]string{VerbUnknown: "", VerbGet: wordGet, VerbSet: wordSet, VerbPing: wordPing}
 
-// ParseVerb returns the verb of a command, whose first argument names it in any case.
+// ParseVerb returns the verb that the first argument of a command names, ignoring case.
 func ParseVerb(arguments [][]byte) Verb {
 	for verb := VerbGet; verb <= VerbPing; verb++ {
 		if bytes.EqualFold(arguments[0], []byte(verbWords[verb])) {
@@ -55,16 +55,16 @@
 	return VerbUnknown
 }
 
-// String returns the verb's word on the wire, "" for VerbUnknown.
+// String returns the verb's word on the wire, or "" for VerbUnknown.
 func (v Verb) String() string { return verbWords[v] }
 
-// IsRequest reports whether servers answer the verb.
+// IsRequest reports whether commands with the verb are requests, which are forwarded to servers.
 func (v Verb) IsRequest() bool { return v == VerbGet || v == VerbSet }
 
-// EndpointStatus is how the endpoint list states a server.
+// EndpointStatus is the status of a server in the endpoint list.
 type EndpointStatus int
 
-// The statuses of servers. One that drains finishes the requests it has and is given no new ones.
+// Statuses of servers. A draining server finishes its open requests and receives no new ones.
 const (
 	EndpointReady EndpointStatus = iota + 1
 	EndpointDraining
@@ -73,10 +73,10 @@
 
 var endpointStatusWords = [...]string{EndpointReady: wordReady, EndpointDraining: wordDraining, EndpointGone: wordGone}
 
-// String returns the status's word in the endpoint list, which logs and the operators' endpoints show too.
+// String returns the status's word in the endpoint list. Logs and the admin endpoints show the same word.
 func (s EndpointStatus) String() string { return endpointStatusWords[s] }
 
-// parseEndpointStatus returns the status that a word of the list states, 0 for any other word.
+// parseEndpointStatus returns the status for a word of the endpoint list, or 0 if the word is unknown.
 func parseEndpointStatus(word string) EndpointStatus {
 	for status := EndpointReady; status <= EndpointGone; status++ {
 		if word == endpointStatusWords[status] {
@@ -86,10 +86,11 @@
 	return 0
 }
 
-// CacheResult is what a server's response says of its cache. The numbers are those that the decision module takes.
+// CacheResult is the cache result in a server's response. The numbers are those of
+// policy.AttemptResult.CacheResult.
 type CacheResult int
 
-// The results of a server's cache; CacheUnknown where the response says none.
+// Cache results. CacheUnknown means that the response has none or an unknown one.
 const (
 	CacheUnknown CacheResult = iota
 	CacheHit
@@ -97,7 +98,7 @@
 	CachePending
 )
 
-// parseCacheResult returns the result that a word of a response states.
+// parseCacheResult returns the cache result for a word of a response, or CacheUnknown if the word is unknown.
 func parseCacheResult(word []byte) CacheResult {
 	switch string(word) {
 	case wordHit:
