--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -11,16 +11,17 @@
 	"hollylever/transport"
 )
 
-var update = flag.Bool("update", false, "write testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden file in testdata")
 
-// Clients and hosts match the words of errors and the bytes of answers: whatever code reads them here, those stay.
-func TestBytesAreAsBefore(t *testing.T) {
+// Guards against changes to what clients and servers see: they match on error texts and on the bytes of replies and
+// requests, so these and the parsed results must not change when the code is rewritten.
+func TestParsedAndEncodedBytesMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
-	for _, came := range []string{get, get + get, get[:30], "*1\r\n$4\r\nPING\r\n", "PING\r\n", "\r\n", "$3\r\nabc\r\n", "*0\r\n", "*-1\r\n", "*-3\r\n", "*+1\r\n$1\r\na\r\n",
+	for _, received := range []string{get, get + get, get[:30], "*1\r\n$4\r\nPING\r\n", "PING\r\n", "\r\n", "$3\r\nabc\r\n", "*0\r\n", "*-1\r\n", "*-3\r\n", "*+1\r\n$1\r\na\r\n",
 		"*1\n", "*1\r\n$-1\r\n", "*1\r\n$-7\r\nx\r\n", "*1\r\n$3\r\nabcde", "*1\r\n:5\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*17\r\n", "*1\r\n$65537\r\n", "*3\r\n$65537\r\n",
 		"*1\r\n$4194305\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n!1\r\n", strings.Repeat("*", 2000), "\x89?d\xfcD\r\n\xcb%mq"} {
-		words, length, err := ParseCommand([]byte(came))
-		fmt.Fprintf(&out, "command %.60q: %q %d needs %d, %v\n", came, words, length, MinCommandLength([]byte(came)), err)
+		arguments, length, err := ParseCommand([]byte(received))
+		fmt.Fprintf(&out, "command %.60q: %q %d needs %d, %v\n", received, arguments, length, MinCommandLength([]byte(received)), err)
 	}
 	for _, list := range []string{"c=read,t=acme,d=480.5,k=5c,r=1,h=2500,size=9", "c=read,d=0", "", "c=read", "d=5", "c=read,d", "c=read,d=-1", "c=read,d=inf", "c=read,d=0x1p4",
 		"c=read,d=1e3", "c=read,d=.5", "c=read,d=3600000", "c=read,d=3600001", "c=read,d=5,h=x", "c=read,c=book,d=5,d=6", "c=,d=5"} {
@@ -28,36 +29,36 @@
 		fmt.Fprintf(&out, "fields %q: %q %q %d %d, %v\n", list, a.Workload, a.Tenant, a.TimeoutNanos, a.PredictedNanos, err)
 	}
 	long := strings.Repeat("k", maxArgumentBytes+1)
-	for _, words := range []string{"HELLO 3", "C.GET k id", "C.GET k id c=read", "c.get k id c=read", "C.SET k id c=read", "C.SET k id c=read,x=1,d=7 v", "C.GET  id c=read",
+	for _, command := range []string{"HELLO 3", "C.GET k id", "C.GET k id c=read", "c.get k id c=read", "C.SET k id c=read", "C.SET k id c=read,x=1,d=7 v", "C.GET  id c=read",
 		"C.GET k  c=read", "C.GET " + long + " id c=read", "C.GET k " + long + " c=read", "C.GET k id " + long} {
-		var all [][]byte
-		for _, word := range strings.Split(words, " ") {
-			all = append(all, []byte(word))
+		var arguments [][]byte
+		for _, word := range strings.Split(command, " ") {
+			arguments = append(arguments, []byte(word))
 		}
-		verb, err := ParseRequest(all)
-		is, write, wrong := verb.IsRequest(), verb == VerbSet, ""
+		verb, err := ParseRequest(arguments)
+		isRequest, isSet, problem := verb.IsRequest(), verb == VerbSet, ""
 		if err != nil {
-			wrong = err.Error()
+			problem = err.Error()
 		}
-		fmt.Fprintf(&out, "retrieval %.40q: %t %t %q\n", words, is, write, wrong)
-		if is && wrong == "" {
-			message, follows := AppendRequest(nil, all, 100.2e6)
-			fmt.Fprintf(&out, "  goes on as %q and %q\n", message, follows)
+		fmt.Fprintf(&out, "retrieval %.40q: %t %t %q\n", command, isRequest, isSet, problem)
+		if isRequest && problem == "" {
+			message, tail := AppendRequest(nil, arguments, 100.2e6)
+			fmt.Fprintf(&out, "  goes on as %q and %q\n", message, tail)
 		}
 	}
 	ends := map[transport.End]string{transport.Open: "open", transport.Succeeded: "a value", transport.Failed: "an error", transport.Rejected: "busy", transport.Malformed: "garbled"}
-	for _, came := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\na=1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nmiss\r\n$-1\r\n", "*3\r\n$0\r\n\r\n$7\r\npending\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nelse\r\n$-1\r\n",
+	for _, received := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$3\r\na=1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nmiss\r\n$-1\r\n", "*3\r\n$0\r\n\r\n$7\r\npending\r\n$-1\r\n", "*3\r\n$1\r\nv\r\n$4\r\nelse\r\n$-1\r\n",
 		"-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n", "-ERR failed a=1\r\n", "-ERR failedX\r\n", "-ERR\r\n", "+OK\r\n", ":5\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*2\r\n$1\r\nv\r\n",
 		"*3\r\n$1\r\nv", "$1\r\nv\r\n"} {
-		r := ParseResponse([]byte(came))
-		size, from := ParseLargeValueHeader([]byte(came))
-		fmt.Fprintf(&out, "answer %q: %s %q %q %d %d, large %d %d\n", came, ends[r.End], r.Value, r.Report, r.CacheResult, r.Length, size, from)
+		r := ParseResponse([]byte(received))
+		size, start := ParseLargeValueHeader([]byte(received))
+		fmt.Fprintf(&out, "answer %q: %s %q %q %d %d, large %d %d\n", received, ends[r.End], r.Value, r.Report, r.CacheResult, r.Length, size, start)
 	}
-	size, from := ParseLargeValueHeader([]byte("*3\r\n$65537\r\nvv"))
-	rest := ParseResponseTail([]byte("$3\r\nhit\r\n$3\r\na=1\r\n"))
-	fmt.Fprintf(&out, "large %d %d, its rest %s %q %d %d\n", size, from, ends[rest.End], rest.Report, rest.CacheResult, rest.Length)
-	for _, word := range []string{"00000000000000ff", "ff", "", "7f3a9c21e0b4d65g"} {
-		fmt.Fprintf(&out, "key %q: %d\n", word, ParseKey([]byte(word)))
+	size, start := ParseLargeValueHeader([]byte("*3\r\n$65537\r\nvv"))
+	tail := ParseResponseTail([]byte("$3\r\nhit\r\n$3\r\na=1\r\n"))
+	fmt.Fprintf(&out, "large %d %d, its rest %s %q %d %d\n", size, start, ends[tail.End], tail.Report, tail.CacheResult, tail.Length)
+	for _, key := range []string{"00000000000000ff", "ff", "", "7f3a9c21e0b4d65g"} {
+		fmt.Fprintf(&out, "key %q: %d\n", key, ParseKey([]byte(key)))
 	}
 	fmt.Fprintf(&out, "%q %q %q %q %q %q %q %q\n", AppendValue(nil, []byte("v")), AppendValue(nil, nil), AppendRejected(nil, 0), AppendRejected(nil, 1), AppendRejected(nil, 1500e6),
 		AppendFailed(nil), AppendPong(nil), AppendError(nil, "why"))
@@ -80,6 +81,6 @@
 		}
 	}
 	if want, err := os.ReadFile(path); err != nil || !bytes.Equal(want, []byte(out.String())) {
-		t.Errorf("%v; got\n%s", err, out.String())
+		t.Errorf("output does not match %s (read error: %v); got\n%s", path, err, out.String())
 	}
 }
