--- a/protocol/words_test.go
+++ b/protocol/words_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// A word of the wire is spelled a second time behind this package, and a later change of the one misses the other. The
-// packages that serve requests have to use the types of words.go. (Stand-ins of servers and of discovery, under fakes
-// and cmd, speak the wire from its other side and spell it themselves.)
-func TestWireWordsAreSpelledInOneTable(t *testing.T) {
+// Guards against spelling a word of the wire again outside this package, where a later change of words.go would miss it.
+// The packages that serve requests must use the types of words.go. Simulated servers and discovery, under fakes and cmd,
+// are not checked: they implement the other side of the protocol and spell its words themselves.
+func TestWireWordsAreSpelledOnlyInWords(t *testing.T) {
 	words := map[string]bool{}
 	for _, word := range []string{wordGet, wordSet, wordPing, wordPong, wordBusy, wordFailed, wordGivenUp, wordReady, wordDraining, wordGone} {
 		words[word] = true
@@ -27,18 +27,18 @@
 			if strings.HasSuffix(file, "_test.go") {
 				continue
 			}
-			set := token.NewFileSet()
-			parsed, err := parser.ParseFile(set, file, nil, parser.SkipObjectResolution)
+			fileSet := token.NewFileSet()
+			parsed, err := parser.ParseFile(fileSet, file, nil, parser.SkipObjectResolution)
 			if err != nil {
 				t.Fatal(err)
 			}
 			ast.Inspect(parsed, func(node ast.Node) bool {
-				literal, is := node.(*ast.BasicLit)
-				if !is || literal.Kind != token.STRING {
+				literal, ok := node.(*ast.BasicLit)
+				if !ok || literal.Kind != token.STRING {
 					return true
 				}
 				if text, err := strconv.Unquote(literal.Value); err == nil && words[text] {
-					t.Errorf("%s: %s is a word of the wire", set.Position(literal.Pos()), literal.Value)
+					t.Errorf("%s: %s is spelled here; use the types of package protocol", fileSet.Position(literal.Pos()), literal.Value)
 				}
 				return true
 			})
@@ -46,11 +46,11 @@
 	}
 }
 
-// A verb is read in any case, and each type's words are read back as what they were written for.
+// Verbs are parsed ignoring case, and each status is parsed back from its own word; unknown words are not accepted.
 func TestWordsAndTypesMatch(t *testing.T) {
 	for word, want := range map[string]Verb{"C.GET": VerbGet, "c.get": VerbGet, "C.SET": VerbSet, "c.Set": VerbSet, "ping": VerbPing, "PING": VerbPing, "": VerbUnknown, "C.GETS": VerbUnknown, "HELLO": VerbUnknown} {
 		if verb := ParseVerb([][]byte{[]byte(word)}); verb != want {
-			t.Errorf("%q is verb %d, want %d", word, verb, want)
+			t.Errorf("%q: got verb %d, want %d", word, verb, want)
 		}
 	}
 	for status, word := range map[EndpointStatus]string{EndpointReady: "Ready", EndpointDraining: "Terminating", EndpointGone: "Gone"} {
@@ -60,7 +60,7 @@
 	}
 	for _, word := range []string{"", "ready", "Up"} {
 		if status := parseEndpointStatus(word); status != 0 {
-			t.Errorf("%q is status %v", word, status)
+			t.Errorf("%q: got status %v, want none", word, status)
 		}
 	}
 }
