--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -17,7 +17,7 @@
 // requests, so these and the parsed results must not change when the code is rewritten.
 func TestParsedAndEncodedBytesMatchGoldenFile(t *testing.T) {
 	var out strings.Builder
-	for _, received := range []string{get, get + get, get[:30], "*1\r\n$4\r\nPING\r\n", "PING\r\n", "\r\n", "$3\r\nabc\r\n", "*0\r\n", "*-1\r\n", "*-3\r\n", "*+1\r\n$1\r\na\r\n",
+	for _, received := range []string{getCommand, getCommand + getCommand, getCommand[:30], "*1\r\n$4\r\nPING\r\n", "PING\r\n", "\r\n", "$3\r\nabc\r\n", "*0\r\n", "*-1\r\n", "*-3\r\n", "*+1\r\n$1\r\na\r\n",
 		"*1\n", "*1\r\n$-1\r\n", "*1\r\n$-7\r\nx\r\n", "*1\r\n$3\r\nabcde", "*1\r\n:5\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*17\r\n", "*1\r\n$65537\r\n", "*3\r\n$65537\r\n",
 		"*1\r\n$4194305\r\n", "*1\r\n$99999999999999999999\r\n", "*1\r\n!1\r\n", strings.Repeat("*", 2000), "\x89?d\xfcD\r\n\xcb%mq"} {
 		arguments, length, err := ParseCommand([]byte(received))
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -9,12 +9,12 @@
 	"hollylever/transport"
 )
 
-const get = "*4\r\n$5\r\nC.GET\r\n$3\r\nkey\r\n$2\r\nid\r\n$22\r\nc=read,t=acme,d=480.5,\r\n"
+const getCommand = "*4\r\n$5\r\nC.GET\r\n$3\r\nkey\r\n$2\r\nid\r\n$22\r\nc=read,t=acme,d=480.5,\r\n"
 
 // Clients may send any bytes, split at any point. Guards against taking a prefix of a valid command for a complete or a
-// malformed one, and against forwarding a request that cannot be parsed again.
+// malformed one, and against forwarding a request that cannot be parsed.
 func FuzzCommand(f *testing.F) {
-	for _, seed := range []string{get, get + get, "*1\r\n$4\r\nPING\r\n", "PING\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n",
+	for _, seed := range []string{getCommand, getCommand + getCommand, "*1\r\n$4\r\nPING\r\n", "PING\r\n", "*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n",
 		"*1\r\n$-5\r\n\r\n", "*1\r\n$99999999999999999999\r\n", "*2000000000\r\n", "*1\r\n*1\r\n$1\r\na\r\n", "*1\r\n$1\r\nabc",
 		"*1\n", "\r\n", "$3\r\nabc\r\n", "*1\r\n$65537\r\n", "*+1\r\n$1\r\na\r\n", strings.Repeat("*", 2000)} {
 		f.Add([]byte(seed))
@@ -31,8 +31,8 @@
 			t.Fatalf("%q: length %d, %d arguments", received, length, len(arguments))
 		}
 		for n := range length { // A proper prefix is incomplete, never complete or malformed.
-			if _, part, err := ParseCommand(received[:n]); part != 0 || err != nil {
-				t.Fatalf("%q: the first %d bytes parse as length %d, error %v, want incomplete", received, n, part, err)
+			if _, prefixLength, err := ParseCommand(received[:n]); prefixLength != 0 || err != nil {
+				t.Fatalf("%q: the first %d bytes parse as length %d, error %v, want incomplete", received, n, prefixLength, err)
 			}
 		}
 		if verb, err := ParseRequest(arguments); verb.IsRequest() && err == nil {
@@ -50,8 +50,8 @@
 	})
 }
 
-// Servers may send any bytes. Guards against lengths beyond the received bytes and against a value in a response that is
-// not Succeeded.
+// Servers may send any bytes. Guards against lengths beyond the received bytes and against a value in a response that
+// is not Succeeded.
 func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$-1\r\n", "-BUSY\r\n", "-BUSY inflight=1\r\n", "-ERR failed\r\n",
 		"*3\r\n$-1\r\n$-1\r\n$-1\r\n", "*3\r\n:1\r\n:2\r\n:3\r\n", "*2\r\n$1\r\nv\r\n", "+OK\r\n", "$1\r\nv\r\n", "*-1\r\n", ":\r\n",
@@ -103,7 +103,7 @@
 	for input, want := range map[string]transport.End{"-ERR failed\r\n": transport.Failed,
 		"-ERR failed inflight=7,queue=\x00?\r\n": transport.Failed, "-BUSY util=\xff\r\n": transport.Rejected,
 		"-ERR failedX\r\n": transport.Malformed, "-ERR\r\n": transport.Malformed, "-BUSYX\r\n": transport.Malformed, "-\xf8\x15\"\r\n": transport.Malformed,
-		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff\r\n?\r\n": transport.Succeeded, // An unreadable report does not make the response malformed.
+		"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$4\r\n\xff\r\n?\r\n": transport.Succeeded, // An unreadable report is no error.
 		"*3\r\n$4\r\nabcdefgh\r\n$-1\r\n$-1\r\n":            transport.Malformed, "*3\r\n$-7\r\n$-1\r\n$-1\r\n": transport.Malformed,
 		"*3\r\n$3000000000\r\nab": transport.Malformed, "*1000000000\r\n": transport.Malformed, "*3\r\n*3\r\n*3\r\n": transport.Malformed,
 		":5\r\n": transport.Malformed, "\xd8@~\xec\r\n\r\n": transport.Malformed, "+PONG\r\n": transport.Malformed,
@@ -152,8 +152,8 @@
 	}
 }
 
-// A client waits for the time that a rejection states. Fractions of a millisecond are rounded up, so that clients do not
-// retry too early.
+// A client waits for the time that a rejection states. Fractions of a millisecond are rounded up, so that clients do
+// not retry too early.
 func TestRejectionStatesWholeMilliseconds(t *testing.T) {
 	if a, b := string(AppendRejected(nil, 0)), string(AppendRejected(nil, 1.2e6)); a != "-BUSY\r\n" || b != "-BUSY 2\r\n" {
 		t.Fatalf("%q %q", a, b)
--- a/protocol/words.go
+++ b/protocol/words.go
@@ -3,7 +3,7 @@
 import "bytes"
 
 // The words of the wire: of clients' commands, of servers' responses and of the endpoint list. They are defined by the
-// operators' protocol and spelled only here; other packages use the types below.
+// operators' protocol. The packages that serve requests do not spell them again but use the types below.
 const (
 	wordGet  = "C.GET"
 	wordSet  = "C.SET"
--- a/protocol/words_test.go
+++ b/protocol/words_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// Guards against spelling a word of the wire again outside this package, where a later change of words.go would miss it.
-// The packages that serve requests must use the types of words.go. Simulated servers and discovery, under fakes and cmd,
-// are not checked: they implement the other side of the protocol and spell its words themselves.
+// Guards against spelling a word of the wire again outside this package, where a later change of words.go would miss
+// it. The packages that serve requests must use the types of words.go. Simulated servers and discovery, under fakes and
+// cmd, are not checked: they implement the other side of the protocol and spell its words themselves.
 func TestWireWordsAreSpelledOnlyInWords(t *testing.T) {
 	words := map[string]bool{}
 	for _, word := range []string{wordGet, wordSet, wordPing, wordPong, wordBusy, wordFailed, wordGivenUp, wordReady, wordDraining, wordGone} {
