--- a/simadapter/adapter.go
+++ b/simadapter/adapter.go
@@ -30,7 +30,7 @@
 		if a.in.message == "" {
 			continue // The line between batches.
 		}
-		if err := a.playBatch(output); err != nil {
+		if err := a.processBatch(output); err != nil {
 			return err
 		}
 	}
@@ -43,48 +43,48 @@
 	instances map[string]*instance
 }
 
-// playBatch plays one batch, whose first line has been read, and writes its reply.
-func (a *adapter) playBatch(output io.Writer) error {
+// processBatch plays one batch, whose first line has been read, and writes its reply.
+func (a *adapter) processBatch(output io.Writer) error {
 	in := a.in
-	if in.message != batchBegins {
+	if in.message != batchStart {
 		in.fail(in.message, "a batch starts with 'sync'")
 	}
 	now := in.duration("wall", true)
 	round, _ := in.integer("round", true)
 	a.reply.out = a.reply.out[:0]
-	if err := a.playEvents(now); err != nil {
+	if err := a.processEvents(now); err != nil {
 		return err
 	}
 	if in.err != nil {
 		return in.err
 	}
-	a.reply.out = append(a.reply.out, replyEnds...)
+	a.reply.out = append(a.reply.out, replyEnd...)
 	a.reply.integer("round", round)
 	a.reply.end()
 	_, err := output.Write(a.reply.out)
 	return err
 }
 
-// playEvents plays events up to the batch's end, or the first that is malformed.
-func (a *adapter) playEvents(now int64) error {
+// processEvents plays events up to the batch's end, or the first that is malformed.
+func (a *adapter) processEvents(now int64) error {
 	for a.in.err == nil {
 		if err := a.in.next(); errors.Is(err, io.EOF) {
 			a.in.line++
-			a.in.fail(batchEnds, "the input ends within a batch")
+			a.in.fail(batchEnd, "the input ends within a batch")
 			return nil
 		} else if err != nil {
 			return err
 		}
-		if a.in.message == batchEnds {
+		if a.in.message == batchEnd {
 			return nil
 		}
-		a.playEvent(now)
+		a.processEvent(now)
 	}
 	return nil
 }
 
-// playEvent calls the module of the instance that the event is for.
-func (a *adapter) playEvent(now int64) {
+// processEvent calls the module of the instance that the event is for.
+func (a *adapter) processEvent(now int64) {
 	in := a.in
 	handle := handlers[in.message]
 	if handle == nil && in.message != eventInit && in.message != eventDown {
--- a/simadapter/adapter_test.go
+++ b/simadapter/adapter_test.go
@@ -14,7 +14,7 @@
 	return "sync\twall=10.5\tround=7\n" + strings.Join(lines, "\n") + "\ncommit\n\n"
 }
 
-var begun = []string{
+var startEvents = []string{
 	"init\tbalancer=balancer/1\trandomSeed=5\tnovel=1\tenv=" + strings.ReplaceAll(env, "\n", "\t"),
 	"members\tbalancer=balancer/1\tscope=SAVED\trev=4\tlines=2",
 	"row\tmachine=std\thost=10.0.0.1:80\theft=1\thealth=ready\tregionPart=z\tstripe=0",
@@ -30,11 +30,11 @@
 
 // A batch of an instance from its beginning to its end is answered as the wire's page says.
 func TestBatchesAreAnswered(t *testing.T) {
-	first := batch(begun...)
+	first := batch(startEvents...)
 	out, err := run(first + strings.Replace(batch("aborted\tbalancer=balancer/1\tid=78",
 		"completed\tbalancer=balancer/1\tid=77\tleg=0\thost=10.0.0.1:80\thow=60\ttook=4.5",
 		"completed\tbalancer=balancer/1\tid=79\tleg=0\thost=10.0.0.1:80\thow=10\ttook=4.5\tnoMore=1",
-		"aborted\tbalancer=balancer/1\tid=77", "down\tbalancer=balancer/1", begun[0]), "round=7", "round=8", 1))
+		"aborted\tbalancer=balancer/1\tid=77", "down\tbalancer=balancer/1", startEvents[0]), "round=7", "round=8", 1))
 	want := "stream_changes\tbalancer=balancer/1\ton=1\n" +
 		"issue\tbalancer=balancer/1\tid=77\thost=10.0.0.1:80\tuntil=250.625\nack\tround=7\n" +
 		"finish_error\tbalancer=balancer/1\tid=77\n" +
@@ -46,7 +46,7 @@
 
 // What the bench's drill does not send: streams, probes, messages; also lists of every scope, absent keys.
 func TestRareEvents(t *testing.T) {
-	out, err := run(batch(append(append([]string{}, begun...),
+	out, err := run(batch(append(append([]string{}, startEvents...),
 		"first_byte\tbalancer=balancer/1\tid=77\tleg=0\thost=10.0.0.1:80\ttook=3",
 		"check_result\tbalancer=balancer/1\thost=10.0.0.1:80\thow=10\ttook=1\tusage=cpu_share:0.5,x9:1",
 		"check_result\tbalancer=balancer/1\thost=10.0.0.2:80\thow=40\ttook=250",
@@ -70,7 +70,7 @@
 
 // Whoever writes a batch is told the line and the field that break the form.
 func TestMalformedBatchNamesLineAndField(t *testing.T) {
-	good := batch(begun...)
+	good := batch(startEvents...)
 	for _, c := range []struct{ old, new, want string }{
 		{"id=77\t", "", "line 6, field id: missing"},
 		{"patienceLeft=240.125", "patienceLeft=soon", "line 6, field patienceLeft: not a number"},
--- a/simadapter/codec.go
+++ b/simadapter/codec.go
@@ -12,13 +12,13 @@
 
 // MalformedError tells where a batch breaks the wire's form.
 type MalformedError struct {
-	Line  int // from 1, over all batches
-	Field string
-	Why   string
+	Line   int // from 1, over all batches
+	Field  string
+	Reason string
 }
 
 func (e *MalformedError) Error() string {
-	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Why)
+	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Reason)
 }
 
 // textField is the one field that runs to the end of its line, tabs and all.
--- a/simadapter/instance.go
+++ b/simadapter/instance.go
@@ -37,7 +37,7 @@
 	machineTypes map[string]int
 	zones        map[string]int
 	reportFields map[string]int
-	figures      []float64 // of a load report; used again
+	reportValues []float64 // of a load report; used again
 
 	peers *peers // nil: balancers may not talk
 }
@@ -64,7 +64,7 @@
 		zones:        settings.NameIndices(values, "zones", ""),
 		reportFields: settings.NameIndices(values, "report.fields", ""),
 	}
-	n.figures = make([]float64, len(n.reportFields))
+	n.reportValues = make([]float64, len(n.reportFields))
 	n.module = policy.New(now, seed, values, n)
 	n.peers = newPeers(now, values)
 	return n
@@ -81,8 +81,8 @@
 	return index
 }
 
-// releaseRequest frees a request's index once nothing more can come of it.
-func (n *instance) releaseRequest(index int) {
+// releaseIfFinished frees a request's index once nothing more can come of it.
+func (n *instance) releaseIfFinished(index int) {
 	slot := &n.slots[index]
 	if at, isOpen := n.requests[slot.id]; isOpen && at == index && slot.hasEnded && slot.inFlight == 0 {
 		delete(n.requests, slot.id)
@@ -147,7 +147,7 @@
 
 func (n *instance) endRequest(request int) {
 	n.slots[request].hasEnded = true
-	n.releaseRequest(request)
+	n.releaseIfFinished(request)
 }
 
 // endpoint reads which endpoint an event is about.
@@ -162,8 +162,8 @@
 	return outcome
 }
 
-// handleMembers takes an update of the endpoint list, entry by entry.
-func (n *instance) handleMembers(in *reader, now int64) {
+// handleEndpointUpdate takes an update of the endpoint list, entry by entry.
+func (n *instance) handleEndpointUpdate(in *reader, now int64) {
 	kind, isKnown := updateKinds[string(in.text("scope"))]
 	if !isKnown {
 		in.failUnknown("scope")
@@ -222,7 +222,7 @@
 	return index
 }
 
-func (n *instance) handleAsk(in *reader, now int64) {
+func (n *instance) handleRequest(in *reader, now int64) {
 	id, _ := in.integer("id", true)
 	remaining := in.duration("patienceLeft", true)
 	class := in.index("category", n.classes, true)
@@ -233,7 +233,7 @@
 		return
 	}
 	index := n.openRequest(id)
-	n.talk(now)
+	n.runDetector(now)
 	n.module.HandleRequest(now, index, policy.RequestInfo{
 		Remaining:     remaining,
 		Class:         class,
@@ -244,26 +244,26 @@
 		PredictedWork: predicted,
 	})
 	n.slots[index].class = class
-	n.releaseRequest(index)
+	n.releaseIfFinished(index)
 }
 
-func (n *instance) handleWake(in *reader, now int64) {
+func (n *instance) handleTimer(in *reader, now int64) {
 	if tag, _ := in.integer("tag", true); in.err == nil {
 		n.module.HandleTimer(now, int(tag))
 	}
 }
 
-// handleCheckResult takes a load report. Nothing is probed: how a probe ended and how long it took tell nothing more.
-func (n *instance) handleCheckResult(in *reader, _ int64) {
+// handleProbeResult takes a load report. Nothing is probed: how a probe ended and how long it took tell nothing more.
+func (n *instance) handleProbeResult(in *reader, _ int64) {
 	endpoint := n.endpoint(in)
 	readOutcome(in)
 	in.duration("took", true)
 	if in.err == nil {
-		n.handleReport(in, endpoint)
+		n.handleLoadReport(in, endpoint)
 	}
 }
 
-func (n *instance) handleFirstByte(in *reader, _ int64) {
+func (n *instance) handleResponseStarted(in *reader, _ int64) {
 	id, _ := in.integer("id", true)
 	attempt, _ := in.integer("leg", true)
 	n.endpoint(in)
@@ -272,7 +272,7 @@
 	}
 }
 
-func (n *instance) handleCompleted(in *reader, now int64) {
+func (n *instance) handleAttemptEnded(in *reader, now int64) {
 	id, _ := in.integer("id", true)
 	attempt, _ := in.integer("leg", true)
 	endpoint, outcome := n.endpoint(in), readOutcome(in)
@@ -282,11 +282,11 @@
 	if in.err != nil || !isOpen {
 		return
 	}
-	n.handleReport(in, endpoint)
+	n.handleLoadReport(in, endpoint)
 	slot := &n.slots[index]
 	slot.inFlight--
 	slot.hasEnded = slot.hasEnded || isAnswered
-	n.observe(now, endpoint, slot.class, outcome, latency)
+	n.observeAttempt(now, endpoint, slot.class, outcome, latency)
 	n.module.HandleAttemptEnded(now, index, policy.AttemptResult{
 		Attempt:     int(attempt),
 		Endpoint:    endpoint,
@@ -295,19 +295,19 @@
 		Latency:     latency,
 		IsAnswered:  isAnswered,
 	})
-	n.releaseRequest(index)
+	n.releaseIfFinished(index)
 }
 
-func (n *instance) handleAborted(in *reader, now int64) {
+func (n *instance) handleClientCancelled(in *reader, now int64) {
 	id, _ := in.integer("id", true)
 	if index, isOpen := n.requests[id]; isOpen && in.err == nil {
 		n.slots[index].hasEnded = true
 		n.module.HandleClientCancelled(now, index)
-		n.releaseRequest(index)
+		n.releaseIfFinished(index)
 	}
 }
 
-func (n *instance) handleNeighbourSays(in *reader, now int64) {
+func (n *instance) handlePeerMessage(in *reader, now int64) {
 	from, _ := in.integer("from", true)
 	blob := in.text("blob")
 	if string(blob) == "-" {
@@ -318,13 +318,13 @@
 		in.fail("blob", "not base64: "+strconv.Quote(string(blob)))
 	}
 	if in.err == nil {
-		n.receive(now, from, data)
+		n.receiveMessage(now, from, data)
 	}
 }
 
-// handleReport hands over the load report that came along, if it can be read.
-func (n *instance) handleReport(in *reader, endpoint int) {
-	if settings.ParseReport(in.find("usage"), ":", n.reportFields, n.figures) {
-		n.module.HandleLoadReport(endpoint, n.figures)
+// handleLoadReport hands over the load report that came along, if it can be read.
+func (n *instance) handleLoadReport(in *reader, endpoint int) {
+	if settings.ParseReport(in.find("usage"), ":", n.reportFields, n.reportValues) {
+		n.module.HandleLoadReport(endpoint, n.reportValues)
 	}
 }
--- a/simadapter/peers.go
+++ b/simadapter/peers.go
@@ -21,26 +21,26 @@
 	// attempt.
 	bytesPerAttempt = 8.0
 
-	// maxSavedBytes bounds what is saved up to a few messages.
-	maxSavedBytes = 4 * outlier.MaxMessageBytes
+	// maxByteBudget bounds what is saved up to a few messages.
+	maxByteBudget = 4 * outlier.MaxMessageBytes
 )
 
 // peers is what one balancer observes, tells and hears of endpoints, where the settings let balancers talk. A nil one
 // does nothing.
 type peers struct {
-	detector   *outlier.Detector
-	objectives []int64  // by class
-	ids        []uint32 // of endpoints, by index
-	indices    map[uint32]int
-	now        int64
-	nextTick   int64
-	others     int     // balancers
-	savedBytes float64 // that may be delivered: so many for each attempt
+	detector       *outlier.Detector
+	objectives     []int64  // by class
+	ids            []uint32 // of endpoints, by index
+	indices        map[uint32]int
+	now            int64
+	nextTick       int64
+	otherBalancers int     // balancers
+	byteBudget     float64 // that may be delivered: so many for each attempt
 }
 
 func newPeers(now int64, settings map[string]any) *peers {
 	number := func(name string) float64 { x, _ := settings[name].(float64); return x }
-	if mayTalk, _ := settings["allowed.peers"].(bool); !mayTalk || !ExchangesReports {
+	if mayExchange, _ := settings["allowed.peers"].(bool); !mayExchange || !ExchangesReports {
 		return nil
 	}
 	p := &peers{indices: map[uint32]int{}}
@@ -52,7 +52,7 @@
 		members = append(members, outlier.Member{ID: uint32(id), Zone: outlier.UnknownZone})
 	}
 	p.detector.SetMembers(members)
-	p.others = max(1, len(members)-1)
+	p.otherBalancers = max(1, len(members)-1)
 	for class := range int(number("workloads")) {
 		p.objectives = append(p.objectives, int64(number("workloads."+strconv.Itoa(class)+".expectedTime")*1e6))
 	}
@@ -86,15 +86,15 @@
 	p.detector.SetEndpoints(p.ids)
 }
 
-// observe takes how an attempt ended.
-func (n *instance) observe(now int64, endpoint, class int, outcome policy.Outcome, latency int64) {
+// observeAttempt takes how an attempt ended.
+func (n *instance) observeAttempt(now int64, endpoint, class int, outcome policy.Outcome, latency int64) {
 	p := n.peers
 	if p == nil {
 		return
 	}
-	p.savedBytes = min(maxSavedBytes, p.savedBytes+bytesPerAttempt)
+	p.byteBudget = min(maxByteBudget, p.byteBudget+bytesPerAttempt)
 	p.detector.Observe(now, p.ids[endpoint], outlier.Classify(outcome, latency, p.objectives[class]))
-	n.talk(now)
+	n.runDetector(now)
 }
 
 // reportAttempt tells the detector that an attempt goes to an endpoint: a probe lease is used by that.
@@ -108,8 +108,8 @@
 	}
 }
 
-// receive takes a message of another balancer; one that is none is passed over, as it would be between processes.
-func (n *instance) receive(now int64, from uint64, data []byte) {
+// receiveMessage takes a message of another balancer; one that is none is passed over, as it would be between processes.
+func (n *instance) receiveMessage(now int64, from uint64, data []byte) {
 	if n.peers == nil {
 		return
 	}
@@ -119,12 +119,12 @@
 	}
 	n.peers.detector.HandleMessage(now, message)
 	n.peers.nextTick = now
-	n.talk(now)
+	n.runDetector(now)
 }
 
-// talk hands the module what is ejected, and sends the message that is due. It guards the price of messages, which
+// runDetector hands the module what is ejected, and sends the message that is due. It guards the price of messages, which
 // attempts pay for: in a large fleet few balancers speak, and seldom.
-func (n *instance) talk(now int64) {
+func (n *instance) runDetector(now int64) {
 	p := n.peers
 	if p == nil {
 		return
@@ -134,7 +134,7 @@
 		return
 	}
 	p.nextTick = now + tickInterval
-	maySend := p.savedBytes >= 0
+	maySend := p.byteBudget >= 0
 	p.detector.Tick(now)
 	p.detector.EachEjection(now, func(id uint32, penalty float64) {
 		n.module.UpdatePeerVerdict(p.indices[id], penalty)
@@ -147,7 +147,7 @@
 		return
 	}
 	encoded := message.Encode()
-	p.savedBytes -= float64(len(encoded) * p.others)
+	p.byteBudget -= float64(len(encoded) * p.otherBalancers)
 	n.reply.begin("memo_to", n.name)
 	n.reply.text("to", "all")
 	n.reply.text("blob", base64.StdEncoding.EncodeToString(encoded))
--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -30,22 +30,22 @@
 
 // Lines that stand round events.
 const (
-	batchBegins = "sync"
-	batchEnds   = "commit"
-	replyEnds   = "ack"
-	listEntry   = "row"
+	batchStart = "sync"
+	batchEnd   = "commit"
+	replyEnd   = "ack"
+	listEntry  = "row"
 )
 
 // handlers take an event of a known instance, by its name on the wire. "init" begins an instance and stands apart.
 var handlers = map[string]func(*instance, *reader, int64){
-	"members":        (*instance).handleMembers,
-	"ask":            (*instance).handleAsk,
-	"wake":           (*instance).handleWake,
-	"check_result":   (*instance).handleCheckResult,
-	"first_byte":     (*instance).handleFirstByte,
-	"neighbour_says": (*instance).handleNeighbourSays,
-	"completed":      (*instance).handleCompleted,
-	"aborted":        (*instance).handleAborted,
+	"members":        (*instance).handleEndpointUpdate,
+	"ask":            (*instance).handleRequest,
+	"wake":           (*instance).handleTimer,
+	"check_result":   (*instance).handleProbeResult,
+	"first_byte":     (*instance).handleResponseStarted,
+	"neighbour_says": (*instance).handlePeerMessage,
+	"completed":      (*instance).handleAttemptEnded,
+	"aborted":        (*instance).handleClientCancelled,
 }
 
 // Events that are not an instance's own.
