--- a/simadapter/adapter.go
+++ b/simadapter/adapter.go
@@ -1,6 +1,6 @@
-// Package simadapter is the adapter between the operators' simulator and the decision module: it reads batches of
-// events, calls the module for each, and writes what the module does. The wire's words are translated in wire.go. It
-// decides nothing.
+// Package simadapter connects the operators' simulator to the decision module. It reads batches of events, calls the
+// module for each event, and writes the module's actions as the reply. It makes no decisions of its own. The mapping
+// from words of the wire to terms of the module is in wire.go.
 package simadapter
 
 import (
@@ -10,11 +10,11 @@
 	"strconv"
 )
 
-// readBufferBytes holds most batches whole: they can be megabytes long.
+// readBufferBytes is large enough for most batches, which can be megabytes long.
 const readBufferBytes = 1 << 20
 
-// Run plays batches until the input ends between two of them. A batch that breaks the wire's form ends it with a
-// MalformedError.
+// Run processes batches until the input ends between two of them. It returns a *MalformedError for the first batch that
+// violates the wire format.
 func Run(input io.Reader, output io.Writer) error {
 	a := &adapter{
 		in:        &reader{in: bufio.NewReaderSize(input, readBufferBytes)},
@@ -28,7 +28,7 @@
 			return err
 		}
 		if a.in.message == "" {
-			continue // The line between batches.
+			continue // the empty line between batches
 		}
 		if err := a.processBatch(output); err != nil {
 			return err
@@ -36,14 +36,14 @@
 	}
 }
 
-// adapter plays batches for many instances. They share nothing but the reply's buffer.
+// adapter processes batches for many instances, which share only the reply buffer.
 type adapter struct {
 	in        *reader
 	reply     *writer
 	instances map[string]*instance
 }
 
-// processBatch plays one batch, whose first line has been read, and writes its reply.
+// processBatch processes one batch, whose first line has already been read, and writes its reply.
 func (a *adapter) processBatch(output io.Writer) error {
 	in := a.in
 	if in.message != batchStart {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// processEvents plays events up to the batch's end, or the first that is malformed.
+// processEvents processes events up to the end of the batch or the first malformed event.
 func (a *adapter) processEvents(now int64) error {
 	for a.in.err == nil {
 		if err := a.in.next(); errors.Is(err, io.EOF) {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// processEvent calls the module of the instance that the event is for.
+// processEvent creates or removes an instance, or calls the handler of the event for the instance it addresses.
 func (a *adapter) processEvent(now int64) {
 	in := a.in
 	handle := handlers[in.message]
