--- a/simadapter/codec.go
+++ b/simadapter/codec.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// MalformedError tells where a batch breaks the wire's form.
+// MalformedError reports where a batch violates the wire format.
 type MalformedError struct {
 	Line   int // from 1, over all batches
 	Field  string
@@ -21,25 +21,25 @@
 	return fmt.Sprintf("line %d, field %s: %s", e.Line, e.Field, e.Reason)
 }
 
-// textField is the one field that runs to the end of its line, tabs and all.
+// textField is the only field whose value extends to the end of the line and may contain tabs.
 const textField = "env"
 
 type pair struct{ name, value []byte }
 
-// reader takes lines apart. Its first error stays in err, and further calls return zeros, so that an event is read
-// field by field and checked once.
+// reader parses lines. It keeps the first error in err, so that a caller can read all fields of an event and check for
+// an error once. A read that fails returns a zero value.
 type reader struct {
 	in       *bufio.Reader
 	line     int
 	message  string // the line's name
 	pairs    []pair
-	longLine []byte // a line longer than the buffer of in; used again
+	longLine []byte // holds a line that exceeds the buffer of in; reused
 	err      *MalformedError
 }
 
-func (r *reader) fail(field, why string) {
+func (r *reader) fail(field, reason string) {
 	if r.err == nil {
-		r.err = &MalformedError{r.line, field, why}
+		r.err = &MalformedError{r.line, field, reason}
 	}
 }
 
@@ -49,7 +49,7 @@
 	r.fail(field, "unknown name: "+strconv.Quote(string(r.find(field))))
 }
 
-// next reads a line; io.EOF only where nothing is left.
+// next reads and parses a line. It returns io.EOF only if no input is left.
 func (r *reader) next() error {
 	text, err := r.readLine()
 	if err != nil && (len(text) == 0 || !errors.Is(err, io.EOF)) {
@@ -57,10 +57,10 @@
 	}
 	r.line++
 	text = bytes.TrimRight(text, "\r\n")
-	message, rest, more := bytes.Cut(text, []byte{'\t'})
-	r.message = string(message) // Short: it does not leave the stack in the comparisons that follow.
+	message, rest, hasMore := bytes.Cut(text, []byte{'\t'})
+	r.message = string(message) // Short: it stays on the stack in the comparisons that follow.
 	r.pairs = r.pairs[:0]
-	for more {
+	for hasMore {
 		equals := bytes.IndexByte(rest, '=')
 		if equals < 0 {
 			r.fail(string(rest), "no '=' between name and value")
@@ -68,16 +68,16 @@
 		}
 		name, value := rest[:equals], rest[equals+1:]
 		if string(name) == textField {
-			more = false
+			hasMore = false
 		} else {
-			value, rest, more = bytes.Cut(value, []byte{'\t'})
+			value, rest, hasMore = bytes.Cut(value, []byte{'\t'})
 		}
 		r.pairs = append(r.pairs, pair{name, value})
 	}
 	return nil
 }
 
-// readLine reads up to the end of a line, of any length.
+// readLine reads a line of any length. The result is valid until the next call.
 func (r *reader) readLine() ([]byte, error) {
 	text, err := r.in.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
@@ -91,7 +91,7 @@
 	return r.longLine, err
 }
 
-// find gives a field's value, nil where the line has none.
+// find returns the value of a field, or nil if the line does not have the field.
 func (r *reader) find(field string) []byte {
 	for i := range r.pairs {
 		if string(r.pairs[i].name) == field {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// text reads a field that has to be there.
+// text reads a required field.
 func (r *reader) text(field string) []byte {
 	value := r.find(field)
 	if value == nil {
@@ -110,11 +110,11 @@
 	return value
 }
 
-// integer reads a whole number. isThere is false where the field is not there, or no number.
-func (r *reader) integer(field string, isNeeded bool) (n uint64, isThere bool) {
+// integer reads an unsigned integer. isPresent is false if the field is absent or not an integer.
+func (r *reader) integer(field string, isRequired bool) (n uint64, isPresent bool) {
 	value := r.find(field)
 	if value == nil {
-		if isNeeded {
+		if isRequired {
 			r.failMissing(field)
 		}
 		return 0, false
@@ -127,11 +127,11 @@
 	return n, true
 }
 
-// number reads a plain number; 0 where it is not there and not needed.
-func (r *reader) number(field string, isNeeded bool) float64 {
+// number reads a finite number. It returns 0 if the field is absent or not a number.
+func (r *reader) number(field string, isRequired bool) float64 {
 	value := r.find(field)
 	if value == nil {
-		if isNeeded {
+		if isRequired {
 			r.failMissing(field)
 		}
 		return 0
@@ -144,12 +144,12 @@
 	return x
 }
 
-// duration reads a time in milliseconds into nanoseconds.
-func (r *reader) duration(field string, isNeeded bool) int64 {
-	return int64(math.Round(r.number(field, isNeeded) * 1e6))
+// duration reads a time in milliseconds and returns it in nanoseconds.
+func (r *reader) duration(field string, isRequired bool) int64 {
+	return int64(math.Round(r.number(field, isRequired) * 1e6))
 }
 
-// boolean reads 1 or 0; false where the field is not there.
+// boolean reads 1 or 0. It returns false if the field is absent or empty.
 func (r *reader) boolean(field string) bool {
 	value := r.find(field)
 	switch string(value) {
@@ -162,22 +162,23 @@
 	return false
 }
 
-// index reads a name and gives its index by the table; -1 where it is not needed and not there, empty or 0.
-func (r *reader) index(field string, table map[string]int, isNeeded bool) int {
+// index reads a name and returns its index in the table. It returns -1 if an optional name is absent, empty or "0", and
+// on an error.
+func (r *reader) index(field string, table map[string]int, isRequired bool) int {
 	value := r.find(field)
 	if index, isKnown := table[string(value)]; isKnown {
 		return index
 	}
 	switch {
-	case value == nil && isNeeded:
+	case value == nil && isRequired:
 		r.failMissing(field)
-	case isNeeded || len(value) > 0 && string(value) != "0":
+	case isRequired || len(value) > 0 && string(value) != "0":
 		r.failUnknown(field)
 	}
 	return -1
 }
 
-// writer builds the reply of one batch, an action a line.
+// writer builds the reply to one batch, with one action per line.
 type writer struct{ out []byte }
 
 func (w *writer) begin(action, balancer string) {
@@ -203,7 +204,7 @@
 	w.out = strconv.AppendUint(w.out, n, 10)
 }
 
-// duration writes nanoseconds as milliseconds, to the microsecond that the wire counts in.
+// duration writes nanoseconds as milliseconds, truncated to microseconds, the resolution of the wire.
 func (w *writer) duration(field string, nanoseconds int64) {
 	w.name(field)
 	w.out = strconv.AppendFloat(w.out, float64(nanoseconds/1000)/1000, 'f', 3, 64)
