--- a/simadapter/instance.go
+++ b/simadapter/instance.go
@@ -10,8 +10,8 @@
 	"hollylever/settings"
 )
 
-// requestSlot ties a request's small index to its id. It is free again once the request has ended and no attempt is in
-// flight.
+// requestSlot maps the index of a request to its id. It can be reused once the request has ended and none of its
+// attempts is in flight.
 type requestSlot struct {
 	id       uint64
 	inFlight int // attempts
@@ -19,7 +19,7 @@
 	class    int
 }
 
-// instance is one simulated balancer: the decision module and the tables that turn the wire's names into small indices.
+// instance is one simulated balancer: its decision module and the tables that map names on the wire to indices.
 type instance struct {
 	name   string
 	module *policy.Balancer
@@ -28,7 +28,7 @@
 	endpoints map[string]int // by address
 	addresses []string       // by index
 
-	requests map[uint64]int // open ones, by id
+	requests map[uint64]int // index of each open request, by id
 	slots    []requestSlot
 	indices  settings.IndexAllocator
 
@@ -37,12 +37,12 @@
 	machineTypes map[string]int
 	zones        map[string]int
 	reportFields map[string]int
-	reportValues []float64 // of a load report; used again
+	reportValues []float64 // of the last load report; reused
 
-	peers *peers // nil: balancers may not talk
+	peers *peers // nil if balancers do not exchange messages
 }
 
-// newInstance begins an instance with nothing known; nil where the event is malformed.
+// newInstance creates an instance that knows no endpoints yet. It returns nil if the event is malformed.
 func newInstance(in *reader, reply *writer, name string, now int64) *instance {
 	seed, _ := in.integer("randomSeed", true)
 	env := in.text(textField)
@@ -70,7 +70,7 @@
 	return n
 }
 
-// openRequest gives a request an index.
+// openRequest allocates an index for a request.
 func (n *instance) openRequest(id uint64) int {
 	index := n.indices.Allocate()
 	if index == len(n.slots) {
@@ -81,7 +81,7 @@
 	return index
 }
 
-// releaseIfFinished frees a request's index once nothing more can come of it.
+// releaseIfFinished frees the index of a request that has ended and has no attempt in flight.
 func (n *instance) releaseIfFinished(index int) {
 	slot := &n.slots[index]
 	if at, isOpen := n.requests[slot.id]; isOpen && at == index && slot.hasEnded && slot.inFlight == 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Send is the module's Executor, as are the methods after it.
+// Send starts an attempt. Send and the methods up to WatchEndpoints implement policy.Executor.
 func (n *instance) Send(request, endpoint int, until int64) {
 	n.slots[request].inFlight++
 	n.reportAttempt(endpoint)
@@ -103,7 +103,7 @@
 	n.reply.end()
 }
 
-// Reject answers a request with the promise of no effect.
+// Reject answers a request with an error that guarantees that the request had no effect.
 func (n *instance) Reject(request int, _ policy.Reason, retryAfter int64) {
 	n.reply.begin("push_back", n.name)
 	n.reply.integer("id", n.slots[request].id)
@@ -114,7 +114,7 @@
 	n.endRequest(request)
 }
 
-// Fail answers a request with an error: it may have had its effect.
+// Fail answers a request with an error. The request may have taken effect.
 func (n *instance) Fail(request int, _ policy.Reason) {
 	n.reply.begin("finish_error", n.name)
 	n.reply.integer("id", n.slots[request].id)
@@ -122,7 +122,7 @@
 	n.endRequest(request)
 }
 
-// Cancel ends an attempt whose answer nobody needs.
+// Cancel ends an attempt whose answer is no longer needed.
 func (n *instance) Cancel(request, attempt int) {
 	n.reply.begin("revoke", n.name)
 	n.reply.integer("id", n.slots[request].id)
@@ -130,7 +130,7 @@
 	n.reply.end()
 }
 
-// SetTimer sets a timer.
+// SetTimer requests a timer event with the given tag after the given time.
 func (n *instance) SetTimer(tag int, after int64) {
 	n.reply.begin("schedule", n.name)
 	n.reply.integer("tag", uint64(tag))
@@ -138,7 +138,7 @@
 	n.reply.end()
 }
 
-// WatchEndpoints has changes of the endpoint list told.
+// WatchEndpoints subscribes to changes of the endpoint list.
 func (n *instance) WatchEndpoints() {
 	n.reply.begin("stream_changes", n.name)
 	n.reply.text("on", "1")
@@ -150,7 +150,7 @@
 	n.releaseIfFinished(request)
 }
 
-// endpoint reads which endpoint an event is about.
+// endpoint reads the address of an event's endpoint and returns the endpoint's index.
 func (n *instance) endpoint(in *reader) int { return in.index("host", n.endpoints, true) }
 
 func readOutcome(in *reader) policy.Outcome {
@@ -162,7 +162,7 @@
 	return outcome
 }
 
-// handleEndpointUpdate takes an update of the endpoint list, entry by entry.
+// handleEndpointUpdate passes an update of the endpoint list to the module, entry by entry.
 func (n *instance) handleEndpointUpdate(in *reader, now int64) {
 	kind, isKnown := updateKinds[string(in.text("scope"))]
 	if !isKnown {
@@ -177,7 +177,7 @@
 	n.module.BeginEndpointUpdate(kind)
 	for range entries {
 		if in.next() != nil || in.message != listEntry {
-			in.fail("lines", "fewer rows than it says")
+			in.fail("lines", "fewer rows than announced")
 			return
 		}
 		info := n.readEntry(in)
@@ -190,7 +190,6 @@
 	n.peers.setEndpoints(n.addresses)
 }
 
-// readEntry reads one entry of the endpoint list.
 func (n *instance) readEntry(in *reader) policy.EndpointInfo {
 	address := string(in.text("host"))
 	health, isKnown := healths[string(in.text("health"))]
@@ -211,7 +210,7 @@
 	}
 }
 
-// endpointIndex gives an address its index, the next one if it is new.
+// endpointIndex returns the index of an address and assigns the next free one to a new address.
 func (n *instance) endpointIndex(address string) int {
 	index, isKnown := n.endpoints[address]
 	if !isKnown {
@@ -253,7 +252,8 @@
 	}
 }
 
-// handleProbeResult takes a load report. Nothing is probed: how a probe ended and how long it took tell nothing more.
+// handleProbeResult passes on the load report of a probe. The module sends no probes, so the outcome and the duration
+// are checked for their format only.
 func (n *instance) handleProbeResult(in *reader, _ int64) {
 	endpoint := n.endpoint(in)
 	readOutcome(in)
@@ -322,7 +322,7 @@
 	}
 }
 
-// handleLoadReport hands over the load report that came along, if it can be read.
+// handleLoadReport passes the load report of an event to the module. An absent or unreadable report is ignored.
 func (n *instance) handleLoadReport(in *reader, endpoint int) {
 	if settings.ParseReport(in.find("usage"), ":", n.reportFields, n.reportValues) {
 		n.module.HandleLoadReport(endpoint, n.reportValues)
