--- a/simadapter/peers.go
+++ b/simadapter/peers.go
@@ -8,25 +8,26 @@
 	"hollylever/policy"
 )
 
-// ExchangesReports is whether balancers use what the settings let them tell each other. Off: on the deployments where
-// they may, it gains nothing (docs/results.md), as their endpoints seldom fail one attempt after another, and each
-// balancer has enough to go by.
+// ExchangesReports enables the exchange of reports between balancers where the settings allow messages. It is off by
+// default because it brings no gain on the deployments that allow messages (docs/results.md): their endpoints seldom
+// fail several attempts in a row, and each balancer has enough observations of its own.
 var ExchangesReports bool
 
 const (
-	// tickInterval is how often the detector is looked at: a fraction of the time that reports take.
+	// tickInterval is the minimum time between ticks of the detector unless a message arrives. It is a fraction of the
+	// delivery time of reports.
 	tickInterval = 20 * int64(1e6)
 
 	// bytesPerAttempt is what each attempt earns for messages, of the 256 bytes whose price is a point for each first
 	// attempt.
 	bytesPerAttempt = 8.0
 
-	// maxByteBudget bounds what is saved up to a few messages.
+	// maxByteBudget limits the unused budget to a few messages.
 	maxByteBudget = 4 * outlier.MaxMessageBytes
 )
 
-// peers is what one balancer observes, tells and hears of endpoints, where the settings let balancers talk. A nil one
-// does nothing.
+// peers holds the state for exchanging reports about endpoints with other balancers. It is nil if the exchange is
+// disabled or the settings do not allow it; its users then do nothing.
 type peers struct {
 	detector       *outlier.Detector
 	objectives     []int64  // by class
@@ -34,8 +35,8 @@
 	indices        map[uint32]int
 	now            int64
 	nextTick       int64
-	otherBalancers int     // balancers
-	byteBudget     float64 // that may be delivered: so many for each attempt
+	otherBalancers int     // the number of other balancers, at least 1
+	byteBudget     float64 // bytes that may still be delivered, summed over the receivers
 }
 
 func newPeers(now int64, settings map[string]any) *peers {
@@ -44,7 +45,7 @@
 		return nil
 	}
 	p := &peers{indices: map[uint32]int{}}
-	// A balancer that begins anew has the number of the one before: later incarnations have higher numbers.
+	// A restarted balancer keeps its ID, and its start time serves as the incarnation, which must increase.
 	self := outlier.Member{ID: uint32(number("me")), Zone: ownZone(settings, int(number("zones")))}
 	p.detector = outlier.New(self, uint64(now))
 	var members []outlier.Member
@@ -59,7 +60,7 @@
 	return p
 }
 
-// ownZone is the number of this balancer's zone.
+// ownZone returns the number of this balancer's zone, or outlier.UnknownZone.
 func ownZone(settings map[string]any, zones int) uint16 {
 	own := uint16(outlier.UnknownZone)
 	for zone := range zones {
@@ -68,13 +69,13 @@
 		}
 		own = uint16(zone)
 		if zone >= outlier.UnknownZone {
-			own++ // That number says that there is none.
+			own++ // skips the number outlier.UnknownZone
 		}
 	}
 	return own
 }
 
-// setEndpoints takes the endpoints that are known; those that were keep their indices.
+// setEndpoints passes all known endpoints to the detector. Endpoints keep their indices, so new ones are at the end.
 func (p *peers) setEndpoints(addresses []string) {
 	if p == nil {
 		return
@@ -86,7 +87,7 @@
 	p.detector.SetEndpoints(p.ids)
 }
 
-// observeAttempt takes how an attempt ended.
+// observeAttempt passes the outcome of an attempt to the detector and adds to the message budget.
 func (n *instance) observeAttempt(now int64, endpoint, class int, outcome policy.Outcome, latency int64) {
 	p := n.peers
 	if p == nil {
@@ -97,7 +98,7 @@
 	n.runDetector(now)
 }
 
-// reportAttempt tells the detector that an attempt goes to an endpoint: a probe lease is used by that.
+// reportAttempt informs the detector that an attempt is sent to an endpoint, which consumes a probe lease.
 func (n *instance) reportAttempt(endpoint int) {
 	p := n.peers
 	if p == nil {
@@ -108,7 +109,7 @@
 	}
 }
 
-// receiveMessage takes a message of another balancer; one that is none is passed over, as it would be between processes.
+// receiveMessage handles a message of another balancer. An invalid message is ignored, as between real processes.
 func (n *instance) receiveMessage(now int64, from uint64, data []byte) {
 	if n.peers == nil {
 		return
@@ -122,8 +123,9 @@
 	n.runDetector(now)
 }
 
-// runDetector hands the module what is ejected, and sends the message that is due. It guards the price of messages, which
-// attempts pay for: in a large fleet few balancers speak, and seldom.
+// runDetector ticks the detector, passes the ejections to the module, and sends the message that is due if the message
+// budget, to which attempts add, is not overdrawn. The budget limits the cost of messages: in a large fleet, few
+// balancers send messages, and rarely.
 func (n *instance) runDetector(now int64) {
 	p := n.peers
 	if p == nil {
