--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -2,7 +2,7 @@
 
 import "hollylever/policy"
 
-// The wire's words that have a term of the module's, in one place.
+// Mappings from words of the wire to terms of the decision module.
 var (
 	outcomes = map[uint64]policy.Outcome{
 		10: policy.OK,
@@ -28,7 +28,7 @@
 	}
 )
 
-// Lines that stand round events.
+// Names of the lines that are not events: the limits of a batch, the end of its reply, and an endpoint list entry.
 const (
 	batchStart = "sync"
 	batchEnd   = "commit"
@@ -36,7 +36,7 @@
 	listEntry  = "row"
 )
 
-// handlers take an event of a known instance, by its name on the wire. "init" begins an instance and stands apart.
+// handlers maps the wire name of an event to its handler. The events "init" and "down" are handled in processEvent.
 var handlers = map[string]func(*instance, *reader, int64){
 	"members":        (*instance).handleEndpointUpdate,
 	"ask":            (*instance).handleRequest,
@@ -48,8 +48,8 @@
 	"aborted":        (*instance).handleClientCancelled,
 }
 
-// Events that are not an instance's own.
+// Events that create and remove instances.
 const (
-	eventInit = "init" // an instance begins
-	eventDown = "down" // and ends, with all that it held
+	eventInit = "init" // creates an instance
+	eventDown = "down" // removes an instance and all its state
 )
