--- a/simadapter/adapter_test.go
+++ b/simadapter/adapter_test.go
@@ -28,7 +28,7 @@
 	return out.String(), err
 }
 
-// A batch of an instance from its beginning to its end is answered as the wire's page says.
+// Checks the replies to batches that cover the life of an instance against the wire format.
 func TestBatchesAreAnswered(t *testing.T) {
 	first := batch(startEvents...)
 	out, err := run(first + strings.Replace(batch("aborted\tbalancer=balancer/1\tid=78",
@@ -44,7 +44,8 @@
 	}
 }
 
-// What the bench's drill does not send: streams, probes, messages; also lists of every scope, absent keys.
+// Covers events that the simulator's drill does not send (streamed responses, probes, messages), endpoint lists of every
+// scope, and requests without a key.
 func TestRareEvents(t *testing.T) {
 	out, err := run(batch(append(append([]string{}, startEvents...),
 		"first_byte\tbalancer=balancer/1\tid=77\tleg=0\thost=10.0.0.1:80\ttook=3",
@@ -68,7 +69,7 @@
 	}
 }
 
-// Whoever writes a batch is told the line and the field that break the form.
+// The error for a malformed batch names the line and the field that violate the format.
 func TestMalformedBatchNamesLineAndField(t *testing.T) {
 	good := batch(startEvents...)
 	for _, c := range []struct{ old, new, want string }{
