--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink runs the decision module on the bench's wire: standard input to standard output.
+// Command benchlink connects the decision module to the simulator: it reads batches of events from standard input and
+// writes the replies to standard output.
 package main
 
 import (
