--- a/config/section.go
+++ b/config/section.go
@@ -43,7 +43,7 @@
 	Default     string
 	Min         string   // inclusive; of Integer, Duration and Size
 	Max         string   // inclusive; of the same
-	MaxBytes    int      // of Text, in bytes; 0: defaultMaxText
+	MaxBytes    int      // of Text, in bytes; 0: defaultMaxTextBytes
 	Options     []string // of Option: those allowed
 	TakesEffect TakesEffect
 	Help        string // one sentence for people
@@ -140,7 +140,7 @@
 	case Boolean:
 		return f.Default == "true"
 	case Integer:
-		return f.bound(f.Default)
+		return f.parseBound(f.Default)
 	}
 	return f.Default
 }
@@ -161,7 +161,7 @@
 	case Boolean:
 		return "either true or false"
 	case Text:
-		return "a text of at most " + strconv.Itoa(f.maxText()) + " bytes"
+		return "a text of at most " + strconv.Itoa(f.maxTextBytes()) + " bytes"
 	}
 	return f.Min + " to " + f.Max
 }
--- a/config/value.go
+++ b/config/value.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// defaultMaxText is how many bytes a text may have where its field states no other bound.
-const defaultMaxText = 4096
+// defaultMaxTextBytes is the maximum length of a Text field without a MaxBytes of its own.
+const defaultMaxTextBytes = 4096
 
-// What is wrong with a value whatever it is. The texts are for people, behind the field's name.
+// Errors of values that have the wrong type. FieldError puts the field's name before the text.
 var (
 	errNotBoolean  = errors.New("has to be true or false")
 	errNotInteger  = errors.New("has to be a whole number")
-	errNotText     = errors.New("has to be a text")
+	errNotString   = errors.New("has to be a string")
 	errNotDuration = errors.New(`has to be a duration with its unit, such as "100ms"`)
 	errNotSize     = errors.New(`has to be a size with its unit, such as "8 MiB"`)
 )
 
-// parse takes a value as the TOML library gives it.
+// parse checks a value as decoded by the TOML library and converts it to the field's kind.
 func (f *Field) parse(raw any) (value, error) {
 	switch f.Kind {
 	case Boolean:
 		return parseBoolean(raw)
 	case Option:
-		return f.parseWord(raw)
+		return f.parseOption(raw)
 	case Text:
 		return f.parseText(raw)
 	}
@@ -35,24 +35,24 @@
 	if err != nil {
 		return value{}, err
 	}
-	if number < f.bound(f.Min) || number > f.bound(f.Max) {
+	if number < f.parseBound(f.Min) || number > f.parseBound(f.Max) {
 		return value{}, fmt.Errorf("is not from %s to %s", f.Min, f.Max)
 	}
 	return value{number: number}, nil
 }
 
 func parseBoolean(raw any) (value, error) {
-	yes, isBoolean := raw.(bool)
+	boolean, isBoolean := raw.(bool)
 	if !isBoolean {
 		return value{}, errNotBoolean
 	}
-	if yes {
+	if boolean {
 		return value{number: 1}, nil
 	}
 	return value{}, nil
 }
 
-func (f *Field) parseWord(raw any) (value, error) {
+func (f *Field) parseOption(raw any) (value, error) {
 	text, isText := raw.(string)
 	if !isText {
 		return value{}, fmt.Errorf("has to be one of %s", strings.Join(f.Options, ", "))
@@ -66,16 +66,16 @@
 func (f *Field) parseText(raw any) (value, error) {
 	text, isText := raw.(string)
 	if !isText {
-		return value{}, errNotText
+		return value{}, errNotString
 	}
 	isControl := func(r rune) bool { return r < ' ' }
-	if len(text) > f.maxText() || strings.ContainsFunc(text, isControl) {
-		return value{}, fmt.Errorf("is over %d bytes, or not one line of text", f.maxText())
+	if len(text) > f.maxTextBytes() || strings.ContainsFunc(text, isControl) {
+		return value{}, fmt.Errorf("is longer than %d bytes or contains a line break or another control character", f.maxTextBytes())
 	}
 	return value{text: text}, nil
 }
 
-// parseNumber reads an Integer, a Duration or a Size.
+// parseNumber converts the value of an Integer, Duration or Size field, without checking its bounds.
 func (f *Field) parseNumber(raw any) (int64, error) {
 	if f.Kind == Integer {
 		number, isNumber := raw.(int64)
@@ -100,16 +100,17 @@
 	return int64(duration), nil
 }
 
-// maxText is how many bytes a text may have.
-func (f *Field) maxText() int {
+// maxTextBytes returns the maximum length of a Text field.
+func (f *Field) maxTextBytes() int {
 	if f.MaxBytes > 0 {
 		return f.MaxBytes
 	}
-	return defaultMaxText
+	return defaultMaxTextBytes
 }
 
-// bound reads a bound of the declaration. One that makes no sense is a defect of this program, which its tests find.
-func (f *Field) bound(text string) int64 {
+// parseBound parses a number written in the field's declaration: Min, Max or the Default of an Integer. It panics if the
+// text is invalid: that is a bug in the declaration, which the tests find.
+func (f *Field) parseBound(text string) int64 {
 	var number int64
 	var err error
 	switch f.Kind {
@@ -128,16 +129,16 @@
 	return number
 }
 
-// sizeUnits are tried in this order, as "B" ends all of them.
+// sizeUnits are matched as suffixes in this order. "B" comes last because every other unit ends in it.
 var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"kB", 1e3}, {"MB", 1e6}, {"GB", 1e9}, {"B", 1}}
 
-// maxSize keeps sizes away from the end of an int64.
+// maxSize is the upper limit of a size, well below the largest int64.
 const maxSize = 1 << 62
 
-// parseSize reads a size with its unit.
+// parseSize returns the number of bytes that a size with its unit stands for.
 func parseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		digits, hasUnit := strings.CutSuffix(text, unit.name)
