--- a/config/explain.go
+++ b/config/explain.go
@@ -15,7 +15,7 @@
 			field := &section.Fields[n]
 			bounds := field.describeBounds()
 			fmt.Fprintf(&out, "\n# %s\n# %s. A change counts %s.\n%s = %s\n",
-				field.Help, strings.ToUpper(bounds[:1])+bounds[1:], field.TakesEffect, field.Name, field.writtenDefault())
+				field.Help, strings.ToUpper(bounds[:1])+bounds[1:], field.TakesEffect, field.Name, field.defaultLiteral())
 		}
 	}
 	return out.String()
@@ -32,7 +32,7 @@
 				continue
 			}
 			fmt.Fprintf(&out, "%s\n  %s\n  default  %s\n  bounds   %s\n  counts   %s\n",
-				full, field.Help, field.writtenDefault(), field.describeBounds(), field.TakesEffect)
+				full, field.Help, field.defaultLiteral(), field.describeBounds(), field.TakesEffect)
 		}
 	}
 	return out.String()
--- a/config/section.go
+++ b/config/section.go
@@ -1,8 +1,9 @@
-// Package config reads hollylever's own settings, one TOML file. Each package declares the table of its settings beside
-// the code that uses it, and the server puts the tables together. Defaults, the example file and the explanations for
-// people are made from the same declarations. The platform's own configuration file is not this package's business.
+// Package config reads hollylever's own settings from a TOML file. Each package declares the table of its settings beside
+// the code that uses it, and package server combines the tables. Defaults, the example file and the help texts are
+// generated from the same declarations. The platform's JSON configuration with the operators' settings, which LB_CONFIG
+// names, is not read here.
 //
-// Read gives either all values or all errors, each with its place in the file; it changes nothing by itself.
+// Read returns either all values or the errors, each with its position in the file. It does not put the values in force.
 package config
 
 import (
@@ -11,105 +12,106 @@
 	"time"
 )
 
-// Kind is what a field holds.
+// Kind is the type of a field's value.
 type Kind int
 
-// The kinds. Durations and sizes are written with their unit.
+// The kinds of fields. Durations and sizes are written with their unit.
 const (
-	Option   Kind = iota // one of a list of words
-	Integer              // a whole number
-	Duration             // as time.ParseDuration reads it
+	Option   Kind = iota // one of Field.Options
+	Integer              // an integer
+	Duration             // in the format of time.ParseDuration
 	Size                 // bytes
 	Boolean              // true or false
-	Text                 // any plain text of one line
+	Text                 // one line of text without control characters
 )
 
-// TakesEffect is when a change of a field takes effect.
+// TakesEffect states when a change of a field takes effect.
 type TakesEffect int
 
-// A change takes effect when the file is read again on SIGHUP, or at the next start.
+// A change takes effect either when the file is reloaded on SIGHUP or after a restart.
 const (
 	OnReload TakesEffect = iota
 	OnRestart
 )
 
-// String is how explanations put it.
-func (w TakesEffect) String() string { return [...]string{"at once", "at the next start"}[w] }
+// String returns the wording of the help texts and the example file.
+func (t TakesEffect) String() string { return [...]string{"at once", "at the next start"}[t] }
 
-// Field is one setting. Default, Min and Max are written as in the file.
+// Field declares one setting. Default, Min and Max are written as in the file, but without quotes.
 type Field struct {
 	Name        string
 	Kind        Kind
 	Default     string
-	Min         string   // inclusive; of Integer, Duration and Size
-	Max         string   // inclusive; of the same
-	MaxBytes    int      // of Text, in bytes; 0: defaultMaxTextBytes
-	Options     []string // of Option: those allowed
+	Min         string   // inclusive; for Integer, Duration and Size
+	Max         string   // inclusive; for Integer, Duration and Size
+	MaxBytes    int      // for Text: the maximum length; 0 means defaultMaxTextBytes
+	Options     []string // for Option: the allowed values
 	TakesEffect TakesEffect
-	Help        string // one sentence for people
+	Help        string // one sentence, shown in the help text and the example file
 }
 
-// Section is what one package declares: a table of the file.
+// Section declares one table of the file, with the settings of one package.
 type Section struct {
 	Table  string
 	Help   string
 	Fields []Field
 }
 
-// field gives the table's field of a name, nil if there is none.
-func (p *Section) field(name string) *Field {
-	for n := range p.Fields {
-		if p.Fields[n].Name == name {
-			return &p.Fields[n]
+// field returns the field with the given name, or nil if the table has none.
+func (s *Section) field(name string) *Field {
+	for n := range s.Fields {
+		if s.Fields[n].Name == name {
+			return &s.Fields[n]
 		}
 	}
 	return nil
 }
 
-// fieldNames are the names of its fields, in their order.
-func (p *Section) fieldNames() (names []string) {
-	for n := range p.Fields {
-		names = append(names, p.Fields[n].Name)
+// fieldNames returns the names of the table's fields in the order of their declaration.
+func (s *Section) fieldNames() (names []string) {
+	for n := range s.Fields {
+		names = append(names, s.Fields[n].Name)
 	}
 	return names
 }
 
-// Values are the settings in force, by table and field ("log.level"): the file's, or the defaults.
+// Values holds the value of each field, from the file or else the default, by table and field ("log.level").
 type Values struct {
-	texts   map[string]string // of Option and Text
-	numbers map[string]int64  // of Integer, of Duration in nanoseconds, of Size in bytes, of Boolean 1 or 0
+	texts   map[string]string // values of Option and Text fields
+	numbers map[string]int64  // Integer; Duration in nanoseconds; Size in bytes; Boolean as 1 or 0
 }
 
-// value is one field's value, in the form of its kind.
+// value is the value of one field: text for Option and Text, number for the other kinds.
 type value struct {
 	text   string
 	number int64
 }
 
-func (v Values) set(name string, to value) {
-	v.texts[name], v.numbers[name] = to.text, to.number
+func (v Values) set(name string, newValue value) {
+	v.texts[name], v.numbers[name] = newValue.text, newValue.number
 }
 
 func (v Values) get(name string) value { return value{v.texts[name], v.numbers[name]} }
 
-// Text gives the value of an Option or Text field.
+// Text returns the value of an Option or Text field.
 func (v Values) Text(name string) string { return v.texts[name] }
 
-// Integer gives the value of an Integer field, or of a Size field in bytes.
+// Integer returns the value of an Integer field, or of a Size field in bytes.
 func (v Values) Integer(name string) int64 { return v.numbers[name] }
 
-// Duration gives the value of a Duration field.
+// Duration returns the value of a Duration field.
 func (v Values) Duration(name string) time.Duration { return time.Duration(v.numbers[name]) }
 
-// Boolean gives the value of a Boolean field.
+// Boolean returns the value of a Boolean field.
 func (v Values) Boolean(name string) bool { return v.numbers[name] == 1 }
 
-// ChangedFields names the fields whose values differ and that take effect then, in the order of the tables.
-func ChangedFields(sections []Section, a, b Values, when TakesEffect) (names []string) {
+// ChangedFields returns the names of the fields whose values differ and whose changes take effect at the given time, in
+// the order of their declaration.
+func ChangedFields(sections []Section, before, after Values, takesEffect TakesEffect) (names []string) {
 	for _, section := range sections {
 		for _, field := range section.Fields {
 			name := section.Table + "." + field.Name
-			if field.TakesEffect == when && a.get(name) != b.get(name) {
+			if field.TakesEffect == takesEffect && before.get(name) != after.get(name) {
 				names = append(names, name)
 			}
 		}
@@ -117,25 +119,25 @@
 	return names
 }
 
-// Defaults gives the defaults: what is in force without a file.
+// Defaults returns the default of each field: the values in force without a file.
 func Defaults(sections []Section) Values {
 	v := Values{map[string]string{}, map[string]int64{}}
 	for _, section := range sections {
 		for n := range section.Fields {
 			field := &section.Fields[n]
 			name := section.Table + "." + field.Name
-			standard, err := field.parse(field.tomlDefault())
+			parsed, err := field.parse(field.decodedDefault())
 			if err != nil {
-				panic(name + ": " + err.Error()) // A defect of the declaration, which tests find.
+				panic(name + ": " + err.Error()) // A bug in the declaration, which the tests find.
 			}
-			v.set(name, standard)
+			v.set(name, parsed)
 		}
 	}
 	return v
 }
 
-// tomlDefault is the default as the TOML library would give it.
-func (f *Field) tomlDefault() any {
+// decodedDefault returns the default in the type that the TOML library decodes it to.
+func (f *Field) decodedDefault() any {
 	switch f.Kind {
 	case Boolean:
 		return f.Default == "true"
@@ -145,15 +147,15 @@
 	return f.Default
 }
 
-// writtenDefault is the default as the file has it.
-func (f *Field) writtenDefault() string {
+// defaultLiteral returns the default as it is written in a TOML file.
+func (f *Field) defaultLiteral() string {
 	if f.Kind == Boolean || f.Kind == Integer {
 		return f.Default
 	}
 	return strconv.Quote(f.Default)
 }
 
-// describeBounds tells people what a field may hold.
+// describeBounds describes the values that a field accepts, for the help text and the example file.
 func (f *Field) describeBounds() string {
 	switch f.Kind {
 	case Option:
