--- a/config/read.go
+++ b/config/read.go
@@ -11,18 +11,18 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxErrors is how many errors are told of one file: who mends it reads the first ones.
+// maxErrors limits the errors reported for one file: whoever corrects the file reads only the first ones.
 const maxErrors = 20
 
-// FieldError is what is wrong with a field, and where it stands.
+// FieldError is an error in a file, with its position and the field if they are known.
 type FieldError struct {
 	File         string
-	Line, Column int    // from 1; 0: of the whole file
-	Field        string // table and field; empty: the file as a whole
+	Line, Column int    // counted from 1; a Line of 0 means the whole file
+	Field        string // "table.field" or the table; empty means the whole file
 	Reason       string
 }
 
-// Error is one line: file, place, field and what is wrong.
+// Error returns one line with the file, position, field and reason.
 func (e FieldError) Error() string {
 	text := e.File
 	if e.Line > 0 {
@@ -34,7 +34,7 @@
 	return text + ": " + e.Reason
 }
 
-// Read reads a file. It gives all values, or all that is wrong with it.
+// Read reads a file. It returns either all values or the first maxErrors errors.
 func Read(file string, sections []Section) (Values, []FieldError) {
 	content, err := ReadFile(file)
 	if err != nil {
@@ -43,16 +43,16 @@
 	return Parse(file, content, sections)
 }
 
-// Parse is Read of content that is there already. file only names it in errors.
+// Parse is like Read, for content that has already been read. The file name is used only in errors.
 func Parse(file string, content []byte, sections []Section) (Values, []FieldError) {
-	var tree map[string]any
-	if err := toml.Unmarshal(content, &tree); err != nil {
+	var document map[string]any
+	if err := toml.Unmarshal(content, &document); err != nil {
 		return Values{}, []FieldError{syntaxError(file, err)}
 	}
 	p := parser{file: file, sections: sections, values: Defaults(sections)}
-	p.tables, p.fields = findKeys(content)
-	for table, inner := range tree {
-		p.parseTable(table, inner)
+	p.tablePositions, p.fieldPositions = findKeyPositions(content)
+	for table, raw := range document {
+		p.parseTable(table, raw)
 	}
 	if len(p.errors) == 0 {
 		return p.values, nil
@@ -63,7 +63,7 @@
 	return Values{}, p.errors[:min(len(p.errors), maxErrors)]
 }
 
-// syntaxError is what the TOML library says of a file's form, and of keys that stand twice.
+// syntaxError converts an error of the TOML library: invalid syntax or a duplicate key.
 func syntaxError(file string, err error) FieldError {
 	e := FieldError{File: file, Reason: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decode *toml.DecodeError
@@ -73,84 +73,86 @@
 	return e
 }
 
-// keyPlace is where a key stands in a file.
-type keyPlace struct {
+// keyPosition is the position of a key in a file.
+type keyPosition struct {
 	name         string
 	line, column int
 }
 
-// parser holds the values of a file against the declarations.
+// parser checks the values of a file against the declarations.
 type parser struct {
-	file     string
-	sections []Section
-	tables   []keyPlace // headers, in their order
-	fields   []keyPlace // "table.field", in their order
-	values   Values
-	errors   []FieldError
+	file           string
+	sections       []Section
+	tablePositions []keyPosition // of table headers, in the order of the file
+	fieldPositions []keyPosition // of "table.field", in the order of the file
+	values         Values
+	errors         []FieldError
 }
 
-// parseTable takes one key of the file's root.
-func (p *parser) parseTable(table string, inner any) {
-	place := slices.IndexFunc(p.sections, func(section Section) bool { return section.Table == table })
-	fields, isTable := inner.(map[string]any)
+// parseTable parses one top-level key of the file, which has to be a table.
+func (p *parser) parseTable(table string, rawTable any) {
+	index := slices.IndexFunc(p.sections, func(section Section) bool { return section.Table == table })
+	fields, isTable := rawTable.(map[string]any)
 	switch {
-	case place < 0 && isTable:
-		p.add(p.findTable(table), "no such table; there are "+p.tableNames())
-	case place < 0:
-		p.add(find(table, p.fields), "no such field: fields stand in a table, of "+p.tableNames())
+	case index < 0 && isTable:
+		p.addError(p.findTablePosition(table), "no such table; there are "+p.tableNames())
+	case index < 0:
+		p.addError(findPosition(table, p.fieldPositions), "no such field: a field has to be in one of the tables "+p.tableNames())
 	case !isTable:
-		p.add(find(table, p.fields, p.tables), "has to be a table")
+		p.addError(findPosition(table, p.fieldPositions, p.tablePositions), "has to be a table")
 	default:
 		for name, raw := range fields {
-			p.parseField(&p.sections[place], name, raw)
+			p.parseField(&p.sections[index], name, raw)
 		}
 	}
 }
 
-// parseField takes one field of a known table.
+// parseField parses one field of a declared table.
 func (p *parser) parseField(section *Section, name string, raw any) {
-	full := section.Table + "." + name
-	at := find(full, p.fields, p.tables)
+	fullName := section.Table + "." + name
+	position := findPosition(fullName, p.fieldPositions, p.tablePositions)
 	field := section.field(name)
 	if field == nil {
-		p.add(at, "no such field; there are "+strings.Join(section.fieldNames(), ", "))
+		p.addError(position, "no such field; there are "+strings.Join(section.fieldNames(), ", "))
 		return
 	}
 	parsed, err := field.parse(raw)
 	if err != nil {
-		p.add(at, err.Error())
+		p.addError(position, err.Error())
 		return
 	}
-	p.values.set(full, parsed)
+	p.values.set(fullName, parsed)
 }
 
-func (p *parser) add(at keyPlace, why string) {
-	p.errors = append(p.errors, FieldError{p.file, at.line, at.column, at.name, why})
+func (p *parser) addError(position keyPosition, reason string) {
+	p.errors = append(p.errors, FieldError{p.file, position.line, position.column, position.name, reason})
 }
 
-// findTable is where a table stands: its header, or, where it is written with dots, its first field.
-func (p *parser) findTable(table string) keyPlace {
-	if at := find(table, p.tables); at.column != 0 {
-		return at
+// findTablePosition returns the position of a table: of its header, else of its first dotted key, else of the key whose
+// value is the table.
+func (p *parser) findTablePosition(table string) keyPosition {
+	if position := findPosition(table, p.tablePositions); position.column != 0 {
+		return position
 	}
-	for _, at := range p.fields {
-		if strings.HasPrefix(at.name, table+".") {
-			return keyPlace{table, at.line, at.column}
+	for _, position := range p.fieldPositions {
+		if strings.HasPrefix(position.name, table+".") {
+			return keyPosition{table, position.line, position.column}
 		}
 	}
-	return find(table, p.fields)
+	return findPosition(table, p.fieldPositions)
 }
 
-// find is where a key stands, in the first list that has it; without a place if none does.
-func find(name string, lists ...[]keyPlace) keyPlace {
+// findPosition returns the position of a key from the first list that has it, or one without line and column if none
+// does.
+func findPosition(name string, lists ...[]keyPosition) keyPosition {
 	for _, list := range lists {
-		for _, at := range list {
-			if at.name == name {
-				return at
+		for _, position := range list {
+			if position.name == name {
+				return position
 			}
 		}
 	}
-	return keyPlace{name: name}
+	return keyPosition{name: name}
 }
 
 func (p *parser) tableNames() string {
@@ -161,8 +163,8 @@
 	return strings.Join(names, ", ")
 }
 
-// findKeys gives each table and each field that a file names, in its order.
-func findKeys(content []byte) (tables, fields []keyPlace) {
+// findKeyPositions returns the positions of all table headers and fields, in the order of the file.
+func findKeyPositions(content []byte) (tables, fields []keyPosition) {
 	var scanner unstable.Parser
 	scanner.Reset(content)
 	table := ""
@@ -176,16 +178,16 @@
 			}
 			path = append(path, string(key.Node().Data))
 		}
-		name, at := strings.Join(path, "."), scanner.Shape(first.Raw).Start
+		name, start := strings.Join(path, "."), scanner.Shape(first.Raw).Start
 		if expression.Kind != unstable.KeyValue {
 			table = name
-			tables = append(tables, keyPlace{name, at.Line, at.Column})
+			tables = append(tables, keyPosition{name, start.Line, start.Column})
 			continue
 		}
 		if table != "" {
 			name = table + "." + name
 		}
-		fields = append(fields, keyPlace{name, at.Line, at.Column})
+		fields = append(fields, keyPosition{name, start.Line, start.Column})
 	}
 	return tables, fields
 }
--- a/config/section_test.go
+++ b/config/section_test.go
@@ -26,7 +26,7 @@
 	for text, want := range map[string]string{
 		"[log]\nlevle = \"info\"":                  "f.toml:2:1: log.levle: no such field; there are level, lines",
 		"\n[logs]\nlevel = \"info\"":               "f.toml:2:2: logs: no such table; there are log, keep",
-		"level = \"info\"":                         "f.toml:1:1: level: no such field: fields stand in a table, of log, keep",
+		"level = \"info\"":                         "f.toml:1:1: level: no such field: a field has to be in one of the tables log, keep",
 		"logs.level = \"info\"":                    "f.toml:1:1: logs: no such table; there are log, keep",
 		"[keep]\n  every = 5":                      `f.toml:2:3: keep.every: has to be a duration with its unit, such as "100ms"`,
 		"[keep]\nevery = \"5\"":                    `f.toml:2:1: keep.every: "5" is not a duration with its unit, such as "100ms"`,
