--- a/config/file.go
+++ b/config/file.go
@@ -10,25 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxFileBytes is how many bytes a settings file may have: many times what one needs, and little memory.
+// MaxFileBytes is the maximum size of a settings file: many times the size that one needs, and still little memory.
 const MaxFileBytes = 1 << 20
 
-// What is wrong with a file as a whole. The texts are for people, behind the file's name.
+// Errors of a file as a whole. Whoever prints them puts the file name before the text.
 var (
 	errNotRegular = errors.New("not a regular file")
-	errTooLong    = fmt.Errorf("over %d bytes", MaxFileBytes)
-	errChanged    = errors.New("it changed while it was read")
+	errTooLarge   = fmt.Errorf("larger than %d bytes", MaxFileBytes)
+	errChanged    = errors.New("changed while it was being read")
 )
 
-// ReadFile reads a regular file of at most MaxFileBytes bytes. It guards against a file that is written over in place
-// while it is read: half of one file and half of another can be a file, too. It is therefore read twice, and refused
-// where the two differ.
+// ReadFile reads a regular file of at most MaxFileBytes bytes. It reads the file twice and fails if the contents differ:
+// a file that is overwritten in place in the meantime could be read half old and half new, and such a mix can still be
+// valid.
 func ReadFile(file string) ([]byte, error) {
-	opened, err := os.OpenFile(file, os.O_RDONLY|unix.O_NONBLOCK, 0) // A pipe must not hold the process up.
+	opened, err := os.OpenFile(file, os.O_RDONLY|unix.O_NONBLOCK, 0) // Without O_NONBLOCK, opening a named pipe would block.
 	if err != nil {
-		var withPath *os.PathError
-		if errors.As(err, &withPath) {
-			err = withPath.Err // The name stands in front already.
+		var pathError *os.PathError
+		if errors.As(err, &pathError) {
+			err = pathError.Err // Callers put the file name before the error.
 		}
 		return nil, err
 	}
@@ -42,13 +42,13 @@
 	}
 	content, err := io.ReadAll(io.LimitReader(opened, MaxFileBytes+1))
 	if err == nil && len(content) > MaxFileBytes {
-		err = errTooLong
+		err = errTooLarge
 	}
 	if err != nil {
 		return content, err
 	}
-	again, err := io.ReadAll(io.NewSectionReader(opened, 0, MaxFileBytes+1))
-	if err == nil && !bytes.Equal(content, again) {
+	reread, err := io.ReadAll(io.NewSectionReader(opened, 0, MaxFileBytes+1))
+	if err == nil && !bytes.Equal(content, reread) {
 		err = errChanged
 	}
 	return content, err
