--- a/config/explain.go
+++ b/config/explain.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Example is a file with every field at its default, and comments that explain it.
+// Example returns a settings file with every field at its default and comments that describe it.
 func Example(sections []Section) string {
 	var out strings.Builder
 	out.WriteString("# Settings of hollylever's own, named by LB_EXTRA or --extra. Every field is shown at its default.\n")
@@ -21,24 +21,25 @@
 	return out.String()
 }
 
-// Explain describes the field or the table of a name, or all for an empty one; empty if there is none.
+// Explain describes the field or the table with the given name, or all fields if the name is empty. It returns an empty
+// string for an unknown name.
 func Explain(sections []Section, name string) string {
 	var out strings.Builder
 	for _, section := range sections {
 		for n := range section.Fields {
 			field := &section.Fields[n]
-			full := section.Table + "." + field.Name
-			if name != "" && name != full && name != section.Table {
+			fullName := section.Table + "." + field.Name
+			if name != "" && name != fullName && name != section.Table {
 				continue
 			}
 			fmt.Fprintf(&out, "%s\n  %s\n  default  %s\n  bounds   %s\n  counts   %s\n",
-				full, field.Help, field.defaultLiteral(), field.describeBounds(), field.TakesEffect)
+				fullName, field.Help, field.defaultLiteral(), field.describeBounds(), field.TakesEffect)
 		}
 	}
 	return out.String()
 }
 
-// Names are all tables and fields, for the completion of commands.
+// Names returns the names of all tables and fields, for command-line completion and error messages.
 func Names(sections []Section) (names []string) {
 	for _, section := range sections {
 		names = append(names, section.Table)
