--- a/config/section_test.go
+++ b/config/section_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-var parts = []Section{
+var testSections = []Section{
 	{"log", "What is logged.", []Field{
 		{Name: "level", Kind: Option, Default: "info", Options: []string{"debug", "info"}, TakesEffect: OnReload, Help: "From which level on."},
 		{Name: "lines", Kind: Integer, Default: "512", Min: "16", Max: "4096", TakesEffect: OnRestart, Help: "Kept back."}}},
@@ -21,8 +21,8 @@
 		{Name: "most", Kind: Size, Default: "8 MiB", Min: "1 KiB", Max: "8 MiB", TakesEffect: OnReload, Help: "How much."}}},
 }
 
-// Who mends a settings file is told of each error in one line that names the place and the field.
-func TestErrorsNameTheirPlaceAndField(t *testing.T) {
+// Each error in a settings file is one line with the position and the field, so that the mistake can be found.
+func TestErrorsNamePositionAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevle = \"info\"":                  "f.toml:2:1: log.levle: no such field; there are level, lines",
 		"\n[logs]\nlevel = \"info\"":               "f.toml:2:2: logs: no such table; there are log, keep",
@@ -45,89 +45,90 @@
 		"[log]\nlines = 16\nlines = 17":            "f.toml:3:",
 		"[log]\nlines = 16\n[keep\nevery = \"5s\"": "f.toml:3:",
 	} {
-		_, wrong := Parse("f.toml", []byte(text), parts)
-		if len(wrong) != 1 || !strings.HasPrefix(wrong[0].Error(), want) {
-			t.Errorf("%q: %v, want %s", text, wrong, want)
+		_, errs := Parse("f.toml", []byte(text), testSections)
+		if len(errs) != 1 || !strings.HasPrefix(errs[0].Error(), want) {
+			t.Errorf("%q: %v, want %s", text, errs, want)
 		}
 	}
-	_, wrong := Parse("f.toml", []byte("[log]\nlines = 1\nlevel = 2\n[keep]\nevery = 3"), parts)
-	if len(wrong) != 3 || wrong[0].Line != 2 || wrong[2].Line != 5 {
-		t.Errorf("all mistakes, in order: %v", wrong)
+	_, errs := Parse("f.toml", []byte("[log]\nlines = 1\nlevel = 2\n[keep]\nevery = 3"), testSections)
+	if len(errs) != 3 || errs[0].Line != 2 || errs[2].Line != 5 {
+		t.Errorf("got %v, want three errors in the order of the lines", errs)
 	}
 }
 
-// Values are the file's, or the defaults; the example file is the defaults, and a change is told by when it takes
-// effect.
+// Fields that a file leaves out have their defaults, the example file has every field at its default, and changed fields
+// are listed by when they take effect.
 func TestValuesDefaultsAndChanges(t *testing.T) {
-	v, wrong := Parse("f", []byte("keep.every = \"250ms\"\n[log]\nlevel = \"debug\""), parts)
-	if len(wrong) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Text("log.level") != "debug" || v.Integer("log.lines") != 512 ||
+	v, errs := Parse("f", []byte("keep.every = \"250ms\"\n[log]\nlevel = \"debug\""), testSections)
+	if len(errs) > 0 || v.Duration("keep.every") != 250*time.Millisecond || v.Text("log.level") != "debug" || v.Integer("log.lines") != 512 ||
 		!v.Boolean("keep.on") || v.Integer("keep.most") != 8<<20 {
-		t.Errorf("%+v, %v", v, wrong)
+		t.Errorf("%+v, %v", v, errs)
 	}
-	w := Defaults(parts)
-	if now, later := ChangedFields(parts, v, w, OnReload), ChangedFields(parts, v, w, OnRestart); strings.Join(now, " ") != "log.level keep.every" || len(later) > 0 {
-		t.Errorf("what changed: %v at once, %v later", now, later)
+	defaults := Defaults(testSections)
+	if onReload, onRestart := ChangedFields(testSections, v, defaults, OnReload), ChangedFields(testSections, v, defaults, OnRestart); strings.Join(onReload, " ") != "log.level keep.every" || len(onRestart) > 0 {
+		t.Errorf("changed fields: %v on reload, %v on restart", onReload, onRestart)
 	}
-	if example, wrong := Parse("f", []byte(Example(parts)), parts); len(wrong) > 0 || len(ChangedFields(parts, example, w, OnReload))+len(ChangedFields(parts, example, w, OnRestart)) > 0 {
-		t.Errorf("the example is not the defaults: %v\n%s", wrong, Example(parts))
+	if example, errs := Parse("f", []byte(Example(testSections)), testSections); len(errs) > 0 || len(ChangedFields(testSections, example, defaults, OnReload))+len(ChangedFields(testSections, example, defaults, OnRestart)) > 0 {
+		t.Errorf("example file differs from the defaults: %v\n%s", errs, Example(testSections))
 	}
-	if text := Explain(parts, "keep.every"); !strings.Contains(text, "100ms to 1m") || !strings.Contains(text, "at once") || Explain(parts, "none") != "" {
+	if text := Explain(testSections, "keep.every"); !strings.Contains(text, "100ms to 1m") || !strings.Contains(text, "at once") || Explain(testSections, "none") != "" {
 		t.Errorf("%q", text)
 	}
 }
 
-// Whatever a file is, it is refused in one line and changes nothing.
-func TestUnreadableFilesAreRefusedInOneLine(t *testing.T) {
-	place, noise := t.TempDir(), make([]byte, 10<<20)
-	chance := rand.NewChaCha8([32]byte{1})
-	chance.Read(noise)
-	os.WriteFile(filepath.Join(place, "noise"), noise, 0o600)
-	os.WriteFile(filepath.Join(place, "short"), noise[:1000], 0o600)
-	os.WriteFile(filepath.Join(place, "zeros"), make([]byte, 1000), 0o600)
-	os.WriteFile(filepath.Join(place, "deep"), append([]byte("a = "), bytes.Repeat([]byte("["), 100_000)...), 0o600)
+// Binary, deeply nested and missing files, and a directory, are each rejected with one error on one line.
+func TestInvalidFilesGiveOneErrorOnOneLine(t *testing.T) {
+	dir, noise := t.TempDir(), make([]byte, 10<<20)
+	random := rand.NewChaCha8([32]byte{1})
+	random.Read(noise)
+	os.WriteFile(filepath.Join(dir, "noise"), noise, 0o600)
+	os.WriteFile(filepath.Join(dir, "short"), noise[:1000], 0o600)
+	os.WriteFile(filepath.Join(dir, "zeros"), make([]byte, 1000), 0o600)
+	os.WriteFile(filepath.Join(dir, "deep"), append([]byte("a = "), bytes.Repeat([]byte("["), 100_000)...), 0o600)
 	for _, name := range []string{"noise", "short", "zeros", "deep", "missing", ""} {
-		if _, wrong := Read(filepath.Join(place, name), parts); len(wrong) != 1 || strings.Contains(wrong[0].Error(), "\n") {
-			t.Errorf("%q: %.200v", name, wrong)
+		if _, errs := Read(filepath.Join(dir, name), testSections); len(errs) != 1 || strings.Contains(errs[0].Error(), "\n") {
+			t.Errorf("%q: %.200v", name, errs)
 		}
 	}
 }
 
-// A file that is replaced, written over and cut while it is read gives what was written whole, or mistakes.
-func TestFileReplacedWhileItIsReadIsTakenWholeOrRefused(t *testing.T) {
+// A file is replaced, overwritten in place and truncated while it is read. Read has to return the values of one complete
+// version or an error, never a mix of two versions. A truncated version, where "most" has its default, is accepted.
+func TestFileChangedDuringReadIsReadWholeOrRejected(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "extra.toml")
-	whole := func(n string) []byte {
-		return []byte("[keep]\nevery = \"" + n + "\"\n" + strings.Repeat("# long\n", 20_000) + "most = \"" + n[:1] + " KiB\"\n")
+	content := func(every string) []byte {
+		return []byte("[keep]\nevery = \"" + every + "\"\n" + strings.Repeat("# long\n", 20_000) + "most = \"" + every[:1] + " KiB\"\n")
 	}
-	os.WriteFile(file, whole("1s"), 0o600)
-	var end atomic.Bool
+	os.WriteFile(file, content("1s"), 0o600)
+	var stop atomic.Bool
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for n := 0; !end.Load(); n++ {
-			text := whole([]string{"1s", "2s"}[n%2])
+		for n := 0; !stop.Load(); n++ {
+			written := content([]string{"1s", "2s"}[n%2])
 			if n%3 == 0 {
-				os.WriteFile(file, text, 0o600) // In place: half of it can be seen.
+				os.WriteFile(file, written, 0o600) // In place: a reader can see a part of it.
 				continue
 			}
-			os.WriteFile(file+".new", text, 0o600)
+			os.WriteFile(file+".new", written, 0o600)
 			os.Rename(file+".new", file)
 		}
 	}()
-	taken := 0
+	accepted := 0
 	for range 300 {
-		v, wrong := Read(file, parts)
-		if len(wrong) > 0 {
+		v, errs := Read(file, testSections)
+		if len(errs) > 0 {
 			continue
 		}
-		taken++
+		accepted++
 		every, most := v.Duration("keep.every"), v.Integer("keep.most")
 		if most != 8<<20 && int64(every/time.Second)<<10 != most {
-			t.Fatalf("half of one file and half of another: %v and %d", every, most)
+			t.Fatalf("values of two versions of the file: every = %v, most = %d", every, most)
 		}
 	}
-	end.Store(true)
+	stop.Store(true)
 	<-done
-	if taken == 0 {
-		t.Error("no file was ever taken")
+	if accepted == 0 {
+		t.Error("no read succeeded")
 	}
 }
