--- a/settings/indices.go
+++ b/settings/indices.go
@@ -1,25 +1,25 @@
 package settings
 
-// IndexAllocator gives out small indices; those given back are used again first, the last one first. The zero value is
-// ready. It does not lock.
+// IndexAllocator allocates small indices. Freed indices are reused first, the most recently freed one first. The zero
+// value is ready for use. It is not safe for concurrent use.
 type IndexAllocator struct {
-	next int   // the lowest that was never out
-	free []int // given back
+	next int   // the lowest index never allocated
+	free []int // freed indices
 }
 
-// Allocate gives out an index. One that was never out before is the next higher number.
-func (n *IndexAllocator) Allocate() int {
-	if last := len(n.free) - 1; last >= 0 {
-		index := n.free[last]
-		n.free = n.free[:last]
+// Allocate returns a freed index or, if there is none, the lowest index never allocated.
+func (a *IndexAllocator) Allocate() int {
+	if last := len(a.free) - 1; last >= 0 {
+		index := a.free[last]
+		a.free = a.free[:last]
 		return index
 	}
-	n.next++
-	return n.next - 1
+	a.next++
+	return a.next - 1
 }
 
-// Free takes an index back.
-func (n *IndexAllocator) Free(index int) { n.free = append(n.free, index) }
+// Free makes an allocated index available again.
+func (a *IndexAllocator) Free(index int) { a.free = append(a.free, index) }
 
-// InUse tells how many are given out.
-func (n *IndexAllocator) InUse() int { return n.next - len(n.free) }
+// InUse returns the number of allocated indices.
+func (a *IndexAllocator) InUse() int { return a.next - len(a.free) }
