--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds what every driver of the decision module needs at the edge: the operators' settings as a plain
-// map of dotted names, the tables that turn their names into small indices, the reader of load reports, and small
-// indices for requests and endpoints that come and go.
+// Package settings holds what each caller of the decision module needs to prepare its input: it flattens the operators'
+// settings into a map of dotted names, maps names in them to small indices, parses load reports, and allocates small
+// indices for requests and endpoints.
 package settings
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/tidwall/gjson"
 )
 
-// Flatten turns the settings into a plain map of dotted names to values ("workloads.0.name"), a list's length under its
-// own name.
+// Flatten returns the settings as a map of dotted names ("workloads.0.name") to values. The name of a list has the
+// list's length as its value.
 func Flatten(object gjson.Result) map[string]any {
 	settings := map[string]any{}
 	flatten(settings, "", object)
@@ -32,7 +32,7 @@
 		})
 	case value.IsArray():
 		length := 0
-		value.ForEach(func(_, inner gjson.Result) bool { // One by one: a list of a thousand names takes no room of its own.
+		value.ForEach(func(_, inner gjson.Result) bool { // Unlike value.Array, this allocates no slice for a list of a thousand names.
 			flatten(into, name+"."+strconv.Itoa(length), inner)
 			length++
 			return true
@@ -43,38 +43,37 @@
 	}
 }
 
-// NameIndices gives each name of a list in the settings its place there. inner leads to the name within an entry
-// (".name"); empty: the entry is the name.
+// NameIndices maps each name of a list in the settings to its index in the list. inner is the path of the name within an
+// entry (".name"), or empty if the entry itself is the name.
 func NameIndices(settings map[string]any, list, inner string) map[string]int {
 	count, _ := settings[list].(float64)
-	places := make(map[string]int, int(count))
+	indices := make(map[string]int, int(count))
 	for i := range int(count) {
 		name, _ := settings[list+"."+strconv.Itoa(i)+inner].(string)
-		places[name] = i
+		indices[name] = i
 	}
-	return places
+	return indices
 }
 
-// maxReportedFigure is the largest figure of a load report that is taken: no endpoint serves a billion requests a
-// second.
-const maxReportedFigure = 1e9
+// maxReportValue is the largest value accepted in a load report: no endpoint serves a billion requests a second.
+const maxReportValue = 1e9
 
-// ParseReport reads an endpoint's load report, names and values between commas, into the places that the settings give
-// its fields. A figure that is missing, no plain number, negative or huge becomes NaN: none. It tells whether anything
-// was read. It guards the decision module against whatever an endpoint sends.
-func ParseReport(text []byte, between string, fields map[string]int, into []float64) bool {
+// ParseReport parses an endpoint's load report, a comma-separated list of names and values, into the indices that the
+// settings give the fields. A value that is missing, invalid, negative or above maxReportValue becomes NaN. It returns
+// whether any value was read. It protects the decision module from arbitrary input of endpoints.
+func ParseReport(report []byte, separator string, fields map[string]int, into []float64) bool {
 	for i := range into {
 		into[i] = math.NaN()
 	}
 	read := false
-	for len(text) > 0 && len(into) > 0 {
+	for len(report) > 0 && len(into) > 0 {
 		var pair []byte
-		pair, text, _ = bytes.Cut(text, []byte{','})
-		name, value, _ := bytes.Cut(pair, []byte(between))
-		place, isKnown := fields[string(name)]
-		figure, err := strconv.ParseFloat(string(value), 64)
-		if err == nil && isKnown && place < len(into) && figure >= 0 && figure <= maxReportedFigure {
-			into[place], read = figure, true
+		pair, report, _ = bytes.Cut(report, []byte{','})
+		name, value, _ := bytes.Cut(pair, []byte(separator))
+		index, isKnown := fields[string(name)]
+		parsed, err := strconv.ParseFloat(string(value), 64)
+		if err == nil && isKnown && index < len(into) && parsed >= 0 && parsed <= maxReportValue {
+			into[index], read = parsed, true
 		}
 	}
 	return read
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A load report is whatever an endpoint sends: taken as it is, a figure that is no number would poison every later
-// decision. Figures are plain numbers or none.
+// An endpoint can send anything as a load report, and a value that is not a number would distort every later decision.
+// Parsed values are numbers within bounds or, where there is none, NaN.
 func FuzzReport(f *testing.F) {
 	for _, text := range []string{"util=0.61,qps=7", "qps=NaN,util=-1", "qps=inf", "qps=0x1p4", "qps=1e300", "=,=,", "qps", "x=5",
 		"util=0.61,,qps=\xff", "qps=1,qps=2"} {
@@ -17,15 +17,15 @@
 		into := []float64{-1, -1}
 		read := ParseReport(text, "=", fields, into)
 		for _, x := range into {
-			if x < 0 || x > maxReportedFigure || !read && !math.IsNaN(x) {
+			if x < 0 || x > maxReportValue || !read && !math.IsNaN(x) {
 				t.Fatalf("%q: %v, %t", text, into, read)
 			}
 		}
 	})
 }
 
-// A field that cannot be read must not take the ones beside it with it.
-func TestReportSkipsWhatItCannotRead(t *testing.T) {
+// A field that cannot be parsed must not prevent the fields next to it from being parsed.
+func TestParseReportSkipsInvalidFields(t *testing.T) {
 	into := make([]float64, 2)
 	if !ParseReport([]byte("x0=3,qps=12.5,util=oops"), "=", map[string]int{"util": 0, "qps": 1}, into) || into[1] != 12.5 ||
 		!math.IsNaN(into[0]) {
