--- a/outlier/exchange.go
+++ b/outlier/exchange.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// minMessageInterval is the least time between two messages, so that a burst of failures goes out as a few
+	// minMessageInterval is the minimum time between two messages, so that a burst of failures is batched into a few
 	// messages.
 	minMessageInterval = 50 * millisecond
-	// repeatInterval is how often reports are repeated while nothing new happens: a lost message costs that long.
+	// repeatInterval is the interval at which reports are repeated while nothing changes. It is the delay that a lost
+	// message causes.
 	repeatInterval = 500 * millisecond
-	// recoveryRepeats is in how many messages a recovery is reported. It is not repeated for as long as it holds, as
-	// failures are, so it must survive the loss of some.
+	// recoveryRepeats is the number of messages in which a recovery is reported. Unlike failures, which are repeated as
+	// long as they persist, a recovery is reported only this many times and must survive the loss of some messages.
 	recoveryRepeats = 4
-	// minReportsPerEndpoint is how many members' reports are kept of each endpoint in any case.
+	// minReportsPerEndpoint is the number of reports that can be stored for each endpoint in any case.
 	minReportsPerEndpoint = 64
-	// maxStoredReports bounds the reports of all endpoints together (2.6 MB); beyond it an endpoint keeps
-	// minReportsPerEndpoint. As long as no endpoint has more than that, as many are kept as there are members.
-	maxStoredReports = 1024 * minReportsPerEndpoint
+	// Once evictionThreshold reports (2.6 MB) are stored in total, a further member's report on an endpoint with
+	// minReportsPerEndpoint or more replaces the one that arrived there longest ago. Below the threshold, a report of every member is
+	// stored for each endpoint.
+	evictionThreshold = 1024 * minReportsPerEndpoint
 )
 
-// storedReport is the last report of one member on one endpoint, on this balancer's clock.
+// storedReport is the latest report of one member on one endpoint, with times of this balancer's clock.
 type storedReport struct {
 	sender              uint32
 	zone                uint16
 	consecutiveFailures uint8 // 0: the endpoint succeeded
-	firstFailureAt      int64 // the earliest that was reported of this run
+	firstFailureAt      int64 // the earliest reported failure of this run of failures
 	observedAt          int64 // the latest failure, or the success
 	receivedAt          int64
 }
 
-// HandleMessage records what another balancer reports. Messages of nobody known, repeats, and messages older than one
-// accepted before are counted and otherwise ignored: merging must not depend on the network's order.
+// HandleMessage stores the reports of another balancer. Messages from unknown senders, duplicates, and messages older
+// than one already accepted are counted and otherwise ignored, so that the result does not depend on delivery order.
 func (d *Detector) HandleMessage(now int64, m *Message) {
-	index := d.memberIndex[m.From] // 0 for this balancer and for those that are no members.
+	index := d.memberIndex[m.From] // 0 for this balancer and for senders that are not members.
 	if index == 0 {
 		d.MessagesFromUnknown++
 		return
@@ -58,8 +60,8 @@
 	}
 }
 
-// learnZone returns the zone of a member: as this balancer knows it, or else as the member says. Each process numbers
-// zones for itself, so that the former goes first.
+// learnZone returns the zone of a member. If this balancer does not know it, it stores the zone stated by the member and
+// counts the zones again. A known zone takes precedence because each process assigns its own zone numbers.
 func (d *Detector) learnZone(index int, stated uint16) uint16 {
 	member := &d.members[index]
 	if member.Zone == UnknownZone && stated != UnknownZone {
@@ -69,19 +71,20 @@
 	return member.Zone
 }
 
-// storeReport keeps a report in place of its sender's last one. If there are too many, the one that was received
-// longest ago gives way.
+// storeReport replaces the sender's previous report, or adds one. If there are too many reports, it evicts the
+// endpoint's least recently received one.
 func (d *Detector) storeReport(endpoint *endpointState, report storedReport) {
 	index, known := endpoint.findReport(report.sender)
 	if known {
 		previous := &endpoint.reports[index]
 		if previous.consecutiveFailures > 0 && report.consecutiveFailures >= previous.consecutiveFailures {
+			// A lower count would be a new run of failures.
 			report.firstFailureAt = min(report.firstFailureAt, previous.firstFailureAt)
 		}
 		*previous = report
 		return
 	}
-	if len(endpoint.reports) >= minReportsPerEndpoint && d.storedReports >= maxStoredReports {
+	if len(endpoint.reports) >= minReportsPerEndpoint && d.storedReports >= evictionThreshold {
 		endpoint.evictOldestReport()
 		d.storedReports--
 		index, _ = endpoint.findReport(report.sender)
@@ -90,7 +93,7 @@
 	d.storedReports++
 }
 
-// findReport returns where a sender's report is, or where it would have to be inserted.
+// findReport returns the index of a sender's report, or the index at which to insert one.
 func (e *endpointState) findReport(sender uint32) (index int, found bool) {
 	return slices.BinarySearchFunc(e.reports, sender, func(r storedReport, sender uint32) int {
 		return cmp.Compare(r.sender, sender)
@@ -107,15 +110,15 @@
 	e.reports = slices.Delete(e.reports, oldest, oldest+1)
 }
 
-// dropExpiredReports forgets reports that nothing reads any more.
+// dropExpiredReports removes reports that can no longer affect any decision.
 func (e *endpointState) dropExpiredReports(now int64) {
 	e.reports = slices.DeleteFunc(e.reports, func(r storedReport) bool {
 		return now-r.observedAt > probeEvidenceWindow && now-r.receivedAt > probeEvidenceWindow
 	})
 }
 
-// NextMessage returns the message that is due, or nil: at once after a change, repeated while something fails, and
-// none while all is well. The caller sends it to all members.
+// NextMessage returns the message that is due, or nil. A message is due soon after a change and is repeated while there
+// is anything to report; otherwise none is sent. The caller sends it to all members.
 func (d *Detector) NextMessage(now int64) *Message {
 	sinceLast := now - d.lastSentAt
 	if sinceLast < minMessageInterval || !d.urgent && sinceLast < repeatInterval {
@@ -139,9 +142,9 @@
 	return m
 }
 
-// reportsDue returns a report of each endpoint of which others should hear, in no particular order. There are none
-// while more than maxEjectedShare of the endpoints fail here: the cause is behind all of them, or this balancer's own
-// network.
+// reportsDue returns the reports to send, at most one per endpoint, in no particular order. It returns none while more
+// than maxEjectedShare of the endpoints fail for this balancer, as the cause is then a shared dependency or this
+// balancer's own network.
 func (d *Detector) reportsDue(now int64) (reports []Report) {
 	if float64(d.countFailing(now)) > maxEjectedShare*float64(d.listedCount) {
 		return nil
@@ -161,7 +164,8 @@
 	return reports
 }
 
-// countFailing counts the endpoints whose latest attempts of this balancer failed.
+// countFailing returns the number of endpoints at which this balancer's latest attempts failed, within
+// evidenceTimeout.
 func (d *Detector) countFailing(now int64) (failing int) {
 	for _, endpoint := range d.active {
 		if endpoint.consecutiveFailures > 0 && now-endpoint.lastFailure < evidenceTimeout {
@@ -171,23 +175,26 @@
 	return failing
 }
 
-// isFailureDue reports whether others should hear of an endpoint's failures here. Once it is ejected everywhere, only
-// failures since then, those of probes, are news.
+// isFailureDue reports whether this balancer's failures at an endpoint are to be reported. They can affect whether the
+// endpoint is ejected while it is in use, while it is returning, and until its ejection has had time to take effect
+// everywhere; they are then reported from reportThreshold on. Any failure since the ejection began is reported: later
+// on, these are the failures of probes, and only they carry new information.
 func (d *Detector) isFailureDue(now int64, endpoint *endpointState) bool {
 	if endpoint.consecutiveFailures == 0 || now-endpoint.lastFailure >= evidenceTimeout {
 		return false
 	}
-	mayEject := !endpoint.isEjected() || endpoint.isReturning() || now-endpoint.ejectedAt < ejectionWindow
-	if mayEject && endpoint.consecutiveFailures >= d.reportThreshold() {
+	mayAffectEjection := !endpoint.isEjected() || endpoint.isReturning() || now-endpoint.ejectedAt < ejectionWindow
+	if mayAffectEjection && endpoint.consecutiveFailures >= d.reportThreshold() {
 		return true
 	}
 	return endpoint.isEjected() && endpoint.lastFailure > endpoint.ejectedAt
 }
 
-// selectReports returns as many reports as a message holds: those first that were sent longest ago or never, of these
-// the most recent. If one is left out that says more than was sent of its endpoint, the next message is due at once.
+// selectReports returns as many reports as fit into a message. Endpoints that were never reported or were reported
+// longest ago come first; ties go to the most recent observation. If an omitted report has more failures than were last
+// sent, or is the first of a recovery, the next message is sent as soon as possible.
 func (d *Detector) selectReports(now int64, reports []Report) []Report {
-	slices.SortFunc(reports, func(a, b Report) int { // Ties go by endpoint, so that a run can be repeated.
+	slices.SortFunc(reports, func(a, b Report) int { // Remaining ties are broken by ID for reproducible runs.
 		return cmp.Or(
 			cmp.Compare(d.endpoints[a.Endpoint].sentAt, d.endpoints[b.Endpoint].sentAt),
 			cmp.Compare(a.AgeMillis, b.AgeMillis),
@@ -196,7 +203,7 @@
 	selected := reports[:min(len(reports), maxReportsPerMessage)]
 	for _, r := range selected {
 		endpoint := d.endpoints[r.Endpoint]
-		endpoint.sentFailures, endpoint.sentAt = countedFailures(r), now
+		endpoint.sentFailures, endpoint.sentAt = effectiveFailures(r), now
 		if r.ConsecutiveFailures == 0 {
 			endpoint.recoveryReportsDue--
 		}
@@ -204,12 +211,12 @@
 	for _, r := range reports[len(selected):] {
 		endpoint := d.endpoints[r.Endpoint]
 		isFirstOfRecovery := r.ConsecutiveFailures == 0 && endpoint.recoveryReportsDue == recoveryRepeats
-		if countedFailures(r) > endpoint.sentFailures || isFirstOfRecovery {
+		if effectiveFailures(r) > endpoint.sentFailures || isFirstOfRecovery {
 			d.urgent = true
 		}
 	}
 	return selected
 }
 
-// countedFailures is how many consecutive failures of a report can count at its receivers.
-func countedFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerWitness) }
+// effectiveFailures returns a report's consecutive failures, up to the maximum that receivers count.
+func effectiveFailures(r Report) int { return min(int(r.ConsecutiveFailures), maxFailuresPerReporter) }
--- a/simadapter/wire.go
+++ b/simadapter/wire.go
@@ -2,7 +2,7 @@
 
 import "hollylever/policy"
 
-// The wire's words that have a term of the module's, in one place.
+// Mappings from words of the wire to terms of the decision module.
 var (
 	outcomes = map[uint64]policy.Outcome{
 		10: policy.OK,
@@ -28,28 +28,28 @@
 	}
 )
 
-// Lines that stand round events.
+// Names of the lines that are not events: the limits of a batch, the end of its reply, and an endpoint list entry.
 const (
-	batchBegins = "sync"
-	batchEnds   = "commit"
-	replyEnds   = "ack"
-	listEntry   = "row"
+	batchStart = "sync"
+	batchEnd   = "commit"
+	replyEnd   = "ack"
+	listEntry  = "row"
 )
 
-// handlers take an event of a known instance, by its name on the wire. "init" begins an instance and stands apart.
+// handlers maps the wire name of an event to its handler. The events "init" and "down" are handled in processEvent.
 var handlers = map[string]func(*instance, *reader, int64){
-	"members":        (*instance).handleMembers,
-	"ask":            (*instance).handleAsk,
-	"wake":           (*instance).handleWake,
-	"check_result":   (*instance).handleCheckResult,
-	"first_byte":     (*instance).handleFirstByte,
-	"neighbour_says": (*instance).handleNeighbourSays,
-	"completed":      (*instance).handleCompleted,
-	"aborted":        (*instance).handleAborted,
+	"members":        (*instance).handleEndpointUpdate,
+	"ask":            (*instance).handleRequest,
+	"wake":           (*instance).handleTimer,
+	"check_result":   (*instance).handleProbeResult,
+	"first_byte":     (*instance).handleResponseStarted,
+	"neighbour_says": (*instance).handlePeerMessage,
+	"completed":      (*instance).handleAttemptEnded,
+	"aborted":        (*instance).handleClientCancelled,
 }
 
-// Events that are not an instance's own.
+// Events that create and remove instances.
 const (
-	eventInit = "init" // an instance begins
-	eventDown = "down" // and ends, with all that it held
+	eventInit = "init" // creates an instance
+	eventDown = "down" // removes an instance and all its state
 )
